--- a/src/main/kotlin/wardmux/app/ArchiveTrainingRun.kt
+++ b/src/main/kotlin/wardmux/app/ArchiveTrainingRun.kt
@@ -1,5 +1,8 @@
 package wardmux.app
 
+import wardmux.config.OperatorSettings
+import wardmux.config.SettingsFiles
+
 /** A short run of the daemon that loads the classes to be put into the class-data archive. */
 object ArchiveTrainingRun {
     /** Starts a controller without any reachable service and gives it time to load its classes. */
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -6,16 +6,19 @@
 import java.net.InetSocketAddress
 import java.util.UUID
 import java.util.concurrent.TimeUnit
-import wardmux.Effect
-import wardmux.Input
-import wardmux.Micros
-import wardmux.Port
-import wardmux.Target
+import wardmux.config.OperatorSettings
+import wardmux.config.PlatformSettings
+import wardmux.config.SettingsFiles
+import wardmux.core.Effect
+import wardmux.core.Input
+import wardmux.core.Port
+import wardmux.core.Target
 import wardmux.drain.PlanWorker
 import wardmux.http.HttpClient
 import wardmux.http.HttpServer
-import wardmux.logger
-import wardmux.millis
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.millis
 
 /** Binds the core to sockets and clocks; one event loop owns both. */
 class Daemon(private val platform: PlatformSettings, private val operators: OperatorSettings) {
--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -10,6 +10,10 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.ParameterException
 import picocli.CommandLine.Spec
+import wardmux.config.BadSettings
+import wardmux.config.OperatorSettings
+import wardmux.config.PlatformSettings
+import wardmux.config.SettingsFiles
 import wardmux.drain.DrainCommand
 
 /** Root of the command line; an operator's toolbox finds its place beside `serve` and `check`. */
--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -1,12 +1,14 @@
 package wardmux.cloud
 
 import kotlin.math.ceil
-import wardmux.CoreContext
-import wardmux.app.ObjectiveFacts
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Job
-import wardmux.dispatch.PageSizeEstimate
-import wardmux.intake.JobSpec
+import wardmux.config.ObjectiveFacts
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.MachinePool
+import wardmux.scheduling.MachinePools
+import wardmux.scheduling.PageSizeEstimate
 
 /** How many machines the waiting work of a pool would use, in machines of its base type. */
 class Backlog {
--- a/src/main/kotlin/wardmux/cloud/CloudClient.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudClient.kt
@@ -3,12 +3,13 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
-import wardmux.CoreContext
-import wardmux.Outcome
-import wardmux.Target
-import wardmux.logger
-import wardmux.secs
-import wardmux.store.lenientJson
+import wardmux.core.CoreContext
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.logging.logger
+import wardmux.model.MachineType
+import wardmux.model.secs
+import wardmux.serialization.lenientJson
 
 @Serializable private class TypesWire(@SerialName("boxkinds") val boxkinds: List<MachineType>)
 
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -1,13 +1,14 @@
 package wardmux.cloud
 
 import kotlin.math.ceil
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Eligibility
-import wardmux.dispatch.Job
-import wardmux.fleet.Machine
-import wardmux.fleet.Maintenance
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Maintenance
+import wardmux.model.Shape
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.Eligibility
 
 /**
  * Rents for single jobs that no count of loads would ever rent for: nothing that is there or on
--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -1,14 +1,16 @@
 package wardmux.cloud
 
-import wardmux.CoreContext
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Eligibility
-import wardmux.dispatch.TaskStopper
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.fleet.TaskStatus
-import wardmux.intake.Shape
-import wardmux.logger
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.TaskStatus
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.Eligibility
+import wardmux.scheduling.MachinePool
+import wardmux.scheduling.TaskStopper
 
 /**
  * Empties ordinary machines that are more than is wanted: they get no new tasks, and can be
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -1,14 +1,17 @@
 package wardmux.cloud
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.millis
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.model.MachineType
+import wardmux.model.MachineTypes
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.records.MachineTypeList
+import wardmux.serialization.jsonBytes
 import wardmux.store.Change
 import wardmux.store.Priority
 import wardmux.store.Result
 import wardmux.store.StateStore
-import wardmux.store.jsonBytes
 
 /**
  * The machine types, kept in the state service so that an outage of the cloud does not keep a fresh
@@ -18,15 +21,13 @@
     private val context: CoreContext,
     private val store: StateStore,
     private val cloud: CloudClient,
-) {
-    var types: List<MachineType>? = null
+) : MachineTypes {
+    override var types: List<MachineType>? = null
         private set
 
     private var askAt = Micros.LONG_AGO
     private var busy = false
 
-    fun byLabel(label: String): MachineType? = types?.firstOrNull { it.label == label }
-
     /** Only the leader asks for current prices; the others need no more than what is known. */
     fun tick(leading: Boolean) {
         if (busy || context.now < askAt) return
@@ -36,8 +37,8 @@
     }
 
     private fun readStored() {
-        store.get(MachineType.KEY) { result ->
-            val stored = if (result is Result.Ok) MachineType.listOf(result.value.data) else null
+        store.get(MachineTypeList.KEY) { result ->
+            val stored = if (result is Result.Ok) MachineTypeList.decode(result.value.data) else null
             if (stored != null) {
                 types = stored
                 again(REFRESH)
@@ -64,10 +65,10 @@
     }
 
     private fun keep(found: List<MachineType>) {
-        val data = MachineType.toJson(found)
+        val data = MachineTypeList.encode(found)
         // Too large to keep: whoever starts asks the cloud.
         if (jsonBytes(data) > store.maxValueBytes) return
-        val change = Change(put = MachineType.KEY, data = data)
+        val change = Change(put = MachineTypeList.KEY, data = data)
         store.multi(emptyList(), listOf(change), Priority.LEADER) {}
     }
 
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -1,17 +1,19 @@
 package wardmux.cloud
 
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.app.CloudFacts
-import wardmux.app.OperatorSettings
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Planner
+import wardmux.config.CloudFacts
+import wardmux.config.OperatorSettings
+import wardmux.core.CoreContext
 import wardmux.fleet.Fleet
-import wardmux.fleet.Machine
-import wardmux.fleet.Maintenance
-import wardmux.logger
-import wardmux.secs
+import wardmux.logging.logger
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.Maintenance
+import wardmux.model.Micros
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.MachinePool
+import wardmux.scheduling.MachinePools
+import wardmux.scheduling.Planner
 
 /** Rents what the waiting work needs, returns what costs more than it saves. */
 class Provisioner(
--- a/src/main/kotlin/wardmux/cloud/RentalOrders.kt
+++ b/src/main/kotlin/wardmux/cloud/RentalOrders.kt
@@ -1,15 +1,16 @@
 package wardmux.cloud
 
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Token
-import wardmux.app.CloudFacts
-import wardmux.app.OperatorSettings
-import wardmux.dispatch.Cluster
+import wardmux.config.CloudFacts
+import wardmux.config.OperatorSettings
+import wardmux.core.CoreContext
 import wardmux.fleet.Fleet
-import wardmux.logger
-import wardmux.secs
+import wardmux.logging.logger
+import wardmux.model.MachineId
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Token
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
 
 /** One kind of thing that the cloud rents. */
 data class MachineKind(val type: MachineType, val zone: String, val spot: Boolean) {
--- a/src/main/kotlin/wardmux/cloud/Spending.kt
+++ b/src/main/kotlin/wardmux/cloud/Spending.kt
@@ -1,10 +1,10 @@
 package wardmux.cloud
 
-import wardmux.Micros
-import wardmux.fleet.Machine
-import wardmux.fleet.TaskStatus
-import wardmux.logger
-import wardmux.secs
+import wardmux.logging.logger
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.TaskStatus
+import wardmux.model.secs
 
 /** Tells now and then what the money goes to: work, or what machines do beside it. */
 class Spending {
--- a/src/main/kotlin/wardmux/drain/DrainSettings.kt
+++ b/src/main/kotlin/wardmux/config/DrainSettings.kt
@@ -1,9 +1,11 @@
-package wardmux.drain
+package wardmux.config
 
 import java.time.DateTimeException
 import java.time.ZoneId
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
+import wardmux.maintenance.MaintenanceWindows
+import wardmux.maintenance.WindowSettings
 
 /** The section `drain` of the operators' settings: listener, budgets and maintenance windows. */
 @Serializable
@@ -57,13 +59,6 @@
         fun outside(field: String, value: Double, low: Double, high: Double): String? =
             if (value.isFinite() && value in low..high) null
             else "$field must be from $low to $high, but is $value"
-
-        fun zoneOf(name: String): ZoneId? =
-            try {
-                ZoneId.of(name)
-            } catch (e: DateTimeException) {
-                null
-            }
     }
 }
 
@@ -113,16 +108,3 @@
             stepPauseS ?: default.stepPauseS,
         )
 }
-
-/** A recurring maintenance window. */
-@Serializable
-data class WindowSettings(
-    /** The days on which it opens: an RFC 5545 recurrence rule such as `FREQ=WEEKLY;BYDAY=TU`. */
-    @SerialName("rule") val rule: String,
-    /** The local time at which it opens, HH:MM. */
-    @SerialName("opens") val opens: String,
-    /** For how long it is open. */
-    @SerialName("length_s") val lengthS: Double,
-    /** The first day on which it may open, YYYY-MM-DD; the rule's intervals count from it. */
-    @SerialName("from") val from: String = "2026-01-01",
-)
--- a/src/main/kotlin/wardmux/app/OperatorSettings.kt
+++ b/src/main/kotlin/wardmux/config/OperatorSettings.kt
@@ -1,8 +1,7 @@
-package wardmux.app
+package wardmux.config
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.drain.DrainSettings
 
 /** The operators' own settings; each has a default, a unit in its name and a checked range. */
 @Serializable
--- a/src/main/kotlin/wardmux/app/Settings.kt
+++ b/src/main/kotlin/wardmux/config/Settings.kt
@@ -1,4 +1,4 @@
-package wardmux.app
+package wardmux.config
 
 import com.akuleshov7.ktoml.Toml
 import com.akuleshov7.ktoml.TomlInputConfig
--- a/src/main/kotlin/wardmux/app/SocketBudget.kt
+++ b/src/main/kotlin/wardmux/config/SocketBudget.kt
@@ -1,4 +1,4 @@
-package wardmux.app
+package wardmux.config
 
 /**
  * How the sockets that a controller may have open are divided. What must get through at any load,
--- a/src/main/kotlin/wardmux/Core.kt
+++ b/src/main/kotlin/wardmux/core/Core.kt
@@ -1,10 +1,11 @@
-package wardmux
+package wardmux.core
 
 import org.agrona.collections.Long2ObjectHashMap
 import org.slf4j.Logger
 import org.slf4j.LoggerFactory
 import wardmux.drain.DrainPlan
 import wardmux.drain.DrainProblem
+import wardmux.model.Micros
 
 /** Who a request goes to. */
 sealed interface Target {
@@ -158,6 +159,3 @@
         return taken
     }
 }
-
-/** The log of class [T], under its simple name. */
-inline fun <reified T> logger(): Logger = LoggerFactory.getLogger(T::class.java.simpleName)
--- a/src/main/kotlin/wardmux/HttpStatus.kt
+++ b/src/main/kotlin/wardmux/core/HttpStatus.kt
@@ -1,4 +1,4 @@
-package wardmux
+package wardmux.core
 
 /**
  * The HTTP status codes that the protocols between users, workers, controllers and services use.
--- a/src/main/kotlin/wardmux/drain/Disruptions.kt
+++ b/src/main/kotlin/wardmux/drain/Disruptions.kt
@@ -1,15 +1,16 @@
 package wardmux.drain
 
 import kotlin.math.ceil
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.Micros
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Job
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.fleet.TaskStatus
-import wardmux.intake.Shape
+import wardmux.config.DrainSettings
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.TaskStatus
+import wardmux.scheduling.Cluster
 
 /** Why a budget has no room. */
 sealed interface BudgetRefusal {
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -1,13 +1,13 @@
 package wardmux.drain
 
 import kotlinx.serialization.KSerializer
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.Input
-import wardmux.Outcome
-import wardmux.Target
-import wardmux.peers.PeerCodec
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Input
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.model.secs
+import wardmux.serialization.PeerCodec
 import wardmux.store.Priority
 import wardmux.store.StateStore
 
--- a/src/main/kotlin/wardmux/drain/DrainCommand.kt
+++ b/src/main/kotlin/wardmux/drain/DrainCommand.kt
@@ -11,9 +11,9 @@
 import picocli.CommandLine.ParameterException
 import picocli.CommandLine.Parameters
 import picocli.CommandLine.Spec
-import wardmux.HttpStatus
-import wardmux.app.SettingsFiles
-import wardmux.secs
+import wardmux.config.SettingsFiles
+import wardmux.core.HttpStatus
+import wardmux.model.secs
 
 /** Exit codes of the drain commands. */
 object DrainExit {
--- a/src/main/kotlin/wardmux/drain/DrainDesk.kt
+++ b/src/main/kotlin/wardmux/drain/DrainDesk.kt
@@ -1,13 +1,14 @@
 package wardmux.drain
 
 import kotlinx.serialization.SerializationException
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.Micros
-import wardmux.Token
-import wardmux.cloud.MachineType
-import wardmux.dispatch.Cluster
-import wardmux.store.jsonBytes
+import wardmux.config.DrainSettings
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Token
+import wardmux.scheduling.Cluster
+import wardmux.serialization.jsonBytes
 
 /** What operators ask of the leader: starting, checking, looking at and steering drains. */
 class DrainDesk(
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -2,14 +2,16 @@
 
 import java.time.Duration
 import java.time.ZoneId
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.dispatch.Cluster
-import wardmux.fleet.Machine
-import wardmux.fleet.Maintenance
-import wardmux.logger
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.DrainSettings
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.maintenance.MaintenanceWindows
+import wardmux.model.Machine
+import wardmux.model.Maintenance
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
 
 /**
  * Carries out the drains while this controller leads. What it decides is written first and acted on
--- a/src/main/kotlin/wardmux/drain/DrainPlan.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPlan.kt
@@ -1,6 +1,6 @@
 package wardmux.drain
 
-import wardmux.MachineId
+import wardmux.model.MachineId
 
 /** What is to be moved off one machine. */
 class MachineLoad(
--- a/src/main/kotlin/wardmux/drain/DrainRecord.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRecord.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonElement
-import wardmux.store.lenientJson
+import wardmux.serialization.lenientJson
 
 /** Which machines a drain takes out; what is left out does not restrict it. */
 @Serializable
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -2,11 +2,11 @@
 
 import java.time.DateTimeException
 import java.time.OffsetDateTime
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.cloud.MachineType
-import wardmux.dispatch.Cluster
-import wardmux.fleet.Machine
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.scheduling.Cluster
 
 /** Which machines a drain still has to take out. */
 class DrainSelection(private val cluster: Cluster) {
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -1,11 +1,11 @@
 package wardmux.drain
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.lead.Leadership
-import wardmux.lead.Role
-import wardmux.logger
-import wardmux.millis
+import wardmux.core.CoreContext
+import wardmux.election.Leadership
+import wardmux.election.Role
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.millis
 import wardmux.store.Change
 import wardmux.store.Condition
 import wardmux.store.Priority
--- a/src/main/kotlin/wardmux/drain/DrainText.kt
+++ b/src/main/kotlin/wardmux/drain/DrainText.kt
@@ -1,7 +1,8 @@
 package wardmux.drain
 
 import kotlinx.serialization.SerializationException
-import wardmux.Micros
+import wardmux.maintenance.MaintenanceWindows
+import wardmux.model.Micros
 
 /** Answers as operators read them on a terminal. */
 object DrainText {
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -1,18 +1,19 @@
 package wardmux.drain
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.app.Facts
-import wardmux.app.OperatorSettings
-import wardmux.cloud.MachineType
 import wardmux.cloud.Provisioner
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Eligibility
-import wardmux.dispatch.Job
-import wardmux.dispatch.TaskStopper
-import wardmux.fleet.Machine
-import wardmux.lead.Role
-import wardmux.secs
+import wardmux.config.DrainSettings
+import wardmux.config.Facts
+import wardmux.config.OperatorSettings
+import wardmux.core.CoreContext
+import wardmux.election.Role
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.Eligibility
+import wardmux.scheduling.TaskStopper
 import wardmux.store.StateStore
 
 /** What a leader's session lends to its drains. */
--- a/src/main/kotlin/wardmux/drain/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/drain/OperatorClient.kt
@@ -4,12 +4,12 @@
 import java.net.InetSocketAddress
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.TimeUnit
-import wardmux.HttpStatus
-import wardmux.Micros
-import wardmux.Outcome
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
 import wardmux.http.HttpClient
-import wardmux.millis
-import wardmux.secs
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** What came of asking the controllers. */
 sealed interface OperatorReply {
--- a/src/main/kotlin/wardmux/drain/PlanDesk.kt
+++ b/src/main/kotlin/wardmux/drain/PlanDesk.kt
@@ -1,13 +1,14 @@
 package wardmux.drain
 
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.dispatch.Cluster
-import wardmux.fleet.Machine
-import wardmux.intake.Shape
-import wardmux.logger
-import wardmux.secs
+import wardmux.config.DrainSettings
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
 
 /**
  * Gives the steps of drains. Plans are worked out beside the core, one at a time and no more often
--- a/src/main/kotlin/wardmux/drain/PlanWorker.kt
+++ b/src/main/kotlin/wardmux/drain/PlanWorker.kt
@@ -4,8 +4,8 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.ThreadPoolExecutor
 import java.util.concurrent.TimeUnit
-import wardmux.Micros
-import wardmux.logger
+import wardmux.logging.logger
+import wardmux.model.Micros
 
 /** Works out plans on a thread of its own, which is there only while there is one to work on. */
 class PlanWorker {
--- a/src/main/kotlin/wardmux/drain/SeatFinder.kt
+++ b/src/main/kotlin/wardmux/drain/SeatFinder.kt
@@ -1,12 +1,12 @@
 package wardmux.drain
 
-import wardmux.cloud.MachineType
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Eligibility
-import wardmux.dispatch.Job
-import wardmux.fleet.Machine
-import wardmux.fleet.Maintenance
-import wardmux.fleet.Placement
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Maintenance
+import wardmux.model.Placement
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.Eligibility
 
 /** Finds room for tasks that are to be moved, on machines that are up and stay. */
 class SeatFinder(private val cluster: Cluster, private val eligibility: Eligibility) {
--- a/src/main/kotlin/wardmux/drain/SolverPlanner.kt
+++ b/src/main/kotlin/wardmux/drain/SolverPlanner.kt
@@ -3,7 +3,7 @@
 import org.chocosolver.solver.Model
 import org.chocosolver.solver.search.strategy.Search as ChocoSearch
 import org.chocosolver.solver.variables.IntVar
-import wardmux.Micros
+import wardmux.model.Micros
 
 /**
  * Finds a plan with the fewest steps by constraint programming (Choco): each machine gets the
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -1,16 +1,16 @@
 package wardmux.drain
 
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.TaskId
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.Job
-import wardmux.dispatch.TaskStopper
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskId
+import wardmux.model.Urgency
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.TaskStopper
 
 /** What comes next for a drain. */
 sealed interface Decision {
--- a/src/main/kotlin/wardmux/drain/StopChooser.kt
+++ b/src/main/kotlin/wardmux/drain/StopChooser.kt
@@ -1,10 +1,10 @@
 package wardmux.drain
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.fleet.Placement
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.secs
 
 /** Tasks that may be stopped now; where others may not, why, and of which team they are. */
 class StopChoice(val chosen: List<Placement>, val refusal: BudgetRefusal?, val team: String)
--- a/src/main/kotlin/wardmux/lead/Leadership.kt
+++ b/src/main/kotlin/wardmux/election/Leadership.kt
@@ -1,20 +1,21 @@
-package wardmux.lead
+package wardmux.election
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.Token
-import wardmux.logger
-import wardmux.millis
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.MAX_CLOCK_DRIFT
+import wardmux.model.Micros
+import wardmux.model.Stamp
+import wardmux.model.Token
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.serialization.lenientJson
 import wardmux.store.Change
 import wardmux.store.Condition
 import wardmux.store.Priority
 import wardmux.store.Result
 import wardmux.store.StateStore
-import wardmux.store.lenientJson
 
 /** What the `leader` key says. [boot] tells the incarnations of one member apart. */
 @Serializable
@@ -276,11 +277,10 @@
     }
 
     /** Counted from before the request was sent, with the clocks' drift and a margin. */
-    private fun until(sentAt: Micros) = sentAt + life * (1 - DRIFT) - MARGIN
+    private fun until(sentAt: Micros) = sentAt + life * (1 - MAX_CLOCK_DRIFT) - MARGIN
 
     companion object {
         const val KEY = "leader"
-        const val DRIFT = 0.001
         private const val RENEW_PART = 0.3
         private val MARGIN = 100.millis
         private val RETRY = 300.millis
--- a/src/main/kotlin/wardmux/fleet/Fleet.kt
+++ b/src/main/kotlin/wardmux/fleet/Fleet.kt
@@ -1,32 +1,41 @@
 package wardmux.fleet
 
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Target
-import wardmux.TaskId
-import wardmux.Token
-import wardmux.app.OperatorSettings
-import wardmux.app.WorkerFacts
-import wardmux.cloud.MachineTypeCatalog
-import wardmux.dispatch.Cluster
-import wardmux.dispatch.TaskStopper
-import wardmux.logger
-import wardmux.renewal.LeaderKnowledge
-import wardmux.renewal.LeaseRenewals
-import wardmux.renewal.RenewalDecision
-import wardmux.renewal.WithholdingReason
-import wardmux.secs
-import wardmux.store.lenientJson
+import wardmux.config.OperatorSettings
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.lease.LeaderKnowledge
+import wardmux.lease.LeaseRenewals
+import wardmux.lease.RenewalDecision
+import wardmux.lease.WithholdingReason
+import wardmux.logging.logger
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.MachineTypes
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskId
+import wardmux.model.TaskStatus
+import wardmux.model.Token
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
+import wardmux.scheduling.TaskStopper
+import wardmux.serialization.lenientJson
+import wardmux.worker.DirectOrders
+import wardmux.worker.Order
+import wardmux.worker.Redirect
+import wardmux.worker.Report
+import wardmux.worker.ReportedTask
 
 /** The leader's dealings with workers: what their reports prove and what they are told. */
 class Fleet(
     private val context: CoreContext,
     private val cluster: Cluster,
     private val stopper: TaskStopper,
-    private val types: MachineTypeCatalog,
+    private val types: MachineTypes,
     private val workers: WorkerFacts,
     private val operators: OperatorSettings,
     private val token: Token,
@@ -220,7 +229,7 @@
 
     /** Takes in what the report shows. */
     private fun reconcile(machine: Machine, report: Report) {
-        var orphans: ArrayList<wardmux.intake.JobSpec>? = null
+        var orphans: ArrayList<JobSpec>? = null
         for (reported in report.tasks) {
             val placement = machine.placed(reported)
             if (placement != null) {
--- a/src/main/kotlin/wardmux/fleet/FleetHealth.kt
+++ b/src/main/kotlin/wardmux/fleet/FleetHealth.kt
@@ -1,23 +1,25 @@
 package wardmux.fleet
 
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.app.WorkerFacts
-import wardmux.cloud.MachineTypeCatalog
-import wardmux.dispatch.Cluster
-import wardmux.lead.Leadership
-import wardmux.logger
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.MAX_CLOCK_DRIFT
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.MachineTypes
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
 
 /** Which machines are given up, because they fell silent or because orders do not reach them. */
 class FleetHealth(
     private val context: CoreContext,
     private val cluster: Cluster,
     private val fleet: Fleet,
-    private val types: MachineTypeCatalog,
+    private val types: MachineTypes,
     private val workers: WorkerFacts,
     private val operators: OperatorSettings,
     private val loaded: () -> Boolean,
@@ -32,7 +34,7 @@
     private val unreachableAfter =
         maxOf((workers.reportS * UNREACHABLE_REPORTS).secs, UNREACHABLE_LEAST)
     private val leaseOver =
-        workers.leaseS.secs * (1 + Leadership.DRIFT) + operators.leaseMarginS.secs
+        workers.leaseS.secs * (1 + MAX_CLOCK_DRIFT) + operators.leaseMarginS.secs
     private var watchAt = Micros.LONG_AGO
 
     /** Since when workers could be heard: all that is stored has been read. */
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -1,10 +1,13 @@
 package wardmux.fleet
 
-import wardmux.CoreContext
-import wardmux.dispatch.Job
-import wardmux.intake.Shape
-import wardmux.logger
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.TaskStatus
+import wardmux.model.secs
 
 /** Tells machines on which tasks fail from jobs whose tasks fail anywhere. */
 class TaskFailures(
--- a/src/main/kotlin/wardmux/relay/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -1,12 +1,12 @@
-package wardmux.relay
+package wardmux.forwarding
 
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Target
-import wardmux.logger
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.secs
 
 /**
  * Sends a relay's batches to the leader: directly, or through the state service for some time after
--- a/src/main/kotlin/wardmux/relay/GrantedKnowledge.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedKnowledge.kt
@@ -1,12 +1,12 @@
-package wardmux.relay
+package wardmux.forwarding
 
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Token
+import wardmux.lease.CancellationKnowledge
+import wardmux.model.JobId
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.TaskAttempt
+import wardmux.model.Token
 import wardmux.peers.Cancellations
-import wardmux.renewal.CancellationKnowledge
-import wardmux.renewal.TaskAttempt
 
 /** What a relay knows of cancelled tasks while a grant of its leader runs. */
 class GrantedKnowledge(
--- a/src/main/kotlin/wardmux/relay/PendingReports.kt
+++ b/src/main/kotlin/wardmux/forwarding/PendingReports.kt
@@ -1,10 +1,10 @@
-package wardmux.relay
+package wardmux.forwarding
 
 import it.unimi.dsi.fastutil.longs.Long2LongLinkedOpenHashMap
 import org.agrona.collections.Long2ObjectHashMap
-import wardmux.Micros
-import wardmux.Token
-import wardmux.fleet.Report
+import wardmux.model.Micros
+import wardmux.model.Token
+import wardmux.worker.Report
 
 /** A machine that reports to this relay. */
 class ReportingMachine {
--- a/src/main/kotlin/wardmux/relay/Relay.kt
+++ b/src/main/kotlin/wardmux/forwarding/Relay.kt
@@ -1,23 +1,24 @@
-package wardmux.relay
+package wardmux.forwarding
 
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Token
-import wardmux.app.WorkerFacts
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.election.Leadership
+import wardmux.election.Role
 import wardmux.fleet.Fleet
-import wardmux.fleet.Redirect
-import wardmux.fleet.Report
-import wardmux.lead.Leadership
-import wardmux.lead.Role
-import wardmux.logger
-import wardmux.millis
+import wardmux.lease.LeaseRenewals
+import wardmux.lease.RenewalDecision
+import wardmux.logging.logger
+import wardmux.model.JobId
+import wardmux.model.MAX_CLOCK_DRIFT
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Token
+import wardmux.model.millis
+import wardmux.model.secs
 import wardmux.peers.Cancellations
-import wardmux.renewal.LeaseRenewals
-import wardmux.renewal.RenewalDecision
-import wardmux.secs
+import wardmux.worker.Redirect
+import wardmux.worker.Report
 
 /**
  * A follower's part in taking reports. It decides nothing: it answers workers under the leader's
@@ -249,7 +250,7 @@
         echoAt = context.now
         if (wanted != answer.wanted) log.info("relay of {}: {}", leader, answer.wanted)
         wanted = answer.wanted
-        val length = Micros(answer.grant) * (1 - Leadership.DRIFT)
+        val length = Micros(answer.grant) * (1 - MAX_CLOCK_DRIFT)
         grantedUntil = if (answer.wanted) askedAt + length else Micros.LONG_AGO
         for (number in answer.unknown) if (pending.resend(number)) urgent = true
         for (mail in answer.mail) pending[mail.machine]?.mail = mail
--- a/src/main/kotlin/wardmux/relay/RelayWire.kt
+++ b/src/main/kotlin/wardmux/forwarding/RelayWire.kt
@@ -1,4 +1,4 @@
-package wardmux.relay
+package wardmux.forwarding
 
 import java.io.ByteArrayInputStream
 import java.io.ByteArrayOutputStream
@@ -12,9 +12,9 @@
 import kotlinx.serialization.cbor.ByteString
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.fleet.Order
-import wardmux.peers.PeerCodec
-import wardmux.renewal.CancelledTasks
+import wardmux.lease.CancelledTasks
+import wardmux.serialization.PeerCodec
+import wardmux.worker.Order
 
 /** A worker's report that differs from the last one handed on, as the worker sent it. */
 @Serializable
--- a/src/main/kotlin/wardmux/relay/Relays.kt
+++ b/src/main/kotlin/wardmux/forwarding/Relays.kt
@@ -1,21 +1,21 @@
-package wardmux.relay
+package wardmux.forwarding
 
 import org.agrona.collections.Long2ObjectHashMap
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.Token
-import wardmux.app.LimitFacts
-import wardmux.app.OperatorSettings
-import wardmux.app.WorkerFacts
-import wardmux.dispatch.Cluster
+import wardmux.config.LimitFacts
+import wardmux.config.OperatorSettings
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
 import wardmux.fleet.Fleet
-import wardmux.fleet.Report
-import wardmux.fleet.ReportReader
-import wardmux.lead.Leadership
-import wardmux.logger
-import wardmux.millis
-import wardmux.renewal.LeaderKnowledge
-import wardmux.secs
+import wardmux.lease.ForwardingGrant
+import wardmux.lease.LeaderKnowledge
+import wardmux.logging.logger
+import wardmux.model.MAX_CLOCK_DRIFT
+import wardmux.model.Micros
+import wardmux.model.Token
+import wardmux.model.secs
+import wardmux.scheduling.Cluster
+import wardmux.worker.Report
+import wardmux.worker.ReportReader
 
 /**
  * The leader's side of the relays: who may answer workers and until when, what their batches say,
@@ -54,7 +54,7 @@
     private val relayers = ArrayList<Relayer>()
 
     /** How long a relay may answer without hearing from this leader. */
-    private val grant = grant(workers)
+    private val grant = ForwardingGrant.duration(workers)
     private var decideAt = Micros.LONG_AGO
     private var shed = 0
     private var shedTo: String? = null
@@ -88,7 +88,7 @@
         hearReports(relayer, batch, sentAt, answers)
         hearSigns(relayer, batch, sentAt, answers)
         if (wanted) {
-            val until = context.now + grant * (1 + Leadership.DRIFT)
+            val until = context.now + grant * (1 + MAX_CLOCK_DRIFT)
             relayer.grantedUntil = maxOf(relayer.grantedUntil, until)
         }
         return answer(relayer, batch, answers)
@@ -268,12 +268,8 @@
     }
 
     companion object {
-        private const val GRANT_PART = 0.33
-
         /** Some 100 KB in an answer; a fleet of thousands of machines rarely has so many. */
         private const val MOST_NAMED_TASKS = 5_000
-        private val LONGEST_GRANT = 8.secs
-        private val SHORTEST_GRANT = 500.millis
         private const val KEPT_LEASES = 3.0
         private val PERIOD = 1.secs
         private val BATCH_STALE = 3.secs
@@ -287,9 +283,5 @@
 
         /** Of a controller's sockets for workers; the others take those that come and go. */
         private const val FULL_PART = 0.95
-
-        /** How long a relay may answer without hearing from its leader. */
-        fun grant(workers: WorkerFacts) =
-            minOf(workers.leaseS.secs * GRANT_PART, LONGEST_GRANT).coerceAtLeast(SHORTEST_GRANT)
     }
 }
--- a/src/main/kotlin/wardmux/relay/StoreRelay.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoreRelay.kt
@@ -1,14 +1,14 @@
-package wardmux.relay
+package wardmux.forwarding
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.Token
-import wardmux.lead.Role
-import wardmux.logger
-import wardmux.millis
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.election.Role
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.Token
+import wardmux.model.millis
+import wardmux.model.secs
 import wardmux.store.Change
 import wardmux.store.Event
 import wardmux.store.Priority
--- a/src/main/kotlin/wardmux/http/AnswerTimes.kt
+++ b/src/main/kotlin/wardmux/http/AnswerTimes.kt
@@ -1,9 +1,9 @@
 package wardmux.http
 
 import org.HdrHistogram.Histogram
-import wardmux.Micros
-import wardmux.logger
-import wardmux.secs
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.secs
 
 /** How long answers take, told in the log now and then. */
 class AnswerTimes(private val name: String) {
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -23,8 +23,8 @@
 import io.netty.util.concurrent.Future
 import java.net.InetSocketAddress
 import java.util.concurrent.TimeUnit
-import wardmux.Micros
-import wardmux.Outcome
+import wardmux.core.Outcome
+import wardmux.model.Micros
 
 /**
  * Requests to one address, one at a time on each of a few kept connections. A request without a
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -25,10 +25,10 @@
 import java.net.InetSocketAddress
 import java.util.concurrent.TimeUnit
 import org.agrona.collections.Long2ObjectHashMap
-import wardmux.HttpStatus
-import wardmux.Micros
-import wardmux.Port
-import wardmux.logger
+import wardmux.core.HttpStatus
+import wardmux.core.Port
+import wardmux.logging.logger
+import wardmux.model.Micros
 
 /** The largest body that users and workers may send. */
 const val MAX_BODY_BYTES = 64 * 1024
--- a/src/main/kotlin/wardmux/intake/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -1,24 +1,28 @@
-package wardmux.intake
+package wardmux.jobs
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.JobId
-import wardmux.Stamp
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.cloud.MachineTypeCatalog
-import wardmux.logger
-import wardmux.peers.Progress
+import wardmux.config.TeamFacts
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.logging.logger
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.JobState
+import wardmux.model.MachineType
+import wardmux.model.MachineTypes
+import wardmux.model.Progress
+import wardmux.model.Shape
+import wardmux.model.Stamp
+import wardmux.records.JobRecord
+import wardmux.serialization.lenientJson
 import wardmux.store.Change
 import wardmux.store.Condition
 import wardmux.store.Item
 import wardmux.store.Priority
 import wardmux.store.Result
 import wardmux.store.StateStore
-import wardmux.store.lenientJson
 
 @Serializable
 private class StatusWire(
@@ -35,7 +39,7 @@
 class Intake(
     private val context: CoreContext,
     private val store: StateStore,
-    private val types: MachineTypeCatalog,
+    private val types: MachineTypes,
     teams: List<TeamFacts>,
     /** A user is about to be told that the job is cancelled. */
     private val cancelled: (JobId) -> Unit,
--- a/src/main/kotlin/wardmux/intake/Polls.kt
+++ b/src/main/kotlin/wardmux/jobs/Polls.kt
@@ -1,11 +1,12 @@
-package wardmux.intake
+package wardmux.jobs
 
 import it.unimi.dsi.fastutil.objects.Object2LongLinkedOpenHashMap
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.millis
+import wardmux.core.CoreContext
+import wardmux.model.JobId
+import wardmux.model.Micros
+import wardmux.model.Stamp
+import wardmux.model.millis
+import wardmux.records.JobRecord
 import wardmux.store.Condition
 import wardmux.store.IgnoredValue
 import wardmux.store.Item
--- a/src/main/kotlin/wardmux/lead/FinishedJobs.kt
+++ b/src/main/kotlin/wardmux/leader/FinishedJobs.kt
@@ -1,13 +1,13 @@
-package wardmux.lead
+package wardmux.leader
 
-import wardmux.JobId
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.dispatch.Job
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.SubmissionReader
-import wardmux.intake.Urgency
+import wardmux.jobs.SubmissionReader
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Stamp
+import wardmux.model.Urgency
 
 /** Stand-ins for jobs that are done and of which only pages are left to be removed. */
 object FinishedJobs {
--- a/src/main/kotlin/wardmux/lead/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -1,12 +1,12 @@
-package wardmux.lead
+package wardmux.leader
 
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
-import wardmux.dispatch.FairQueue
-import wardmux.dispatch.Job
-import wardmux.dispatch.PlacementStore
-import wardmux.dispatch.StoredPage
-import wardmux.intake.JobRecord
+import wardmux.model.Job
+import wardmux.records.JobRecord
+import wardmux.records.StoredPage
+import wardmux.scheduling.FairQueue
+import wardmux.scheduling.PlacementStore
 import wardmux.store.Item
 import wardmux.store.Priority
 import wardmux.store.Result
--- a/src/main/kotlin/wardmux/renewal/CancellationDeadline.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
@@ -1,11 +1,10 @@
-package wardmux.renewal
+package wardmux.lease
 
-import wardmux.Micros
-import wardmux.app.WorkerFacts
-import wardmux.lead.Leadership
-import wardmux.millis
-import wardmux.relay.Relays
-import wardmux.secs
+import wardmux.config.WorkerFacts
+import wardmux.model.MAX_CLOCK_DRIFT
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** What users are promised of a cancelled job's tasks, as a bound on the renewal of leases. */
 class CancellationDeadline(workers: WorkerFacts) {
@@ -17,8 +16,8 @@
     val renewableFor: Micros =
         maxOf(
             workers.cancelS.secs -
-                workers.leaseS.secs * (1 + Leadership.DRIFT) -
-                Relays.grant(workers) -
+                workers.leaseS.secs * (1 + MAX_CLOCK_DRIFT) -
+                ForwardingGrant.duration(workers) -
                 MARGIN,
             RENEWABLE_LEAST,
         )
--- a/src/main/kotlin/wardmux/renewal/CancellationKnowledge.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationKnowledge.kt
@@ -1,18 +1,12 @@
-package wardmux.renewal
+package wardmux.lease
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Token
-
-/** One attempt of a task, as workers name it. */
-@Serializable
-data class TaskAttempt(
-    @SerialName("task") val task: String,
-    @SerialName("attempt") val attempt: Int,
-)
+import wardmux.model.JobId
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.TaskAttempt
+import wardmux.model.Token
 
 /** Tasks of cancelled jobs that may be on [machine]: whoever renews its lease halts them all. */
 @Serializable
--- a/src/main/kotlin/wardmux/renewal/CheckedReports.kt
+++ b/src/main/kotlin/wardmux/lease/CheckedReports.kt
@@ -1,7 +1,7 @@
-package wardmux.renewal
+package wardmux.lease
 
-import wardmux.fleet.Report
-import wardmux.fleet.ReportedTask
+import wardmux.worker.Report
+import wardmux.worker.ReportedTask
 
 /**
  * Machines whose reported tasks were found free of cancelled jobs. Most reports differ from the one
--- a/src/main/kotlin/wardmux/renewal/LeaderKnowledge.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderKnowledge.kt
@@ -1,16 +1,17 @@
-package wardmux.renewal
+package wardmux.lease
 
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.TaskId
-import wardmux.Token
-import wardmux.app.WorkerFacts
-import wardmux.dispatch.Cluster
-import wardmux.fleet.Placement
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.model.JobId
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskAttempt
+import wardmux.model.TaskId
+import wardmux.model.Token
+import wardmux.model.secs
 import wardmux.peers.Cancellations
-import wardmux.secs
+import wardmux.scheduling.Cluster
 
 /**
  * What the leader knows of cancelled tasks: the records of where each task may be, and the
--- a/src/main/kotlin/wardmux/renewal/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -1,15 +1,15 @@
-package wardmux.renewal
-
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.TaskId
-import wardmux.Token
-import wardmux.fleet.Order
-import wardmux.fleet.Report
-import wardmux.fleet.ReportResponse
-import wardmux.fleet.ReportedTask
-import wardmux.fleet.TaskStatus
-import wardmux.logger
+package wardmux.lease
+
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.MachineId
+import wardmux.model.TaskAttempt
+import wardmux.model.TaskId
+import wardmux.model.TaskStatus
+import wardmux.model.Token
+import wardmux.worker.Order
+import wardmux.worker.Report
+import wardmux.worker.ReportedTask
 
 /** Why the answer to a report does not renew the lease. */
 enum class WithholdingReason {
--- a/src/main/kotlin/wardmux/renewal/RenewalCounters.kt
+++ b/src/main/kotlin/wardmux/lease/RenewalCounters.kt
@@ -1,11 +1,11 @@
-package wardmux.renewal
+package wardmux.lease
 
 import com.codahale.metrics.Counter
 import com.codahale.metrics.MetricRegistry
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.logger
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.secs
 
 /** Counts what answers to reports did to leases, and logs the counts once in a while. */
 class RenewalCounters(private val context: CoreContext) {
--- a/src/main/kotlin/wardmux/drain/MaintenanceWindows.kt
+++ b/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.maintenance
 
 import de.focus_shift.jollyday.core.HolidayManager
 import de.focus_shift.jollyday.core.ManagerParameters
@@ -12,7 +12,7 @@
 import org.dmfs.rfc5545.recur.InvalidRecurrenceRuleException
 import org.dmfs.rfc5545.recur.RecurrenceRule
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator
-import wardmux.Micros
+import wardmux.model.Micros
 
 /** One opening of a window. */
 data class WindowOpening(val from: Instant, val until: Instant)
@@ -101,12 +101,19 @@
         /** What is wrong, in one line that begins with the field, or null. */
         fun problem(timeZone: String, holidays: String, windows: List<WindowSettings>): String? {
             val zone =
-                DrainSettings.zoneOf(timeZone) ?: return "time_zone: no such time zone: $timeZone"
+                zoneOf(timeZone) ?: return "time_zone: no such time zone: $timeZone"
             if (holidays.isNotEmpty() && !isCalendar(holidays))
                 return "holidays: no such calendar: $holidays"
             return windows.firstNotNullOfOrNull { problem(zone, holidays, it) }
         }
 
+        private fun zoneOf(name: String): ZoneId? =
+            try {
+                ZoneId.of(name)
+            } catch (e: DateTimeException) {
+                null
+            }
+
         private fun isCalendar(name: String) =
             HolidayManager.getSupportedCalendarCodes().any { it.equals(name, ignoreCase = true) }
 
--- a/src/main/kotlin/wardmux/dispatch/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -1,4 +1,4 @@
-package wardmux.dispatch
+package wardmux.model
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
@@ -7,16 +7,9 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import java.util.BitSet
 import kotlinx.serialization.json.JsonElement
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.fleet.Placement
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.logger
-import wardmux.secs
-import wardmux.store.jsonBytes
+import wardmux.logging.logger
+import wardmux.records.StoredPage
+import wardmux.serialization.jsonBytes
 
 /** What a task asks of its machine. */
 data class Need(
--- /dev/null
+++ b/src/main/kotlin/wardmux/model/JobKind.kt
@@ -0,0 +1,29 @@
+package wardmux.model
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.json.Json
+import kotlinx.serialization.json.JsonArray
+import kotlinx.serialization.json.JsonElement
+import kotlinx.serialization.json.JsonNull
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.json.JsonPrimitive
+
+@Serializable
+enum class Shape {
+    @SerialName("batch") BATCH,
+    @SerialName("daemon") DAEMON,
+
+    /** All tasks run at the same time, and need each other. */
+    @SerialName("group") GANG,
+}
+
+/** From the most to the least urgent. */
+@Serializable
+enum class Urgency {
+    @SerialName("prod") PROD,
+    @SerialName("high") HIGH,
+    @SerialName("normal") NORMAL,
+    @SerialName("idle") IDLE,
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -0,0 +1,52 @@
+package wardmux.model
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.json.Json
+import kotlinx.serialization.json.JsonArray
+import kotlinx.serialization.json.JsonElement
+import kotlinx.serialization.json.JsonNull
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.json.JsonPrimitive
+
+/** A job as its user described it; also the form in which records keep it. */
+@Serializable
+data class JobSpec(
+    @SerialName("name_id") val id: String,
+    @SerialName("jobclass") val jobClass: String,
+    @SerialName("owner") val team: String,
+    @SerialName("shape") val shape: Shape,
+    @SerialName("urgency") val urgency: Urgency,
+    @SerialName("pieces") val tasks: Int,
+    @SerialName("cores") val cpus: Double,
+    @SerialName("gpus") val gpus: Double,
+    @SerialName("mem_gb") val memoryGb: Double,
+    @SerialName("bundle") val image: String,
+    @SerialName("pull_gb") val imageGb: Double,
+    @SerialName("boxkinds") val types: List<String>? = null,
+    @SerialName("ward") val zone: String? = null,
+    @SerialName("same_place") val oneZone: Boolean,
+    @SerialName("scatter") val spread: Boolean,
+    @SerialName("loaners") val spot: Boolean,
+    @SerialName("guess_s") val estimateS: Double,
+    @SerialName("savepoint_s") val checkpointS: Double,
+    @SerialName("dump_s") val saveS: Double,
+    @SerialName("due_s") val deadlineS: Double? = null,
+) {
+    val jobId: JobId
+        get() = JobId(id)
+
+    val estimate: Micros
+        get() = estimateS.secs
+
+    val isGang: Boolean
+        get() = shape == Shape.GANG
+
+    val savable: Boolean
+        get() = checkpointS > 0
+
+    /** At most this many tasks may be in one zone. */
+    val zoneLimit: Int
+        get() = if (spread) (tasks + 1) / 2 else tasks
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/model/JobState.kt
@@ -0,0 +1,12 @@
+package wardmux.model
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.json.JsonElement
+
+@Serializable
+enum class JobState {
+    @SerialName("queued") ACCEPTED,
+    @SerialName("cancelled") CANCELLED,
+    @SerialName("done") DONE,
+}
--- a/src/main/kotlin/wardmux/fleet/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -1,12 +1,6 @@
-package wardmux.fleet
-
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.cloud.MachineType
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.renewal.TaskAttempt
-import wardmux.secs
+package wardmux.model
+
+import wardmux.worker.ReportedTask
 
 /** What a drain makes of a machine. */
 enum class Maintenance {
--- a/src/main/kotlin/wardmux/cloud/MachineType.kt
+++ b/src/main/kotlin/wardmux/model/MachineType.kt
@@ -1,11 +1,9 @@
-package wardmux.cloud
+package wardmux.model
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.json.JsonElement
-import wardmux.intake.JobSpec
-import wardmux.store.lenientJson
 
 @Serializable
 data class MachineType(
@@ -41,18 +39,5 @@
     companion object {
         /** Sums of decimal amounts are compared with this much slack. */
         const val EPSILON = 1e-6
-        const val KEY = "types"
-        private val list = ListSerializer(serializer())
-
-        fun toJson(types: List<MachineType>): JsonElement =
-            lenientJson.encodeToJsonElement(list, types)
-
-        /** Null if what is stored is no list of types. */
-        fun listOf(json: JsonElement): List<MachineType>? =
-            try {
-                lenientJson.decodeFromJsonElement(list, json)
-            } catch (e: IllegalArgumentException) {
-                null
-            }
     }
 }
--- a/src/main/kotlin/wardmux/fleet/Placement.kt
+++ b/src/main/kotlin/wardmux/model/Placement.kt
@@ -1,11 +1,4 @@
-package wardmux.fleet
-
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.TaskId
-import wardmux.dispatch.Charge
-import wardmux.dispatch.Job
-import wardmux.renewal.TaskAttempt
+package wardmux.model
 
 /** A task that is, or may be, on a machine. Written before its start goes out. */
 class Placement(
--- /dev/null
+++ b/src/main/kotlin/wardmux/model/Progress.kt
@@ -0,0 +1,12 @@
+package wardmux.model
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+
+/** How far a job is, for display. */
+@Serializable
+data class Progress(
+    @SerialName("job") val job: String,
+    @SerialName("done") val done: Int,
+    @SerialName("running") val running: Int,
+)
--- a/src/main/kotlin/wardmux/Units.kt
+++ b/src/main/kotlin/wardmux/model/Units.kt
@@ -1,4 +1,4 @@
-package wardmux
+package wardmux.model
 
 import kotlin.math.roundToLong
 
@@ -28,6 +28,9 @@
     }
 }
 
+/** The most by which two steady clocks differ in rate, as a share of the elapsed time. */
+const val MAX_CLOCK_DRIFT = 0.001
+
 val Int.millis: Micros
     get() = Micros(this * 1_000L)
 
--- a/src/main/kotlin/wardmux/peers/Cancellations.kt
+++ b/src/main/kotlin/wardmux/peers/Cancellations.kt
@@ -3,13 +3,13 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.Micros
-import wardmux.intake.JobRecord
-import wardmux.lead.Leadership
-import wardmux.logger
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.JobId
+import wardmux.model.MAX_CLOCK_DRIFT
+import wardmux.model.Micros
+import wardmux.model.secs
+import wardmux.records.JobRecord
 import wardmux.store.IgnoredValue
 import wardmux.store.StateStore
 
@@ -157,7 +157,7 @@
     fun accept(member: String, report: CancellationReport, sentAt: Micros) {
         var progress = siblingProgress[member]
         if (progress == null || progress.boot != report.boot) {
-            val since = context.now - Micros(report.up.coerceAtLeast(0)) * (1 - Leadership.DRIFT)
+            val since = context.now - Micros(report.up.coerceAtLeast(0)) * (1 - MAX_CLOCK_DRIFT)
             progress = SiblingProgress(report.boot, since).also { siblingProgress[member] = it }
         }
         for (job in report.jobs) learn(JobId(job))
--- a/src/main/kotlin/wardmux/peers/Heartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/Heartbeat.kt
@@ -2,14 +2,8 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-
-/** How far a job is, for display. */
-@Serializable
-data class Progress(
-    @SerialName("job") val job: String,
-    @SerialName("done") val done: Int,
-    @SerialName("running") val running: Int,
-)
+import wardmux.model.Progress
+import wardmux.serialization.PeerCodec
 
 /** A controller's word to its siblings, about once a second. */
 @Serializable
--- a/src/main/kotlin/wardmux/peers/Peers.kt
+++ b/src/main/kotlin/wardmux/peers/Peers.kt
@@ -1,13 +1,14 @@
 package wardmux.peers
 
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Target
-import wardmux.Token
-import wardmux.millis
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.model.Micros
+import wardmux.model.Progress
+import wardmux.model.Token
+import wardmux.model.millis
+import wardmux.model.secs
 
 /**
  * Talk between the controllers: each tells the others that it lives and whether the state service
--- a/src/main/kotlin/wardmux/intake/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -1,19 +1,14 @@
-package wardmux.intake
+package wardmux.records
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonElement
-import wardmux.JobId
-import wardmux.logger
-import wardmux.store.jsonBytes
-import wardmux.store.lenientJson
-
-@Serializable
-enum class JobState {
-    @SerialName("queued") ACCEPTED,
-    @SerialName("cancelled") CANCELLED,
-    @SerialName("done") DONE,
-}
+import wardmux.logging.logger
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.JobState
+import wardmux.serialization.jsonBytes
+import wardmux.serialization.lenientJson
 
 /**
  * The only truth on whether a job is accepted, cancelled or done. It stays for ever; a done job's
--- a/src/main/kotlin/wardmux/dispatch/StoredPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredPage.kt
@@ -1,12 +1,15 @@
-package wardmux.dispatch
+package wardmux.records
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonElement
-import wardmux.MachineId
-import wardmux.TaskId
-import wardmux.fleet.Placement
-import wardmux.store.lenientJson
+import wardmux.model.Charge
+import wardmux.model.Cost
+import wardmux.model.Job
+import wardmux.model.MachineId
+import wardmux.model.Placement
+import wardmux.model.TaskId
+import wardmux.serialization.lenientJson
 
 /**
  * A stretch of a job's tasks, as it is kept. Bytes and changes of the state service are what limits
--- a/src/main/kotlin/wardmux/dispatch/Cluster.kt
+++ b/src/main/kotlin/wardmux/scheduling/Cluster.kt
@@ -1,18 +1,20 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.TaskId
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.intake.JobSpec
-import wardmux.logger
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.Cost
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskId
+import wardmux.model.secs
 
 /**
  * What the leader knows of jobs, machines and who is where. Whatever may be on a machine counts
--- a/src/main/kotlin/wardmux/dispatch/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -1,16 +1,16 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
-import wardmux.CoreContext
-import wardmux.app.OperatorSettings
-import wardmux.app.WorkerFacts
-import wardmux.cloud.MachinePools
-import wardmux.cloud.MachineType
-import wardmux.fleet.Machine
-import wardmux.fleet.Maintenance
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Maintenance
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 
 /** Which machines a task may go to, and which of them suits it best. */
 class Eligibility(
--- a/src/main/kotlin/wardmux/dispatch/FairQueue.kt
+++ b/src/main/kotlin/wardmux/scheduling/FairQueue.kt
@@ -1,4 +1,4 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.math.floor
 import kotlin.math.log10
@@ -7,16 +7,12 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonElement
-import wardmux.Micros
-import wardmux.logger
-import wardmux.store.jsonBytes
-import wardmux.store.lenientJson
-
-/** CPU-microseconds: the largest booked share in CPUs, times the run time. */
-@JvmInline value class Cost(val value: Long)
-
-/** What a dispatch was charged; kept with the placement, so that a finish can correct it. */
-data class Charge(val cost: Cost, val weight: Double)
+import wardmux.logging.logger
+import wardmux.model.Charge
+import wardmux.model.Cost
+import wardmux.model.Micros
+import wardmux.serialization.jsonBytes
+import wardmux.serialization.lenientJson
 
 @Serializable
 private class TagsWire(
--- a/src/main/kotlin/wardmux/dispatch/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -1,11 +1,12 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.cloud.MachineType
-import wardmux.fleet.Machine
-import wardmux.intake.JobSpec
-import wardmux.millis
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.millis
 
 /** Where a gang can go as a whole: with room for all of it, and pages that can be written. */
 class GangPlacement(
--- a/src/main/kotlin/wardmux/dispatch/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -1,11 +1,13 @@
-package wardmux.dispatch
-
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.app.WorkerFacts
-import wardmux.fleet.Machine
-import wardmux.secs
+package wardmux.scheduling
+
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.model.GangAttempt
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.secs
 
 /**
  * Keeps room and cap for gangs that wait: a gang needs all of both at once, and small tasks would
--- a/src/main/kotlin/wardmux/cloud/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -1,11 +1,12 @@
-package wardmux.cloud
-
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.dispatch.Job
-import wardmux.intake.JobSpec
-import wardmux.millis
-import wardmux.secs
+package wardmux.scheduling
+
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /**
  * Machine types that stand in for each other, because no open work needs the larger ones for their
--- a/src/main/kotlin/wardmux/dispatch/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -1,9 +1,12 @@
-package wardmux.dispatch
-
-import wardmux.MachineId
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.store.jsonBytes
+package wardmux.scheduling
+
+import wardmux.model.Charge
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.Placement
+import wardmux.records.StoredPage
+import wardmux.serialization.jsonBytes
 
 /** So many tasks of a gang are to go to this machine. */
 class GangShare(val machine: Machine, val tasks: Int)
--- a/src/main/kotlin/wardmux/dispatch/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -1,28 +1,29 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import java.util.BitSet
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.Micros
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.intake.JobRecord
-import wardmux.intake.JobState
-import wardmux.lead.Leadership
-import wardmux.lead.Role
-import wardmux.logger
-import wardmux.millis
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.election.Leadership
+import wardmux.election.Role
+import wardmux.logging.logger
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobState
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.records.JobRecord
+import wardmux.serialization.jsonBytes
 import wardmux.store.Change
 import wardmux.store.Condition
 import wardmux.store.Priority
 import wardmux.store.Result
 import wardmux.store.StateStore
-import wardmux.store.jsonBytes
 
 /** The pages that one write still takes, for the planner: what can't be written isn't placed. */
 class Admission(private val most: Int, val mostBytes: Int = Int.MAX_VALUE) {
--- a/src/main/kotlin/wardmux/dispatch/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -1,20 +1,21 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import java.util.PriorityQueue
-import wardmux.CoreContext
-import wardmux.JobId
-import wardmux.app.ObjectiveFacts
-import wardmux.app.OperatorSettings
-import wardmux.app.WorkerFacts
-import wardmux.cloud.MachinePools
-import wardmux.cloud.MachineType
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.logger
-import wardmux.secs
+import wardmux.config.ObjectiveFacts
+import wardmux.config.OperatorSettings
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Need
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 
 /**
  * Decides what goes where. Of the waiting tasks that fit, exact fits come first; then the more
--- a/src/main/kotlin/wardmux/dispatch/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -1,15 +1,16 @@
-package wardmux.dispatch
-
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.fleet.TaskStatus
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+package wardmux.scheduling
+
+import wardmux.config.OperatorSettings
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.TaskStatus
+import wardmux.model.Urgency
+import wardmux.model.secs
 
 /** Stops work to make room for other work. */
 class Preemption(
--- a/src/main/kotlin/wardmux/dispatch/TaskStopper.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskStopper.kt
@@ -1,11 +1,12 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
-import wardmux.Micros
-import wardmux.app.WorkerFacts
-import wardmux.fleet.Placement
-import wardmux.fleet.TaskStatus
-import wardmux.logger
-import wardmux.secs
+import wardmux.config.WorkerFacts
+import wardmux.logging.logger
+import wardmux.model.Job
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskStatus
+import wardmux.model.secs
 
 /** Stops tasks so that what can be saved is saved. The halts go out with the next commands. */
 class TaskStopper(private val cluster: Cluster, private val workers: WorkerFacts) {
--- a/src/main/kotlin/wardmux/dispatch/TeamOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamOrder.kt
@@ -1,9 +1,10 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import java.util.PriorityQueue
-import wardmux.Micros
-import wardmux.app.ObjectiveFacts
-import wardmux.intake.JobSpec
+import wardmux.config.ObjectiveFacts
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Micros
 
 /**
  * The order of one team's jobs of one urgency. Jobs without a time to be done by go in the order of
--- a/src/main/kotlin/wardmux/peers/PeerCodec.kt
+++ b/src/main/kotlin/wardmux/serialization/PeerCodec.kt
@@ -1,4 +1,4 @@
-package wardmux.peers
+package wardmux.serialization
 
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.KSerializer
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -1,8 +1,8 @@
 package wardmux.store
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.app.StateFacts
+import wardmux.config.StateFacts
+import wardmux.core.CoreContext
+import wardmux.model.Micros
 
 /**
  * Token buckets for this controller's share of the state service's limits on requests and changes.
--- a/src/main/kotlin/wardmux/store/RequestQueue.kt
+++ b/src/main/kotlin/wardmux/store/RequestQueue.kt
@@ -1,8 +1,8 @@
 package wardmux.store
 
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.millis
+import wardmux.core.CoreContext
+import wardmux.model.Micros
+import wardmux.model.millis
 
 /** The order in which requests are sent when there is not room for all. */
 enum class Priority {
--- a/src/main/kotlin/wardmux/store/StateStore.kt
+++ b/src/main/kotlin/wardmux/store/StateStore.kt
@@ -3,15 +3,16 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.JsonElement
-import wardmux.CoreContext
-import wardmux.HttpStatus
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Target
-import wardmux.app.StateFacts
-import wardmux.logger
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.StateFacts
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.serialization.lenientJson
 
 /**
  * The state service as this controller may use it: its share of the request and write limits, the
--- a/src/main/kotlin/wardmux/store/StateWire.kt
+++ b/src/main/kotlin/wardmux/store/StateWire.kt
@@ -5,18 +5,6 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
-/** Every other interface of the service is lenient in what it takes, as PROTOCOL asks. */
-val lenientJson = Json {
-    ignoreUnknownKeys = true
-    explicitNulls = false
-    encodeDefaults = true
-}
-
-/** The most bytes that a value takes, also where the service escapes what is not ASCII. */
-fun jsonBytes(data: JsonElement): Int = data.toString().sumOf { if (it < '\u0080') 1 else ESCAPED }
-
-private const val ESCAPED: Int = 6
-
 /** A stored key with its value, as read by [StateStore.get]. */
 @Serializable
 data class Item(
--- a/src/main/kotlin/wardmux/fleet/ReportReader.kt
+++ b/src/main/kotlin/wardmux/worker/ReportReader.kt
@@ -1,4 +1,4 @@
-package wardmux.fleet
+package wardmux.worker
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap
 import java.util.Arrays
--- a/src/main/kotlin/wardmux/fleet/WorkerWire.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerWire.kt
@@ -1,22 +1,11 @@
-package wardmux.fleet
+package wardmux.worker
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.Token
-import wardmux.renewal.LeaseRenewal
-import wardmux.renewal.TaskAttempt
-import wardmux.store.lenientJson
-
-@Serializable
-enum class TaskStatus {
-    @SerialName("fetching") FETCHING,
-
-    /** Has its image and waits for the rest of its gang. */
-    @SerialName("gathering") GATHERING,
-    @SerialName("running") RUNNING,
-    @SerialName("saving") SAVING,
-    @SerialName("ended") ENDED,
-}
+import wardmux.model.Placement
+import wardmux.model.TaskAttempt
+import wardmux.model.TaskStatus
+import wardmux.serialization.lenientJson
 
 @Serializable
 data class ReportedTask(
@@ -91,30 +80,6 @@
     }
 }
 
-/**
- * The answer to a report. One under a leader's token renews the lease, so it needs the right to.
- */
-@Serializable
-class ReportResponse
-private constructor(
-    @SerialName("baton") private val token: Long,
-    @SerialName("orders") private val orders: List<Order>,
-) {
-    fun encode(): ByteArray = lenientJson.encodeToString(serializer(), this).encodeToByteArray()
-
-    companion object {
-        /** Renews the lease and carries [orders], among them the halts of [renewal]. */
-        fun renewing(renewal: LeaseRenewal, orders: List<Order>) =
-            ReportResponse(renewal.token.value, orders)
-
-        /** What a renewal without any order says; kept by [LeaseRenewals] for all of them. */
-        fun plain(token: Token): ByteArray = ReportResponse(token.value, emptyList()).encode()
-
-        /** Under no leader's token: the worker drops it, and stays with this controller. */
-        val DROPPED = ReportResponse(0, emptyList()).encode()
-    }
-}
-
 /** Orders sent to the worker itself, outside its reports. */
 @Serializable
 data class DirectOrders(
--- a/src/test/kotlin/wardmux/app/DaemonTest.kt
+++ b/src/test/kotlin/wardmux/app/DaemonTest.kt
@@ -7,7 +7,9 @@
 import java.net.Socket
 import kotlin.test.Test
 import org.junit.jupiter.api.io.TempDir
-import wardmux.drain.DrainSettings
+import wardmux.config.DrainSettings
+import wardmux.config.OperatorSettings
+import wardmux.config.SettingsFiles
 
 /** The process around the core. */
 class DaemonTest {
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -2,38 +2,39 @@
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.TaskId
-import wardmux.cloud.MachineType
-import wardmux.dispatch.Charge
-import wardmux.dispatch.Cost
-import wardmux.dispatch.FairQueue
-import wardmux.dispatch.Job
-import wardmux.fleet.Order
-import wardmux.fleet.Placement
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.intake.JobState
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.lead.LeaderRecord
-import wardmux.lead.Leadership
+import wardmux.election.LeaderRecord
+import wardmux.election.Leadership
+import wardmux.forwarding.Batch
+import wardmux.forwarding.BatchAnswer
+import wardmux.forwarding.FullReport
+import wardmux.forwarding.Mail
+import wardmux.forwarding.RelayCodec
+import wardmux.forwarding.StoreRelayClient
+import wardmux.forwarding.StoredAnswers
+import wardmux.model.Charge
+import wardmux.model.Cost
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.JobState
+import wardmux.model.MachineId
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Progress
+import wardmux.model.Shape
+import wardmux.model.Stamp
+import wardmux.model.TaskId
+import wardmux.model.Urgency
 import wardmux.peers.CancellationCursor
 import wardmux.peers.CancellationReport
 import wardmux.peers.Heartbeat
 import wardmux.peers.HeartbeatCodec
-import wardmux.peers.Progress
-import wardmux.relay.Batch
-import wardmux.relay.BatchAnswer
-import wardmux.relay.FullReport
-import wardmux.relay.Mail
-import wardmux.relay.RelayCodec
-import wardmux.relay.StoreRelayClient
-import wardmux.relay.StoredAnswers
-import wardmux.store.lenientJson
+import wardmux.records.JobRecord
+import wardmux.records.MachineTypeList
+import wardmux.scheduling.FairQueue
+import wardmux.serialization.lenientJson
+import wardmux.worker.Order
 
 /**
  * What the samples of the formats say. It was written once by the version in production, into the
@@ -314,7 +315,7 @@
         val all = LinkedHashMap<String, JsonElement>()
         all[Leadership.KEY] = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), LEADER)
         all[FairQueue.KEY] = tags().toJson(Micros(TAGS_AT))
-        all[MachineType.KEY] = MachineType.toJson(TYPES)
+        all[MachineTypeList.KEY] = MachineTypeList.encode(TYPES)
         for (spec in SPECS) {
             all[JobRecord.key(spec.jobId)] = accepted(spec).toJson()
             all[JobRecord.openKey(spec.jobId)] = accepted(spec).toJson()
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -8,21 +8,21 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.jsonObject
-import wardmux.JobId
-import wardmux.Micros
-import wardmux.cloud.MachineType
-import wardmux.dispatch.FairQueue
-import wardmux.dispatch.Job
-import wardmux.dispatch.StoredPage
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.lead.LeaderRecord
-import wardmux.lead.Leadership
+import wardmux.election.LeaderRecord
+import wardmux.election.Leadership
+import wardmux.forwarding.RelayCodec
+import wardmux.forwarding.StoreRelayClient
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.Micros
 import wardmux.peers.HeartbeatCodec
-import wardmux.relay.RelayCodec
-import wardmux.relay.StoreRelayClient
-import wardmux.store.jsonBytes
-import wardmux.store.lenientJson
+import wardmux.records.JobRecord
+import wardmux.records.MachineTypeList
+import wardmux.records.StoredPage
+import wardmux.scheduling.FairQueue
+import wardmux.serialization.jsonBytes
+import wardmux.serialization.lenientJson
 
 /**
  * While versions serve side by side, each reads what the other wrote and writes it again. What this
@@ -67,7 +67,7 @@
             queue.load(it)
             queue.toJson(Micros(FormatContents.TAGS_AT))
         }
-        rewritten(MachineType.KEY) { MachineType.toJson(assertNotNull(MachineType.listOf(it))) }
+        rewritten(MachineTypeList.KEY) { MachineTypeList.encode(assertNotNull(MachineTypeList.decode(it))) }
     }
 
     @Test
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -12,31 +12,31 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.JobId
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.cloud.MachineType
-import wardmux.dispatch.FairQueue
-import wardmux.dispatch.Job
-import wardmux.dispatch.StoredPage
-import wardmux.fleet.Placement
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.intake.JobState
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.lead.LeaderRecord
-import wardmux.lead.Leadership
+import wardmux.election.LeaderRecord
+import wardmux.election.Leadership
+import wardmux.forwarding.Batch
+import wardmux.forwarding.BatchAnswer
+import wardmux.forwarding.RelayCodec
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.JobSpec
+import wardmux.model.JobState
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Progress
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 import wardmux.peers.HeartbeatCodec
-import wardmux.peers.Progress
-import wardmux.relay.Batch
-import wardmux.relay.BatchAnswer
-import wardmux.relay.RelayCodec
-import wardmux.secs
+import wardmux.records.JobRecord
+import wardmux.records.MachineTypeList
+import wardmux.records.StoredPage
+import wardmux.scheduling.FairQueue
+import wardmux.serialization.lenientJson
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
-import wardmux.store.lenientJson
 
 /**
  * During an upgrade processes of the version in production and of this one work on each other's
@@ -180,7 +180,7 @@
 
     @Test
     fun `machine types are read`() =
-        eachStored(MachineType.KEY) { assertEquals(FormatContents.TYPES, MachineType.listOf(it)) }
+        eachStored(MachineTypeList.KEY) { assertEquals(FormatContents.TYPES, MachineTypeList.decode(it)) }
 
     @Test
     fun `job records are read in each state and shape, under each of their keys`() {
--- a/src/test/kotlin/wardmux/app/ReadyTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadyTest.kt
@@ -3,10 +3,10 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.Json
-import wardmux.Port
+import wardmux.core.Port
+import wardmux.model.secs
 import wardmux.peers.Heartbeat
 import wardmux.peers.HeartbeatCodec
-import wardmux.secs
 import wardmux.sim.ControllerHarness
 
 /** Which controllers users are sent to when the state service is in trouble, and for whom. */
--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
@@ -4,13 +4,14 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
-import wardmux.app.TeamFacts
-import wardmux.dispatch.Admission
-import wardmux.dispatch.PlannerHarness
-import wardmux.fleet.Machine
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
+import wardmux.scheduling.Admission
+import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
 /** Machines that are more than wanted are emptied, at the cost of no replica that has no place. */
--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -3,11 +3,13 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.NextStateFacts
-import wardmux.app.TeamFacts
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.NextStateFacts
+import wardmux.config.TeamFacts
+import wardmux.model.JobSpec
+import wardmux.model.MachineType
+import wardmux.model.Shape
+import wardmux.model.secs
+import wardmux.records.MachineTypeList
 import wardmux.sim.ControllerHarness
 import wardmux.sim.plainJob
 
@@ -52,7 +54,7 @@
         val settings =
             ControllerHarness.SETTINGS.copy(facts = facts.copy(teams = teams, cloud = cloud))
         val harness = ControllerHarness(given = settings)
-        harness.write(MachineType.KEY, MachineType.toJson(listOf(SMALL, LARGE)))
+        harness.write(MachineTypeList.KEY, MachineTypeList.encode(listOf(SMALL, LARGE)))
         for (job in jobs) harness.accept(job)
         harness.run(4.secs)
         return harness.cloud
--- a/src/test/kotlin/wardmux/app/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -1,4 +1,4 @@
-package wardmux.app
+package wardmux.config
 
 import java.io.File
 import kotlin.test.Test
@@ -8,7 +8,7 @@
 import kotlin.test.assertNotNull
 import kotlin.test.assertNull
 import org.junit.jupiter.api.io.TempDir
-import wardmux.drain.BudgetSettings
+import wardmux.app.ArchiveTrainingRun
 
 class SettingsTest {
     @TempDir lateinit var dir: File
--- a/src/test/kotlin/wardmux/app/SocketBudgetTest.kt
+++ b/src/test/kotlin/wardmux/config/SocketBudgetTest.kt
@@ -1,4 +1,4 @@
-package wardmux.app
+package wardmux.config
 
 import kotlin.test.Test
 import kotlin.test.assertTrue
--- a/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
@@ -4,15 +4,17 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertIs
 import kotlin.test.assertNull
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.dispatch.Job
-import wardmux.dispatch.PlannerHarness
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.fleet.TaskStatus
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.BudgetSettings
+import wardmux.config.DrainSettings
+import wardmux.config.TeamFacts
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.TaskStatus
+import wardmux.model.secs
+import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
 /** What counts as disrupted: all that does not surely run, and nothing that never did. */
--- a/src/test/kotlin/wardmux/drain/DrainDay.kt
+++ b/src/test/kotlin/wardmux/drain/DrainDay.kt
@@ -3,13 +3,15 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertNotNull
 import kotlin.test.assertTrue
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.BudgetSettings
+import wardmux.config.DrainSettings
+import wardmux.config.OperatorSettings
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
 import wardmux.sim.ClusterSimulation
 import wardmux.sim.FakeWorker
 
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -10,9 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.EnumSource
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.app.OperatorSettings
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.BudgetSettings
+import wardmux.config.DrainSettings
+import wardmux.config.OperatorSettings
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** Drains through the failures that they are made for, each brought about on purpose. */
 class DrainFaultsTest {
@@ -150,7 +153,7 @@
     fun `a drain yields to urgent work that waits for room, and says so`() {
         val day = DrainDay(5, capacity = 1)
         day.begin(day.service(0, 2, cpus = 6.0), day.service(1, 2, cpus = 6.0))
-        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = wardmux.intake.Urgency.HIGH)
+        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = Urgency.HIGH)
         day.submit(urgent)
         day.simulation.run(day.clock.now + 5.secs)
         day.start()
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -8,11 +8,11 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.api.io.TempDir
 import picocli.CommandLine
-import wardmux.Micros
 import wardmux.app.WardmuxCommand
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /**
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -7,12 +7,15 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.EnumSource
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.BudgetSettings
+import wardmux.config.DrainSettings
+import wardmux.config.OperatorSettings
+import wardmux.maintenance.WindowSettings
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.secs
+import wardmux.serialization.lenientJson
 import wardmux.sim.ClusterSimulation
-import wardmux.store.lenientJson
 
 /** What operators ask for, and what they are told. */
 class DrainOperationsTest {
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -4,9 +4,9 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.MachineId
-import wardmux.millis
-import wardmux.secs
+import wardmux.model.MachineId
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** Plans keep every limit; the solver's is never worse than the greedy one. */
 class DrainPlanTest {
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -6,9 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.config.BudgetSettings
+import wardmux.config.DrainSettings
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 import wardmux.sim.FaultInjector
 
 /** Drains on seeded days: calm ones, and ones with troubles of every kind. */
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackSite.kt
@@ -8,23 +8,25 @@
 import java.util.concurrent.Callable
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.TimeUnit
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Port
-import wardmux.app.StateFacts
-import wardmux.app.TeamFacts
-import wardmux.app.WorkerFacts
+import wardmux.config.StateFacts
+import wardmux.config.TeamFacts
+import wardmux.config.WorkerFacts
+import wardmux.core.Outcome
+import wardmux.core.Port
+import wardmux.election.LeaderRecord
 import wardmux.http.Arrival
 import wardmux.http.HttpClient
 import wardmux.http.HttpServer
-import wardmux.intake.JobSpec
-import wardmux.secs
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.secs
+import wardmux.serialization.lenientJson
 import wardmux.sim.FakeCloud
 import wardmux.sim.FakeStateService
 import wardmux.sim.FakeWorker
 import wardmux.sim.Rules
 import wardmux.sim.SimulatedClock
-import wardmux.store.lenientJson
+import wardmux.worker.Redirect
 
 /**
  * Controllers as processes of their own among stand-ins for all that they deal with, over sockets
@@ -176,7 +178,7 @@
     /** Who leads, by what is stored. */
     fun leader(): String? = onLoop {
         state.value("leader")?.let {
-            lenientJson.decodeFromJsonElement(wardmux.lead.LeaderRecord.serializer(), it).member
+            lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it).member
         }
     }
 
--- a/src/test/kotlin/wardmux/fleet/FleetTest.kt
+++ b/src/test/kotlin/wardmux/fleet/FleetTest.kt
@@ -4,8 +4,8 @@
 import kotlin.test.assertContains
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.Outcome
-import wardmux.secs
+import wardmux.core.Outcome
+import wardmux.model.secs
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
--- a/src/test/kotlin/wardmux/relay/RelayTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/RelayTest.kt
@@ -1,4 +1,4 @@
-package wardmux.relay
+package wardmux.forwarding
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -7,13 +7,13 @@
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.Port
-import wardmux.fleet.Order
+import wardmux.core.Port
+import wardmux.model.secs
 import wardmux.peers.Heartbeat
 import wardmux.peers.HeartbeatCodec
-import wardmux.secs
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
+import wardmux.worker.Order
 
 /** A follower that takes reports for a leader, which is played here. */
 class RelayTest {
--- a/src/test/kotlin/wardmux/relay/RelaysTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/RelaysTest.kt
@@ -1,4 +1,4 @@
-package wardmux.relay
+package wardmux.forwarding
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -6,13 +6,13 @@
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Port
-import wardmux.app.OperatorSettings
+import wardmux.config.OperatorSettings
+import wardmux.core.Outcome
+import wardmux.core.Port
+import wardmux.model.Micros
+import wardmux.model.secs
 import wardmux.peers.Heartbeat
 import wardmux.peers.HeartbeatCodec
-import wardmux.secs
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
--- a/src/test/kotlin/wardmux/http/SocketTest.kt
+++ b/src/test/kotlin/wardmux/http/SocketTest.kt
@@ -8,9 +8,9 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.Port
-import wardmux.intake.submission
-import wardmux.secs
+import wardmux.core.Port
+import wardmux.jobs.submission
+import wardmux.model.secs
 import wardmux.sim.ControllerHarness
 
 /** Bad input through a real socket: answered at once, and the connection stays usable if it can. */
--- a/src/test/kotlin/wardmux/intake/OddRequestsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
@@ -1,4 +1,4 @@
-package wardmux.intake
+package wardmux.jobs
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -6,9 +6,11 @@
 import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.JobId
-import wardmux.app.NextStateFacts
-import wardmux.secs
+import wardmux.config.NextStateFacts
+import wardmux.model.JobId
+import wardmux.model.JobState
+import wardmux.model.secs
+import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 
 /** Requests that nobody needs and users send all the same. */
--- a/src/test/kotlin/wardmux/intake/PollsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/PollsTest.kt
@@ -1,9 +1,9 @@
-package wardmux.intake
+package wardmux.jobs
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.secs
+import wardmux.model.secs
 import wardmux.sim.ControllerHarness
 
 class PollsTest {
--- a/src/test/kotlin/wardmux/intake/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -1,4 +1,4 @@
-package wardmux.intake
+package wardmux.jobs
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
@@ -10,6 +10,9 @@
 import kotlinx.serialization.json.JsonNull
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
+import wardmux.model.JobState
+import wardmux.model.Urgency
+import wardmux.records.JobRecord
 
 val GOOD_FIELDS: Map<String, JsonElement> =
     mapOf(
--- a/src/test/kotlin/wardmux/lead/LoneLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/LoneLeaderTest.kt
@@ -1,4 +1,4 @@
-package wardmux.lead
+package wardmux.leader
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -8,10 +8,10 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.Port
+import wardmux.core.Port
+import wardmux.model.secs
 import wardmux.peers.Heartbeat
 import wardmux.peers.HeartbeatCodec
-import wardmux.secs
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
--- a/src/test/kotlin/wardmux/lead/TakeOverTest.kt
+++ b/src/test/kotlin/wardmux/leader/TakeOverTest.kt
@@ -1,4 +1,4 @@
-package wardmux.lead
+package wardmux.leader
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -6,13 +6,13 @@
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
-import wardmux.intake.JobRecord
-import wardmux.intake.JobState
-import wardmux.intake.Shape
+import wardmux.model.JobState
+import wardmux.model.Shape
+import wardmux.model.secs
 import wardmux.peers.CancellationReport
 import wardmux.peers.HeartbeatCodec
 import wardmux.peers.Peers
-import wardmux.secs
+import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
--- a/src/test/kotlin/wardmux/renewal/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -1,4 +1,4 @@
-package wardmux.renewal
+package wardmux.lease
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -7,19 +7,20 @@
 import kotlin.test.assertNotNull
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
-import wardmux.Outcome
-import wardmux.Port
-import wardmux.app.OperatorSettings
-import wardmux.intake.JobRecord
-import wardmux.intake.JobState
+import wardmux.config.OperatorSettings
+import wardmux.core.Outcome
+import wardmux.core.Port
+import wardmux.forwarding.Batch
+import wardmux.forwarding.BatchAnswer
+import wardmux.forwarding.FullReport
+import wardmux.forwarding.RelayCodec
+import wardmux.model.JobState
+import wardmux.model.TaskAttempt
+import wardmux.model.secs
 import wardmux.peers.CancellationReport
 import wardmux.peers.HeartbeatCodec
 import wardmux.peers.Peers
-import wardmux.relay.Batch
-import wardmux.relay.BatchAnswer
-import wardmux.relay.FullReport
-import wardmux.relay.RelayCodec
-import wardmux.secs
+import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
--- a/src/test/kotlin/wardmux/renewal/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -1,4 +1,4 @@
-package wardmux.renewal
+package wardmux.lease
 
 import kotlin.test.Test
 import kotlin.test.assertContains
@@ -6,17 +6,18 @@
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
-import wardmux.Port
-import wardmux.fleet.Order
+import wardmux.core.Port
+import wardmux.forwarding.Batch
+import wardmux.forwarding.BatchAnswer
+import wardmux.forwarding.Mail
+import wardmux.forwarding.RelayCodec
+import wardmux.model.TaskAttempt
+import wardmux.model.secs
 import wardmux.peers.Heartbeat
 import wardmux.peers.HeartbeatCodec
-import wardmux.relay.Batch
-import wardmux.relay.BatchAnswer
-import wardmux.relay.Mail
-import wardmux.relay.RelayCodec
-import wardmux.secs
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
+import wardmux.worker.Order
 
 /** Which leases a relay renews whose leader, played here, names tasks that have to be halted. */
 class RelayRenewalTest {
--- a/src/test/kotlin/wardmux/drain/MaintenanceWindowsTest.kt
+++ b/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.maintenance
 
 import java.time.Duration
 import java.time.Instant
--- a/src/test/kotlin/wardmux/dispatch/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -1,20 +1,16 @@
-package wardmux.dispatch
+package wardmux.model
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.JsonElement
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.TaskId
-import wardmux.fleet.Placement
-import wardmux.intake.JobSpec
-import wardmux.intake.Submission
-import wardmux.intake.SubmissionReader
-import wardmux.intake.submission
-import wardmux.store.jsonBytes
-import wardmux.store.lenientJson
+import wardmux.jobs.Submission
+import wardmux.jobs.SubmissionReader
+import wardmux.jobs.submission
+import wardmux.records.StoredPage
+import wardmux.scheduling.Admission
+import wardmux.serialization.jsonBytes
+import wardmux.serialization.lenientJson
 
 class JobPageTest {
     @Test
--- a/src/test/kotlin/wardmux/dispatch/FairQueueTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
@@ -1,10 +1,11 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.Micros
-import wardmux.secs
+import wardmux.model.Cost
+import wardmux.model.Micros
+import wardmux.model.secs
 
 class FairQueueTest {
     private val second = Cost(1_000_000)
--- a/src/test/kotlin/wardmux/dispatch/FewMachinesTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FewMachinesTest.kt
@@ -1,14 +1,16 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.Job
+import wardmux.model.MachineType
+import wardmux.model.Shape
+import wardmux.model.secs
+import wardmux.records.StoredPage
+import wardmux.serialization.lenientJson
 import wardmux.sim.plainJob
-import wardmux.store.lenientJson
 
 /** Jobs whose tasks have to be out together, on pages that hold them on few machines only. */
 class FewMachinesTest {
--- a/src/test/kotlin/wardmux/dispatch/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -1,10 +1,11 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
-import wardmux.MachineId
-import wardmux.fleet.Machine
-import wardmux.intake.JobSpec
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineId
 
 /** Where the tasks of a gang go: it begins when the last of them has its image. */
 class GangPlacementTest {
--- a/src/test/kotlin/wardmux/dispatch/GangRoomTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
@@ -1,10 +1,10 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
-import wardmux.Micros
-import wardmux.fleet.Machine
-import wardmux.secs
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /** Room for gangs: it is gathered and kept, as small tasks would take each bit that comes free. */
--- a/src/test/kotlin/wardmux/cloud/MachinePoolsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
@@ -1,14 +1,15 @@
-package wardmux.cloud
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.CoreContext
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.dispatch.Job
-import wardmux.intake.JobSpec
-import wardmux.secs
+import wardmux.core.CoreContext
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Stamp
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /** Which types stand in for each other: only those that nothing open needs for their size. */
--- a/src/test/kotlin/wardmux/dispatch/PageSizeEstimateTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
@@ -1,11 +1,12 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.Job
+import wardmux.model.MachineType
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /** What a page takes for now bounds what hiring counts of the tasks that wait. */
--- a/src/test/kotlin/wardmux/dispatch/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -1,21 +1,23 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
-import wardmux.CoreContext
-import wardmux.MachineId
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.TaskId
-import wardmux.app.OperatorSettings
-import wardmux.app.TeamFacts
-import wardmux.app.WorkerFacts
-import wardmux.cloud.MachinePools
-import wardmux.cloud.MachineType
-import wardmux.fleet.Machine
-import wardmux.fleet.Placement
-import wardmux.fleet.TaskStatus
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.config.TeamFacts
+import wardmux.config.WorkerFacts
+import wardmux.core.CoreContext
+import wardmux.model.Charge
+import wardmux.model.Cost
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.Stamp
+import wardmux.model.TaskId
+import wardmux.model.TaskStatus
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /** A planner with all that it needs, for decisions set up by hand. */
--- a/src/test/kotlin/wardmux/dispatch/PlannerScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
@@ -1,12 +1,12 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.random.Random
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.MachineType
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /** At the size of the grown deployments: what a decision costs, counted and not timed. */
--- a/src/test/kotlin/wardmux/dispatch/PreemptionScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
@@ -1,13 +1,14 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.Micros
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.Job
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Urgency
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /**
--- a/src/test/kotlin/wardmux/dispatch/ServicePreemptionTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
@@ -1,15 +1,15 @@
-package wardmux.dispatch
+package wardmux.scheduling
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.TeamFacts
-import wardmux.cloud.MachineType
-import wardmux.fleet.Machine
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 import wardmux.sim.plainJob
 
 /** A replica that waits is down: what may be stopped for it is stopped at once, where it helps. */
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -4,10 +4,10 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /**
  * Seen: 56 s after its user had been told that a job was cancelled, one of its tasks was still on a
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -6,31 +6,32 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import wardmux.Effect
-import wardmux.Input
-import wardmux.Micros
-import wardmux.Outcome
-import wardmux.Port
-import wardmux.Target
-import wardmux.app.CloudFacts
 import wardmux.app.Controller
-import wardmux.app.Facts
-import wardmux.app.LimitFacts
-import wardmux.app.NextStateFacts
-import wardmux.app.OperatorSettings
-import wardmux.app.PlatformSettings
-import wardmux.app.ServiceSettings
-import wardmux.app.SiblingSettings
-import wardmux.app.StateFacts
-import wardmux.app.TeamFacts
-import wardmux.app.WorkerFacts
-import wardmux.cloud.MachineType
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.intake.JobState
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.millis
+import wardmux.config.CloudFacts
+import wardmux.config.Facts
+import wardmux.config.LimitFacts
+import wardmux.config.NextStateFacts
+import wardmux.config.OperatorSettings
+import wardmux.config.PlatformSettings
+import wardmux.config.ServiceSettings
+import wardmux.config.SiblingSettings
+import wardmux.config.StateFacts
+import wardmux.config.TeamFacts
+import wardmux.config.WorkerFacts
+import wardmux.core.Effect
+import wardmux.core.Input
+import wardmux.core.Outcome
+import wardmux.core.Port
+import wardmux.core.Target
+import wardmux.model.JobSpec
+import wardmux.model.JobState
+import wardmux.model.MachineType
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.records.JobRecord
+import wardmux.records.MachineTypeList
 
 /** One controller whose state service answers at once, for situations set up by hand. */
 class ControllerHarness(
@@ -88,7 +89,7 @@
     var refuse: (String) -> Boolean = { false }
 
     init {
-        write(MachineType.KEY, MachineType.toJson(listOf(TYPE)))
+        write(MachineTypeList.KEY, MachineTypeList.encode(listOf(TYPE)))
     }
 
     private fun putting(key: String, data: JsonElement) = buildJsonObject {
--- a/src/test/kotlin/wardmux/sim/FakeCloud.kt
+++ b/src/test/kotlin/wardmux/sim/FakeCloud.kt
@@ -12,8 +12,8 @@
 import kotlinx.serialization.json.jsonPrimitive
 import kotlinx.serialization.json.put
 import kotlinx.serialization.json.putJsonArray
-import wardmux.Micros
-import wardmux.secs
+import wardmux.model.Micros
+import wardmux.model.secs
 
 /** The cloud, written from PROTOCOL; its list is always late. */
 class FakeCloud(
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -1,9 +1,9 @@
 package wardmux.sim
 
-import wardmux.Micros
-import wardmux.intake.JobSpec
-import wardmux.millis
-import wardmux.secs
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** A task of a gang as it is on its machine, from its image on. */
 interface GangTask {
--- a/src/test/kotlin/wardmux/sim/FakeStateService.kt
+++ b/src/test/kotlin/wardmux/sim/FakeStateService.kt
@@ -16,10 +16,11 @@
 import kotlinx.serialization.json.long
 import kotlinx.serialization.json.put
 import kotlinx.serialization.json.putJsonArray
-import wardmux.Micros
-import wardmux.app.NextStateFacts
-import wardmux.app.StateFacts
-import wardmux.millis
+import wardmux.config.NextStateFacts
+import wardmux.config.StateFacts
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.store.Change
 
 /** A transaction that got no answer, with what its sender changed before it was carried out. */
 class LateTransaction(
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -13,12 +13,12 @@
 import kotlinx.serialization.json.long
 import kotlinx.serialization.json.put
 import kotlinx.serialization.json.putJsonArray
-import wardmux.Micros
-import wardmux.app.WorkerFacts
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.WorkerFacts
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** How a worker reaches a controller: status and body, or null for no response. */
 typealias Report = (node: String, body: String, answer: (Int, String) -> Unit) -> Unit
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -1,8 +1,8 @@
 package wardmux.sim
 
-import wardmux.Micros
-import wardmux.millis
-import wardmux.secs
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** All that may happen to a [simulation], for days of every kind; [submit] brings one more job. */
 class FaultInjector(private val simulation: ClusterSimulation, private val submit: () -> Unit) {
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -5,9 +5,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.Arguments
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.Micros
-import wardmux.intake.JobSpec
-import wardmux.secs
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.secs
 
 /** A gang is cancelled at each phase of its life; each is brought about on purpose. */
 class GangCancellationTest {
--- a/src/test/kotlin/wardmux/sim/GangDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangDay.kt
@@ -1,14 +1,14 @@
 package wardmux.sim
 
 import kotlin.test.assertEquals
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.records.JobRecord
 
 /** A simulated day on which gangs are brought into trouble on purpose. */
 class GangDay(seed: Long, rented: Boolean = true, capacity: Int = 3) {
--- a/src/test/kotlin/wardmux/sim/GangFaultDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultDay.kt
@@ -6,18 +6,18 @@
 import kotlinx.serialization.json.jsonArray
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.Micros
-import wardmux.Stamp
-import wardmux.TaskId
-import wardmux.dispatch.Job
-import wardmux.dispatch.StoredPage
-import wardmux.fleet.Placement
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.millis
-import wardmux.secs
-import wardmux.store.lenientJson
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.Shape
+import wardmux.model.Stamp
+import wardmux.model.TaskId
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.records.StoredPage
+import wardmux.serialization.lenientJson
 
 /**
  * One gang in a simulated simulation. Beyond the [Rules], each order to start is held against the
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -5,10 +5,10 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.Micros
-import wardmux.intake.Shape
-import wardmux.millis
-import wardmux.secs
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** Gangs in trouble: each situation is brought about on purpose. */
 class GangFaultsTest {
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -5,13 +5,13 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.Micros
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.intake.JobState
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.model.JobSpec
+import wardmux.model.JobState
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
+import wardmux.records.JobRecord
 
 /** Gangs that lose machines, end in part or want for room, each brought about on purpose. */
 class GangLifecycleTest {
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -5,12 +5,12 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 
 /** Seeded days of gangs among arrays, with the troubles of [RandomSimulationTest]. */
 class GangSimulationTest {
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangsTest.kt
@@ -7,11 +7,11 @@
 import kotlinx.serialization.json.jsonArray
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.app.TeamFacts
-import wardmux.app.WorkerFacts
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.config.WorkerFacts
+import wardmux.model.JobSpec
+import wardmux.model.Shape
+import wardmux.model.secs
 
 /** The fake workers do with gangs what the page says, for worlds that rely on it. */
 class GangsTest {
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -3,10 +3,10 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.OperatorSettings
-import wardmux.intake.Shape
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.Shape
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** Four thousand machines report to three controllers, through a change of leaders. */
 class LargeFleetTest {
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -8,19 +8,19 @@
 import kotlinx.serialization.json.Json
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.Micros
-import wardmux.Port
-import wardmux.dispatch.FairQueue
-import wardmux.intake.JobRecord
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.lead.Leadership
-import wardmux.millis
-import wardmux.relay.Batch
-import wardmux.relay.FullReport
-import wardmux.relay.RelayCodec
-import wardmux.secs
+import wardmux.core.Port
+import wardmux.election.Leadership
+import wardmux.forwarding.Batch
+import wardmux.forwarding.FullReport
+import wardmux.forwarding.RelayCodec
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
+import wardmux.records.JobRecord
+import wardmux.scheduling.FairQueue
 
 /** What comes late meets what was decided since: writes, reports, ends of tasks, cancellations. */
 class LateMessageFaultsTest {
--- a/src/test/kotlin/wardmux/sim/LeaderChurn.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChurn.kt
@@ -1,8 +1,8 @@
 package wardmux.sim
 
-import wardmux.Micros
-import wardmux.millis
-import wardmux.secs
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /**
  * Leaders that change every few seconds, beside machines that can be reached for moments only:
--- a/src/test/kotlin/wardmux/sim/LossRecorder.kt
+++ b/src/test/kotlin/wardmux/sim/LossRecorder.kt
@@ -1,6 +1,6 @@
 package wardmux.sim
 
-import wardmux.Micros
+import wardmux.model.Micros
 
 /** Why a worker's task no longer runs. */
 enum class LossCause {
--- a/src/test/kotlin/wardmux/sim/LossRecorderTest.kt
+++ b/src/test/kotlin/wardmux/sim/LossRecorderTest.kt
@@ -2,7 +2,7 @@
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
-import wardmux.secs
+import wardmux.model.secs
 
 /** The checker of budgets catches what goes beyond them, and counts from the workers alone. */
 class LossRecorderTest {
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -4,13 +4,13 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** Two troubles at once, where machines are one of them: each brought about on purpose. */
 class MachineFaultsTest {
--- a/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
+++ b/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
@@ -3,9 +3,9 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.app.StateFacts
-import wardmux.app.TeamFacts
-import wardmux.secs
+import wardmux.config.StateFacts
+import wardmux.config.TeamFacts
+import wardmux.model.secs
 
 /**
  * A machine given up frees its tasks only once that is recorded. When a zone was lost, the records
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -5,10 +5,10 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.Micros
-import wardmux.app.OperatorSettings
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.Micros
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** Outages of the state service that meet cancellations, lone leaders and changes of leader. */
 class OutageFaultsTest {
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -5,8 +5,8 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.app.OperatorSettings
-import wardmux.secs
+import wardmux.config.OperatorSettings
+import wardmux.model.secs
 
 /** Seeded days with troubles of every kind, alone and together; the rules hold after each step. */
 class RandomSimulationTest {
--- a/src/test/kotlin/wardmux/sim/Rules.kt
+++ b/src/test/kotlin/wardmux/sim/Rules.kt
@@ -1,11 +1,12 @@
 package wardmux.sim
 
 import kotlin.math.abs
-import wardmux.Micros
-import wardmux.app.TeamFacts
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.secs
+import wardmux.peers.CancellationReport
 
 /** A machine as it is: what is free on it, and the tasks (job and number) that it holds. */
 class MachineView(
--- a/src/test/kotlin/wardmux/sim/RulesTest.kt
+++ b/src/test/kotlin/wardmux/sim/RulesTest.kt
@@ -4,12 +4,12 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
-import wardmux.Micros
-import wardmux.app.TeamFacts
-import wardmux.app.WorkerFacts
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.secs
+import wardmux.config.TeamFacts
+import wardmux.config.WorkerFacts
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.secs
 
 /** Each rule is broken on purpose: a checker that cannot fail checks nothing. */
 class RulesTest {
--- a/src/test/kotlin/wardmux/sim/SimulatedClock.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedClock.kt
@@ -2,8 +2,8 @@
 
 import java.util.PriorityQueue
 import kotlin.random.Random
-import wardmux.Micros
-import wardmux.millis
+import wardmux.model.Micros
+import wardmux.model.millis
 
 /** Simulated time: what is due is done in order, and all chance comes from one seed. */
 class SimulatedClock(seed: Long) {
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -2,9 +2,9 @@
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.secs
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.secs
 
 /** Work too small or too particular for the sums that hiring goes by still gets its machine. */
 class SmallWorkTest {
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -5,14 +5,14 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.Micros
-import wardmux.app.NextStateFacts
-import wardmux.app.OperatorSettings
-import wardmux.intake.JobSpec
-import wardmux.intake.Shape
-import wardmux.intake.Urgency
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.NextStateFacts
+import wardmux.config.OperatorSettings
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+import wardmux.model.Shape
+import wardmux.model.Urgency
+import wardmux.model.millis
+import wardmux.model.secs
 
 /**
  * The version before and this one serve side by side while the controllers are rolled one after the
--- a/src/test/kotlin/wardmux/store/StateStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/StateStoreTest.kt
@@ -3,11 +3,11 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.CoreContext
-import wardmux.Effect
-import wardmux.app.StateFacts
-import wardmux.millis
-import wardmux.secs
+import wardmux.config.StateFacts
+import wardmux.core.CoreContext
+import wardmux.core.Effect
+import wardmux.model.millis
+import wardmux.model.secs
 
 /** What becomes of requests when there are more than the state service takes. */
 class StateStoreTest {
--- a/src/test/kotlin/wardmux/fleet/ReportReaderTest.kt
+++ b/src/test/kotlin/wardmux/worker/ReportReaderTest.kt
@@ -1,4 +1,4 @@
-package wardmux.fleet
+package wardmux.worker
 
 import kotlin.random.Random
 import kotlin.test.Test
