--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -4,77 +4,77 @@
 import wardmux.cloud.CloudClient
 import wardmux.cloud.MachineTypeCatalog
 import wardmux.config.OperatorSettings
-import wardmux.config.PlatformSettings
+import wardmux.config.PlatformConfig
 import wardmux.core.CoreContext
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
 import wardmux.core.Port
 import wardmux.drain.DrainApi
-import wardmux.election.Leadership
+import wardmux.election.LeaderElection
 import wardmux.election.Role
-import wardmux.forwarding.Relay
-import wardmux.forwarding.RelayCodec
-import wardmux.forwarding.StoreRelayClient
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.HeartbeatForwarder
+import wardmux.forwarding.StoredBatchClient
 import wardmux.http.ApiPaths
 import wardmux.jobs.Intake
 import wardmux.jobs.SubmissionReader
-import wardmux.leader.LeaderSession
+import wardmux.leader.LeaderTerm
 import wardmux.lease.LeaseRenewals
 import wardmux.lease.RenewalCounters
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.JobId
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.peers.Cancellations
-import wardmux.peers.HeartbeatCodec
-import wardmux.peers.Peers
-import wardmux.store.StateStore
+import wardmux.peers.PeerHeartbeatCodec
+import wardmux.peers.PeerHeartbeats
+import wardmux.store.KeyValueStore
 import wardmux.worker.Redirect
-import wardmux.worker.ReportReader
+import wardmux.worker.WorkerHeartbeatReader
 
 /**
  * One controller as a state machine: takes inputs with their time, returns what to send and answer.
  */
 class Controller(
-    private val platform: PlatformSettings,
+    private val platform: PlatformConfig,
     private val operators: OperatorSettings,
     /** Tells this process from every other, a former one of the same member above all. */
     boot: String,
 ) {
     private val log = logger<Controller>()
     private val context = CoreContext()
-    private val store = StateStore(context, platform.facts.state, platform.facts.nodes)
-    private val cloud = CloudClient(context, platform.facts.cloud.rps)
+    private val store = KeyValueStore(context, platform.deployment.state, platform.deployment.nodes)
+    private val cloud = CloudClient(context, platform.deployment.cloud.rps)
     private val types = MachineTypeCatalog(context, store, cloud)
-    private val siblings = platform.siblings.map { it.member }
+    private val peerNames = platform.peers.map { it.member }
     private val cancellations =
         Cancellations(
             context,
             store,
             boot,
-            siblings,
-            Cancellations.horizon(platform.facts.workers.cancelS.secs),
+            peerNames,
+            Cancellations.horizon(platform.deployment.workers.cancelS.seconds),
         ) {
             term?.cancelled(it)
         }
     private val renewalCounters = RenewalCounters(context)
     private val renewals = LeaseRenewals(context, renewalCounters)
-    private val peers = Peers(context, platform.member, siblings, cancellations)
-    private val reader = ReportReader(platform.facts.limits.reportCacheBytes)
+    private val peerHeartbeats = PeerHeartbeats(context, platform.member, peerNames, cancellations)
+    private val reader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
     private val intake =
-        Intake(context, store, types, platform.facts.teams, cancellations::confirmed, ::progressOf)
-    private var term: LeaderSession? = null
+        Intake(context, store, types, platform.deployment.teams, cancellations::confirmed, ::progressOf)
+    private var term: LeaderTerm? = null
     private val leadership =
-        Leadership(
+        LeaderElection(
             context,
             store,
             platform.member,
             boot = boot,
-            life = operators.leaderLeaseS.secs,
+            life = operators.leaderLeaseS.seconds,
             listener =
-                object : Leadership.Listener {
+                object : LeaderElection.Listener {
                     override fun elected(role: Role.Leader) = begin(role)
 
                     override fun deposed() = end()
@@ -82,18 +82,18 @@
         )
 
     private val relay =
-        Relay(
+        HeartbeatForwarder(
             context,
             leadership,
             platform.member,
             boot,
-            platform.facts.workers,
+            platform.deployment.workers,
             cancellations,
             renewals,
-            StoreRelayClient(context, store, platform.member),
-            platform.siblings.size,
-            platform.facts.limits.sockets.workers,
-            peers::wantsRelays,
+            StoredBatchClient(context, store, platform.member),
+            platform.peers.size,
+            platform.deployment.limits.sockets.workers,
+            peerHeartbeats::wantsRelays,
             ::sendToLeader,
         )
 
@@ -105,7 +105,7 @@
 
     private fun begin(role: Role.Leader) {
         term =
-            LeaderSession(
+            LeaderTerm(
                 context,
                 store,
                 leadership,
@@ -118,7 +118,7 @@
                 intake::learnFinal,
                 cancellations,
                 renewals,
-                peers::hearsOthers,
+                peerHeartbeats::hearsOthers,
             )
     }
 
@@ -127,7 +127,7 @@
         term = null
     }
 
-    private fun progressOf(id: JobId) = term?.progressOf(id) ?: peers.progressOf(id.value)
+    private fun progressOf(id: JobId) = term?.progressOf(id) ?: peerHeartbeats.progressOf(id.value)
 
     /** Handles one input that came at the given steady and wall time. */
     fun handle(now: Micros, wall: Micros, input: Input): List<Effect> {
@@ -155,7 +155,7 @@
         renewalCounters.tick()
         val role = leadership.role as? Role.Leader
         val wantsRelays = term?.wantsRelays == true
-        peers.tick(role?.token, wantsRelays, store.answeredAt) { term?.progress().orEmpty() }
+        peerHeartbeats.tick(role?.token, wantsRelays, store.answeredAt) { term?.progress().orEmpty() }
     }
 
     private fun call(call: Input.Call) {
@@ -165,7 +165,7 @@
         val parts = path.removePrefix("/").split('/')
         when {
             path == ApiPaths.READY -> only("GET", call) { ready(call.id) }
-            path == ApiPaths.REPORT -> only("POST", call) { handleReport(call) }
+            path == ApiPaths.REPORT -> only("POST", call) { handleHeartbeat(call) }
             path == ApiPaths.SUBMISSIONS -> only("POST", call) { intake.submit(call.id, call.body) }
             parts.size == 2 && "/${parts[0]}" == ApiPaths.SUBMISSIONS ->
                 only("GET", call) { known(call, parts[1]) { intake.poll(call.id, it) } }
@@ -201,12 +201,12 @@
     private fun ready(call: Long) {
         val troubled = store.troubledSince
         val alone =
-            troubled != null && context.now - troubled > ALONE_AFTER && peers.othersFareBetter()
+            troubled != null && context.now - troubled > ALONE_AFTER && peerHeartbeats.othersFareBetter()
         if (types.types != null && !alone) context.answer(call, HttpStatus.OK, """{"ready":true}""")
         else context.answer(call, HttpStatus.SERVICE_UNAVAILABLE, """{"ready":false}""", 1)
     }
 
-    private fun handleReport(call: Input.Call) {
+    private fun handleHeartbeat(call: Input.Call) {
         val report =
             reader.read(call.body)
                 ?: return context.answer(
@@ -214,10 +214,10 @@
                     HttpStatus.BAD_REQUEST,
                     """{"error":"not a report"}""",
                 )
-        leadership.seen(Token(report.token))
+        leadership.seen(FencingToken(report.token))
         val current = term
-        if (current != null) return current.handleReport(call.id, report)
-        if (!relay.handleReport(call.id, report, call.body)) sendToLeader(call.id)
+        if (current != null) return current.handleHeartbeat(call.id, report)
+        if (!relay.handleHeartbeat(call.id, report, call.body)) sendToLeader(call.id)
     }
 
     private fun sendToLeader(call: Long) {
@@ -233,33 +233,33 @@
 
     private fun peerCall(call: Input.Call, path: String) {
         when {
-            path == Peers.PATH -> heartbeat(call)
-            path == RelayCodec.PATH -> batch(call)
+            path == PeerHeartbeats.PATH -> heartbeat(call)
+            path == ForwardingCodec.PATH -> batch(call)
             path == DrainApi.PEER_PATH && drainApi != null -> drainApi.forwarded(call)
             else -> context.answer(call.id, HttpStatus.NOT_FOUND)
         }
     }
 
     private fun heartbeat(call: Input.Call) {
-        val heartbeat = HeartbeatCodec.decode(call.body)
-        if (heartbeat == null || !peers.knows(heartbeat.member))
+        val heartbeat = PeerHeartbeatCodec.decode(call.body)
+        if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
-        val told = peers.received(heartbeat)
-        heartbeat.token?.let { leadership.heard(heartbeat.member, Token(it)) }
-        context.answerBytes(call.id, HttpStatus.OK, HeartbeatCodec.encode(told))
+        val told = peerHeartbeats.received(heartbeat)
+        heartbeat.token?.let { leadership.heard(heartbeat.member, FencingToken(it)) }
+        context.answerBytes(call.id, HttpStatus.OK, PeerHeartbeatCodec.encode(told))
     }
 
     private fun batch(call: Input.Call) {
-        val batch = RelayCodec.batch(call.body)
-        if (batch == null || !peers.knows(batch.member))
+        val batch = ForwardingCodec.batch(call.body)
+        if (batch == null || !peerHeartbeats.knows(batch.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
-        leadership.seen(Token(batch.token))
+        leadership.seen(FencingToken(batch.token))
         val answer = term?.take(batch) ?: return context.answer(call.id, HttpStatus.CONFLICT)
-        context.answerBytes(call.id, HttpStatus.OK, RelayCodec.encode(answer))
+        context.answerBytes(call.id, HttpStatus.OK, ForwardingCodec.encode(answer))
     }
 
     private companion object {
-        val ALONE_AFTER = 3.secs
+        val ALONE_AFTER = 3.seconds
 
         /** "submissions", the id and "abort". */
         const val ABORT_PARTS = 3
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -7,7 +7,7 @@
 import java.util.UUID
 import java.util.concurrent.TimeUnit
 import wardmux.config.OperatorSettings
-import wardmux.config.PlatformSettings
+import wardmux.config.PlatformConfig
 import wardmux.config.SettingsFiles
 import wardmux.core.Effect
 import wardmux.core.Input
@@ -18,14 +18,14 @@
 import wardmux.http.HttpServer
 import wardmux.logging.logger
 import wardmux.model.Micros
-import wardmux.model.millis
+import wardmux.model.milliseconds
 
 /** Binds the core to sockets and clocks; one event loop owns both. */
-class Daemon(private val platform: PlatformSettings, private val operators: OperatorSettings) {
+class Daemon(private val platform: PlatformConfig, private val operators: OperatorSettings) {
     private val log = logger<Daemon>()
     private val group = NioEventLoopGroup(1)
     private val core = Controller(platform, operators, boot())
-    private val sockets = platform.facts.limits.sockets
+    private val sockets = platform.deployment.limits.sockets
     private val server =
         HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) {
             feed(Input.Call(it.id, it.port, it.method, it.path, it.body))
@@ -45,8 +45,8 @@
         }
         client(Target.State, platform.services.state, STATE_CONNECTIONS)
         client(Target.Cloud, platform.services.cloud, CLOUD_CONNECTIONS)
-        for (sibling in platform.siblings) {
-            client(Target.Sibling(sibling.member), sibling.address, SIBLING_CONNECTIONS)
+        for (peer in platform.peers) {
+            client(Target.Peer(peer.member), peer.address, SIBLING_CONNECTIONS)
         }
     }
 
@@ -152,7 +152,7 @@
 
         /** Stands for an address that a worker reported and that is none: never connects. */
         val NOWHERE = InetSocketAddress("0.0.0.0", 1)
-        val TICK = 100.millis
+        val TICK = 100.milliseconds
         const val IDLE_SECONDS = 90L
         const val OPERATORS_RETRY_S = 30L
 
--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -10,9 +10,9 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.ParameterException
 import picocli.CommandLine.Spec
-import wardmux.config.BadSettings
+import wardmux.config.InvalidSettingsException
 import wardmux.config.OperatorSettings
-import wardmux.config.PlatformSettings
+import wardmux.config.PlatformConfig
 import wardmux.config.SettingsFiles
 import wardmux.drain.DrainCommand
 
@@ -55,12 +55,12 @@
     )
     var settings: File? = null
 
-    /** Both settings, checked; throws [BadSettings] if one is wrong. */
-    fun read(): Pair<PlatformSettings, OperatorSettings> {
+    /** Both settings, checked; throws [InvalidSettingsException] if one is wrong. */
+    fun read(): Pair<PlatformConfig, OperatorSettings> {
         val platform = SettingsFiles.platform(config)
         val operators = SettingsFiles.operators(settings)
-        val teams = platform.facts.teams.mapTo(HashSet()) { it.name }
-        operators.drain?.unknownTeam(teams)?.let { throw BadSettings("${settings?.name}: $it") }
+        val teams = platform.deployment.teams.mapTo(HashSet()) { it.name }
+        operators.drain?.unknownTeam(teams)?.let { throw InvalidSettingsException("${settings?.name}: $it") }
         return platform to operators
     }
 }
@@ -70,7 +70,7 @@
 private fun <T> orBadSettings(block: () -> T): T? =
     try {
         block()
-    } catch (e: BadSettings) {
+    } catch (e: InvalidSettingsException) {
         System.err.println("wardmux: ${e.message}")
         null
     }
--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -1,11 +1,11 @@
 package wardmux.cloud
 
 import kotlin.math.ceil
-import wardmux.config.ObjectiveFacts
+import wardmux.config.ServiceLevelObjective
 import wardmux.core.CoreContext
 import wardmux.model.Job
 import wardmux.model.JobSpec
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.MachinePool
 import wardmux.scheduling.MachinePools
 import wardmux.scheduling.PageSizeEstimate
@@ -25,8 +25,8 @@
 /** Works out how many machines the waiting jobs need. */
 class CapacityDemand(
     private val context: CoreContext,
-    private val cluster: Cluster,
-    private val objectives: List<ObjectiveFacts>,
+    private val cluster: ClusterState,
+    private val objectives: List<ServiceLevelObjective>,
     private val mostValueBytes: () -> Int,
 ) {
     /** What waits, by pool. Of each team only as much counts as its limit leaves. */
@@ -34,7 +34,7 @@
         val backlogs = pools.pools.associateWith { Backlog() }
         val headroom = HashMap<String, Double>()
         for (job in cluster.jobs.values) {
-            if (job.waiting == 0 || job.atFault) continue
+            if (job.waiting == 0 || job.isFailing) continue
             val pool = pools.poolFor(job.spec) ?: continue
             val tasks = countedTasks(job, pool, headroom)
             if (tasks > 0) add(job, tasks, pool, backlogs.getValue(pool))
@@ -63,7 +63,7 @@
 
     private fun add(job: Job, tasks: Double, pool: MachinePool, backlog: Backlog) {
         val spec = job.spec
-        val run = cluster.estimates.runTime(spec).seconds.coerceAtLeast(1.0)
+        val run = cluster.estimates.runTime(spec).inSeconds.coerceAtLeast(1.0)
         val whole = tasks / fittingOf(spec, pool)
         val boot = pool.shortestBootS
         val horizon = boot * HORIZON_BOOTS
@@ -116,7 +116,7 @@
         return (limits.minOrNull() ?: 0.0) - age(job)
     }
 
-    private fun age(job: Job) = (context.wall - job.acceptedAt).seconds
+    private fun age(job: Job) = (context.wall - job.acceptedAt).inSeconds
 
     private companion object {
         const val HORIZON_BOOTS = 0.5
--- a/src/main/kotlin/wardmux/cloud/CloudClient.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudClient.kt
@@ -8,7 +8,7 @@
 import wardmux.core.Target
 import wardmux.logging.logger
 import wardmux.model.MachineType
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 
 @Serializable private class TypesWire(@SerialName("boxkinds") val boxkinds: List<MachineType>)
@@ -59,7 +59,7 @@
 
     /** False if a call now would pass the limit; the caller tries again later. */
     fun ready(): Boolean {
-        tokens = (tokens + (context.now - refilledAt).seconds * rate).coerceAtMost(rate * 2)
+        tokens = (tokens + (context.now - refilledAt).inSeconds * rate).coerceAtMost(rate * 2)
         refilledAt = context.now
         return tokens >= 1
     }
@@ -142,6 +142,6 @@
     private companion object {
         const val MARGIN = 0.8
         const val LIST_LIMIT = 500
-        val TIMEOUT = 5.secs
+        val TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -2,12 +2,12 @@
 
 import kotlin.math.ceil
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Maintenance
-import wardmux.model.Shape
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 
 /**
@@ -15,13 +15,13 @@
  * order can take them, by zone, kind or type, or they need their room all at once.
  */
 class JobProvisioner(
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val eligibility: Eligibility,
     private val orders: RentalOrders,
 ) {
     /** Asks for what the job lacks; it has been short of room for a while. */
     fun rentFor(job: Job, known: List<MachineType>) {
-        if (job.atFault) return
+        if (job.isFailing) return
         if (job.spec.isGang) return rentForGang(job, known)
         if (isThere(job) || isComing(job)) return
         rentOne(job, known)
@@ -45,7 +45,7 @@
     private fun isThere(job: Job) =
         cluster.machines.values.any {
             !it.decommissioned &&
-                it.recalledAt == null &&
+                it.preemptionNoticeAt == null &&
                 (it.maintenance == Maintenance.NONE || it.maintenance == Maintenance.LEAVING) &&
                 eligibility.suits(job, it.type, it.zone, it.spot) &&
                 mayBecomeFree(job, it)
@@ -56,10 +56,10 @@
      * nothing else, a task waits for ever.
      */
     private fun mayBecomeFree(job: Job, machine: Machine) =
-        !machine.up ||
+        !machine.isUp ||
             machine.fits(job.spec) ||
             machine.placements.values.any {
-                it.job.spec.shape != Shape.DAEMON || it.job.spec.urgency > job.spec.urgency
+                it.job.spec.shape != JobKind.SERVICE || it.job.spec.urgency > job.spec.urgency
             }
 
     /** A machine that suits the job is asked for. */
@@ -96,6 +96,6 @@
     private fun comingTo(spec: JobSpec, zone: String) =
         orders.count { it.zone == zone && (spec.spot || !it.spot) } +
             cluster.machines.values.count {
-                it.zone == zone && !it.up && !it.decommissioned && eligibility.allowed(spec, it)
+                it.zone == zone && !it.isUp && !it.decommissioned && eligibility.allowed(spec, it)
             }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -2,15 +2,15 @@
 
 import wardmux.core.CoreContext
 import wardmux.logging.logger
+import wardmux.model.JobKind
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Placement
-import wardmux.model.Shape
 import wardmux.model.TaskStatus
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 import wardmux.scheduling.MachinePool
-import wardmux.scheduling.TaskStopper
+import wardmux.scheduling.TaskEvictor
 
 /**
  * Empties ordinary machines that are more than is wanted: they get no new tasks, and can be
@@ -20,9 +20,9 @@
  */
 class MachineDrainer(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val eligibility: Eligibility,
-    private val stopper: TaskStopper,
+    private val stopper: TaskEvictor,
 ) {
     private val log = logger<MachineDrainer>()
 
@@ -35,9 +35,9 @@
 
     private fun resume(pool: MachinePool, own: List<Machine>, missing: Double) {
         var left = missing
-        for (machine in own.filter { it.draining }.sortedByDescending { it.load }) {
+        for (machine in own.filter { it.isScalingIn }.sortedByDescending { it.load }) {
             if (left <= 0) return
-            machine.draining = false
+            machine.isScalingIn = false
             left -= pool.weightOf(machine.type)
             cluster.changed()
             log.info("{} takes tasks again", machine.id)
@@ -49,10 +49,10 @@
         val candidates = own.filter { !it.spot && eligibility.usable(it) }
         val order =
             compareByDescending<Machine> { pool.dearness(it.type, it.spot) }.thenBy { it.load }
-        for (machine in candidates.filter { !it.empty }.sortedWith(order)) {
+        for (machine in candidates.filter { !it.isEmpty }.sortedWith(order)) {
             val weight = pool.weightOf(machine.type)
             if (left < weight) continue
-            machine.draining = true
+            machine.isScalingIn = true
             left -= weight
             log.info("{} is to be emptied: {} tasks there", machine.id, machine.placements.size)
         }
@@ -60,14 +60,14 @@
 
     /** Moves replicas off machines that are being emptied; a few at a time. */
     fun moveReplicas() {
-        val draining = cluster.machines.values.filter { it.draining && !it.decommissioned }
+        val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.decommissioned }
         // Operators' drains move tasks within budgets, which this must not use up.
-        if (draining.isEmpty() || cluster.hasDrains) return
-        val moving = cluster.machines.values.sumOf { m -> m.placements.values.count { it.halting } }
+        if (isScalingIn.isEmpty() || cluster.hasDrains) return
+        val moving = cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
         var left = MOST_MOVING - moving
         val targets = cluster.machines.values.filter { eligibility.usable(it) }
         val promised = HashMap<Machine, Double>()
-        for (machine in draining.sortedBy { it.placements.size }) {
+        for (machine in isScalingIn.sortedBy { it.placements.size }) {
             for (replica in machine.placements.values) {
                 if (left <= 0) return
                 if (!isMovable(replica)) continue
@@ -80,13 +80,13 @@
     }
 
     private fun isMovable(placement: Placement) =
-        placement.job.spec.shape == Shape.DAEMON &&
+        placement.job.spec.shape == JobKind.SERVICE &&
             placement.status == TaskStatus.RUNNING &&
             placement.committed &&
-            !placement.halting &&
-            !placement.job.over &&
+            !placement.isStopping &&
+            !placement.job.hasEnded &&
             // One of a service at a time: the others go on.
-            placement.job.placements.values.none { it.halting } &&
+            placement.job.placements.values.none { it.isStopping } &&
             placement.job.waiting == 0
 
     private fun takes(
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -4,14 +4,14 @@
 import wardmux.model.MachineType
 import wardmux.model.MachineTypes
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.records.MachineTypeList
 import wardmux.serialization.jsonBytes
-import wardmux.store.Change
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.WriteOperation
 
 /**
  * The machine types, kept in the state service so that an outage of the cloud does not keep a fresh
@@ -19,7 +19,7 @@
  */
 class MachineTypeCatalog(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val cloud: CloudClient,
 ) : MachineTypes {
     override var types: List<MachineType>? = null
@@ -38,7 +38,7 @@
 
     private fun readStored() {
         store.get(MachineTypeList.KEY) { result ->
-            val stored = if (result is Result.Ok) MachineTypeList.decode(result.value.data) else null
+            val stored = if (result is StoreResult.Ok) MachineTypeList.decode(result.value.data) else null
             if (stored != null) {
                 types = stored
                 again(REFRESH)
@@ -68,8 +68,8 @@
         val data = MachineTypeList.encode(found)
         // Too large to keep: whoever starts asks the cloud.
         if (jsonBytes(data) > store.maxValueBytes) return
-        val change = Change(put = MachineTypeList.KEY, data = data)
-        store.multi(emptyList(), listOf(change), Priority.LEADER) {}
+        val change = WriteOperation(put = MachineTypeList.KEY, data = data)
+        store.multi(emptyList(), listOf(change), RequestPriority.LEADER) {}
     }
 
     private fun again(pause: Micros) {
@@ -78,7 +78,7 @@
     }
 
     private companion object {
-        val REFRESH = 60.secs
-        val RETRY = 700.millis
+        val REFRESH = 60.seconds
+        val RETRY = 700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -1,6 +1,6 @@
 package wardmux.cloud
 
-import wardmux.config.CloudFacts
+import wardmux.config.CloudLimits
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
 import wardmux.fleet.Fleet
@@ -9,8 +9,8 @@
 import wardmux.model.MachineId
 import wardmux.model.Maintenance
 import wardmux.model.Micros
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.MachinePool
 import wardmux.scheduling.MachinePools
 import wardmux.scheduling.Planner
@@ -20,11 +20,11 @@
     private val context: CoreContext,
     private val cloud: CloudClient,
     private val pools: MachinePools,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val fleet: Fleet,
     private val planner: Planner,
     private val operators: OperatorSettings,
-    private val facts: CloudFacts,
+    private val deployment: CloudLimits,
     private val demand: CapacityDemand,
     private val orders: RentalOrders,
     private val drainer: MachineDrainer,
@@ -61,7 +61,7 @@
         dropExpiredRecords()
         orders.retry()
         // Until the list has been seen, what an earlier leader rented isn't known.
-        val informed = listed || context.now - electedAt > (facts.listLagS * LIST_LAGS).secs
+        val informed = listed || context.now - electedAt > (deployment.listLagS * LIST_LAGS).seconds
         if (informed && (context.now >= decideAt || orders.takeRefused())) {
             decideAt = context.now + PERIOD
             decide()
@@ -73,7 +73,7 @@
         listing = true
         cloud.list { result ->
             listing = false
-            listAt = context.now + facts.listLagS.secs
+            listAt = context.now + deployment.listLagS.seconds
             if (result is CloudResult.Ok) {
                 listed = true
                 val unknown = result.value.count { take(it) }
@@ -88,8 +88,8 @@
         if (id in fleet.gone) return false
         val known = cluster.machines[id]
         val machine = known ?: fleet.machine(id, entry.type, entry.zone, entry.spot) ?: return false
-        machine.onlyStaleReports = false
-        machine.listed(context.wall, entry.heldS.secs)
+        machine.hasOnlyStaleHeartbeats = false
+        machine.listed(context.wall, entry.heldS.seconds)
         if (known == null) log.debug("{} is listed as {} and was not known", id, entry.status)
         when (entry.status) {
             "failed" -> {
@@ -100,7 +100,7 @@
             "running" -> Unit
             else -> {
                 val patience = machine.type.bootS * BOOT_PATIENCE
-                if (!machine.up && entry.heldS > patience) decommission(machine, "does not come up")
+                if (!machine.isUp && entry.heldS > patience) decommission(machine, "does not come up")
             }
         }
         return known == null
@@ -182,9 +182,9 @@
 
     /** A machine that operators drain counts as gone, so that its room is rented elsewhere. */
     private fun counts(machine: Machine) =
-        machine.recalledAt == null &&
-            !machine.onlyStaleReports &&
-            !machine.draining &&
+        machine.preemptionNoticeAt == null &&
+            !machine.hasOnlyStaleHeartbeats &&
+            !machine.isScalingIn &&
             machine.maintenance == Maintenance.NONE
 
     private fun coming(pool: MachinePool, spot: Boolean): Double =
@@ -222,12 +222,12 @@
 
     /** Gives back idle machines that are more than is wanted, the dearest first. */
     private fun giveBack(pool: MachinePool, own: List<Machine>, surplus: Double, spot: Boolean) {
-        val drained = own.filter { it.draining && it.empty && it.spot == spot }
+        val drained = own.filter { it.isScalingIn && it.isEmpty && it.spot == spot }
         for (machine in drained) if (idleForLong(pool, machine)) decommission(machine, "emptied")
         var left = surplus + 1 - SURPLUS
         if (left < 1) return
-        val gangs = planner.shortOfRoom().filter { it.spec.isGang && !it.atFault }
-        val idle = own.filter { it.up && it.empty && !it.decommissioned && it.spot == spot }
+        val gangs = planner.shortOfRoom().filter { it.spec.isGang && !it.isFailing }
+        val idle = own.filter { it.isUp && it.isEmpty && !it.decommissioned && it.spot == spot }
         for (machine in idle.sortedByDescending { pool.dearness(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !idleForLong(pool, machine)) continue
             // One that a gang waits for more of: it would be rented again at once, and go again.
@@ -240,17 +240,17 @@
     /** To boot it again would cost about as much; a dear one is kept for as much shorter. */
     private fun idleForLong(pool: MachinePool, machine: Machine): Boolean {
         val dearness = pool.dearness(machine.type, machine.spot)
-        val keep = (operators.idleKeepBoots * machine.type.bootS / dearness).secs
+        val keep = (operators.idleKeepBoots * machine.type.bootS / dearness).seconds
         return context.now - machine.idleSince > keep
     }
 
     private companion object {
-        val PERIOD = 1.secs
-        val RETRY = 1.secs
+        val PERIOD = 1.seconds
+        val RETRY = 1.seconds
 
         /** Late lists may show a deleted machine for a while; its record then keeps it out. */
-        val RECORD_KEPT = 60.secs
-        val DELETE_TIME = 6.secs
+        val RECORD_KEPT = 60.seconds
+        val DELETE_TIME = 6.seconds
 
         /** What the protocol allows in one request. */
         const val MOST_DELETED = 100
--- a/src/main/kotlin/wardmux/cloud/RentalOrders.kt
+++ b/src/main/kotlin/wardmux/cloud/RentalOrders.kt
@@ -1,16 +1,16 @@
 package wardmux.cloud
 
-import wardmux.config.CloudFacts
+import wardmux.config.CloudLimits
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
 import wardmux.fleet.Fleet
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.MachineId
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
 
 /** One kind of thing that the cloud rents. */
 data class MachineKind(val type: MachineType, val zone: String, val spot: Boolean) {
@@ -21,11 +21,11 @@
 class RentalOrders(
     private val context: CoreContext,
     private val cloud: CloudClient,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val fleet: Fleet,
     private val operators: OperatorSettings,
-    private val token: Token,
-    facts: CloudFacts,
+    private val token: FencingToken,
+    deployment: CloudLimits,
     private val zones: List<String>,
 ) {
     private class Pending(val order: RentalOrder, val kind: MachineKind)
@@ -37,7 +37,7 @@
     private var counter = 0
 
     /** Requests that may be open at once: what the cloud takes in a second, and one at least. */
-    private val mostPending = maxOf(1, facts.rps.toInt())
+    private val mostPending = maxOf(1, deployment.rps.toInt())
 
     /** Something was refused, so that another kind may be asked for now. */
     private var refused = false
@@ -120,7 +120,7 @@
     }
 
     private fun pause(kind: MachineKind) {
-        refusedUntil[kind] = context.now + operators.refusedPauseS.secs
+        refusedUntil[kind] = context.now + operators.refusedPauseS.seconds
         refused = true
     }
 
@@ -128,7 +128,7 @@
     fun takeRefused(): Boolean = refused.also { refused = false }
 
     private companion object {
-        val RETRY = 1.secs
+        val RETRY = 1.seconds
 
         /** What the protocol allows in one request. */
         const val MOST_AT_ONCE = 50
--- a/src/main/kotlin/wardmux/cloud/Spending.kt
+++ b/src/main/kotlin/wardmux/cloud/Spending.kt
@@ -4,7 +4,7 @@
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.TaskStatus
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Tells now and then what the money goes to: work, or what machines do beside it. */
 class Spending {
@@ -23,7 +23,7 @@
 
     fun tell(now: Micros, machines: Collection<Machine>) {
         if (!log.isInfoEnabled) return
-        val elapsed = (now - (last ?: now)).seconds
+        val elapsed = (now - (last ?: now)).inSeconds
         last = now
         for (machine in machines) add(machine, elapsed)
         if (now < tellAt) return
@@ -39,7 +39,7 @@
         val sum = uses.sum()
         log.info(
             "spent {} an hour on {}: {}",
-            Math.round(sum / PERIOD.seconds * 10) / 10.0,
+            Math.round(sum / PERIOD.inSeconds * 10) / 10.0,
             kind,
             Use.entries.joinToString { use ->
                 "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * 100)} %"
@@ -56,8 +56,8 @@
             uses[use.ordinal] += part
         }
         when {
-            !machine.up -> spend(Use.BOOTING, cost)
-            machine.empty -> spend(Use.IDLE, cost)
+            !machine.isUp -> spend(Use.BOOTING, cost)
+            machine.isEmpty -> spend(Use.IDLE, cost)
             else -> {
                 var running = 0.0
                 var waiting = 0.0
@@ -73,6 +73,6 @@
     }
 
     private companion object {
-        val PERIOD = 10.secs
+        val PERIOD = 10.seconds
     }
 }
--- a/src/main/kotlin/wardmux/config/Settings.kt
+++ b/src/main/kotlin/wardmux/config/PlatformConfig.kt
@@ -11,19 +11,19 @@
 
 /** The file that the platform hands over. Fields that are not named here are ignored. */
 @Serializable
-data class PlatformSettings(
+data class PlatformConfig(
     @SerialName("member") val member: String,
     @SerialName("site") val site: String,
     @SerialName("api_addr") val apiAddress: String,
     @SerialName("peer_bind") val peerAddress: String,
-    @SerialName("siblings") val siblings: List<SiblingSettings> = emptyList(),
-    @SerialName("services") val services: ServiceSettings,
-    @SerialName("facts") val facts: Facts,
+    @SerialName("siblings") val peers: List<PeerConfig> = emptyList(),
+    @SerialName("services") val services: ServiceAddresses,
+    @SerialName("facts") val deployment: DeploymentConfig,
 )
 
 /** Another controller, and the address of its peer port. */
 @Serializable
-data class SiblingSettings(
+data class PeerConfig(
     @SerialName("member") val member: String,
     @SerialName("site") val site: String = "",
     @SerialName("addr") val address: String,
@@ -31,28 +31,28 @@
 
 /** The addresses of the services that a controller calls. */
 @Serializable
-data class ServiceSettings(
+data class ServiceAddresses(
     @SerialName("cloud") val cloud: String,
     @SerialName("state") val state: String,
 )
 
 /** What holds at this deployment: its teams, zones, services and limits. */
 @Serializable
-data class Facts(
+data class DeploymentConfig(
     @SerialName("nodes") val nodes: Int,
     @SerialName("zones") val zones: List<String>,
     @SerialName("clock_error_ms") val clockErrorMs: Double = 0.0,
-    @SerialName("teams") val teams: List<TeamFacts>,
-    @SerialName("objectives") val objectives: List<ObjectiveFacts> = emptyList(),
-    @SerialName("workers") val workers: WorkerFacts,
-    @SerialName("state") val state: StateFacts,
-    @SerialName("cloud") val cloud: CloudFacts,
-    @SerialName("limits") val limits: LimitFacts,
+    @SerialName("teams") val teams: List<TeamQuota>,
+    @SerialName("objectives") val objectives: List<ServiceLevelObjective> = emptyList(),
+    @SerialName("workers") val workers: WorkerTiming,
+    @SerialName("state") val state: StoreLimits,
+    @SerialName("cloud") val cloud: CloudLimits,
+    @SerialName("limits") val limits: ProcessLimits,
 )
 
 /** A team: its guaranteed share of the cluster and its cap. */
 @Serializable
-data class TeamFacts(
+data class TeamQuota(
     @SerialName("name") val name: String,
     @SerialName("cpus") val cpus: Double,
     @SerialName("cpus_max") val cpusMax: Double,
@@ -62,7 +62,7 @@
 
 /** An aim of the users, as the platform states it. */
 @Serializable
-data class ObjectiveFacts(
+data class ServiceLevelObjective(
     @SerialName("kind") val kind: String = "",
     @SerialName("class") val jobClass: String = "",
     @SerialName("within_s") val withinS: Double = 0.0,
@@ -72,7 +72,7 @@
 
 /** The timing of the workers, in seconds. */
 @Serializable
-data class WorkerFacts(
+data class WorkerTiming(
     @SerialName("report_s") val reportS: Double,
     @SerialName("lease_s") val leaseS: Double,
     @SerialName("cancel_s") val cancelS: Double,
@@ -84,18 +84,18 @@
 
 /** The limits of the state service, for all controllers together. */
 @Serializable
-data class StateFacts(
+data class StoreLimits(
     @SerialName("rps") val rps: Double,
     @SerialName("write_rps") val writeRps: Double,
     @SerialName("value_kb") val valueKb: Double,
     @SerialName("txn_ops") val txnOps: Int,
     /** The limits from some moment on, of which nobody is told; null where none are to come. */
-    @SerialName("next") val next: NextStateFacts? = null,
+    @SerialName("next") val next: AnnouncedStoreLimits? = null,
 ) {
     /** The smaller of both: what holds now and what may hold at any moment. */
-    val lowest: StateFacts
+    val lowest: StoreLimits
         get() =
-            StateFacts(
+            StoreLimits(
                 minOf(rps, next?.rps ?: rps),
                 minOf(writeRps, next?.writeRps ?: writeRps),
                 minOf(valueKb, next?.valueKb ?: valueKb),
@@ -105,7 +105,7 @@
 
 /** A limit that is not named here stays as it is. */
 @Serializable
-data class NextStateFacts(
+data class AnnouncedStoreLimits(
     @SerialName("rps") val rps: Double? = null,
     @SerialName("write_rps") val writeRps: Double? = null,
     @SerialName("value_kb") val valueKb: Double? = null,
@@ -114,14 +114,14 @@
 
 /** The limits of the cloud service, and how old its list of machines may be. */
 @Serializable
-data class CloudFacts(
+data class CloudLimits(
     @SerialName("rps") val rps: Double,
     @SerialName("list_lag_s") val listLagS: Double,
 )
 
 /** What the platform gives to the process of one controller. */
 @Serializable
-data class LimitFacts(
+data class ProcessLimits(
     @SerialName("cpu") val cpu: Double = 1.0,
     @SerialName("ram_mb") val ramMb: Double = 0.0,
     @SerialName("fd_limit") val fdLimit: Int,
@@ -142,7 +142,7 @@
 }
 
 /** A setting is wrong, missing or unreadable; the message is one line that names it. */
-class BadSettings(message: String) : Exception(message)
+class InvalidSettingsException(message: String) : Exception(message)
 
 /** Reads the settings files and checks them. */
 object SettingsFiles {
@@ -154,12 +154,12 @@
     /** Below this there are no sockets left for users. */
     private const val LEAST_FD_LIMIT = 32
 
-    /** The settings of the platform in [file]; throws [BadSettings] if they are wrong. */
-    fun platform(file: File): PlatformSettings {
+    /** The settings of the platform in [file]; throws [InvalidSettingsException] if they are wrong. */
+    fun platform(file: File): PlatformConfig {
         val settings =
             parse(file) { text ->
                 Toml(TomlInputConfig(ignoreUnknownNames = true))
-                    .decodeFromString(PlatformSettings.serializer(), text)
+                    .decodeFromString(PlatformConfig.serializer(), text)
             }
         check(settings, file)
         return settings
@@ -173,7 +173,7 @@
                 Toml(TomlInputConfig(ignoreUnknownNames = false))
                     .decodeFromString(OperatorSettings.serializer(), text)
             }
-        settings.problem()?.let { throw BadSettings("${file.name}: $it") }
+        settings.problem()?.let { throw InvalidSettingsException("${file.name}: $it") }
         return settings
     }
 
@@ -190,28 +190,28 @@
             try {
                 file.readText()
             } catch (e: IOException) {
-                throw BadSettings("${file.name}: cannot be read: ${firstLine(e)}")
+                throw InvalidSettingsException("${file.name}: cannot be read: ${firstLine(e)}")
             }
         try {
             return decode(text)
         } catch (e: SerializationException) {
-            throw BadSettings("${file.name}: ${firstLine(e)}")
+            throw InvalidSettingsException("${file.name}: ${firstLine(e)}")
         } catch (e: IllegalArgumentException) {
-            throw BadSettings("${file.name}: ${firstLine(e)}")
+            throw InvalidSettingsException("${file.name}: ${firstLine(e)}")
         }
     }
 
     private fun firstLine(e: Exception) = (e.message ?: e.toString()).lineSequence().first()
 
     /** Each address with the name of its field. */
-    private fun addresses(s: PlatformSettings): List<Pair<String, String>> =
+    private fun addresses(s: PlatformConfig): List<Pair<String, String>> =
         listOf("api_addr" to s.apiAddress, "peer_bind" to s.peerAddress) +
             listOf("services.cloud" to s.services.cloud, "services.state" to s.services.state) +
-            s.siblings.map { "siblings.addr" to it.address }
+            s.peers.map { "siblings.addr" to it.address }
 
-    private fun check(s: PlatformSettings, file: File) {
+    private fun check(s: PlatformConfig, file: File) {
         fun need(holds: Boolean, field: String, what: String) {
-            if (!holds) throw BadSettings("${file.name}: $field $what")
+            if (!holds) throw InvalidSettingsException("${file.name}: $field $what")
         }
         fun positive(value: Double, field: String) =
             need(value.isFinite() && value > 0, field, "must be a number above 0, but is $value")
@@ -220,20 +220,20 @@
         for ((field, text) in addresses(s)) {
             need(address(text) != null, field, "must be HOST:PORT, but is '$text'")
         }
-        need(s.facts.nodes > 0, "facts.nodes", "must be above 0, but is ${s.facts.nodes}")
-        need(s.facts.zones.isNotEmpty(), "facts.zones", "must name a zone")
-        for (team in s.facts.teams) {
+        need(s.deployment.nodes > 0, "facts.nodes", "must be above 0, but is ${s.deployment.nodes}")
+        need(s.deployment.zones.isNotEmpty(), "facts.zones", "must name a zone")
+        for (team in s.deployment.teams) {
             need(team.cpus >= 0, "facts.teams.cpus", "must not be negative for ${team.name}")
             need(team.cpusMax >= 0, "facts.teams.cpus_max", "must not be negative for ${team.name}")
         }
-        positive(s.facts.workers.reportS, "facts.workers.report_s")
-        positive(s.facts.workers.leaseS, "facts.workers.lease_s")
-        positive(s.facts.workers.cancelS, "facts.workers.cancel_s")
-        positive(s.facts.state.rps, "facts.state.rps")
-        positive(s.facts.state.writeRps, "facts.state.write_rps")
-        positive(s.facts.state.valueKb, "facts.state.value_kb")
-        need(s.facts.state.txnOps >= LEAST_TXN_OPS, "facts.state.txn_ops", "must be at least 4")
-        s.facts.state.next?.let { next ->
+        positive(s.deployment.workers.reportS, "facts.workers.report_s")
+        positive(s.deployment.workers.leaseS, "facts.workers.lease_s")
+        positive(s.deployment.workers.cancelS, "facts.workers.cancel_s")
+        positive(s.deployment.state.rps, "facts.state.rps")
+        positive(s.deployment.state.writeRps, "facts.state.write_rps")
+        positive(s.deployment.state.valueKb, "facts.state.value_kb")
+        need(s.deployment.state.txnOps >= LEAST_TXN_OPS, "facts.state.txn_ops", "must be at least 4")
+        s.deployment.state.next?.let { next ->
             next.rps?.let { positive(it, "facts.state.next.rps") }
             next.writeRps?.let { positive(it, "facts.state.next.write_rps") }
             next.valueKb?.let { positive(it, "facts.state.next.value_kb") }
@@ -241,7 +241,7 @@
                 need(it >= LEAST_TXN_OPS, "facts.state.next.txn_ops", "must be at least 4")
             }
         }
-        positive(s.facts.cloud.rps, "facts.cloud.rps")
-        need(s.facts.limits.fdLimit > LEAST_FD_LIMIT, "facts.limits.fd_limit", "must be above 32")
+        positive(s.deployment.cloud.rps, "facts.cloud.rps")
+        need(s.deployment.limits.fdLimit > LEAST_FD_LIMIT, "facts.limits.fd_limit", "must be above 32")
     }
 }
--- a/src/main/kotlin/wardmux/core/Core.kt
+++ b/src/main/kotlin/wardmux/core/Core.kt
@@ -16,7 +16,7 @@
     data object Cloud : Target
 
     /** Another controller of this site or another, by its member name. */
-    data class Sibling(val member: String) : Target
+    data class Peer(val member: String) : Target
 
     /** A machine's worker, by its address. */
     data class Worker(val address: String) : Target
--- a/src/main/kotlin/wardmux/drain/Disruptions.kt
+++ b/src/main/kotlin/wardmux/drain/Disruptions.kt
@@ -5,12 +5,12 @@
 import wardmux.core.CoreContext
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobKind
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Shape
 import wardmux.model.TaskStatus
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 
 /** Why a budget has no room. */
 sealed interface BudgetRefusal {
@@ -33,7 +33,7 @@
  */
 class Disruptions(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val settings: DrainSettings,
     /** A machine that was not heard for as long is in doubt. */
     private val heardWithin: Micros,
@@ -49,7 +49,7 @@
         upByTeam.clear()
         lostByTeam.clear()
         lostByService.clear()
-        for (job in cluster.jobs.values) if (!job.over && !job.complete) count(job)
+        for (job in cluster.jobs.values) if (!job.hasEnded && !job.allTasksDone) count(job)
         if (stopsSent.size > MOST_STOPS_KEPT) forgetOldStops()
     }
 
@@ -61,7 +61,7 @@
         }
         upByTeam.merge(job.spec.team, up, Int::plus)
         lostByTeam.merge(job.spec.team, lost, Int::plus)
-        if (job.spec.shape == Shape.DAEMON) lostByService[job.id] = lost
+        if (job.spec.shape == JobKind.SERVICE) lostByService[job.id] = lost
     }
 
     private fun forgetOldStops() {
@@ -74,17 +74,17 @@
     fun isUp(placement: Placement): Boolean {
         val machine = cluster.machines[placement.machine] ?: return false
         return placement.status == TaskStatus.RUNNING &&
-            !placement.halting &&
+            !placement.isStopping &&
             placement.attemptKey !in stopsSent &&
             isSound(machine)
     }
 
     private fun isSound(machine: Machine): Boolean {
-        val heardAt = machine.heardAt ?: return false
+        val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
         return machine.confirmed &&
             !machine.decommissioned &&
-            machine.recalledAt == null &&
-            context.now - heardAt < heardWithin
+            machine.preemptionNoticeAt == null &&
+            context.now - lastHeartbeatAt < heardWithin
     }
 
     /**
@@ -108,7 +108,7 @@
         if (!stopsSent.add(placement.attemptKey) || wasLost) return
         lostByTeam.merge(spec.team, 1, Int::plus)
         if (wasUp) upByTeam.merge(spec.team, -1, Int::plus)
-        if (spec.shape == Shape.DAEMON) lostByService.merge(placement.job.id, 1, Int::plus)
+        if (spec.shape == JobKind.SERVICE) lostByService.merge(placement.job.id, 1, Int::plus)
     }
 
     /** Workers of the team that are disrupted or may be. */
@@ -134,7 +134,7 @@
                 "team $team: ${job.id} disrupts $count at once, its budget is " +
                     "${budget.mostDisrupted} (share ${budget.mostDisruptedShare})"
             )
-        if (job.spec.shape == Shape.DAEMON)
+        if (job.spec.shape == JobKind.SERVICE)
             replicaRefusal(job, count)?.let {
                 return it
             }
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -6,10 +6,10 @@
 import wardmux.core.Input
 import wardmux.core.Outcome
 import wardmux.core.Target
-import wardmux.model.secs
-import wardmux.serialization.PeerCodec
-import wardmux.store.Priority
-import wardmux.store.StateStore
+import wardmux.model.seconds
+import wardmux.serialization.CborFormat
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
 
 /** Answers to operators. */
 object OperatorAnswers {
@@ -63,7 +63,7 @@
  */
 class DrainApi(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     /** The drains of the session that this controller leads, or null. */
     private val desk: () -> DrainDesk?,
     /** Another controller that is known to lead. */
@@ -84,24 +84,24 @@
     /** A request that another controller passes on. */
     fun forwarded(call: Input.Call) {
         val request =
-            PeerCodec.decode(ForwardedRequest.serializer(), call.body)
+            CborFormat.decode(ForwardedRequest.serializer(), call.body)
                 ?: return context.answer(call.id, HttpStatus.BAD_REQUEST)
         val own = desk() ?: return context.answer(call.id, HttpStatus.CONFLICT)
         own.handle(request) { answer ->
             val wire = ForwardedAnswer(answer.status, answer.body, answer.retryAfterS)
-            val bytes = PeerCodec.encode(ForwardedAnswer.serializer(), wire)
+            val bytes = CborFormat.encode(ForwardedAnswer.serializer(), wire)
             context.answerBytes(call.id, HttpStatus.OK, bytes)
         }
     }
 
     private fun passOn(call: Long, member: String, request: ForwardedRequest) {
-        val body = PeerCodec.encode(ForwardedRequest.serializer(), request)
-        context.send(Target.Sibling(member), "POST", PEER_PATH, body, TIMEOUT) { outcome ->
+        val body = CborFormat.encode(ForwardedRequest.serializer(), request)
+        context.send(Target.Peer(member), "POST", PEER_PATH, body, TIMEOUT) { outcome ->
             val response = outcome as? Outcome.Response
             val told =
                 response
                     ?.takeIf { it.status == HttpStatus.OK }
-                    ?.let { PeerCodec.decode(ForwardedAnswer.serializer(), it.body) }
+                    ?.let { CborFormat.decode(ForwardedAnswer.serializer(), it.body) }
             if (told == null) lookUp(call, request, OperatorAnswers.UNAVAILABLE)
             else
                 answerOrLookUp(
@@ -121,9 +121,9 @@
     private fun lookUp(call: Long, request: ForwardedRequest, refused: OperatorAnswer) {
         if (request.method != "GET") return answer(call, refused)
         val askedAt = context.now
-        store.scan(DrainRecord.PREFIX, DrainRecord.serializer(), Priority.READ) { found ->
+        store.scan(DrainRecord.PREFIX, DrainRecord.serializer(), RequestPriority.READ) { found ->
             if (found == null) return@scan answer(call, refused)
-            val age = (context.now - askedAt).seconds
+            val age = (context.now - askedAt).inSeconds
             val readable = found.items.mapNotNull { it.data }
             val drains = readable.map { DrainStatus(it, Source.STORE, ageS = age) }
             val unreadable =
@@ -164,6 +164,6 @@
 
         /** What controllers pass on to each other. */
         const val PEER_PATH = "/operate"
-        private val TIMEOUT = 3.secs
+        private val TIMEOUT = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainCommand.kt
+++ b/src/main/kotlin/wardmux/drain/DrainCommand.kt
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Spec
 import wardmux.config.SettingsFiles
 import wardmux.core.HttpStatus
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Exit codes of the drain commands. */
 object DrainExit {
@@ -102,7 +102,7 @@
         answer: DeserializationStrategy<T>,
         show: (T) -> String,
     ): Int {
-        val client = OperatorClient(options.addresses(spec), options.timeoutS.secs)
+        val client = OperatorClient(options.addresses(spec), options.timeoutS.seconds)
         val reply = client.use { it.ask(method, DrainApi.PATH + path, body) }
         return when (reply) {
             is OperatorReply.TimedOut -> timedOut(reply)
--- a/src/main/kotlin/wardmux/drain/DrainDesk.kt
+++ b/src/main/kotlin/wardmux/drain/DrainDesk.kt
@@ -4,10 +4,10 @@
 import wardmux.config.DrainSettings
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
+import wardmux.model.FencingToken
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 import wardmux.serialization.jsonBytes
 
 /** What operators ask of the leader: starting, checking, looking at and steering drains. */
@@ -15,12 +15,12 @@
     private val context: CoreContext,
     private val drains: DrainStore,
     private val manager: DrainManager,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val disruptions: Disruptions,
     private val executor: StepExecutor,
     private val plans: PlanDesk,
     private val settings: DrainSettings,
-    private val token: Token,
+    private val token: FencingToken,
     private val zones: List<String>,
     private val types: () -> List<MachineType>,
     /** This leader may decide: it is sure of its lease and knows what is stored. */
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -9,9 +9,9 @@
 import wardmux.model.Machine
 import wardmux.model.Maintenance
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
+import wardmux.model.milliseconds
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
 
 /**
  * Carries out the drains while this controller leads. What it decides is written first and acted on
@@ -21,7 +21,7 @@
 class DrainManager(
     private val context: CoreContext,
     private val drains: DrainStore,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val disruptions: Disruptions,
     private val executor: StepExecutor,
     private val plans: PlanDesk,
@@ -200,8 +200,8 @@
 
     /** As long as the step before, or its grace period and the time to boot and to settle. */
     private fun expectedLength(record: DrainRecord): Duration {
-        val usual = record.request.graceS.secs + USUAL_STEP
-        return Duration.ofSeconds(maxOf(usual, Micros(record.lastStep)).seconds.toLong())
+        val usual = record.request.graceS.seconds + USUAL_STEP
+        return Duration.ofSeconds(maxOf(usual, Micros(record.lastStep)).inSeconds.toLong())
     }
 
     /** Why a step with these machines may not begin now, by what it would move. */
@@ -222,12 +222,12 @@
     private fun pauseBetweenSteps(teams: Set<String>): String? {
         val last = drains.all.maxOfOrNull { it.stepEndedAt } ?: 0
         for (team in teams) {
-            val pause = settings.budgetOf(team).stepPauseS.secs
+            val pause = settings.budgetOf(team).stepPauseS.seconds
             if (pause == Micros.ZERO) continue
             if (isInAnyStep(team)) return "another step that disrupts $team is under way"
             val since = context.wall - Micros(last)
             if (last > 0 && since < pause)
-                return "the pause between two steps of $team, ${(pause - since).seconds.toInt()} s"
+                return "the pause between two steps of $team, ${(pause - since).inSeconds.toInt()} s"
         }
         return null
     }
@@ -287,12 +287,12 @@
     }
 
     private companion object {
-        val PERIOD = 500.millis
-        val LEAST_BETWEEN_CHANGES = 3.secs
+        val PERIOD = 500.milliseconds
+        val LEAST_BETWEEN_CHANGES = 3.seconds
 
         /** Boot of a replacement and start of what was moved, beside the grace period. */
-        val USUAL_STEP = 120.secs
+        val USUAL_STEP = 120.seconds
         const val MOST_NOTE = 200
-        val WITHOUT_ROOM_PAUSE = 180.secs
+        val WITHOUT_ROOM_PAUSE = 180.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -6,10 +6,10 @@
 import wardmux.model.MachineId
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 
 /** Which machines a drain still has to take out. */
-class DrainSelection(private val cluster: Cluster) {
+class DrainSelection(private val cluster: ClusterState) {
     /** The newest machine that is known; names are in the order of creation. */
     val newest: String
         get() = cluster.machines.keys.maxOfOrNull { it.value }.orEmpty()
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -1,19 +1,19 @@
 package wardmux.drain
 
 import wardmux.core.CoreContext
-import wardmux.election.Leadership
+import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.logging.logger
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.store.Change
-import wardmux.store.Condition
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.model.milliseconds
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.VersionCondition
+import wardmux.store.WriteOperation
 
 /** A drain as this leader last read or wrote it. */
-class StoredDrain(val record: DrainRecord, val stamp: Long)
+class StoredDrain(val record: DrainRecord, val version: Long)
 
 /** What became of a write of a drain. */
 enum class DrainWrite {
@@ -33,7 +33,7 @@
  */
 class DrainStore(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val role: Role.Leader,
     private val fenced: () -> Unit,
 ) {
@@ -95,7 +95,7 @@
                 val record = item.data
                 val id = item.key.removePrefix(DrainRecord.PREFIX)
                 if (record == null) unreadable.add(id)
-                else drains[id] = StoredDrain(record, item.stamp)
+                else drains[id] = StoredDrain(record, item.version)
             }
             isRead = true
             log.info("{} drains are stored, {} can't be read", drains.size, unreadable.size)
@@ -111,14 +111,14 @@
         val id = record.request.id
         val mine = generation
         writing[id] = record
-        val stamp = drains[id]?.stamp ?: 0
+        val version = drains[id]?.version ?: 0
         val key = DrainRecord.key(id)
-        val conditions = listOf(role.condition, Condition(key, stamp))
-        val change = Change(put = key, data = record.toJson())
-        store.multi(conditions, listOf(change), Priority.LEADER) { result ->
+        val conditions = listOf(role.condition, VersionCondition(key, version))
+        val change = WriteOperation(put = key, data = record.toJson())
+        store.multi(conditions, listOf(change), RequestPriority.LEADER) { result ->
             if (mine != generation) return@multi then(record, DrainWrite.UNKNOWN)
             writing.remove(id)
-            if (result is Result.Ok) drains[id] = StoredDrain(record, result.value)
+            if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value)
             then(record, outcome(result))
         }
     }
@@ -129,20 +129,20 @@
         val mine = generation
         writing[id] = stored.record
         val key = DrainRecord.key(id)
-        val conditions = listOf(role.condition, Condition(key, stored.stamp))
-        store.multi(conditions, listOf(Change(remove = key)), Priority.LEADER) { result ->
+        val conditions = listOf(role.condition, VersionCondition(key, stored.version))
+        store.multi(conditions, listOf(WriteOperation(remove = key)), RequestPriority.LEADER) { result ->
             if (mine != generation) return@multi
             writing.remove(id)
             if (outcome(result) == DrainWrite.WRITTEN) drains.remove(id)
         }
     }
 
-    private fun outcome(result: Result<Long>): DrainWrite =
+    private fun outcome(result: StoreResult<Long>): DrainWrite =
         when (result) {
-            is Result.Ok -> DrainWrite.WRITTEN
-            is Result.Refused -> DrainWrite.REFUSED
-            is Result.Conflict -> {
-                if (Leadership.KEY in result.failed) fenced() else readAgain()
+            is StoreResult.Ok -> DrainWrite.WRITTEN
+            is StoreResult.Refused -> DrainWrite.REFUSED
+            is StoreResult.Conflict -> {
+                if (LeaderElection.KEY in result.failed) fenced() else readAgain()
                 DrainWrite.UNKNOWN
             }
             else -> {
@@ -159,6 +159,6 @@
     }
 
     private companion object {
-        val RETRY = 400.millis
+        val RETRY = 400.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -1,8 +1,8 @@
 package wardmux.drain
 
 import wardmux.cloud.Provisioner
+import wardmux.config.DeploymentConfig
 import wardmux.config.DrainSettings
-import wardmux.config.Facts
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
 import wardmux.election.Role
@@ -10,21 +10,21 @@
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
-import wardmux.scheduling.TaskStopper
-import wardmux.store.StateStore
+import wardmux.scheduling.TaskEvictor
+import wardmux.store.KeyValueStore
 
 /** What a leader's session lends to its drains. */
 class DrainEnvironment(
-    val store: StateStore,
+    val store: KeyValueStore,
     val role: Role.Leader,
-    val cluster: Cluster,
+    val cluster: ClusterState,
     val eligibility: Eligibility,
-    val stopper: TaskStopper,
+    val stopper: TaskEvictor,
     val provisioner: Provisioner,
-    val facts: Facts,
+    val deployment: DeploymentConfig,
     val operators: OperatorSettings,
     val types: () -> List<MachineType>,
     /** The leader is sure of its lease and knows what is stored. */
@@ -81,7 +81,7 @@
             plans,
             settings,
             environment.role.token,
-            environment.facts.zones,
+            environment.deployment.zones,
             environment.types,
             environment.mayDecide,
             { environment.provisioner.listed },
@@ -93,11 +93,11 @@
     }
 
     private fun heardWithin(): Micros =
-        (environment.facts.workers.reportS * environment.operators.quietReports).secs
+        (environment.deployment.workers.reportS * environment.operators.quietReports).seconds
 
     /** Lists are late, and one may be older than the one before. */
     private fun knowsAllMachines(): Boolean {
-        val patience = (environment.facts.cloud.listLagS * LIST_LAGS).secs
+        val patience = (environment.deployment.cloud.listLagS * LIST_LAGS).seconds
         return environment.provisioner.listed && context.now - electedAt > patience
     }
 
@@ -108,7 +108,7 @@
 
     private fun isBooting(job: Job) =
         cluster.machines.values.any {
-            !it.up &&
+            !it.isUp &&
                 !it.decommissioned &&
                 environment.eligibility.suits(job, it.type, it.zone, it.spot)
         }
--- a/src/main/kotlin/wardmux/drain/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/drain/OperatorClient.kt
@@ -8,8 +8,8 @@
 import wardmux.core.Outcome
 import wardmux.http.HttpClient
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** What came of asking the controllers. */
 sealed interface OperatorReply {
@@ -60,7 +60,7 @@
         const val MAX_BYTES = 16 * 1024 * 1024
         const val NANOS_PER_MICRO = 1_000L
         const val PAUSE_MILLIS = 200L
-        val ONE_REQUEST = 5.secs
-        val SLACK = 500.millis
+        val ONE_REQUEST = 5.seconds
+        val SLACK = 500.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/PlanDesk.kt
+++ b/src/main/kotlin/wardmux/drain/PlanDesk.kt
@@ -3,12 +3,12 @@
 import wardmux.config.DrainSettings
 import wardmux.core.CoreContext
 import wardmux.logging.logger
+import wardmux.model.JobKind
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
 
 /**
  * Gives the steps of drains. Plans are worked out beside the core, one at a time and no more often
@@ -16,7 +16,7 @@
  */
 class PlanDesk(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val disruptions: Disruptions,
     private val settings: DrainSettings,
     private val executor: StepExecutor,
@@ -35,7 +35,7 @@
         val teams = cluster.teams.keys.associateWith { maxOf(1, disruptions.limitOf(it)) }
         val services =
             cluster.jobs.values
-                .filter { it.spec.shape == Shape.DAEMON }
+                .filter { it.spec.shape == JobKind.SERVICE }
                 .associate { it.id.value to maxOf(1, disruptions.replicasThatMayBeDown(it)) }
         val loads = machines.map { loadOf(it, request) }
         return DrainProblem(loads, teams, services, request.stepSize, request.order)
@@ -74,16 +74,16 @@
         return machines.takeIf { it.size == step.size }
     }
 
-    private fun patience(): Micros = settings.solverTimeS.secs + ANSWER_SLACK
+    private fun patience(): Micros = settings.solverTimeS.seconds + ANSWER_SLACK
 
     /** False if no plan may be worked out now. */
     private fun ask(request: DrainRequest, problem: DrainProblem): Boolean {
         if (settings.solverTimeS <= 0 || settings.solverShare <= 0) return false
         if (context.now < solveAt || problem.machines.size <= 1) return false
-        solveAt = context.now + (settings.solverTimeS / settings.solverShare).secs
+        solveAt = context.now + (settings.solverTimeS / settings.solverShare).seconds
         val asked = Pending(context.now)
         pending[request.id] = asked
-        context.solve(problem, settings.solverTimeS.secs) { plan ->
+        context.solve(problem, settings.solverTimeS.seconds) { plan ->
             asked.isAnswered = true
             asked.plan = plan
             log.debug("plan for {}: {} steps", request.id, plan?.steps?.size)
@@ -92,6 +92,6 @@
     }
 
     private companion object {
-        val ANSWER_SLACK = 2.secs
+        val ANSWER_SLACK = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/SeatFinder.kt
+++ b/src/main/kotlin/wardmux/drain/SeatFinder.kt
@@ -5,11 +5,11 @@
 import wardmux.model.MachineType
 import wardmux.model.Maintenance
 import wardmux.model.Placement
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 
 /** Finds room for tasks that are to be moved, on machines that are up and stay. */
-class SeatFinder(private val cluster: Cluster, private val eligibility: Eligibility) {
+class SeatFinder(private val cluster: ClusterState, private val eligibility: Eligibility) {
     private class Room(var cpus: Double, var gpus: Double, var memoryGb: Double)
 
     /**
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -6,11 +6,11 @@
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.Placement
+import wardmux.model.PriorityClass
 import wardmux.model.TaskId
-import wardmux.model.Urgency
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
-import wardmux.scheduling.TaskStopper
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.scheduling.TaskEvictor
 
 /** What comes next for a drain. */
 sealed interface Decision {
@@ -37,10 +37,10 @@
  */
 class StepExecutor(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val disruptions: Disruptions,
     private val seats: SeatFinder,
-    private val stopper: TaskStopper,
+    private val stopper: TaskEvictor,
     private val replacements: Replacements,
     private val decommission: (Machine, String) -> Unit,
     /** A machine that is not known is gone; false as long as it may only not be listed yet. */
@@ -63,16 +63,16 @@
     /** Tasks on the machine that will not end by themselves within the grace period. */
     fun tasksToMove(machine: Machine, request: DrainRequest): List<Placement> =
         machine.placements.values.filter {
-            !it.job.over && (it.isReplica || remaining(it) > request.graceS.secs)
+            !it.job.hasEnded && (it.isReplica || remaining(it) > request.graceS.seconds)
         }
 
     /** An urgent job that waits for room on one of the machines: it goes first. */
     fun urgentWaiting(machines: List<Machine>): Job? =
         cluster.jobs.values.firstOrNull { job ->
             val since = job.blockedSince
-            job.spec.urgency <= Urgency.HIGH &&
+            job.spec.urgency <= PriorityClass.HIGH &&
                 job.waiting > 0 &&
-                !job.atFault &&
+                !job.isFailing &&
                 since != null &&
                 context.now - since > URGENT_PATIENCE &&
                 machines.any { couldTake(it, job) }
@@ -107,7 +107,7 @@
 
     /** A replacement is up by then, if one is to be had and comes up as a rule. */
     private fun patience(machines: List<Machine>): Long =
-        ((machines.maxOfOrNull { it.type.bootS } ?: 0.0).secs * BOOTS_WAITED).value +
+        ((machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * BOOTS_WAITED).value +
             ROOM_PATIENCE.value
 
     /**
@@ -173,7 +173,7 @@
 
     /** Decides which tasks are stopped next, and has that recorded first. */
     private fun stopMore(record: DrainRecord, step: DrainStep, open: List<Machine>): Decision {
-        val graceOver = context.wall.value - step.emptyingSince >= record.request.graceS.secs.value
+        val graceOver = context.wall.value - step.emptyingSince >= record.request.graceS.seconds.value
         val candidates =
             open
                 .filter { it.confirmed }
@@ -255,7 +255,7 @@
         step.moved.filter { name ->
             val task = TaskId.parse(name) ?: return@filter false
             val job = cluster.jobs[task.job] ?: return@filter false
-            if (job.over || job.isDone(task.index)) return@filter false
+            if (job.hasEnded || job.isTaskDone(task.index)) return@filter false
             val placement = job.placements.get(task.index) ?: return@filter true
             placement.machine.value in step.machines || !disruptions.isUp(placement)
         }
@@ -268,13 +268,13 @@
      * tasks ended is recorded within a few seconds; until then it keeps that.
      */
     private fun isEmpty(machine: Machine) =
-        machine.empty &&
-            machine.loose.isEmpty() &&
-            !machine.directBusy &&
+        machine.isEmpty &&
+            machine.unconfirmedStarts.isEmpty() &&
+            !machine.isCommandInFlight &&
             context.now - machine.idleSince > ENDS_RECORDED
 
     private fun isStoppable(placement: Placement) =
-        placement.committed && placement.status != null && !placement.halting && !placement.job.over
+        placement.committed && placement.status != null && !placement.isStopping && !placement.job.hasEnded
 
     private fun remaining(placement: Placement): Micros {
         val whole = cluster.estimates.runTime(placement.job.spec)
@@ -284,9 +284,9 @@
 
     private companion object {
         const val DRAINED = "its machine is drained"
-        val URGENT_PATIENCE = 1.secs
+        val URGENT_PATIENCE = 1.seconds
         const val BOOTS_WAITED = 3.0
-        val ROOM_PATIENCE = 30.secs
-        val ENDS_RECORDED = 5.secs
+        val ROOM_PATIENCE = 30.seconds
+        val ENDS_RECORDED = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/StopChooser.kt
+++ b/src/main/kotlin/wardmux/drain/StopChooser.kt
@@ -1,17 +1,17 @@
 package wardmux.drain
 
 import wardmux.core.CoreContext
+import wardmux.model.JobKind
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Tasks that may be stopped now; where others may not, why, and of which team they are. */
 class StopChoice(val chosen: List<Placement>, val refusal: BudgetRefusal?, val team: String)
 
 /** A task of a service, which never ends by itself. */
 val Placement.isReplica: Boolean
-    get() = job.spec.shape == Shape.DAEMON
+    get() = job.spec.shape == JobKind.SERVICE
 
 /** What a stop of this task stops: a gang as one. */
 val Placement.stoppedTogether: List<Placement>
@@ -67,7 +67,7 @@
     private fun lost(placement: Placement): Micros {
         val since = placement.runningSince ?: return Micros.ZERO
         val spec = placement.job.spec
-        return if (spec.savable || placement.isReplica) spec.saveS.secs else context.now - since
+        return if (spec.savable || placement.isReplica) spec.saveS.seconds else context.now - since
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/election/Leadership.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -4,18 +4,18 @@
 import kotlinx.serialization.Serializable
 import wardmux.core.CoreContext
 import wardmux.logging.logger
+import wardmux.model.FencingToken
+import wardmux.model.KeyVersion
 import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Micros
-import wardmux.model.Stamp
-import wardmux.model.Token
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.serialization.lenientJson
-import wardmux.store.Change
-import wardmux.store.Condition
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.VersionCondition
+import wardmux.store.WriteOperation
 
 /** What the `leader` key says. [boot] tells the incarnations of one member apart. */
 @Serializable
@@ -27,12 +27,12 @@
 /** What a controller is to the others. */
 sealed interface Role {
     /** [leader] is the last known, or null. */
-    data class Follower(val leader: String?, val token: Token?) : Role
+    data class Follower(val leader: String?, val token: FencingToken?) : Role
 
-    data class Leader(val token: Token, val lease: Long) : Role {
+    data class Leader(val token: FencingToken, val lease: Long) : Role {
         /** Every write of the leader holds only while its key is as it was written. */
-        val condition: Condition
-            get() = Condition(Leadership.KEY, token.value)
+        val condition: VersionCondition
+            get() = VersionCondition(LeaderElection.KEY, token.value)
     }
 }
 
@@ -40,9 +40,9 @@
  * Leadership is a key bound to a lease of the state service. The token is the revision of the write
  * that took it, so a later leader's token is larger.
  */
-class Leadership(
+class LeaderElection(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val member: String,
     /** Never the same for two processes, whatever the operators' seed. */
     private val boot: String,
@@ -55,7 +55,7 @@
         fun deposed()
     }
 
-    private val log = logger<Leadership>()
+    private val log = logger<LeaderElection>()
     var role: Role = Role.Follower(null, null)
         private set
 
@@ -97,7 +97,7 @@
     }
 
     /** A token larger than this controller's own shows that another one leads. */
-    fun seen(token: Token) {
+    fun seen(token: FencingToken) {
         val leader = role as? Role.Leader ?: return
         if (token > leader.token) {
             log.info("token {} is over: {} was seen", leader.token, token)
@@ -107,7 +107,7 @@
     }
 
     /** Told by a sibling that leads; only a hint for whom to name to workers. */
-    fun heard(leader: String, token: Token) {
+    fun heard(leader: String, token: FencingToken) {
         seen(token)
         val follower = role as? Role.Follower ?: return
         if (follower.token == token) informedAt = context.now
@@ -123,17 +123,17 @@
 
     private fun look() {
         lookAt = null
-        store.get(KEY, Priority.LEASE) { result ->
+        store.get(KEY, RequestPriority.LEASE) { result ->
             when (result) {
-                is Result.Ok ->
-                    found(result.value.data, Stamp(result.value.stamp), result.value.permit)
-                is Result.Absent -> stand()
+                is StoreResult.Ok ->
+                    found(result.value.data, KeyVersion(result.value.version), result.value.permit)
+                is StoreResult.Absent -> stand()
                 else -> lookAgain(RETRY)
             }
         }
     }
 
-    private fun found(data: kotlinx.serialization.json.JsonElement, stamp: Stamp, lease: Long?) {
+    private fun found(data: kotlinx.serialization.json.JsonElement, version: KeyVersion, lease: Long?) {
         val record =
             try {
                 lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), data)
@@ -143,10 +143,10 @@
                 return lookAgain(RETRY)
             }
         when {
-            record.member != member -> follow(record.member, Token(stamp.value))
+            record.member != member -> follow(record.member, FencingToken(version.value))
             record.boot == boot && lease != null && lease == granted -> {
                 // Our own write whose response was lost.
-                take(Role.Leader(Token(stamp.value), lease), context.now)
+                take(Role.Leader(FencingToken(version.value), lease), context.now)
                 // How old the lease is isn't known, so it is renewed before anything starts.
                 leaseValidUntil = Micros.LONG_AGO
                 renewAt = context.now
@@ -163,7 +163,7 @@
     private fun stand() {
         val askedAt = context.now
         store.grant(life) { granted ->
-            if (granted !is Result.Ok) {
+            if (granted !is StoreResult.Ok) {
                 lookAgain(RETRY)
                 return@grant
             }
@@ -171,15 +171,15 @@
             this.granted = lease
             val record = LeaderRecord(member, boot)
             val change =
-                Change(
+                WriteOperation(
                     put = KEY,
                     data = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record),
                     permit = lease,
                 )
-            store.multi(listOf(Condition(KEY, 0)), listOf(change), Priority.LEASE) { written ->
+            store.multi(listOf(VersionCondition(KEY, 0)), listOf(change), RequestPriority.LEASE) { written ->
                 when (written) {
-                    is Result.Ok -> take(Role.Leader(Token(written.value), lease), askedAt)
-                    is Result.Conflict -> {
+                    is StoreResult.Ok -> take(Role.Leader(FencingToken(written.value), lease), askedAt)
+                    is StoreResult.Conflict -> {
                         store.end(lease) {}
                         lookAgain(Micros.ZERO)
                     }
@@ -201,7 +201,7 @@
         listener.elected(leader)
     }
 
-    private fun follow(leader: String, token: Token) {
+    private fun follow(leader: String, token: FencingToken) {
         if (role != Role.Follower(leader, token))
             log.info("following {} with token {}", leader, token)
         role = Role.Follower(leader, token)
@@ -211,13 +211,13 @@
 
     private fun watch(from: Long) {
         // Before users' questions: behind many of them a follower would not learn who leads.
-        store.watch(KEY, from, WATCH_TIME, Priority.LEASE) { result ->
+        store.watch(KEY, from, WATCH_TIME, RequestPriority.LEASE) { result ->
             if (role is Role.Leader) return@watch
             when (result) {
-                is Result.Ok ->
+                is StoreResult.Ok ->
                     if (result.value.events.isEmpty()) {
                         informedAt = context.now
-                        watch(maxOf(from, result.value.epoch))
+                        watch(maxOf(from, result.value.revision))
                     } else {
                         lookAgain(Micros.ZERO)
                     }
@@ -233,11 +233,11 @@
             if (role != leader) return@renew
             renewing = false
             when (result) {
-                is Result.Ok -> {
+                is StoreResult.Ok -> {
                     leaseValidUntil = until(sentAt)
                     renewAt = sentAt + life * RENEW_PART
                 }
-                is Result.Absent -> {
+                is StoreResult.Absent -> {
                     log.info("the lease of token {} is over", leader.token)
                     depose(null, leader.token)
                     lookAgain(Micros.ZERO)
@@ -247,7 +247,7 @@
         }
     }
 
-    private fun depose(leader: String?, token: Token?) {
+    private fun depose(leader: String?, token: FencingToken?) {
         role = Role.Follower(leader, token)
         leaseValidUntil = Micros.LONG_AGO
         // Should the key still stand, it is not taken again: one token must not lead twice.
@@ -282,12 +282,12 @@
     companion object {
         const val KEY = "leader"
         private const val RENEW_PART = 0.3
-        private val MARGIN = 100.millis
-        private val RETRY = 300.millis
-        private val HEAD_START = 500.millis
-        private val WATCH_TIME = 8.secs
+        private val MARGIN = 100.milliseconds
+        private val RETRY = 300.milliseconds
+        private val HEAD_START = 500.milliseconds
+        private val WATCH_TIME = 8.seconds
 
         /** Longer than a watch that tells of no change. */
-        private val STALE = 12.secs
+        private val STALE = 12.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/Fleet.kt
+++ b/src/main/kotlin/wardmux/fleet/Fleet.kt
@@ -1,16 +1,17 @@
 package wardmux.fleet
 
 import wardmux.config.OperatorSettings
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
 import wardmux.core.Outcome
 import wardmux.core.Target
-import wardmux.lease.LeaderKnowledge
+import wardmux.lease.LeaderCancellationView
 import wardmux.lease.LeaseRenewals
 import wardmux.lease.RenewalDecision
 import wardmux.lease.WithholdingReason
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineId
@@ -19,33 +20,32 @@
 import wardmux.model.Placement
 import wardmux.model.TaskId
 import wardmux.model.TaskStatus
-import wardmux.model.Token
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
-import wardmux.scheduling.TaskStopper
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.scheduling.TaskEvictor
 import wardmux.serialization.lenientJson
-import wardmux.worker.DirectOrders
-import wardmux.worker.Order
+import wardmux.worker.DirectCommands
 import wardmux.worker.Redirect
-import wardmux.worker.Report
 import wardmux.worker.ReportedTask
+import wardmux.worker.WorkerCommand
+import wardmux.worker.WorkerHeartbeat
 
 /** The leader's dealings with workers: what their reports prove and what they are told. */
 class Fleet(
     private val context: CoreContext,
-    private val cluster: Cluster,
-    private val stopper: TaskStopper,
+    private val cluster: ClusterState,
+    private val stopper: TaskEvictor,
     private val types: MachineTypes,
-    private val workers: WorkerFacts,
+    private val workers: WorkerTiming,
     private val operators: OperatorSettings,
-    private val token: Token,
+    private val token: FencingToken,
     private val leaseIsValid: () -> Boolean,
     /** Since when this leader has not been sure of its lease, or null. */
     private val leaseUncertainSince: () -> Micros?,
     private val renewals: LeaseRenewals,
-    private val knowledge: LeaderKnowledge,
+    private val knowledge: LeaderCancellationView,
     private val decommission: (Machine, String) -> Unit,
-    private val seen: (Token) -> Unit,
+    private val seen: (FencingToken) -> Unit,
     /** Whom a worker that reports here is to be sent to, or null if it stays. */
     private val sendAway: () -> String?,
     /** Direct commands and probes that may be under way at once. */
@@ -69,7 +69,7 @@
     }
 
     /** A report that came to this controller itself. */
-    fun handleReport(call: Long, report: Report) {
+    fun handleHeartbeat(call: Long, report: WorkerHeartbeat) {
         if (MachineId(report.machine) in gone) {
             return context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
         }
@@ -110,7 +110,7 @@
      * what the machine is to be told, but for starts: these go to the machine itself, so that one
      * under way can be told from one that is not.
      */
-    fun relayed(report: Report, relay: String, sentAt: Micros): List<Order>? {
+    fun relayed(report: WorkerHeartbeat, relay: String, sentAt: Micros): List<WorkerCommand>? {
         if (MachineId(report.machine) in gone) return null
         val machine = reporting(report) ?: return emptyList()
         // It was perhaps renewed, so its lease may run from here.
@@ -133,35 +133,35 @@
      * whether it is there, and makes the machine take this token, so that no earlier start counts.
      */
     private fun askForProof(machine: Machine, decision: RenewalDecision.Withhold) {
-        if (decision.reason != WithholdingReason.UNPROVEN || machine.directBusy) return
+        if (decision.reason != WithholdingReason.UNPROVEN || machine.isCommandInFlight) return
         for (placement in machine.placements.values) {
-            if (placement.job.isCancelled) placement.haltSent = false
+            if (placement.job.isCancelled) placement.stopSent = false
         }
-        cluster.due.add(machine)
+        cluster.machinesWithCommands.add(machine)
     }
 
     /** Null if nothing can be made of the machine. */
-    private fun reporting(report: Report): Machine? {
+    private fun reporting(report: WorkerHeartbeat): Machine? {
         val id = MachineId(report.machine)
         cluster.machines[id]?.let {
             return it
         }
         val machine = machine(id, report.type, report.zone, report.spot) ?: return null
-        machine.onlyStaleReports = true
+        machine.hasOnlyStaleHeartbeats = true
         return machine
     }
 
     /** True for one that is not answered: its lease is to end if its deletion takes long. */
-    private fun isGivenUp(machine: Machine, report: Report): Boolean {
+    private fun isGivenUp(machine: Machine, report: WorkerHeartbeat): Boolean {
         if (machine.decommissioned && isNewer(machine, report)) note(machine, report, context.now)
         return machine.decommissioned
     }
 
     /** False if it shows nothing: late, a copy, or overtaken by a direct order's answer. */
-    private fun takeIn(machine: Machine, report: Report, relay: String?, heardAt: Micros): Boolean {
+    private fun takeIn(machine: Machine, report: WorkerHeartbeat, relay: String?, lastHeartbeatAt: Micros): Boolean {
         if (!isNewer(machine, report)) return false
-        note(machine, report, heardAt)
-        machine.via = relay
+        note(machine, report, lastHeartbeatAt)
+        machine.forwardedBy = relay
         if (!knowledge.isLoaded) return true
         reconcile(machine, report)
         proveAbsent(machine, report)
@@ -174,8 +174,8 @@
      * say who leads. In a mere outage they say that this one does, and it comes back.
      */
     private fun sendOn(machine: Machine): Boolean {
-        if (!sendsOn || context.now - machine.sentOnAt < sendOnPause(workers)) return false
-        machine.sentOnAt = context.now
+        if (!sendsOn || context.now - machine.lastRedirectAt < sendOnPause(workers)) return false
+        machine.lastRedirectAt = context.now
         return true
     }
 
@@ -183,57 +183,57 @@
     val sendsOn: Boolean
         get() = leaseUncertainSince()?.let { context.now - it >= SEND_ON_AFTER } == true
 
-    private fun isNewer(machine: Machine, report: Report) =
-        report.shift > machine.shift ||
-            (report.shift == machine.shift && report.tick > machine.tick)
+    private fun isNewer(machine: Machine, report: WorkerHeartbeat) =
+        report.incarnation > machine.incarnation ||
+            (report.incarnation == machine.incarnation && report.tick > machine.tick)
 
-    private fun note(machine: Machine, report: Report, at: Micros) {
-        if (report.shift > machine.shift) {
+    private fun note(machine: Machine, report: WorkerHeartbeat, at: Micros) {
+        if (report.incarnation > machine.incarnation) {
             // A new session begins with nothing on the machine; its images stay.
             for (placement in machine.placements.values.toList()) {
-                if (placement.shift < report.shift) cluster.release(placement, "session over")
+                if (placement.incarnation < report.incarnation) cluster.release(placement, "session over")
             }
             // Direct orders name the session, so those of an earlier one are refused.
-            machine.loose.clear()
+            machine.unconfirmedStarts.clear()
             machine.endedSince.clear()
-            machine.brokenSince = null
+            machine.startUnansweredSince = null
             // It lives for a lease from its beginning, whoever answered the one before; also that
             // of a machine that can't report.
-            machine.sessionAt = context.now
+            machine.incarnationSince = context.now
         }
         machine.endpoint = report.endpoint
-        machine.shift = report.shift
+        machine.incarnation = report.incarnation
         machine.tick = report.tick
         if (report.token == token.value) {
             if (!machine.confirmed) {
                 log.info("{} is up", machine.id)
                 // Until it took this token, an earlier leader may have renewed its lease.
-                machine.sessionAt = context.now
-                cluster.due.add(machine)
+                machine.incarnationSince = context.now
+                cluster.machinesWithCommands.add(machine)
                 cluster.changed()
             }
             machine.confirmed = true
-            machine.onlyStaleReports = false
+            machine.hasOnlyStaleHeartbeats = false
             // Under an older token it may be a copy from before this leader's time.
-            machine.heardAt = maxOf(machine.heardAt ?: at, at)
+            machine.lastHeartbeatAt = maxOf(machine.lastHeartbeatAt ?: at, at)
             machine.probeFailed = false
-        } else if (machine.firstStaleReportAt == null) {
-            machine.firstStaleReportAt = context.now
+        } else if (machine.firstStaleHeartbeatAt == null) {
+            machine.firstStaleHeartbeatAt = context.now
         }
-        if (report.recallS != null && machine.recalledAt == null) {
-            machine.recalledAt = context.now
-            machine.takenAt = context.now + report.recallS.secs
+        if (report.recallS != null && machine.preemptionNoticeAt == null) {
+            machine.preemptionNoticeAt = context.now
+            machine.preemptedAt = context.now + report.recallS.seconds
             log.info("{} is taken back in {} s", machine.id, report.recallS)
         }
     }
 
     /** Takes in what the report shows. */
-    private fun reconcile(machine: Machine, report: Report) {
+    private fun reconcile(machine: Machine, report: WorkerHeartbeat) {
         var orphans: ArrayList<JobSpec>? = null
         for (reported in report.tasks) {
             val placement = machine.placed(reported)
             if (placement != null) {
-                placement.shownTick = report.tick
+                placement.lastSeenTick = report.tick
                 if (reported.status == TaskStatus.ENDED) ended(machine, placement, reported, report)
                 else progressed(machine, placement, reported.status)
                 continue
@@ -258,15 +258,15 @@
      * the worker sends by itself prove that; the answer to a direct order may have overtaken the
      * answer to a report.
      */
-    private fun proveAbsent(machine: Machine, report: Report) {
+    private fun proveAbsent(machine: Machine, report: WorkerHeartbeat) {
         if (report.token != token.value) return
         val absent =
             machine.placements.values.filter {
-                val leaving = it.halting || it.job.over || it.restored
+                val leaving = it.isStopping || it.job.hasEnded || it.restored
                 leaving &&
                     it.committed &&
-                    it.shownTick != report.tick &&
-                    it.attemptOfTask !in machine.loose
+                    it.lastSeenTick != report.tick &&
+                    it.taskAttempt !in machine.unconfirmedStarts
             }
         for (placement in absent) cluster.release(placement, "not on the machine")
     }
@@ -281,7 +281,7 @@
         failures.runs(machine, placement)
         val spec = placement.job.spec
         if (status != TaskStatus.FETCHING) machine.imageReady(spec.image, spec.imageGb, context.now)
-        if (machine.recalledAt != null && !placement.halting && placement.job.spec.savable) {
+        if (machine.preemptionNoticeAt != null && !placement.isStopping && placement.job.spec.savable) {
             stopper.stop(placement, "its machine is taken back")
         }
     }
@@ -290,13 +290,13 @@
         machine: Machine,
         placement: Placement,
         reported: ReportedTask,
-        report: Report,
+        report: WorkerHeartbeat,
     ) {
         val job = placement.job
         // A copy from before this leader's time frees nothing; what is done stays done.
         if (reported.cause != "done" && report.token != token.value) return
         // The others wait or run for nothing.
-        if (reported.cause != "done" && !job.complete) cluster.breakAttempt(job)
+        if (reported.cause != "done" && !job.allTasksDone) cluster.breakAttempt(job)
         when (reported.cause) {
             "done" -> {
                 failures.completed(machine, job)
@@ -314,7 +314,7 @@
                 log.info("{} was refused by {}: {}", placement.task, machine.id, reported.cause)
                 cluster.release(placement, "refused")
                 machine.pausedUntil = context.now + REFUSED_PAUSE
-                if (reported.cause == "unknown") job.notBefore = context.wall + UNKNOWN_PAUSE
+                if (reported.cause == "unknown") job.backoffUntil = context.wall + UNKNOWN_PAUSE
             }
         }
     }
@@ -322,36 +322,36 @@
     /** The result is kept on the machine, so a completed task counts wherever it is found. */
     private fun endedUnplaced(task: TaskId, reported: ReportedTask) {
         val job = cluster.jobs[task.job] ?: return
-        if (reported.cause != "done" || job.over || job.isDone(task.index)) return
+        if (reported.cause != "done" || job.hasEnded || job.isTaskDone(task.index)) return
         if (task.index !in 0 until job.spec.tasks) return
         if (job.placements.containsKey(task.index)) return
         cluster.complete(job, task.index)
         cluster.changed()
     }
 
-    private fun orders(machine: Machine, report: Report, starts: Boolean): List<Order> {
-        val orders = ArrayList<Order>()
+    private fun orders(machine: Machine, report: WorkerHeartbeat, starts: Boolean): List<WorkerCommand> {
+        val orders = ArrayList<WorkerCommand>()
         if (!knowledge.isLoaded) return orders
         for (reported in report.tasks) {
             if (reported.status == TaskStatus.ENDED) {
                 if (mayForget(machine, reported)) {
-                    orders.add(Order.forget(reported.task, reported.attempt))
+                    orders.add(WorkerCommand.forget(reported.task, reported.attempt))
                 }
                 continue
             }
             val placement = machine.placed(reported)
-            if (placement == null || placement.job.over) {
-                orders.add(Order.halt(reported.task, reported.attempt, 0.0))
-            } else if (placement.halting && reported.status != TaskStatus.SAVING) {
-                val within = placement.haltWithin ?: Micros.ZERO
-                orders.add(Order.halt(reported.task, reported.attempt, within.seconds))
+            if (placement == null || placement.job.hasEnded) {
+                orders.add(WorkerCommand.halt(reported.task, reported.attempt, 0.0))
+            } else if (placement.isStopping && reported.status != TaskStatus.SAVING) {
+                val within = placement.gracePeriod ?: Micros.ZERO
+                orders.add(WorkerCommand.halt(reported.task, reported.attempt, within.inSeconds))
             }
         }
         if (!starts || !leaseIsValid()) return orders
         for (placement in machine.placements.values) {
             if (orders.size >= MAX_ORDERS) break
-            if (placement.shownTick == report.tick || !startable(machine, placement)) continue
-            orders.add(Order.start(placement))
+            if (placement.lastSeenTick == report.tick || !startable(machine, placement)) continue
+            orders.add(WorkerCommand.start(placement))
             started(placement)
         }
         return orders
@@ -365,9 +365,9 @@
     private fun startable(machine: Machine, placement: Placement) =
         placement.committed &&
             !placement.restored &&
-            placement.shift == machine.shift &&
-            !placement.halting &&
-            !placement.job.over &&
+            placement.incarnation == machine.incarnation &&
+            !placement.isStopping &&
+            !placement.job.hasEnded &&
             placement.job.mayStart
 
     /**
@@ -400,39 +400,39 @@
 
     /**
      * Sends what is new to the machines themselves, rather than with the answer to their next
-     * report. A lost answer leaves the order's fate open: see [Machine.loose].
+     * report. A lost answer leaves the order's fate open: see [Machine.unconfirmedStarts].
      */
     fun sendDirect() {
-        val looked = cluster.due.iterator()
+        val looked = cluster.machinesWithCommands.iterator()
         while (looked.hasNext() && mayAsk) {
             val machine = looked.next()
             // One at a time: looked at again when that one is over. Nor is one to which there is no
             // connection tried without a pause: where a whole zone is cut off, such attempts would
             // hold up the commands to all others.
-            val pausing = context.now - machine.unconnectedAt < UNCONNECTED_PAUSE
-            if (machine.directBusy || pausing) continue
+            val pausing = context.now - machine.connectionFailedAt < UNCONNECTED_PAUSE
+            if (machine.isCommandInFlight || pausing) continue
             val known = machine.confirmed || machine.holdsCancelled
             val reachable = known && !machine.decommissioned && machine.endpoint.isNotEmpty()
-            if (!reachable || machine.directBroken) {
+            if (!reachable || machine.hasUnansweredStart) {
                 looked.remove()
                 continue
             }
             val waits = sendDirect(machine)
-            if (!waits && !machine.directBusy) looked.remove()
+            if (!waits && !machine.isCommandInFlight) looked.remove()
         }
     }
 
     /** True if some of it can't go out yet. */
     private fun sendDirect(machine: Machine): Boolean {
         val starts = ArrayList<Placement>()
-        val orders = ArrayList<Order>()
+        val orders = ArrayList<WorkerCommand>()
         var waits = false
         for (placement in machine.placements.values) {
             if (isHaltDue(machine, placement)) {
-                val within = if (placement.job.over) Micros.ZERO else placement.haltWithin
-                val seconds = (within ?: Micros.ZERO).seconds
-                orders.add(Order.halt(placement.name, placement.attempt, seconds))
-                placement.haltSent = true
+                val within = if (placement.job.hasEnded) Micros.ZERO else placement.gracePeriod
+                val inSeconds = (within ?: Micros.ZERO).inSeconds
+                orders.add(WorkerCommand.halt(placement.name, placement.attempt, inSeconds))
+                placement.stopSent = true
             } else if (!placement.startSent && startable(machine, placement) && leaseIsValid()) {
                 if (starts.size < MAX_DIRECT) starts.add(placement) else waits = true
             } else if (!placement.committed || !placement.startSent && !placement.job.mayStart) {
@@ -441,8 +441,8 @@
         }
         for (placement in starts) {
             started(placement)
-            machine.loose.add(placement.attemptOfTask)
-            orders.add(Order.start(placement))
+            machine.unconfirmedStarts.add(placement.taskAttempt)
+            orders.add(WorkerCommand.start(placement))
         }
         if (orders.isNotEmpty()) direct(machine, orders, starts)
         return waits
@@ -450,41 +450,41 @@
 
     /** Also one of a cancelled job that a machine which never took this token does not show. */
     private fun isHaltDue(machine: Machine, placement: Placement): Boolean {
-        if (placement.haltSent) return false
-        val leaving = placement.halting || placement.job.over
+        if (placement.stopSent) return false
+        val leaving = placement.isStopping || placement.job.hasEnded
         val unproven = placement.job.isCancelled && !machine.confirmed
         return leaving && (placement.status != null || unproven)
     }
 
-    private fun direct(machine: Machine, orders: List<Order>, starts: List<Placement>) {
-        machine.directBusy = true
-        machine.directSince = context.now
+    private fun direct(machine: Machine, orders: List<WorkerCommand>, starts: List<Placement>) {
+        machine.isCommandInFlight = true
+        machine.commandSentAt = context.now
         directOpen++
-        val shift = machine.shift
-        val body = DirectOrders(token.value, shift, orders)
-        val bytes = lenientJson.encodeToString(DirectOrders.serializer(), body).encodeToByteArray()
+        val incarnation = machine.incarnation
+        val body = DirectCommands(token.value, incarnation, orders)
+        val bytes = lenientJson.encodeToString(DirectCommands.serializer(), body).encodeToByteArray()
         val target = Target.Worker(machine.endpoint)
         context.send(target, "POST", "/do", bytes, DIRECT_TIME) { outcome ->
-            machine.directBusy = false
+            machine.isCommandInFlight = false
             directOpen--
             if (outcome is Outcome.Response) unreached.clear()
             else unreached.putIfAbsent(machine, context.now)
-            if (starts.any { it.haltSent } || !machine.empty) cluster.due.add(machine)
+            if (starts.any { it.stopSent } || !machine.isEmpty) cluster.machinesWithCommands.add(machine)
             when (outcome) {
                 is Outcome.Response -> {
                     if (outcome.status != 200) for (placement in starts) placement.startSent = false
-                    settled(machine, shift, starts)
+                    settled(machine, incarnation, starts)
                     if (outcome.status == 200 || outcome.status == 409) takeDirect(machine, outcome)
                 }
                 is Outcome.Unsent -> {
-                    machine.unconnectedAt = context.now
+                    machine.connectionFailedAt = context.now
                     for (placement in starts) placement.startSent = false
-                    settled(machine, shift, starts)
+                    settled(machine, incarnation, starts)
                 }
                 is Outcome.Unknown ->
-                    if (machine.shift == shift && starts.isNotEmpty()) {
+                    if (machine.incarnation == incarnation && starts.isNotEmpty()) {
                         log.info("{} starts went unanswered by {}", starts.size, machine.id)
-                        if (machine.brokenSince == null) machine.brokenSince = context.now
+                        if (machine.startUnansweredSince == null) machine.startUnansweredSince = context.now
                     }
             }
         }
@@ -500,16 +500,16 @@
                 unreached.values.any { context.now - it > UNREACHED_FOR } &&
                 unreached.count { (machine, at) -> machine.heardSince(at) } >= ENOUGH_UNREACHED
 
-    private fun Machine.heardSince(at: Micros) = !decommissioned && (heardAt ?: at) > at
+    private fun Machine.heardSince(at: Micros) = !decommissioned && (lastHeartbeatAt ?: at) > at
 
-    private fun settled(machine: Machine, shift: Long, starts: List<Placement>) {
-        if (machine.shift != shift) return
-        for (placement in starts) machine.loose.remove(placement.attemptOfTask)
+    private fun settled(machine: Machine, incarnation: Long, starts: List<Placement>) {
+        if (machine.incarnation != incarnation) return
+        for (placement in starts) machine.unconfirmedStarts.remove(placement.taskAttempt)
     }
 
     private fun takeDirect(machine: Machine, response: Outcome.Response) {
-        val report = Report.parse(response.body) ?: return
-        seen(Token(report.token))
+        val report = WorkerHeartbeat.parse(response.body) ?: return
+        seen(FencingToken(report.token))
         if (cluster.machines[machine.id] !== machine) return
         if (MachineId(report.machine) != machine.id || !isNewer(machine, report)) return
         note(machine, report, context.now)
@@ -518,11 +518,11 @@
 
     /** A completed task is recorded before the only other place that knows of it forgets. */
     private fun mayForget(machine: Machine, reported: ReportedTask): Boolean {
-        if (reported.attemptOfTask in machine.loose) return false
-        if (reported.cause != "done") return machine.mayForget(reported, context.now, keepEnded)
+        if (reported.taskAttempt in machine.unconfirmedStarts) return false
+        if (reported.cause != "done") return machine.mayForget(reported.taskAttempt, context.now, keepEnded)
         val task = TaskId.parse(reported.task) ?: return true
         val job = cluster.jobs[task.job] ?: return true
-        return job.over || job.isRecorded(task.index)
+        return job.hasEnded || job.isRecorded(task.index)
     }
 
     /**
@@ -530,7 +530,7 @@
      * next one, or of a job that was cancelled since. What is done is not run again by it; all else
      * is forgotten only after this, or with its session.
      */
-    private val keepEnded = (workers.leaseS * KEPT_LEASES).secs
+    private val keepEnded = (workers.leaseS * KEPT_LEASES).seconds
 
     /** Machines that orders did not reach, and since when; empty once any is reached. */
     private val unreached = HashMap<Machine, Micros>()
@@ -539,19 +539,19 @@
     private var directOpen = 0
 
     companion object {
-        private val DIRECT_TIME = 4.secs
-        private val UNCONNECTED_PAUSE = 2.secs
+        private val DIRECT_TIME = 4.seconds
+        private val UNCONNECTED_PAUSE = 2.seconds
         private const val ENOUGH_UNREACHED = 6
-        private val UNREACHED_FOR = 3.secs
+        private val UNREACHED_FOR = 3.seconds
         private const val MAX_DIRECT = 300
-        private val REFUSED_PAUSE = 1.secs
-        private val UNKNOWN_PAUSE = 3.secs
+        private val REFUSED_PAUSE = 1.seconds
+        private val UNKNOWN_PAUSE = 3.seconds
         private const val MAX_ORDERS = 400
         private const val KEPT_LEASES = 10.0
-        private val SEND_ON_AFTER = 2.secs
+        private val SEND_ON_AFTER = 2.seconds
         private const val SEND_ON_PART = 0.5
 
         /** How long one worker is left alone after it was sent on. */
-        fun sendOnPause(workers: WorkerFacts) = workers.leaseS.secs * SEND_ON_PART
+        fun sendOnPause(workers: WorkerTiming) = workers.leaseS.seconds * SEND_ON_PART
     }
 }
--- a/src/main/kotlin/wardmux/fleet/FleetHealth.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -1,7 +1,7 @@
 package wardmux.fleet
 
 import wardmux.config.OperatorSettings
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.MAX_CLOCK_DRIFT
@@ -10,31 +10,31 @@
 import wardmux.model.MachineTypes
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.millis
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
+import wardmux.model.milliseconds
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
 
 /** Which machines are given up, because they fell silent or because orders do not reach them. */
-class FleetHealth(
+class MachineHealthMonitor(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val fleet: Fleet,
     private val types: MachineTypes,
-    private val workers: WorkerFacts,
+    private val workers: WorkerTiming,
     private val operators: OperatorSettings,
     private val loaded: () -> Boolean,
     /** The latest that a relay may have renewed a lease, of which the first is known. */
     private val renewedAtLatest: (Micros, Micros) -> Micros,
     private val decommission: (Machine, String) -> Unit,
 ) {
-    private val log = logger<FleetHealth>()
+    private val log = logger<MachineHealthMonitor>()
     private val electedAt = context.now
-    private val lostAfter = (workers.reportS * operators.lostReports).secs
-    private val askAfter = (workers.reportS * OVERDUE_REPORTS).secs
+    private val lostAfter = (workers.reportS * operators.lostReports).seconds
+    private val askAfter = (workers.reportS * OVERDUE_REPORTS).seconds
     private val unreachableAfter =
-        maxOf((workers.reportS * UNREACHABLE_REPORTS).secs, UNREACHABLE_LEAST)
+        maxOf((workers.reportS * UNREACHABLE_REPORTS).seconds, UNREACHABLE_LEAST)
     private val leaseOver =
-        workers.leaseS.secs * (1 + MAX_CLOCK_DRIFT) + operators.leaseMarginS.secs
+        workers.leaseS.seconds * (1 + MAX_CLOCK_DRIFT) + operators.leaseMarginS.seconds
     private var watchAt = Micros.LONG_AGO
 
     /** Since when workers could be heard: all that is stored has been read. */
@@ -62,18 +62,18 @@
     }
 
     private fun watch(machine: Machine, suspects: Suspects) {
-        val silence = context.now - (machine.heardAt ?: return)
-        if (!machine.empty && isLeaseOver(machine)) expireLease(machine, silence)
-        if (machine.directBroken && machine.via != null) fleet.releaseUnsent(machine)
+        val silence = context.now - (machine.lastHeartbeatAt ?: return)
+        if (!machine.isEmpty && isLeaseOver(machine)) expireLease(machine, silence)
+        if (machine.hasUnansweredStart && machine.forwardedBy != null) fleet.releaseUnsent(machine)
         // Past its notice and quiet: taken. Deleting it proves that, sooner than waiting does.
-        val taken = context.now > machine.takenAt + TAKEN_MARGIN && silence > TAKEN_MARGIN
+        val taken = context.now > machine.preemptedAt + TAKEN_MARGIN && silence > TAKEN_MARGIN
         if (taken) decommission(machine, "taken back")
         if (silence > askAfter) probe(machine)
         when {
             silence > lostAfter -> suspects.silent.add(machine)
             silence > unreachableAfter && machine.probeFailed -> suspects.unreachable.add(machine)
             // Nothing new goes there, so that what went unanswered can do no harm.
-            machine.directBroken && machine.empty -> decommission(machine, "orders unanswered")
+            machine.hasUnansweredStart && machine.isEmpty -> decommission(machine, "orders unanswered")
             isDeaf(machine) -> suspects.deaf.add(machine)
         }
     }
@@ -90,7 +90,7 @@
     private fun giveUp(suspects: Suspects, up: Int) {
         val many = maxOf(FEW, up / MANY_PART)
         for (machine in suspects.silent) {
-            val silence = context.now - (machine.heardAt ?: continue)
+            val silence = context.now - (machine.lastHeartbeatAt ?: continue)
             if (suspects.silent.size <= many || silence > leaseOver + leaseOver)
                 decommission(machine, "silent")
         }
@@ -131,19 +131,19 @@
      * sent is not known any more if what is stored was read again since; what is loose tells it.
      */
     private fun isDeaf(machine: Machine): Boolean {
-        val heardAt = machine.heardAt ?: return false
-        val patience = maxOf((workers.reportS * UNSHOWN_REPORTS).secs, UNSHOWN_LEAST)
+        val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
+        val patience = maxOf((workers.reportS * UNSHOWN_REPORTS).seconds, UNSHOWN_LEAST)
         return machine.placements.values.any {
             if (it.status != null) return@any false
-            val startedAt = it.startedAt ?: machine.brokenSince.takeIf { _ -> isLoose(machine, it) }
-            startedAt != null && heardAt - startedAt > patience
+            val startedAt = it.startedAt ?: machine.startUnansweredSince.takeIf { _ -> isLoose(machine, it) }
+            startedAt != null && lastHeartbeatAt - startedAt > patience
         }
     }
 
     private fun isLoose(machine: Machine, placement: Placement) =
-        placement.attemptOfTask in machine.loose
+        placement.taskAttempt in machine.unconfirmedStarts
 
-    private fun up() = cluster.machines.values.filter { it.up && !it.decommissioned }
+    private fun up() = cluster.machines.values.filter { it.isUp && !it.decommissioned }
 
     /**
      * A machine with placements that never reported under this leader's token: an earlier leader
@@ -152,15 +152,15 @@
      */
     private fun watchUnheard() {
         if (!loaded()) return
-        val patience = workers.leaseS.secs + lostAfter
+        val patience = workers.leaseS.seconds + lostAfter
         for (machine in cluster.machines.values) {
-            val since = machine.firstStaleReportAt ?: continue
-            if (machine.up || machine.decommissioned || context.now - since < patience) continue
+            val since = machine.firstStaleHeartbeatAt ?: continue
+            if (machine.isUp || machine.decommissioned || context.now - since < patience) continue
             decommission(machine, "never took this leader's token")
         }
         val unheard =
             cluster.machines.values.filter {
-                !it.up && !it.decommissioned && it.placements.isNotEmpty()
+                !it.isUp && !it.decommissioned && it.placements.isNotEmpty()
             }
         val unknown = cluster.unheardOf().toList()
         // How long ago the cancellation was is not known, so these get one report's time.
@@ -173,9 +173,9 @@
         }
         // Where most machines have found this leader, it is not for it that the rest are silent.
         // Not before a lease is over: one that is back by then is worth more than its tasks' time.
-        val up = cluster.machines.values.count { it.up }
+        val up = cluster.machines.values.count { it.isUp }
         val few = (unheard.size + unknown.size) * 2 <= up
-        val due = if (few) maxOf(workers.leaseS.secs, lostAfter) + REPORT_TIME else patience
+        val due = if (few) maxOf(workers.leaseS.seconds, lostAfter) + REPORT_TIME else patience
         if (context.now - electedAt < due) return
         for (machine in unheard) decommission(machine, "never reported to this leader")
         for (id in unknown) decommissionUnknown(id)
@@ -191,7 +191,7 @@
     /** So many machines do not fall silent within one report of each other. */
     private fun nobodyHeard(up: List<Machine>): Boolean {
         if (up.size < ENOUGH) return false
-        val last = up.maxOf { it.heardAt ?: Micros.LONG_AGO }
+        val last = up.maxOf { it.lastHeartbeatAt ?: Micros.LONG_AGO }
         return context.now - last > maxOf(askAfter, NOBODY_LEAST)
     }
 
@@ -199,30 +199,30 @@
     fun isLeftAlone(): Boolean {
         val up = up()
         if (nobodyHeard(up)) return true
-        val quiet = (workers.reportS * operators.quietReports).secs
-        val silent = up.count { context.now - (it.heardAt ?: context.now) > quiet }
+        val quiet = (workers.reportS * operators.quietReports).seconds
+        val silent = up.count { context.now - (it.lastHeartbeatAt ?: context.now) > quiet }
         return up.size >= ENOUGH && silent * 2 > up.size
     }
 
     private companion object {
-        val TAKEN_MARGIN = 1.secs
-        val WATCH_PERIOD = 400.millis
+        val TAKEN_MARGIN = 1.seconds
+        val WATCH_PERIOD = 400.milliseconds
         /** Reports that may lack a start before the machine counts as deaf. */
         const val UNSHOWN_REPORTS = 2.5
-        val UNSHOWN_LEAST = 8.secs
+        val UNSHOWN_LEAST = 8.seconds
         const val FEW = 2
         /** A report comes after at most one and a quarter of its usual time. */
         const val OVERDUE_REPORTS = 1.5
         const val UNREACHABLE_REPORTS = 2.0
         const val UNREACHABLE_PART = 5
         /** Short hangs and cuts pass by themselves. */
-        val UNREACHABLE_LEAST = 8.secs
-        val PROBE_TIME = 3.secs
-        val PROBE_PAUSE = 5.secs
+        val UNREACHABLE_LEAST = 8.seconds
+        val PROBE_TIME = 3.seconds
+        val PROBE_PAUSE = 5.seconds
         const val ENOUGH = 4
-        val NOBODY_LEAST = 6.secs
+        val NOBODY_LEAST = 6.seconds
         /** What a worker waits for an answer, and until it tries the next controller. */
-        val REPORT_TIME = 5.secs
+        val REPORT_TIME = 5.seconds
         const val MANY_PART = 3
     }
 }
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -3,11 +3,11 @@
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.Machine
 import wardmux.model.Placement
-import wardmux.model.Shape
 import wardmux.model.TaskStatus
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Tells machines on which tasks fail from jobs whose tasks fail anywhere. */
 class TaskFailures(
@@ -19,7 +19,7 @@
     /** A task of [job] completed on [machine]: neither is at fault. */
     fun completed(machine: Machine, job: Job) {
         machine.failures.clear()
-        job.failedOn.clear()
+        job.failedMachines.clear()
     }
 
     /**
@@ -29,34 +29,34 @@
     fun runs(machine: Machine, placement: Placement) {
         val job = placement.job
         val since = placement.runningSince ?: return
-        if (job.failedOn.isEmpty() || job.spec.shape != Shape.DAEMON) return
-        val isProof = machine.id !in job.failedOn && context.now - since >= PROVEN_RUN
-        if (isProof && placement.status == TaskStatus.RUNNING) job.failedOn.clear()
+        if (job.failedMachines.isEmpty() || job.spec.shape != JobKind.SERVICE) return
+        val isProof = machine.id !in job.failedMachines && context.now - since >= PROVEN_RUN
+        if (isProof && placement.status == TaskStatus.RUNNING) job.failedMachines.clear()
     }
 
     /** Either the machine or the job is at fault; other jobs and other machines tell which. */
     fun failed(machine: Machine, job: Job) {
         machine.failures.merge(job.id.value, 1, Int::plus)
-        job.failedOn.add(machine.id)
+        job.failedMachines.add(machine.id)
         machine.pausedUntil = context.now + FAILED_PAUSE
         val own = machine.failures.values.sum()
         log.info("a task of {} failed on {}, {} in a row there", job.id, machine.id, own)
-        if (job.atFault) {
-            val pause = FAILED_PAUSE * job.failedOn.size.coerceAtMost(MOST_PAUSES).toDouble()
-            job.notBefore = context.wall + pause
+        if (job.isFailing) {
+            val pause = FAILED_PAUSE * job.failedMachines.size.coerceAtMost(MOST_PAUSES).toDouble()
+            job.backoffUntil = context.wall + pause
         }
-        val blameless = !job.atFault && own >= SICK_FAILURES
+        val blameless = !job.isFailing && own >= SICK_FAILURES
         if (machine.failures.size >= 2 || blameless) decommission(machine, "tasks fail on it")
     }
 
     private companion object {
-        val FAILED_PAUSE = 8.secs
+        val FAILED_PAUSE = 8.seconds
 
         /** Pauses of a job at fault grow with the machines that it failed on, up to this many. */
         const val MOST_PAUSES = 12
         const val SICK_FAILURES = 3
 
         /** A replica that has run for this long does not fail for its job's mistake. */
-        val PROVEN_RUN = 30.secs
+        val PROVEN_RUN = 30.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -6,7 +6,7 @@
 import wardmux.core.Target
 import wardmux.logging.logger
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /**
  * Sends a relay's batches to the leader: directly, or through the state service for some time after
@@ -14,7 +14,7 @@
  */
 class BatchSender(
     private val context: CoreContext,
-    private val storeRelayClient: StoreRelayClient,
+    private val storeRelayClient: StoredBatchClient,
 ) {
     private val log = logger<BatchSender>()
     private var throughStoreUntil = Micros.LONG_AGO
@@ -40,26 +40,26 @@
     }
 
     /** Sends [batch] to [leader]; [then] gets the answer, or null if there is none. */
-    fun send(leader: String, batch: Batch, then: (BatchAnswer?) -> Unit) =
+    fun send(leader: String, batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) =
         if (isThroughStore) sendThroughStore(batch, then) else sendDirectly(leader, batch, then)
 
-    private fun sendDirectly(leader: String, batch: Batch, then: (BatchAnswer?) -> Unit) {
-        val bytes = RelayCodec.encode(batch)
-        val target = Target.Sibling(leader)
-        context.send(target, "POST", RelayCodec.PATH, bytes, TIMEOUT) { outcome ->
+    private fun sendDirectly(leader: String, batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) {
+        val bytes = ForwardingCodec.encode(batch)
+        val target = Target.Peer(leader)
+        context.send(target, "POST", ForwardingCodec.PATH, bytes, TIMEOUT) { outcome ->
             val response = outcome as? Outcome.Response
             if (response == null) {
                 log.info("{} can't be reached: by way of the state service", leader)
                 throughStoreUntil = context.now + STORE_TIME
             }
             then(
-                response?.takeIf { it.status == HttpStatus.OK }?.let { RelayCodec.answer(it.body) }
+                response?.takeIf { it.status == HttpStatus.OK }?.let { ForwardingCodec.answer(it.body) }
             )
         }
     }
 
-    private fun sendThroughStore(batch: Batch, then: (BatchAnswer?) -> Unit) {
-        val packed = RelayCodec.pack(batch)
+    private fun sendThroughStore(batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) {
+        val packed = ForwardingCodec.pack(batch)
         val maxBytes = storeRelayClient.maxPackedBytes
         if (packed.length <= maxBytes) {
             storedReportBytes = minOf(storedReportBytes * 2, maxBytes * LEAST_PACKED)
@@ -70,11 +70,11 @@
     }
 
     private companion object {
-        val TIMEOUT = 3.secs
+        val TIMEOUT = 3.seconds
         const val MAX_DIRECT_BYTES = 200_000
 
         /** Until a direct connection is tried again. */
-        val STORE_TIME = 5.secs
+        val STORE_TIME = 5.seconds
 
         /** Reports are packed to a fifth or less. */
         const val LEAST_PACKED = 4
--- a/src/main/kotlin/wardmux/forwarding/Relays.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -1,39 +1,39 @@
 package wardmux.forwarding
 
 import org.agrona.collections.Long2ObjectHashMap
-import wardmux.config.LimitFacts
 import wardmux.config.OperatorSettings
-import wardmux.config.WorkerFacts
+import wardmux.config.ProcessLimits
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.fleet.Fleet
 import wardmux.lease.ForwardingGrant
-import wardmux.lease.LeaderKnowledge
+import wardmux.lease.LeaderCancellationView
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.model.secs
-import wardmux.scheduling.Cluster
-import wardmux.worker.Report
-import wardmux.worker.ReportReader
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.worker.WorkerHeartbeat
+import wardmux.worker.WorkerHeartbeatReader
 
 /**
  * The leader's side of the relays: who may answer workers and until when, what their batches say,
  * and how the workers are spread. Nothing of it outlasts the term: a successor has another token,
  * and infers nothing of a machine that has not taken that.
  */
-class Relays(
+class ForwardingCoordinator(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val fleet: Fleet,
-    private val reader: ReportReader,
+    private val reader: WorkerHeartbeatReader,
     private val member: String,
-    private val token: Token,
-    private val workers: WorkerFacts,
-    private val limits: LimitFacts,
+    private val token: FencingToken,
+    private val workers: WorkerTiming,
+    private val limits: ProcessLimits,
     private val operators: OperatorSettings,
     hasSiblings: Boolean,
-    private val knowledge: LeaderKnowledge,
+    private val knowledge: LeaderCancellationView,
 ) {
     /** One process that was ever given a grant in this term. */
     private class Relayer(val member: String, val boot: String) {
@@ -43,13 +43,13 @@
         /** All that it answered up to then has been told. */
         var toldUntil = Micros.LONG_AGO
         var batchAt = Micros.LONG_AGO
-        val reports = Long2ObjectHashMap<Report>()
+        val reports = Long2ObjectHashMap<WorkerHeartbeat>()
         val numbers = HashMap<String, Long>()
         var shed = 0
         var shedTo: String? = null
     }
 
-    private val log = logger<Relays>()
+    private val log = logger<ForwardingCoordinator>()
     private val electedAt = context.now
     private val relayers = ArrayList<Relayer>()
 
@@ -74,13 +74,13 @@
 
     /** What the answer to one batch says of single machines. */
     private class MachineAnswers {
-        val mail = ArrayList<Mail>()
+        val mail = ArrayList<UndeliveredCommands>()
         val refuse = ArrayList<String>()
         val unknown = ArrayList<Long>()
     }
 
     /** Takes in what a relay has heard, and grants it more time if relays are wanted. */
-    fun take(batch: Batch): BatchAnswer {
+    fun take(batch: HeartbeatBatch): HeartbeatBatchResponse {
         val relayer = relayerOf(batch)
         relayer.batchAt = context.now
         val sentAt = sendTime(relayer, batch)
@@ -95,7 +95,7 @@
     }
 
     /** When the batch was sent, or somewhat before: it may have been held up on its way. */
-    private fun sendTime(relayer: Relayer, batch: Batch): Micros {
+    private fun sendTime(relayer: Relayer, batch: HeartbeatBatch): Micros {
         // The clock that it was told is this one's; what can't be is passed over.
         val echo = Micros(batch.echo).takeIf { batch.echo > 0 && it <= context.now }
         if (echo == null) return context.now
@@ -105,7 +105,7 @@
 
     private fun hearReports(
         relayer: Relayer,
-        batch: Batch,
+        batch: HeartbeatBatch,
         sentAt: Micros,
         answers: MachineAnswers,
     ) {
@@ -117,7 +117,7 @@
         }
     }
 
-    private fun hearSigns(relayer: Relayer, batch: Batch, sentAt: Micros, answers: MachineAnswers) {
+    private fun hearSigns(relayer: Relayer, batch: HeartbeatBatch, sentAt: Micros, answers: MachineAnswers) {
         for (i in 0 until batch.signs.size - 1 step 2) {
             val report = relayer.reports[batch.signs[i]]
             if (report == null) answers.unknown.add(batch.signs[i])
@@ -125,13 +125,13 @@
         }
     }
 
-    private fun answer(relayer: Relayer, batch: Batch, answers: MachineAnswers): BatchAnswer {
+    private fun answer(relayer: Relayer, batch: HeartbeatBatch, answers: MachineAnswers): HeartbeatBatchResponse {
         val shed = relayer.shed
         relayer.shed = 0
         val mustHalt = knowledge.tasksToHalt()
         // Too many to name: then nothing may be renewed before some are proven gone.
         val tooMany = mustHalt.sumOf { it.tasks.size } > MOST_NAMED_TASKS
-        return BatchAnswer(
+        return HeartbeatBatchResponse(
             boot = batch.boot,
             number = batch.number,
             token = token.value,
@@ -150,7 +150,7 @@
         )
     }
 
-    private fun relayerOf(batch: Batch): Relayer {
+    private fun relayerOf(batch: HeartbeatBatch): Relayer {
         // What a former process of the member answered stays possible: its relayer stays too.
         relayers
             .find { it.member == batch.member && it.boot == batch.boot }
@@ -161,13 +161,13 @@
         return Relayer(batch.member, batch.boot).also { relayers.add(it) }
     }
 
-    private fun hear(relayer: Relayer, report: Report, sentAt: Micros, answers: MachineAnswers) {
+    private fun hear(relayer: Relayer, report: WorkerHeartbeat, sentAt: Micros, answers: MachineAnswers) {
         val orders = fleet.relayed(report, relayer.member, sentAt)
         if (orders == null) {
             answers.refuse.add(report.machine)
             relayer.numbers.remove(report.machine)?.let { relayer.reports.remove(it) }
         } else if (orders.isNotEmpty()) {
-            answers.mail.add(Mail(report.machine, report.shift, orders))
+            answers.mail.add(UndeliveredCommands(report.machine, report.incarnation, orders))
         }
     }
 
@@ -193,7 +193,7 @@
     fun tick(loaded: Boolean) {
         if (context.now < decideAt) return
         decideAt = context.now + PERIOD
-        val old = context.now - workers.leaseS.secs * KEPT_LEASES
+        val old = context.now - workers.leaseS.seconds * KEPT_LEASES
         relayers.removeIf { it.grantedUntil < old && it.batchAt < old }
         decide(loaded)
         shed = 0
@@ -212,7 +212,7 @@
             wanted = true
         }
         // Once only, when the machines of an earlier leader have been heard: no to and fro.
-        val heard = loaded && context.now - electedAt > (workers.reportS * SETTLED_REPORTS).secs
+        val heard = loaded && context.now - electedAt > (workers.reportS * SETTLED_REPORTS).seconds
         if (!heard || settled) return
         settled = true
         if (!many) {
@@ -254,8 +254,8 @@
     private fun machinesByMember(): Map<String, Int> {
         val counts = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
-            if (machine.up && !machine.decommissioned)
-                counts.merge(machine.via ?: member, 1, Int::plus)
+            if (machine.isUp && !machine.decommissioned)
+                counts.merge(machine.forwardedBy ?: member, 1, Int::plus)
         }
         return counts
     }
@@ -271,8 +271,8 @@
         /** Some 100 KB in an answer; a fleet of thousands of machines rarely has so many. */
         private const val MOST_NAMED_TASKS = 5_000
         private const val KEPT_LEASES = 3.0
-        private val PERIOD = 1.secs
-        private val BATCH_STALE = 3.secs
+        private val PERIOD = 1.seconds
+        private val BATCH_STALE = 3.seconds
         private const val SETTLED_REPORTS = 1.5
 
         /** The rest is for users, siblings, direct orders and the services. */
--- a/src/main/kotlin/wardmux/forwarding/RelayWire.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
@@ -13,12 +13,12 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.jsonPrimitive
 import wardmux.lease.CancelledTasks
-import wardmux.serialization.PeerCodec
-import wardmux.worker.Order
+import wardmux.serialization.CborFormat
+import wardmux.worker.WorkerCommand
 
 /** A worker's report that differs from the last one handed on, as the worker sent it. */
 @Serializable
-class FullReport(
+class FullHeartbeat(
     /** What signs of life refer to: another number for each report that was handed on whole. */
     @SerialName("number") val number: Long,
     @OptIn(ExperimentalSerializationApi::class) @ByteString @SerialName("body") val body: ByteArray,
@@ -30,7 +30,7 @@
  * the machine's session and tick, and a number that the leader does not know is asked for again.
  */
 @Serializable
-class Batch(
+class HeartbeatBatch(
     @SerialName("member") val member: String,
     /** Tells two processes of one member apart. */
     @SerialName("boot") val boot: String,
@@ -42,22 +42,22 @@
     @SerialName("echo") val echo: Long,
     /** Time at the relay since that answer, in microseconds. */
     @SerialName("since") val since: Long,
-    @SerialName("reports") val reports: List<FullReport> = emptyList(),
+    @SerialName("reports") val reports: List<FullHeartbeat> = emptyList(),
     /** Signs of life, two numbers each: of the report that still holds, and the tick. */
     @SerialName("signs") val signs: List<Long> = emptyList(),
 )
 
 /** What a machine is told with the answer to its next report. */
 @Serializable
-class Mail(
+class UndeliveredCommands(
     @SerialName("machine") val machine: String,
-    @SerialName("shift") val shift: Long,
-    @SerialName("orders") val orders: List<Order>,
+    @SerialName("shift") val incarnation: Long,
+    @SerialName("orders") val orders: List<WorkerCommand>,
 )
 
 /** The leader's answer to a batch: the grant, and what the relay is to tell workers. */
 @Serializable
-class BatchAnswer(
+class HeartbeatBatchResponse(
     /** The batch that this answers. */
     @SerialName("boot") val boot: String,
     @SerialName("number") val number: Long,
@@ -70,7 +70,7 @@
     @SerialName("grant") val grant: Long = 0,
     /** Numbers that the leader does not know: their machines' reports are to be sent whole. */
     @SerialName("unknown") val unknown: List<Long> = emptyList(),
-    @SerialName("mail") val mail: List<Mail> = emptyList(),
+    @SerialName("mail") val mail: List<UndeliveredCommands> = emptyList(),
     /** Machines that are not to be answered any more. */
     @SerialName("refuse") val refuse: List<String> = emptyList(),
     /** So many workers are to be sent to [shedTo]. */
@@ -93,7 +93,7 @@
      * renewed, so if there are any, none is.
      */
     fun withoutMail() =
-        BatchAnswer(
+        HeartbeatBatchResponse(
             boot,
             number,
             token,
@@ -107,37 +107,37 @@
 }
 
 /** What the leader answers by way of the state service. */
-@Serializable class StoredAnswers(@SerialName("byMember") val byMember: Map<String, BatchAnswer>)
+@Serializable class StoredAnswers(@SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>)
 
 /** Batches and their answers as bytes, and packed as the state service keeps them. */
-object RelayCodec {
+object ForwardingCodec {
     const val PATH = "/relay"
 
     /** A batch as it is sent directly. */
-    fun encode(batch: Batch): ByteArray = PeerCodec.encode(Batch.serializer(), batch)
+    fun encode(batch: HeartbeatBatch): ByteArray = CborFormat.encode(HeartbeatBatch.serializer(), batch)
 
     /** An answer as it is sent directly. */
-    fun encode(answer: BatchAnswer): ByteArray = PeerCodec.encode(BatchAnswer.serializer(), answer)
+    fun encode(answer: HeartbeatBatchResponse): ByteArray = CborFormat.encode(HeartbeatBatchResponse.serializer(), answer)
 
     /** The batch in [bytes], or null if they hold none. */
-    fun batch(bytes: ByteArray): Batch? = PeerCodec.decode(Batch.serializer(), bytes)
+    fun batch(bytes: ByteArray): HeartbeatBatch? = CborFormat.decode(HeartbeatBatch.serializer(), bytes)
 
     /** The answer in [bytes], or null if they hold none. */
-    fun answer(bytes: ByteArray): BatchAnswer? = PeerCodec.decode(BatchAnswer.serializer(), bytes)
+    fun answer(bytes: ByteArray): HeartbeatBatchResponse? = CborFormat.decode(HeartbeatBatchResponse.serializer(), bytes)
 
     /** As the state service keeps it. */
-    fun pack(batch: Batch): String = packed(encode(batch))
+    fun pack(batch: HeartbeatBatch): String = packed(encode(batch))
 
     /** All answers in one value of the state service. */
     fun pack(answers: StoredAnswers): String =
-        packed(PeerCodec.encode(StoredAnswers.serializer(), answers))
+        packed(CborFormat.encode(StoredAnswers.serializer(), answers))
 
     /** The batch in a value of the state service, or null if it holds none. */
-    fun batch(stored: JsonElement): Batch? = unpacked(stored)?.let { batch(it) }
+    fun batch(stored: JsonElement): HeartbeatBatch? = unpacked(stored)?.let { batch(it) }
 
     /** The answers in a value of the state service, or null if it holds none. */
     fun answers(stored: JsonElement): StoredAnswers? =
-        unpacked(stored)?.let { PeerCodec.decode(StoredAnswers.serializer(), it) }
+        unpacked(stored)?.let { CborFormat.decode(StoredAnswers.serializer(), it) }
 
     private fun packed(bytes: ByteArray): String {
         val out = ByteArrayOutputStream()
--- a/src/main/kotlin/wardmux/forwarding/GrantedKnowledge.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -1,20 +1,20 @@
 package wardmux.forwarding
 
-import wardmux.lease.CancellationKnowledge
+import wardmux.lease.CancellationView
+import wardmux.model.FencingToken
 import wardmux.model.JobId
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.TaskAttempt
-import wardmux.model.Token
 import wardmux.peers.Cancellations
 
 /** What a relay knows of cancelled tasks while a grant of its leader runs. */
-class GrantedKnowledge(
-    override val token: Token,
-    answer: BatchAnswer,
+class GrantedCancellationView(
+    override val token: FencingToken,
+    answer: HeartbeatBatchResponse,
     grantedUntil: Micros,
     private val cancellations: Cancellations,
-) : CancellationKnowledge {
+) : CancellationView {
     private val mustHalt: Map<MachineId, List<TaskAttempt>> =
         answer.mustHalt.orEmpty().associate { MachineId(it.machine) to it.tasks }
 
--- a/src/main/kotlin/wardmux/forwarding/Relay.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -1,24 +1,24 @@
 package wardmux.forwarding
 
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
-import wardmux.election.Leadership
+import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.fleet.Fleet
 import wardmux.lease.LeaseRenewals
 import wardmux.lease.RenewalDecision
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.JobId
 import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.MachineId
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.peers.Cancellations
 import wardmux.worker.Redirect
-import wardmux.worker.Report
+import wardmux.worker.WorkerHeartbeat
 
 /**
  * A follower's part in taking reports. It decides nothing: it answers workers under the leader's
@@ -29,40 +29,40 @@
  * refused or frozen stops by itself; one that was restarted is another process and has none. It
  * allows to renew leases, but each single one by the machine's report only: see [LeaseRenewals].
  */
-class Relay(
+class HeartbeatForwarder(
     private val context: CoreContext,
-    private val leadership: Leadership,
+    private val leadership: LeaderElection,
     private val member: String,
     private val boot: String,
-    private val workers: WorkerFacts,
+    private val workers: WorkerTiming,
     private val cancellations: Cancellations,
     private val renewals: LeaseRenewals,
-    storeRelayClient: StoreRelayClient,
-    siblings: Int,
+    storeRelayClient: StoredBatchClient,
+    peers: Int,
     /** As many as workers may be connected. */
     private val mostWaitingCalls: Int,
     /** The leader of this token has said lately that it wants relays. */
-    private val wantedBy: (Token) -> Boolean,
+    private val wantedBy: (FencingToken) -> Boolean,
     /** For a worker that this relay can't answer: redirects it. */
     private val redirect: (call: Long) -> Unit,
 ) {
     /** A call that waits for the grant that is being asked for. */
     private class WaitingCall(
         val call: Long,
-        val report: Report,
+        val report: WorkerHeartbeat,
         val body: ByteArray,
         val at: Micros,
     )
 
-    private val log = logger<Relay>()
+    private val log = logger<HeartbeatForwarder>()
 
     /** The leader that is asked, and its token; null while none is known, or while leading. */
     private var leader: String? = null
-    private var token: Token? = null
+    private var token: FencingToken? = null
     private var grantedUntil = Micros.LONG_AGO
 
     /** What the leader has told with the grant of what is cancelled; null before the first. */
-    private var knowledge: GrantedKnowledge? = null
+    private var knowledge: GrantedCancellationView? = null
 
     /** Null until the leader has said whether it wants relays. */
     private var wanted: Boolean? = null
@@ -78,23 +78,23 @@
     private var redirects = false
     private var removeSilentAt = Micros.ZERO
 
-    private val spacing = SPACING_EACH * siblings.toDouble()
+    private val spacing = SPACING_EACH * peers.toDouble()
 
     private var batches = 0L
-    private val pending = PendingReports()
+    private val pending = PendingHeartbeats()
     private val sender = BatchSender(context, storeRelayClient)
 
     private val granted: Boolean
         get() = token != null && context.now < grantedUntil
 
     /** False if this report is not for this controller to answer. */
-    fun handleReport(call: Long, report: Report, body: ByteArray): Boolean {
+    fun handleHeartbeat(call: Long, report: WorkerHeartbeat, body: ByteArray): Boolean {
         followLeader()
         if (wanted == false) return false
         val current = token
         val granting = knowledge
         if (current == null || granting == null || !granted) return waitForGrant(call, report, body)
-        if (Token(report.token) > current) {
+        if (FencingToken(report.token) > current) {
             // Another leads: nothing more is answered under this token.
             grantedUntil = Micros.LONG_AGO
             return false
@@ -104,7 +104,7 @@
     }
 
     /** A grant is a matter of milliseconds; sent elsewhere, all would come back later. */
-    private fun waitForGrant(call: Long, report: Report, body: ByteArray): Boolean {
+    private fun waitForGrant(call: Long, report: WorkerHeartbeat, body: ByteArray): Boolean {
         val failedLately = context.now - failedAt <= FAILED_RECENTLY
         if (token == null || failedLately || waitingCalls.size >= mostWaitingCalls) return false
         waitingCalls.addLast(WaitingCall(call, report, body, context.now))
@@ -137,12 +137,12 @@
 
     private fun answerReport(
         call: Long,
-        report: Report,
+        report: WorkerHeartbeat,
         body: ByteArray,
-        granting: GrantedKnowledge,
+        granting: GrantedCancellationView,
     ) {
         val machine = pending.getOrAdd(report.machine)
-        machine.heardAt = context.now
+        machine.lastHeartbeatAt = context.now
         if (sendElsewhere(call, machine)) return
         val decision = renewals.decide(report, granting)
         val renewed = decision is RenewalDecision.Renew
@@ -150,7 +150,7 @@
         when (decision) {
             is RenewalDecision.Withhold -> context.answerBytes(call, HttpStatus.OK, decision.answer)
             is RenewalDecision.Renew -> {
-                val mail = machine.mail?.takeIf { it.shift == report.shift }
+                val mail = machine.mail?.takeIf { it.incarnation == report.incarnation }
                 machine.mail = null
                 val answer = decision.renewal.answer(mail?.orders.orEmpty())
                 context.answerBytes(call, HttpStatus.OK, answer)
@@ -160,7 +160,7 @@
     }
 
     /** Answers a worker that is not to stay here; false if it is. */
-    private fun sendElsewhere(call: Long, machine: ReportingMachine): Boolean {
+    private fun sendElsewhere(call: Long, machine: ForwardedMachine): Boolean {
         val target = shedTo
         when {
             machine.refused -> context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
@@ -204,7 +204,7 @@
     private fun removeSilent() {
         if (context.now < removeSilentAt || busy) return
         removeSilentAt = context.now + REMOVAL_PERIOD
-        val old = context.now - (workers.reportS * KEPT_REPORTS).secs - REMOVAL_PERIOD
+        val old = context.now - (workers.reportS * KEPT_REPORTS).seconds - REMOVAL_PERIOD
         pending.removeSilent(old)
     }
 
@@ -222,11 +222,11 @@
         val number = ++batches
         val reports = content.reports
         val signs = content.signs
-        val batch = Batch(member, boot, number, current.value, known, since, reports, signs)
+        val batch = HeartbeatBatch(member, boot, number, current.value, known, since, reports, signs)
         send(name, current, batch, content)
     }
 
-    private fun send(name: String, current: Token, batch: Batch, content: BatchContent) {
+    private fun send(name: String, current: FencingToken, batch: HeartbeatBatch, content: BatchContent) {
         busy = true
         sentAt = context.now
         val askedAt = context.now
@@ -245,7 +245,7 @@
         pending.putBack(content)
     }
 
-    private fun accept(answer: BatchAnswer, askedAt: Micros) {
+    private fun accept(answer: HeartbeatBatchResponse, askedAt: Micros) {
         echo = answer.clock
         echoAt = context.now
         if (wanted != answer.wanted) log.info("relay of {}: {}", leader, answer.wanted)
@@ -257,7 +257,7 @@
         for (job in answer.cancelledJobs) {
             if (JobId(job) !in cancellations) cancellations.learnStored(JobId(job))
         }
-        val granting = GrantedKnowledge(Token(answer.token), answer, grantedUntil, cancellations)
+        val granting = GrantedCancellationView(FencingToken(answer.token), answer, grantedUntil, cancellations)
         knowledge = granting
         for (machine in answer.refuse) {
             // One that only may not be renewed is heard on: its reports may prove that it may be.
@@ -272,17 +272,17 @@
     private fun answerWaiting() {
         val all = waitingCalls.toList()
         waitingCalls.clear()
-        for (one in all) if (!handleReport(one.call, one.report, one.body)) redirect(one.call)
+        for (one in all) if (!handleHeartbeat(one.call, one.report, one.body)) redirect(one.call)
     }
 
     private companion object {
         /** Between two batches of one relay, for each that there may be: the leader takes all. */
-        val SPACING_EACH = 50.millis
-        val PERIOD = 1.secs
-        val RETRY = 300.millis
-        val FAILED_RECENTLY = 2.secs
-        val LONGEST_GRANT_WAIT = 1.secs
+        val SPACING_EACH = 50.milliseconds
+        val PERIOD = 1.seconds
+        val RETRY = 300.milliseconds
+        val FAILED_RECENTLY = 2.seconds
+        val LONGEST_GRANT_WAIT = 1.seconds
         const val KEPT_REPORTS = 3.0
-        val REMOVAL_PERIOD = 5.secs
+        val REMOVAL_PERIOD = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/PendingReports.kt
+++ b/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
@@ -2,14 +2,14 @@
 
 import it.unimi.dsi.fastutil.longs.Long2LongLinkedOpenHashMap
 import org.agrona.collections.Long2ObjectHashMap
+import wardmux.model.FencingToken
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.worker.Report
+import wardmux.worker.WorkerHeartbeat
 
 /** A machine that reports to this relay. */
-class ReportingMachine {
+class ForwardedMachine {
     /** The last report that the leader is told of whole, or null if there is none. */
-    var report: Report? = null
+    var report: WorkerHeartbeat? = null
 
     /** The bytes of [report], with its newest tick while it is still to be sent. */
     var body = ByteArray(0)
@@ -18,19 +18,19 @@
     var number = 0L
 
     /** When it last reported. */
-    var heardAt = Micros.ZERO
+    var lastHeartbeatAt = Micros.ZERO
 
     /** The leader wants it not to be answered any more. */
     var refused = false
 
     /** What it is told with the answer to its next report. */
-    var mail: Mail? = null
+    var mail: UndeliveredCommands? = null
 
     /** When it was last redirected because the leader was unsure of its lease. */
     var redirectedAt = Micros.LONG_AGO
 
     /** The token under which a report with an older one was let pass once. */
-    var learns: Token? = null
+    var learns: FencingToken? = null
 }
 
 /** What one batch tells the leader. */
@@ -38,7 +38,7 @@
     /** The machines whose reports are in [reports], in the same order. */
     val machines: List<String>,
     /** Reports that changed. */
-    val reports: List<FullReport>,
+    val reports: List<FullHeartbeat>,
     /** Signs of life, two numbers each: of the report that still holds, and the tick. */
     val signs: List<Long>,
 )
@@ -47,9 +47,9 @@
  * What this relay has heard and not yet told the leader: changed reports whole, unchanged ones by
  * their number and tick.
  */
-class PendingReports {
+class PendingHeartbeats {
     private var lastNumber = 0L
-    private val machines = HashMap<String, ReportingMachine>()
+    private val machines = HashMap<String, ForwardedMachine>()
     private val byNumber = Long2ObjectHashMap<String>()
 
     /** Machines whose report is to be sent whole. */
@@ -63,20 +63,20 @@
         get() = whole.isEmpty() && signs.isEmpty()
 
     /** The machine of this name, or null if it has not reported here. */
-    operator fun get(name: String): ReportingMachine? = machines[name]
+    operator fun get(name: String): ForwardedMachine? = machines[name]
 
     /** The machine of this name, from now on one that reports here. */
-    fun getOrAdd(name: String): ReportingMachine = machines.getOrPut(name) { ReportingMachine() }
+    fun getOrAdd(name: String): ForwardedMachine = machines.getOrPut(name) { ForwardedMachine() }
 
     /**
      * Takes in a report under the leader's [token], whose answer [renewed] the lease or did not;
      * true if the leader is to hear of it soon.
      */
     fun add(
-        machine: ReportingMachine,
-        report: Report,
+        machine: ForwardedMachine,
+        report: WorkerHeartbeat,
         body: ByteArray,
-        token: Token?,
+        token: FencingToken?,
         renewed: Boolean,
     ): Boolean {
         val last = machine.report
@@ -87,7 +87,7 @@
         }
         if (token == null) return false
         // Renewed, it takes the token and reports once more: enough that the leader hears that.
-        if (renewed && Token(report.token) < token && machine.learns != token) {
+        if (renewed && FencingToken(report.token) < token && machine.learns != token) {
             machine.learns = token
             return false
         }
@@ -104,7 +104,7 @@
         return true
     }
 
-    private fun renumber(name: String, machine: ReportingMachine) {
+    private fun renumber(name: String, machine: ForwardedMachine) {
         byNumber.remove(machine.number)
         signs.remove(machine.number)
         machine.number = ++lastNumber
@@ -128,7 +128,7 @@
     /** Takes out what the next batch holds: reports until [maxBytes], and at most [maxSigns]. */
     fun takeBatch(maxBytes: Int, maxSigns: Int): BatchContent {
         val names = ArrayList<String>()
-        val reports = ArrayList<FullReport>()
+        val reports = ArrayList<FullHeartbeat>()
         var bytes = 0
         val rest = whole.iterator()
         while (rest.hasNext() && bytes < maxBytes) {
@@ -136,7 +136,7 @@
             rest.remove()
             val machine = machines[name] ?: continue
             names.add(name)
-            reports.add(FullReport(machine.number, machine.body))
+            reports.add(FullHeartbeat(machine.number, machine.body))
             bytes += machine.body.size
         }
         return BatchContent(names, reports, takeSigns(maxSigns))
@@ -168,7 +168,7 @@
     /** Forgets machines last heard before [old]; not one of which there is more to tell. */
     fun removeSilent(old: Micros) {
         machines.entries.removeIf { (name, machine) ->
-            val gone = machine.heardAt < old && name !in whole && !signs.containsKey(machine.number)
+            val gone = machine.lastHeartbeatAt < old && name !in whole && !signs.containsKey(machine.number)
             if (gone) byNumber.remove(machine.number)
             gone
         }
--- a/src/main/kotlin/wardmux/forwarding/StoreRelay.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
@@ -5,15 +5,15 @@
 import wardmux.core.CoreContext
 import wardmux.election.Role
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.Micros
-import wardmux.model.Token
-import wardmux.model.millis
-import wardmux.model.secs
-import wardmux.store.Change
-import wardmux.store.Event
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.model.milliseconds
+import wardmux.model.seconds
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.WatchEvent
+import wardmux.store.WriteOperation
 
 /**
  * The way from a relay to the leader when the two can't connect: through the state service, packed
@@ -21,9 +21,9 @@
  * goes this way proves no more and no less: a batch or an answer that is written late is a late
  * copy, and an answer counts only for the batch that it names.
  */
-class StoreRelayClient(
+class StoredBatchClient(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val member: String,
 ) {
     /** The most that a packed batch may take. */
@@ -31,26 +31,26 @@
         get() = store.maxValueBytes - VALUE_OVERHEAD
 
     /** [then] gets the answer, or null if none came in time. */
-    fun ask(batch: Batch, packed: String, then: (BatchAnswer?) -> Unit) {
+    fun ask(batch: HeartbeatBatch, packed: String, then: (HeartbeatBatchResponse?) -> Unit) {
         val until = context.now + ANSWER_TIMEOUT
-        val change = Change(put = BATCHES + member, data = JsonPrimitive(packed))
-        store.multi(emptyList(), listOf(change), Priority.LEASE) { written ->
-            if (written is Result.Ok) await(batch, written.value, until, then) else then(null)
+        val change = WriteOperation(put = BATCHES + member, data = JsonPrimitive(packed))
+        store.multi(emptyList(), listOf(change), RequestPriority.LEASE) { written ->
+            if (written is StoreResult.Ok) await(batch, written.value, until, then) else then(null)
         }
     }
 
-    private fun await(batch: Batch, from: Long, until: Micros, then: (BatchAnswer?) -> Unit) {
+    private fun await(batch: HeartbeatBatch, from: Long, until: Micros, then: (HeartbeatBatchResponse?) -> Unit) {
         if (context.now >= until) return then(null)
-        store.watch(ANSWERS, from, until - context.now, Priority.LEASE) { result ->
-            if (result !is Result.Ok) return@watch then(null)
+        store.watch(ANSWERS, from, until - context.now, RequestPriority.LEASE) { result ->
+            if (result !is StoreResult.Ok) return@watch then(null)
             val answer = result.value.events.firstNotNullOfOrNull { answerIn(it, batch) }
             if (answer != null) then(answer)
-            else await(batch, maxOf(from, result.value.epoch), until, then)
+            else await(batch, maxOf(from, result.value.revision), until, then)
         }
     }
 
-    private fun answerIn(event: Event, batch: Batch): BatchAnswer? {
-        val answers = event.data?.let { RelayCodec.answers(it) } ?: return null
+    private fun answerIn(event: WatchEvent, batch: HeartbeatBatch): HeartbeatBatchResponse? {
+        val answers = event.data?.let { ForwardingCodec.answers(it) } ?: return null
         return answers.byMember[member]?.takeIf {
             it.boot == batch.boot && it.number == batch.number
         }
@@ -62,28 +62,28 @@
 
         /** For the quotes and what else a value is wrapped in. */
         const val VALUE_OVERHEAD = 256
-        private val ANSWER_TIMEOUT = 4.secs
+        private val ANSWER_TIMEOUT = 4.seconds
     }
 }
 
 /** The leader's side: takes batches from the state service and answers them there. */
-class StoreRelayServer(
+class StoredBatchServer(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val role: Role.Leader,
-    private val take: (Batch) -> BatchAnswer?,
+    private val take: (HeartbeatBatch) -> HeartbeatBatchResponse?,
 ) {
-    private val log = logger<StoreRelayServer>()
+    private val log = logger<StoredBatchServer>()
     private var watchFrom = role.token.value
     private var watchAt: Micros? = Micros.LONG_AGO
-    private val answers = LinkedHashMap<String, BatchAnswer>()
+    private val answers = LinkedHashMap<String, HeartbeatBatchResponse>()
     private var writing = false
     private var writeAt = Micros.LONG_AGO
     private var ended = false
 
     /** The most that packed answers may take. */
     private val maxPackedBytes: Int
-        get() = store.maxValueBytes - StoreRelayClient.VALUE_OVERHEAD
+        get() = store.maxValueBytes - StoredBatchClient.VALUE_OVERHEAD
 
     /** Ignores whatever still comes in: this leader session is over. */
     fun end() {
@@ -98,57 +98,57 @@
 
     private fun watch() {
         watchAt = null
-        store.watch(StoreRelayClient.BATCHES, watchFrom, WATCH_TIME, Priority.LEASE) { result ->
+        store.watch(StoredBatchClient.BATCHES, watchFrom, WATCH_TIME, RequestPriority.LEASE) { result ->
             if (ended) return@watch
             when (result) {
-                is Result.Ok -> {
-                    watchFrom = maxOf(watchFrom, result.value.epoch)
+                is StoreResult.Ok -> {
+                    watchFrom = maxOf(watchFrom, result.value.revision)
                     for (event in result.value.events) received(event.data ?: continue)
                     watchAt = context.now
                 }
                 // Too old to go on from: whoever waits for an answer asks again.
-                is Result.Invalid -> rescan()
+                is StoreResult.Invalid -> rescan()
                 else -> watchAt = context.now + RETRY
             }
         }
     }
 
     private fun rescan() =
-        store.scan(StoreRelayClient.BATCHES, JsonElement.serializer()) { found ->
-            if (found != null) watchFrom = found.epoch
+        store.scan(StoredBatchClient.BATCHES, JsonElement.serializer()) { found ->
+            if (found != null) watchFrom = found.revision
             watchAt = context.now + RETRY
         }
 
     private fun received(data: JsonElement) {
-        val batch = RelayCodec.batch(data) ?: return log.error("a stored batch can't be read")
-        if (Token(batch.token) != role.token) return
+        val batch = ForwardingCodec.batch(data) ?: return log.error("a stored batch can't be read")
+        if (FencingToken(batch.token) != role.token) return
         answers[batch.member] = take(batch) ?: return
     }
 
     /** All that is to be answered, in one write; what does not fit is left to the next batches. */
     private fun write() {
         val all = LinkedHashMap(answers)
-        var packed = RelayCodec.pack(StoredAnswers(all))
+        var packed = ForwardingCodec.pack(StoredAnswers(all))
         if (packed.length > maxPackedBytes) {
             all.replaceAll { _, answer -> answer.withoutMail() }
-            packed = RelayCodec.pack(StoredAnswers(all))
+            packed = ForwardingCodec.pack(StoredAnswers(all))
         }
         // The rest goes with the next write, and whoever no longer waits for it asks again.
         while (packed.length > maxPackedBytes && all.size > 1) {
             all.remove(all.keys.last())
-            packed = RelayCodec.pack(StoredAnswers(all))
+            packed = ForwardingCodec.pack(StoredAnswers(all))
         }
         answers.keys.removeAll(all.keys.toSet())
         if (packed.length > maxPackedBytes) return log.error("an answer is too large to be kept")
         writing = true
         writeAt = context.now + WRITE_PERIOD
-        val change = Change(put = StoreRelayClient.ANSWERS, data = JsonPrimitive(packed))
-        store.multi(listOf(role.condition), listOf(change), Priority.LEASE) { writing = false }
+        val change = WriteOperation(put = StoredBatchClient.ANSWERS, data = JsonPrimitive(packed))
+        store.multi(listOf(role.condition), listOf(change), RequestPriority.LEASE) { writing = false }
     }
 
     private companion object {
-        val WATCH_TIME = 8.secs
-        val RETRY = 500.millis
-        val WRITE_PERIOD = 700.millis
+        val WATCH_TIME = 8.seconds
+        val RETRY = 500.milliseconds
+        val WRITE_PERIOD = 700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/http/AnswerTimes.kt
+++ b/src/main/kotlin/wardmux/http/AnswerTimes.kt
@@ -3,7 +3,7 @@
 import org.HdrHistogram.Histogram
 import wardmux.logging.logger
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** How long answers take, told in the log now and then. */
 class AnswerTimes(private val name: String) {
@@ -36,6 +36,6 @@
         const val MEDIAN = 50.0
         const val SLOWEST_HUNDREDTH = 99.0
         const val MICROS_PER_MILLI = 1_000
-        val PERIOD = 60.secs
+        val PERIOD = 60.seconds
     }
 }
--- a/src/main/kotlin/wardmux/jobs/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -3,26 +3,26 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
 import wardmux.logging.logger
 import wardmux.model.JobId
+import wardmux.model.JobKind
+import wardmux.model.JobProgress
 import wardmux.model.JobSpec
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.MachineType
 import wardmux.model.MachineTypes
-import wardmux.model.Progress
-import wardmux.model.Shape
-import wardmux.model.Stamp
 import wardmux.records.JobRecord
 import wardmux.serialization.lenientJson
-import wardmux.store.Change
-import wardmux.store.Condition
-import wardmux.store.Item
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.store.KeyValue
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.VersionCondition
+import wardmux.store.WriteOperation
 
 @Serializable
 private class StatusWire(
@@ -38,12 +38,12 @@
  */
 class Intake(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val types: MachineTypes,
-    teams: List<TeamFacts>,
+    teams: List<TeamQuota>,
     /** A user is about to be told that the job is cancelled. */
     private val cancelled: (JobId) -> Unit,
-    private val progressOf: (JobId) -> Progress?,
+    private val progressOf: (JobId) -> JobProgress?,
 ) {
     private val log = logger<Intake>()
     private val teams = teams.associateBy { it.name }
@@ -95,8 +95,8 @@
     private fun settle(call: Long, id: JobId, unknown: () -> Unit) {
         store.get(JobRecord.key(id)) { result ->
             when (result) {
-                is Result.Ok -> answerRecord(call, id, result.value)
-                is Result.Absent -> unknown()
+                is StoreResult.Ok -> answerRecord(call, id, result.value)
+                is StoreResult.Absent -> unknown()
                 else -> later(call)
             }
         }
@@ -108,7 +108,7 @@
         val allowed = known.filter { it.allowedFor(spec) }
         if (allowed.isEmpty()) return "a task fits no allowed machine type"
         if (tooFewZones(spec, allowed)) return "may not be in as few zones as it has to"
-        val tasks = if (spec.shape == Shape.BATCH) 1 else spec.tasks
+        val tasks = if (spec.shape == JobKind.ARRAY) 1 else spec.tasks
         val slack = MachineType.EPSILON
         return if (
             spec.cpus * tasks > team.cpusMax + slack || spec.gpus * tasks > team.gpusMax + slack
@@ -122,7 +122,7 @@
      * zone can't give to those that may not all be in one.
      */
     private fun tooFewZones(spec: JobSpec, allowed: List<MachineType>): Boolean {
-        if (spec.shape == Shape.BATCH || !spec.spread) return false
+        if (spec.shape == JobKind.ARRAY || !spec.spread) return false
         val zones =
             if (spec.zone != null || spec.oneZone) 1 else allowed.flatMap { it.zones }.toSet().size
         return spec.zoneLimit * zones < spec.tasks
@@ -144,14 +144,14 @@
         val record = JobRecord(JobState.ACCEPTED, context.wall.value, spec).toJson()
         val changes =
             listOf(
-                Change(put = JobRecord.key(id), data = record),
-                Change(put = JobRecord.openKey(id), data = record),
+                WriteOperation(put = JobRecord.key(id), data = record),
+                WriteOperation(put = JobRecord.openKey(id), data = record),
             )
-        val absent = listOf(Condition(JobRecord.key(id), 0))
-        store.multi(absent, changes, Priority.USER_WRITE) { result ->
+        val absent = listOf(VersionCondition(JobRecord.key(id), 0))
+        store.multi(absent, changes, RequestPriority.USER_WRITE) { result ->
             when (result) {
-                is Result.Ok -> {
-                    polls.learn(id, Stamp(result.value))
+                is StoreResult.Ok -> {
+                    polls.learn(id, KeyVersion(result.value))
                     log.info(
                         "{} accepted: {} {} tasks of {} CPUs for {}",
                         id,
@@ -162,11 +162,11 @@
                     )
                     answerState(call, HttpStatus.CREATED, id, JobState.ACCEPTED)
                 }
-                is Result.Conflict -> settle(call, id) { later(call) }
+                is StoreResult.Conflict -> settle(call, id) { later(call) }
                 // Perhaps written: read before anything is said.
-                is Result.Indeterminate -> settle(call, id) { later(call) }
+                is StoreResult.Indeterminate -> settle(call, id) { later(call) }
                 // Found too large by how the service counts; it is not asked that again.
-                is Result.Invalid ->
+                is StoreResult.Invalid ->
                     if (JobRecord.takes(spec) > mostRecordBytes) refuse(call, id, 422, TOO_LARGE)
                     else later(call)
                 else -> later(call)
@@ -200,45 +200,45 @@
         if (final != null) return answerFinal(call, id, final)
         store.get(JobRecord.key(id)) { result ->
             when (result) {
-                is Result.Ok -> {
+                is StoreResult.Ok -> {
                     val record = JobRecord.of(result.value.data)
                     if (record?.state == JobState.ACCEPTED)
                         cancel(call, id, result.value, record, tries)
                     else answerRecord(call, id, result.value)
                 }
-                is Result.Absent -> context.answer(call, 404, """{"error":"unknown job"}""")
+                is StoreResult.Absent -> context.answer(call, 404, """{"error":"unknown job"}""")
                 else -> later(call)
             }
         }
     }
 
-    private fun cancel(call: Long, id: JobId, item: Item, record: JobRecord, tries: Int) {
+    private fun cancel(call: Long, id: JobId, item: KeyValue, record: JobRecord, tries: Int) {
         val cancelled = record.cancelled(store.maxValueBytes).toJson()
         val changes =
             listOf(
-                Change(put = JobRecord.key(id), data = cancelled),
-                Change(put = JobRecord.cancelledKey(id), data = cancelled),
-                Change(remove = JobRecord.openKey(id)),
+                WriteOperation(put = JobRecord.key(id), data = cancelled),
+                WriteOperation(put = JobRecord.cancelledKey(id), data = cancelled),
+                WriteOperation(remove = JobRecord.openKey(id)),
             )
-        val unchanged = listOf(Condition(JobRecord.key(id), item.stamp))
-        store.multi(unchanged, changes, Priority.USER_WRITE) { result ->
+        val unchanged = listOf(VersionCondition(JobRecord.key(id), item.version))
+        store.multi(unchanged, changes, RequestPriority.USER_WRITE) { result ->
             when {
-                result is Result.Ok -> {
+                result is StoreResult.Ok -> {
                     log.info("{} cancelled by its user", id)
                     learnFinal(id, JobState.CANCELLED)
                     answerState(call, 200, id, JobState.CANCELLED)
                 }
                 // Changed meanwhile, or perhaps written: the record tells.
-                (result is Result.Conflict || result is Result.Indeterminate) && tries > 0 ->
+                (result is StoreResult.Conflict || result is StoreResult.Indeterminate) && tries > 0 ->
                     abort(call, id, tries - 1)
                 else -> later(call)
             }
         }
     }
 
-    private fun answerRecord(call: Long, id: JobId, item: Item) {
+    private fun answerRecord(call: Long, id: JobId, item: KeyValue) {
         val state = JobRecord.of(item.data)?.state ?: return later(call)
-        if (state == JobState.ACCEPTED) polls.learn(id, Stamp(item.stamp))
+        if (state == JobState.ACCEPTED) polls.learn(id, KeyVersion(item.version))
         learnFinal(id, state)
         answerState(call, 200, id, state)
     }
--- a/src/main/kotlin/wardmux/jobs/Polls.kt
+++ b/src/main/kotlin/wardmux/jobs/Polls.kt
@@ -3,16 +3,16 @@
 import it.unimi.dsi.fastutil.objects.Object2LongLinkedOpenHashMap
 import wardmux.core.CoreContext
 import wardmux.model.JobId
+import wardmux.model.KeyVersion
 import wardmux.model.Micros
-import wardmux.model.Stamp
-import wardmux.model.millis
+import wardmux.model.milliseconds
 import wardmux.records.JobRecord
-import wardmux.store.Condition
 import wardmux.store.IgnoredValue
-import wardmux.store.Item
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.store.KeyValue
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.VersionCondition
 
 /**
  * Questions that wait for a read. Answered in the order of who has waited longest; one read serves
@@ -22,7 +22,7 @@
  */
 class Polls(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val answer: (Long, JobId, Seen) -> Unit,
 ) {
     /** What a read that began after the question came has shown. */
@@ -30,7 +30,7 @@
         /** Accepted, and not over. */
         data object Open : Seen
 
-        class Record(val item: Item) : Seen
+        class Record(val item: KeyValue) : Seen
 
         data object Absent : Seen
 
@@ -49,8 +49,8 @@
     private var reading = 0
     private var scanning = false
 
-    fun learn(job: JobId, stamp: Stamp) {
-        open.putAndMoveToLast(job.value, stamp.value)
+    fun learn(job: JobId, version: KeyVersion) {
+        open.putAndMoveToLast(job.value, version.value)
         if (open.size > MOST_KNOWN) open.removeFirstLong()
     }
 
@@ -105,20 +105,20 @@
 
     private fun compare() {
         val asked = LinkedHashMap<JobId, List<Question>>()
-        val conditions = ArrayList<Condition>()
+        val conditions = ArrayList<VersionCondition>()
         val jobs = waiting.entries.iterator()
         while (jobs.hasNext() && conditions.size < store.maxConditions) {
             val (job, questions) = jobs.next()
             if (!open.containsKey(job.value)) continue
             jobs.remove()
             asked[job] = questions
-            conditions.add(Condition(JobRecord.key(job), open.getLong(job.value)))
+            conditions.add(VersionCondition(JobRecord.key(job), open.getLong(job.value)))
         }
         comparing++
-        store.multi(conditions, emptyList(), Priority.READ) { result ->
+        store.multi(conditions, emptyList(), RequestPriority.READ) { result ->
             comparing--
-            val changed = (result as? Result.Conflict)?.failed.orEmpty().toSet()
-            val told = result is Result.Ok || changed.isNotEmpty()
+            val changed = (result as? StoreResult.Conflict)?.failed.orEmpty().toSet()
+            val told = result is StoreResult.Ok || changed.isNotEmpty()
             for ((job, questions) in asked) {
                 when {
                     !told -> tell(job, questions, Seen.Nothing)
@@ -139,8 +139,8 @@
             reading--
             val seen =
                 when (result) {
-                    is Result.Ok -> Seen.Record(result.value)
-                    is Result.Absent -> Seen.Absent
+                    is StoreResult.Ok -> Seen.Record(result.value)
+                    is StoreResult.Absent -> Seen.Absent
                     else -> Seen.Nothing
                 }
             tell(job, questions, seen)
@@ -156,13 +156,13 @@
         scanning = true
         val asked = LinkedHashMap(waiting)
         waiting.clear()
-        store.scan(JobRecord.OPEN_PREFIX, IgnoredValue.serializer(), Priority.READ) { found ->
+        store.scan(JobRecord.OPEN_PREFIX, IgnoredValue.serializer(), RequestPriority.READ) { found ->
             scanning = false
             val listed = HashSet<JobId>()
             for (item in found?.items.orEmpty()) {
                 val job = JobId(item.key.removePrefix(JobRecord.OPEN_PREFIX))
                 listed.add(job)
-                learn(job, Stamp(item.stamp))
+                learn(job, KeyVersion(item.version))
             }
             for ((job, questions) in asked) {
                 when {
@@ -184,6 +184,6 @@
         const val WORTH_A_SCAN = 12
 
         /** Users wait for two seconds. */
-        val PATIENCE = 1_700.millis
+        val PATIENCE = 1_700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -10,9 +10,9 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.model.JobId
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
-import wardmux.model.Shape
-import wardmux.model.Urgency
+import wardmux.model.PriorityClass
 
 /** What came of reading a submission. [id] is given wherever it could be read. */
 sealed interface Submission {
@@ -59,17 +59,17 @@
             team = text(json, "owner"),
             shape =
                 when (text(json, "shape")) {
-                    "batch" -> Shape.BATCH
-                    "daemon" -> Shape.DAEMON
-                    "group" -> Shape.GANG
+                    "batch" -> JobKind.ARRAY
+                    "daemon" -> JobKind.SERVICE
+                    "group" -> JobKind.GANG
                     else -> throw Wrong("shape")
                 },
             urgency =
                 when (text(json, "urgency")) {
-                    "prod" -> Urgency.PROD
-                    "high" -> Urgency.HIGH
-                    "normal" -> Urgency.NORMAL
-                    "idle" -> Urgency.IDLE
+                    "prod" -> PriorityClass.PROD
+                    "high" -> PriorityClass.HIGH
+                    "normal" -> PriorityClass.NORMAL
+                    "idle" -> PriorityClass.IDLE
                     else -> throw Wrong("urgency")
                 },
             tasks = count(json, "pieces"),
--- a/src/main/kotlin/wardmux/leader/FinishedJobs.kt
+++ b/src/main/kotlin/wardmux/leader/CompletedJobs.kt
@@ -3,19 +3,19 @@
 import wardmux.jobs.SubmissionReader
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobKind
+import wardmux.model.JobPhase
 import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Stamp
-import wardmux.model.Urgency
+import wardmux.model.PriorityClass
 
 /** Stand-ins for jobs that are done and of which only pages are left to be removed. */
-object FinishedJobs {
+object CompletedJobs {
     /** The job [id], over and finished, with nothing known of what it was. */
     fun of(id: JobId, pageSize: Int): Job {
-        val job = Job(spec(id), Stamp.ABSENT, Micros.ZERO, pageSize)
-        job.over = true
-        job.finished = true
+        val job = Job(spec(id), KeyVersion.ABSENT, Micros.ZERO, pageSize)
+        job.phase = JobPhase.DONE
         return job
     }
 
@@ -24,8 +24,8 @@
             id = id.value,
             jobClass = "",
             team = "",
-            shape = Shape.BATCH,
-            urgency = Urgency.IDLE,
+            shape = JobKind.ARRAY,
+            urgency = PriorityClass.IDLE,
             tasks = SubmissionReader.MAX_TASKS,
             cpus = 0.0,
             gpus = 0.0,
--- a/src/main/kotlin/wardmux/leader/LeaderSession.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -7,98 +7,98 @@
 import wardmux.cloud.Provisioner
 import wardmux.cloud.RentalOrders
 import wardmux.config.OperatorSettings
-import wardmux.config.PlatformSettings
+import wardmux.config.PlatformConfig
 import wardmux.core.CoreContext
 import wardmux.drain.DrainEnvironment
 import wardmux.drain.LeaderDrains
-import wardmux.election.Leadership
+import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.fleet.Fleet
-import wardmux.fleet.FleetHealth
-import wardmux.forwarding.Batch
-import wardmux.forwarding.BatchAnswer
-import wardmux.forwarding.Relays
-import wardmux.forwarding.StoreRelayServer
-import wardmux.lease.LeaderKnowledge
+import wardmux.fleet.MachineHealthMonitor
+import wardmux.forwarding.ForwardingCoordinator
+import wardmux.forwarding.HeartbeatBatch
+import wardmux.forwarding.HeartbeatBatchResponse
+import wardmux.forwarding.StoredBatchServer
+import wardmux.lease.LeaderCancellationView
 import wardmux.lease.LeaseRenewals
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobProgress
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Micros
-import wardmux.model.Progress
-import wardmux.model.Stamp
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.peers.Cancellations
 import wardmux.records.JobRecord
 import wardmux.records.StoredPage
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.MachinePools
 import wardmux.scheduling.PlacementStore
 import wardmux.scheduling.Planner
 import wardmux.scheduling.Preemption
-import wardmux.scheduling.TaskStopper
-import wardmux.store.Event
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.Scanned
-import wardmux.store.StateStore
-import wardmux.worker.Report
-import wardmux.worker.ReportReader
+import wardmux.scheduling.TaskEvictor
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.ScannedKey
+import wardmux.store.StoreResult
+import wardmux.store.WatchEvent
+import wardmux.worker.WorkerHeartbeat
+import wardmux.worker.WorkerHeartbeatReader
 
 /**
  * All that a controller holds while it leads, from reading what is stored until it is deposed. A
  * term that is over does nothing more.
  */
-class LeaderSession(
+class LeaderTerm(
     private val context: CoreContext,
-    private val store: StateStore,
-    private val leadership: Leadership,
+    private val store: KeyValueStore,
+    private val leadership: LeaderElection,
     private val role: Role.Leader,
     private val types: MachineTypeCatalog,
     cloud: CloudClient,
-    platform: PlatformSettings,
+    platform: PlatformConfig,
     private val operators: OperatorSettings,
-    private val reader: ReportReader,
+    private val reader: WorkerHeartbeatReader,
     private val learnFinal: (JobId, JobState) -> Unit,
     private val cancellations: Cancellations,
     renewals: LeaseRenewals,
     /** True if another controller could lead. */
     private val hasSiblings: () -> Boolean,
 ) : PlacementStore.Listener {
-    private val log = logger<LeaderSession>()
-    private val facts = platform.facts
+    private val log = logger<LeaderTerm>()
+    private val deployment = platform.deployment
     private val pageSize = Job.pageSize(store.layoutBytes)
 
     private val queue =
         FairQueue(
-            facts.teams.associate { it.name to it.cpus },
-            operators.halfLifeS.secs,
+            deployment.teams.associate { it.name to it.cpus },
+            operators.halfLifeS.seconds,
             operators.normS,
         )
-    private val cluster = Cluster(context, facts.teams, queue)
+    private val cluster = ClusterState(context, deployment.teams, queue)
     private val knowledge =
-        LeaderKnowledge(context, cluster, cancellations, role.token, facts.workers)
+        LeaderCancellationView(context, cluster, cancellations, role.token, deployment.workers)
     private val pools = MachinePools(context) { types.types.orEmpty() }
     private val planner =
-        Planner(context, cluster, operators, facts.workers, facts.objectives, pools) {
+        Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools) {
             types.types.orEmpty()
         }
-    private val stopper = TaskStopper(cluster, facts.workers)
+    private val stopper = TaskEvictor(cluster, deployment.workers)
     private val preemption = Preemption(context, cluster, planner, stopper, operators)
     private val placementStore =
-        PlacementStore(context, store, cluster, role, operators.writePeriodS.secs, this)
+        PlacementStore(context, store, cluster, role, operators.writePeriodS.seconds, this)
     private val fleet =
         Fleet(
             context,
             cluster,
             stopper,
             types,
-            facts.workers,
+            deployment.workers,
             operators,
             role.token,
             { leadership.leaseIsValid },
@@ -108,30 +108,30 @@
             ::decommission,
             leadership::seen,
             ::sendAway,
-            facts.limits.sockets.directCommands,
+            deployment.limits.sockets.directCommands,
         )
     private val relays =
-        Relays(
+        ForwardingCoordinator(
             context,
             cluster,
             fleet,
             reader,
             platform.member,
             role.token,
-            facts.workers,
-            facts.limits,
+            deployment.workers,
+            deployment.limits,
             operators,
-            platform.siblings.isNotEmpty(),
+            platform.peers.isNotEmpty(),
             knowledge,
         )
-    private val storeRelay = StoreRelayServer(context, store, role, ::take)
+    private val storeRelay = StoredBatchServer(context, store, role, ::take)
     private val health =
-        FleetHealth(
+        MachineHealthMonitor(
             context,
             cluster,
             fleet,
             types,
-            facts.workers,
+            deployment.workers,
             operators,
             { loaded },
             relays::renewedAtLatest,
@@ -146,8 +146,8 @@
             fleet,
             planner,
             operators,
-            facts.cloud,
-            CapacityDemand(context, cluster, facts.objectives) { store.maxValueBytes },
+            deployment.cloud,
+            CapacityDemand(context, cluster, deployment.objectives) { store.maxValueBytes },
             rentalOrders(cloud),
             MachineDrainer(context, cluster, planner.eligibility, stopper),
             ::decommission,
@@ -160,7 +160,7 @@
         get() = knowledge.isLoaded
 
     /** When to look next whether another could lead better; not before a lease has passed. */
-    private var nextCutOffCheckAt = context.now + operators.leaderLeaseS.secs
+    private var nextCutOffCheckAt = context.now + operators.leaderLeaseS.seconds
     private var over = false
 
     private val storedState = StoredStateReader(store)
@@ -187,7 +187,7 @@
             planner.eligibility,
             stopper,
             provisioner,
-            facts,
+            deployment,
             operators,
             { types.types.orEmpty() },
             { loaded && !over && leadership.leaseIsValid },
@@ -203,8 +203,8 @@
             fleet,
             operators,
             role.token,
-            facts.cloud,
-            facts.zones,
+            deployment.cloud,
+            deployment.zones,
         )
 
     fun end() {
@@ -218,13 +218,13 @@
 
     private fun sendAway(): String? = relays.sendAway()
 
-    fun handleReport(call: Long, report: Report) {
-        fleet.handleReport(call, report)
+    fun handleHeartbeat(call: Long, report: WorkerHeartbeat) {
+        fleet.handleHeartbeat(call, report)
         planIfChanged()
     }
 
     /** What a relay has heard; null if it is not for this leader. */
-    fun take(batch: Batch): BatchAnswer? {
+    fun take(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         if (batch.token != role.token.value) return null
         return relays.take(batch).also { planIfChanged() }
     }
@@ -237,7 +237,7 @@
     /** A user was told so, by this controller or by another. */
     fun cancelled(id: JobId) {
         val job = cluster.jobs[id] ?: return
-        if (job.finished || job.over || job.complete) return
+        if (job.isDone || job.hasEnded || job.allTasksDone) return
         log.info("{} is cancelled; {} tasks are out", job.id, job.placements.size)
         cluster.cancel(job, cancellations.toldSince(id))
         fleet.sendDirect()
@@ -299,16 +299,16 @@
         }
 
     private fun dropSettledJobs() {
-        cluster.jobs.values.removeIf { it.settled }
+        cluster.jobs.values.removeIf { it.isRemovable }
     }
 
-    fun progress(): List<Progress> =
+    fun progress(): List<JobProgress> =
         cluster.jobs.values.take(MAX_PROGRESS_JOBS).map { progressOf(it) }
 
-    fun progressOf(id: JobId): Progress? = cluster.jobs[id]?.let { progressOf(it) }
+    fun progressOf(id: JobId): JobProgress? = cluster.jobs[id]?.let { progressOf(it) }
 
-    private fun progressOf(job: Job): Progress {
-        return Progress(job.id.value, job.doneCount, job.running)
+    private fun progressOf(job: Job): JobProgress {
+        return JobProgress(job.id.value, job.doneCount, job.running)
     }
 
     // Reading what is stored.
@@ -326,8 +326,8 @@
 
     private fun load(state: StoredState, askedAt: Micros) {
         state.tags?.let { queue.load(it.data) }
-        placementStore.tagsStamp = state.tags?.stamp ?: 0
-        for (item in state.openJobs.items) addJob(item.data ?: continue, Stamp(item.stamp))
+        placementStore.tagsVersion = state.tags?.version ?: 0
+        for (item in state.openJobs.items) addJob(item.data ?: continue, KeyVersion(item.version))
         for (item in state.cancelledJobs) loadCancelled(item)
         cancellations.shown(askedAt)
         for (item in state.pages) loadPage(item)
@@ -335,7 +335,7 @@
             markDecommissioned(MachineId(item.key.removePrefix(PlacementStore.MACHINES)))
         }
         pools.observeNow(cluster.jobs.values)
-        watchFrom = state.openJobs.epoch
+        watchFrom = state.openJobs.revision
         watchAt = context.now
         knowledge.isLoaded = true
         knowledge.hasRead = true
@@ -346,17 +346,17 @@
             cluster.jobs.size,
             cluster.jobs.values.sumOf { it.placements.size },
             cluster.jobs.values.count { it.isCancelled },
-            (context.now - askedAt).seconds,
+            (context.now - askedAt).inSeconds,
         )
     }
 
-    private fun loadCancelled(item: Scanned<JobRecord>) {
+    private fun loadCancelled(item: ScannedKey<JobRecord>) {
         val id = JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
         cancellations.learnStored(id)
         // One that was cancelled since the open ones were read: the watch tells that.
         if (id in cluster.jobs) return
         // When its user was told is not stored: unless this process knows, as long ago as can be.
-        addJob(item.data ?: return, Stamp(item.stamp))?.let {
+        addJob(item.data ?: return, KeyVersion(item.version))?.let {
             cluster.cancel(it, cancellations.toldSince(id))
         }
     }
@@ -370,20 +370,20 @@
         machine.deleting = true
     }
 
-    private fun loadPage(item: Scanned<StoredPage>) {
+    private fun loadPage(item: ScannedKey<StoredPage>) {
         val id = JobId(item.key.removePrefix(Job.PAGES).substringBefore('/'))
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         // Nothing of a done job is on a machine; its pages are only to be removed.
-        val job = cluster.jobs.getOrPut(id) { FinishedJobs.of(id, pageSize) }
-        val placed = job.load(page, item.stamp, item.data)
-        if (job.finished) return job.placements.clear()
+        val job = cluster.jobs.getOrPut(id) { CompletedJobs.of(id, pageSize) }
+        val placed = job.load(page, item.version, item.data)
+        if (job.isDone) return job.placements.clear()
         for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
     }
 
-    private fun addJob(record: JobRecord, stamp: Stamp): Job? {
+    private fun addJob(record: JobRecord, version: KeyVersion): Job? {
         val spec = record.spec ?: return null
         if (spec.jobId in cluster.jobs) return null
-        val job = Job(spec, stamp, Micros(record.acceptedAt), pageSize)
+        val job = Job(spec, version, Micros(record.acceptedAt), pageSize)
         cluster.jobs[spec.jobId] = job
         cluster.changed()
         return job
@@ -393,32 +393,32 @@
         watchAt = null
         val generation = watchGeneration
         val askedAt = context.now
-        store.watch(JobRecord.OPEN_PREFIX, watchFrom, WATCH_TIME, Priority.LEADER) { result ->
+        store.watch(JobRecord.OPEN_PREFIX, watchFrom, WATCH_TIME, RequestPriority.LEADER) { result ->
             if (over || generation != watchGeneration) return@watch
             when (result) {
-                is Result.Ok -> {
-                    watchFrom = maxOf(watchFrom, result.value.epoch)
+                is StoreResult.Ok -> {
+                    watchFrom = maxOf(watchFrom, result.value.revision)
                     for (event in result.value.events) take(event)
                     cancellations.shown(askedAt)
                     watchAt = context.now + WATCH_PAUSE
                     planAndWrite()
                 }
                 // Too old to go on from.
-                is Result.Invalid -> lost()
+                is StoreResult.Invalid -> lost()
                 else -> watchAt = context.now + WATCH_RETRY
             }
         }
     }
 
-    private fun take(event: Event) {
+    private fun take(event: WatchEvent) {
         val put = event.put
         val removed = event.remove
         if (put != null && event.data != null) {
-            JobRecord.of(event.data)?.let { addJob(it, Stamp(event.stamp)) }
+            JobRecord.of(event.data)?.let { addJob(it, KeyVersion(event.version)) }
         } else if (removed != null) {
             // Of a job that is done it was this leader that removed it.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
-            if (job.finished) return
+            if (job.isDone) return
             cancellations.learn(job.id)
             // A sibling may have told it while what is stored was being read, before the job was
             // here.
@@ -448,7 +448,7 @@
             job.spec.tasks,
             job.spec.jobClass,
             job.spec.team,
-            took.seconds.toInt(),
+            took.inSeconds.toInt(),
             job.spec.deadlineS ?: "no",
         )
         learnFinal(job.id, JobState.DONE)
@@ -456,7 +456,7 @@
 
     override fun changed(job: Job) {
         // Its user has cancelled it; the watch will say so too.
-        if (!job.finished) {
+        if (!job.isDone) {
             log.info("{} was cancelled meanwhile", job.id)
             cluster.cancel(job, cancellations.informedAt)
         }
@@ -475,15 +475,15 @@
     }
 
     private companion object {
-        val LOAD_RETRY = 300.millis
+        val LOAD_RETRY = 300.milliseconds
         /** Short, as what is known counts from when the watch began. */
-        val WATCH_TIME = 2.secs
-        val WATCH_PAUSE = 80.millis
-        val WATCH_RETRY = 400.millis
-        val PREEMPTION_PERIOD = 500.millis
-        val CUT_OFF_CHECK_PERIOD = 400.millis
-        val PLAN_PERIOD_MOST = 500.millis
-        val PLAN_PERIOD_LEAST = 50.millis
+        val WATCH_TIME = 2.seconds
+        val WATCH_PAUSE = 80.milliseconds
+        val WATCH_RETRY = 400.milliseconds
+        val PREEMPTION_PERIOD = 500.milliseconds
+        val CUT_OFF_CHECK_PERIOD = 400.milliseconds
+        val PLAN_PERIOD_MOST = 500.milliseconds
+        val PLAN_PERIOD_LEAST = 50.milliseconds
         /**
          * A heartbeat takes far more, at some 50 bytes for each job; the counts are for display.
          */
