--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -7,21 +7,21 @@
 import wardmux.records.StoredPage
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.PlacementStore
-import wardmux.store.Item
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.Scanned
-import wardmux.store.StateStore
+import wardmux.store.KeyValue
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.ScannedKey
+import wardmux.store.StoreResult
 
 /** All that the state service holds for a leader, as one reading found it. */
 class StoredState(
     /** Tags and usage of all teams; null if no leader has written them yet. */
-    val tags: Item?,
+    val tags: KeyValue?,
     /** Jobs that were open, with the revision from which changes to them are watched. */
-    val openJobs: StateStore.Scan<JobRecord>,
-    val pages: List<Scanned<StoredPage>>,
-    val decommissionedMachines: List<Scanned<JsonElement>>,
-    val cancelledJobs: List<Scanned<JobRecord>>,
+    val openJobs: KeyValueStore.Scan<JobRecord>,
+    val pages: List<ScannedKey<StoredPage>>,
+    val decommissionedMachines: List<ScannedKey<JsonElement>>,
+    val cancelledJobs: List<ScannedKey<JobRecord>>,
 )
 
 /**
@@ -32,7 +32,7 @@
  * - the cancelled jobs come last, after the open ones: a job that left the open ones meanwhile is
  *   either among the cancelled ones, or done.
  */
-class StoredStateReader(private val store: StateStore) {
+class StoredStateReader(private val store: KeyValueStore) {
     private var current: Reading? = null
 
     /**
@@ -51,20 +51,20 @@
     }
 
     private inner class Reading(private val then: (StoredState?) -> Unit) {
-        private var tags: Item? = null
-        private lateinit var openJobs: StateStore.Scan<JobRecord>
-        private lateinit var pages: List<Scanned<StoredPage>>
-        private lateinit var decommissionedMachines: List<Scanned<JsonElement>>
+        private var tags: KeyValue? = null
+        private lateinit var openJobs: KeyValueStore.Scan<JobRecord>
+        private lateinit var pages: List<ScannedKey<StoredPage>>
+        private lateinit var decommissionedMachines: List<ScannedKey<JsonElement>>
 
         fun readTags() {
-            store.get(FairQueue.KEY, Priority.LEADER) { result ->
+            store.get(FairQueue.KEY, RequestPriority.LEADER) { result ->
                 if (current !== this) return@get
                 when (result) {
-                    is Result.Ok -> {
+                    is StoreResult.Ok -> {
                         tags = result.value
                         readOpenJobs()
                     }
-                    is Result.Absent -> readOpenJobs()
+                    is StoreResult.Absent -> readOpenJobs()
                     else -> finish(null)
                 }
             }
@@ -100,7 +100,7 @@
         private fun <T : Any> scan(
             prefix: String,
             values: KSerializer<T>,
-            next: (StateStore.Scan<T>) -> Unit,
+            next: (KeyValueStore.Scan<T>) -> Unit,
         ) {
             store.scan(prefix, values) { found ->
                 if (current !== this) return@scan
--- a/src/main/kotlin/wardmux/lease/CancellationKnowledge.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationView.kt
@@ -2,11 +2,11 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
+import wardmux.model.FencingToken
 import wardmux.model.JobId
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.TaskAttempt
-import wardmux.model.Token
 
 /** Tasks of cancelled jobs that may be on [machine]: whoever renews its lease halts them all. */
 @Serializable
@@ -16,9 +16,9 @@
 )
 
 /** What a controller knows of cancelled tasks when it answers a machine's report. */
-interface CancellationKnowledge {
+interface CancellationView {
     /** The token under which it may be used. */
-    val token: Token
+    val token: FencingToken
 
     /** From then on it is too old to renew a lease with. */
     val usableUntil: Micros
--- a/src/main/kotlin/wardmux/lease/LeaderKnowledge.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -1,17 +1,17 @@
 package wardmux.lease
 
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
+import wardmux.model.FencingToken
 import wardmux.model.JobId
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.Placement
 import wardmux.model.TaskAttempt
 import wardmux.model.TaskId
-import wardmux.model.Token
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.peers.Cancellations
-import wardmux.scheduling.Cluster
+import wardmux.scheduling.ClusterState
 
 /**
  * What the leader knows of cancelled tasks: the records of where each task may be, and the
@@ -22,13 +22,13 @@
  * it, and a watch that is open may be one that the service has stopped serving. One that has not
  * read yet renews only if reading takes so long that all work would be lost otherwise.
  */
-class LeaderKnowledge(
+class LeaderCancellationView(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val cancellations: Cancellations,
-    override val token: Token,
-    private val workers: WorkerFacts,
-) : CancellationKnowledge {
+    override val token: FencingToken,
+    private val workers: WorkerTiming,
+) : CancellationView {
     private val renewableFor = CancellationDeadline(workers).renewableFor
     private val electedAt = context.now
 
@@ -40,7 +40,7 @@
 
     override val usableUntil: Micros
         get() {
-            val early = context.now - electedAt <= workers.leaseS.secs * LATE_READING_SHARE
+            val early = context.now - electedAt <= workers.leaseS.seconds * LATE_READING_SHARE
             if (!hasRead && early) return Micros.LONG_AGO
             return cancellations.informedAt + renewableFor
         }
@@ -58,18 +58,18 @@
         var attempts: ArrayList<TaskAttempt>? = null
         for (placement in cluster.placementsOn(machine)) {
             if (!isUrgent(placement)) continue
-            attempts = (attempts ?: ArrayList()).also { it.add(placement.attemptOfTask) }
+            attempts = (attempts ?: ArrayList()).also { it.add(placement.taskAttempt) }
         }
         if (!isLoaded) {
-            val loose = looseCancelled(machine)
-            if (loose.isNotEmpty()) attempts = (attempts ?: ArrayList()).also { it.addAll(loose) }
+            val unconfirmedStarts = looseCancelled(machine)
+            if (unconfirmedStarts.isNotEmpty()) attempts = (attempts ?: ArrayList()).also { it.addAll(unconfirmedStarts) }
         }
         return attempts ?: emptyList()
     }
 
     /** While what is stored is read again, starts under way are all that is known of a machine. */
     private fun looseCancelled(machine: MachineId): List<TaskAttempt> =
-        cluster.machines[machine]?.loose.orEmpty().filter { attempt ->
+        cluster.machines[machine]?.unconfirmedStarts.orEmpty().filter { attempt ->
             TaskId.parse(attempt.task)?.let { isCancelled(it.job) } == true
         }
 
@@ -86,13 +86,13 @@
             if (!job.isCancelled) continue
             for (placement in job.placements.values) {
                 if (!isUrgent(placement)) continue
-                byMachine.getOrPut(placement.machine) { ArrayList() }.add(placement.attemptOfTask)
+                byMachine.getOrPut(placement.machine) { ArrayList() }.add(placement.taskAttempt)
             }
         }
         if (!isLoaded) {
             for (machine in cluster.machines.values) {
-                val loose = looseCancelled(machine.id)
-                if (loose.isNotEmpty()) byMachine.getOrPut(machine.id) { ArrayList() }.addAll(loose)
+                val unconfirmedStarts = looseCancelled(machine.id)
+                if (unconfirmedStarts.isNotEmpty()) byMachine.getOrPut(machine.id) { ArrayList() }.addAll(unconfirmedStarts)
             }
         }
         return byMachine.map { (machine, tasks) -> CancelledTasks(machine.value, tasks) }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -2,14 +2,14 @@
 
 import wardmux.core.CoreContext
 import wardmux.logging.logger
+import wardmux.model.FencingToken
 import wardmux.model.MachineId
 import wardmux.model.TaskAttempt
 import wardmux.model.TaskId
 import wardmux.model.TaskStatus
-import wardmux.model.Token
-import wardmux.worker.Order
-import wardmux.worker.Report
 import wardmux.worker.ReportedTask
+import wardmux.worker.WorkerCommand
+import wardmux.worker.WorkerHeartbeat
 
 /** Why the answer to a report does not renew the lease. */
 enum class WithholdingReason {
@@ -29,7 +29,7 @@
     class Withhold(val reason: WithholdingReason) : RenewalDecision {
         /** The answer, under no leader's token. */
         val answer: ByteArray
-            get() = ReportResponse.DROPPED
+            get() = WorkerHeartbeatResponse.DROPPED
     }
 }
 
@@ -39,17 +39,17 @@
  */
 class LeaseRenewal
 internal constructor(
-    val token: Token,
+    val token: FencingToken,
     /** What the answer has to carry: without these halts it must not go out. */
-    val halts: List<Order>,
+    val halts: List<WorkerCommand>,
     private val plainAnswer: ByteArray,
 ) {
     /** The answer that renews the lease, with [orders] besides the halts. */
-    fun answer(orders: List<Order>): ByteArray {
+    fun answer(orders: List<WorkerCommand>): ByteArray {
         if (halts.isEmpty() && orders.isEmpty()) return plainAnswer
-        val halted = halts.mapTo(HashSet()) { it.attemptOfTask }
-        val others = orders.filter { it.verb != Order.HALT || it.attemptOfTask !in halted }
-        return ReportResponse.renewing(this, halts + others).encode()
+        val halted = halts.mapTo(HashSet()) { it.taskAttempt }
+        val others = orders.filter { it.verb != WorkerCommand.HALT || it.taskAttempt !in halted }
+        return WorkerHeartbeatResponse.renewing(this, halts + others).encode()
     }
 }
 
@@ -66,15 +66,15 @@
 
     /** The answer without orders under [plainToken], which most reports get. */
     private var plainAnswer = ByteArray(0)
-    private var plainToken: Token? = null
+    private var plainToken: FencingToken? = null
 
     /** Machines whose lease was withheld last, so that each change is logged once. */
     private val withheld = HashSet<String>()
     private var uninformed = false
-    private val checked = CheckedReports()
+    private val checked = CheckedHeartbeats()
 
     /** Whether [report] may be answered by a renewal, to the best of what is known. */
-    fun decide(report: Report, knowledge: CancellationKnowledge): RenewalDecision {
+    fun decide(report: WorkerHeartbeat, knowledge: CancellationView): RenewalDecision {
         if (context.now >= knowledge.usableUntil) return withholdUninformed(knowledge)
         if (uninformed) logInformed(knowledge)
         val mustHalt = knowledge.mustHalt(MachineId(report.machine))
@@ -91,16 +91,16 @@
     }
 
     private fun halts(
-        report: Report,
+        report: WorkerHeartbeat,
         mustHalt: List<TaskAttempt>,
-        knowledge: CancellationKnowledge,
-    ): List<Order> {
+        knowledge: CancellationView,
+    ): List<WorkerCommand> {
         val learned = knowledge.cancellationsLearned
         if (mustHalt.isEmpty() && checked.isFree(report, learned)) return emptyList()
-        var halts: ArrayList<Order>? = null
+        var halts: ArrayList<WorkerCommand>? = null
         for (task in report.tasks) {
             if (task.status == TaskStatus.ENDED || !isCancelled(task, mustHalt, knowledge)) continue
-            val order = Order.halt(task.task, task.attempt, 0.0)
+            val order = WorkerCommand.halt(task.task, task.attempt, 0.0)
             halts = (halts ?: ArrayList()).also { it.add(order) }
         }
         if (halts != null) return halts
@@ -111,17 +111,17 @@
     private fun isCancelled(
         task: ReportedTask,
         mustHalt: List<TaskAttempt>,
-        knowledge: CancellationKnowledge,
+        knowledge: CancellationView,
     ): Boolean {
         if (mustHalt.any { it.task == task.task && it.attempt == task.attempt }) return true
         val id = TaskId.parse(task.task) ?: return false
         return knowledge.isCancelled(id.job)
     }
 
-    private fun plainAnswer(token: Token): ByteArray {
+    private fun plainAnswer(token: FencingToken): ByteArray {
         if (plainToken != token) {
             plainToken = token
-            plainAnswer = ReportResponse.plain(token)
+            plainAnswer = WorkerHeartbeatResponse.plain(token)
             // Another leader: what it withholds is logged anew.
             withheld.clear()
             checked.clear()
@@ -129,7 +129,7 @@
         return plainAnswer
     }
 
-    private fun withholdUninformed(knowledge: CancellationKnowledge): RenewalDecision {
+    private fun withholdUninformed(knowledge: CancellationView): RenewalDecision {
         counters.withheld(WithholdingReason.UNINFORMED)
         if (!uninformed) {
             uninformed = true
@@ -141,15 +141,15 @@
         return RenewalDecision.Withhold(WithholdingReason.UNINFORMED)
     }
 
-    private fun logInformed(knowledge: CancellationKnowledge) {
+    private fun logInformed(knowledge: CancellationView) {
         uninformed = false
         log.info("renewal=resumed token={}: cancellations are known", knowledge.token)
     }
 
     private fun withholdUnproven(
-        report: Report,
+        report: WorkerHeartbeat,
         mustHalt: List<TaskAttempt>,
-        knowledge: CancellationKnowledge,
+        knowledge: CancellationView,
     ): RenewalDecision {
         counters.withheld(WithholdingReason.UNPROVEN)
         if (withheld.add(report.machine)) {
@@ -163,7 +163,7 @@
         return RenewalDecision.Withhold(WithholdingReason.UNPROVEN)
     }
 
-    private fun logHalts(report: Report, halts: List<Order>, knowledge: CancellationKnowledge) {
+    private fun logHalts(report: WorkerHeartbeat, halts: List<WorkerCommand>, knowledge: CancellationView) {
         if (halts.isEmpty()) return
         log.info(
             "renewal=granted machine={} token={} halts={} jobs={}",
--- a/src/main/kotlin/wardmux/lease/RenewalCounters.kt
+++ b/src/main/kotlin/wardmux/lease/RenewalCounters.kt
@@ -5,7 +5,7 @@
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Counts what answers to reports did to leases, and logs the counts once in a while. */
 class RenewalCounters(private val context: CoreContext) {
@@ -45,6 +45,6 @@
     }
 
     private companion object {
-        val PERIOD = 60.secs
+        val PERIOD = 60.seconds
     }
 }
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -12,7 +12,7 @@
 import wardmux.serialization.jsonBytes
 
 /** What a task asks of its machine. */
-data class Need(
+data class ResourceRequest(
     val cpus: Double,
     val gpus: Double,
     val memoryGb: Double,
@@ -39,23 +39,23 @@
  * A job with its tasks: one class of like work. Waiting tasks are those never tried, in order, and
  * then those that came back; a large job costs no more here than a small one.
  */
-class Job(val spec: JobSpec, val stamp: Stamp, val acceptedAt: Micros, val pageSize: Int) {
+class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, val pageSize: Int) {
     val id: JobId = spec.jobId
 
     /** Jobs with the same need find the same machines. */
-    val need = Need(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
+    val resourceRequest = ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
 
     /** Where its tasks may go depends on where its others are. */
-    val zoned: Boolean
+    val isZoneBound: Boolean
         get() = spec.oneZone || spec.spread
 
     val placements = Int2ObjectOpenHashMap<Placement>()
     private val done = BitSet()
     private val recorded = BitSet()
     private val attempts = Int2IntOpenHashMap()
-    private val cameBack = IntArrayFIFOQueue()
-    private var nextFresh = 0
-    private val pageStamps = Int2LongOpenHashMap()
+    private val requeued = IntArrayFIFOQueue()
+    private var nextUntried = 0
+    private val pageVersions = Int2LongOpenHashMap()
     private val dirty = IntOpenHashSet()
 
     /** Placements of each page that no write holds yet. */
@@ -69,8 +69,12 @@
     val running: Int
         get() = placements.values.count { it.runningSince != null }
 
-    /** Cancelled or done: nothing starts any more, and what is left is taken down. */
-    var over = false
+    /** What the job's record says; only an open job has tasks started. */
+    var phase = JobPhase.OPEN
+
+    /** Cancelled or done: nothing starts any more, and what is left on machines is stopped. */
+    val hasEnded: Boolean
+        get() = phase != JobPhase.OPEN
 
     /**
      * The earliest moment at which a user may have been told that it is cancelled. Not when this
@@ -78,22 +82,23 @@
      */
     var cancelledSince = Micros.LONG_AGO
 
-    /** The record says done. */
-    var finished = false
+    /** The job's record says that it is done. */
+    val isDone: Boolean
+        get() = phase == JobPhase.DONE
 
     val isCancelled: Boolean
-        get() = over && !finished
+        get() = phase == JobPhase.CANCELLED
 
     /** Nothing that is stored of it says any more that something may be on a machine. */
-    val settled: Boolean
-        get() = over && placements.isEmpty() && pageStamps.isEmpty() && (finished || unlisted)
+    val isRemovable: Boolean
+        get() = hasEnded && placements.isEmpty() && pageVersions.isEmpty() && (isDone || unlisted)
 
     /** No longer listed among the cancelled jobs of which something is left. */
     var unlisted = false
 
     /** Machines on which tasks of this job failed since one of them last completed. */
-    val failedOn = HashSet<MachineId>()
-    var notBefore = Micros.LONG_AGO
+    val failedMachines = HashSet<MachineId>()
+    var backoffUntil = Micros.LONG_AGO
 
     /** Since when a task that could run has not been placed; null while none waits for room. */
     var blockedSince: Micros? = null
@@ -102,14 +107,14 @@
     fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > SCARCE_AFTER } == true
 
     /** When others were last stopped to give its team the guarantee. */
-    var calledBackAt = Micros.LONG_AGO
+    var lastReclaimAt = Micros.LONG_AGO
 
     val doneCount: Int
         get() = done.cardinality()
 
     val waiting: Int
         get() =
-            if (over) 0
+            if (hasEnded) 0
             // Of a gang all are done at once, those on their machines too.
             else (spec.tasks - done.cardinality() - placements.size).coerceAtLeast(0)
 
@@ -122,7 +127,7 @@
      * the same; those of a service never complete, so what they were charged is never corrected.
      */
     val sharesCharge: Boolean
-        get() = spec.shape != Shape.BATCH
+        get() = spec.shape != JobKind.ARRAY
 
     /** Larger than any before. */
     val nextGangAttempt: Int
@@ -131,8 +136,8 @@
     /** All tasks of a gang get one number, and are placed in their order: each page's together. */
     fun beginAttempt(now: Micros) {
         gang = GangAttempt(nextGangAttempt, now)
-        cameBack.clear()
-        nextFresh = 0
+        requeued.clear()
+        nextUntried = 0
     }
 
     /** What would be started without the others is not started: all have to be recorded. */
@@ -143,15 +148,15 @@
                     placements.size == spec.tasks &&
                     placements.values.all { it.committed })
 
-    val complete: Boolean
+    val allTasksDone: Boolean
         get() = done.cardinality() == spec.tasks
 
     /** Failing on several machines: the job is at fault, and stands behind its team's others. */
-    val atFault: Boolean
-        get() = failedOn.size >= FAULTY_MACHINES
+    val isFailing: Boolean
+        get() = failedMachines.size >= FAULTY_MACHINES
 
     /** A task of it was started once. */
-    val begun: Boolean
+    val hasStarted: Boolean
         get() = !placements.isEmpty() || !attempts.isEmpty()
 
     /** Tasks that were started once, are not done and are not placed now. */
@@ -162,18 +167,18 @@
                 .filter { it.intValue > 0 && free(it.intKey) }
                 .map { it.intKey }
 
-    fun isDone(task: Int) = done.get(task)
+    fun isTaskDone(task: Int) = done.get(task)
 
-    fun isRecorded(task: Int) = finished || recorded.get(task)
+    fun isRecorded(task: Int) = isDone || recorded.get(task)
 
     /** The next waiting task, or -1. */
     fun takeWaiting(): Int {
-        while (nextFresh < spec.tasks) {
-            val task = nextFresh++
+        while (nextUntried < spec.tasks) {
+            val task = nextUntried++
             if (free(task) && (spec.isGang || !attempts.containsKey(task))) return task
         }
-        while (!cameBack.isEmpty) {
-            val task = cameBack.dequeueInt()
+        while (!requeued.isEmpty) {
+            val task = requeued.dequeueInt()
             if (free(task)) return task
         }
         return -1
@@ -181,16 +186,16 @@
 
     /** Its page is full for now: its turn comes after that of all others, with its page's rest. */
     fun setAside(task: Int) {
-        cameBack.enqueue(task)
+        requeued.enqueue(task)
         val end = lastOf(task) + 1
-        if (nextFresh <= task || nextFresh > end) return
-        while (nextFresh < end) {
-            val next = nextFresh++
-            if (free(next) && !attempts.containsKey(next)) cameBack.enqueue(next)
+        if (nextUntried <= task || nextUntried > end) return
+        while (nextUntried < end) {
+            val next = nextUntried++
+            if (free(next) && !attempts.containsKey(next)) requeued.enqueue(next)
         }
     }
 
-    fun putBack(task: Int) = cameBack.enqueueFirst(task)
+    fun putBack(task: Int) = requeued.enqueueFirst(task)
 
     private fun free(task: Int) = !done.get(task) && !placements.containsKey(task)
 
@@ -218,7 +223,7 @@
         placements.remove(task)
         if (!placement.committed) planned.addTo(task / pageSize, -1)
         touch(task, wall)
-        if (!done.get(task)) cameBack.enqueue(task)
+        if (!done.get(task)) requeued.enqueue(task)
     }
 
     /** The placement was never written, so its attempt number is free again. */
@@ -241,9 +246,9 @@
     fun dirtyPages(): IntArray =
         if (dirty.isEmpty()) NO_PAGES else dirty.toIntArray().also { it.sort() }
 
-    fun storedPages(): IntArray = pageStamps.keys.toIntArray().also { it.sort() }
+    fun storedPages(): IntArray = pageVersions.keys.toIntArray().also { it.sort() }
 
-    fun pageStamp(page: Int): Long = pageStamps.get(page)
+    fun pageVersion(page: Int): Long = pageVersions.get(page)
 
     fun hasPlanned(page: Int): Boolean = planned.get(page) > 0
 
@@ -329,8 +334,8 @@
     }
 
     /** The page as it was at [doneThen] is stored now. */
-    fun written(page: Int, stamp: Long, doneThen: BitSet) {
-        pageStamps.put(page, stamp)
+    fun written(page: Int, version: Long, doneThen: BitSet) {
+        pageVersions.put(page, version)
         recorded.clear(page * pageSize, (page + 1) * pageSize)
         recorded.or(doneThen)
     }
@@ -346,13 +351,13 @@
     }
 
     fun forgetPage(page: Int) {
-        pageStamps.remove(page)
+        pageVersions.remove(page)
         clean(page)
     }
 
     /** At take-over: what a stored page says. */
-    fun load(page: Int, stamp: Long, stored: StoredPage?): List<Placement> {
-        pageStamps.put(page, stamp)
+    fun load(page: Int, version: Long, stored: StoredPage?): List<Placement> {
+        pageVersions.put(page, version)
         val placed = stored?.placementsOf(this)
         if (placed == null) {
             logger<Job>().error("page {} of {} can't be read", page, id)
@@ -364,7 +369,7 @@
         }
         for (i in stored.tried.indices step 2) {
             attempts.put(stored.tried[i], stored.tried[i + 1])
-            cameBack.enqueue(stored.tried[i])
+            requeued.enqueue(stored.tried[i])
         }
         return placed.onEach { placement ->
             placement.committed = true
@@ -378,7 +383,7 @@
 
     companion object {
         const val FAULTY_MACHINES = 2
-        private val SCARCE_AFTER = 4.secs
+        private val SCARCE_AFTER = 4.seconds
 
         /** Keeps the pages of all jobs; a page's key is `t/<job>/<page>`. */
         const val PAGES = "t/"
--- a/src/main/kotlin/wardmux/model/JobKind.kt
+++ b/src/main/kotlin/wardmux/model/JobKind.kt
@@ -11,9 +11,9 @@
 import kotlinx.serialization.json.JsonPrimitive
 
 @Serializable
-enum class Shape {
-    @SerialName("batch") BATCH,
-    @SerialName("daemon") DAEMON,
+enum class JobKind {
+    @SerialName("batch") ARRAY,
+    @SerialName("daemon") SERVICE,
 
     /** All tasks run at the same time, and need each other. */
     @SerialName("group") GANG,
@@ -21,7 +21,7 @@
 
 /** From the most to the least urgent. */
 @Serializable
-enum class Urgency {
+enum class PriorityClass {
     @SerialName("prod") PROD,
     @SerialName("high") HIGH,
     @SerialName("normal") NORMAL,
--- a/src/main/kotlin/wardmux/model/Progress.kt
+++ b/src/main/kotlin/wardmux/model/JobProgress.kt
@@ -5,7 +5,7 @@
 
 /** How far a job is, for display. */
 @Serializable
-data class Progress(
+data class JobProgress(
     @SerialName("job") val job: String,
     @SerialName("done") val done: Int,
     @SerialName("running") val running: Int,
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -16,8 +16,8 @@
     @SerialName("name_id") val id: String,
     @SerialName("jobclass") val jobClass: String,
     @SerialName("owner") val team: String,
-    @SerialName("shape") val shape: Shape,
-    @SerialName("urgency") val urgency: Urgency,
+    @SerialName("shape") val shape: JobKind,
+    @SerialName("urgency") val urgency: PriorityClass,
     @SerialName("pieces") val tasks: Int,
     @SerialName("cores") val cpus: Double,
     @SerialName("gpus") val gpus: Double,
@@ -38,10 +38,10 @@
         get() = JobId(id)
 
     val estimate: Micros
-        get() = estimateS.secs
+        get() = estimateS.seconds
 
     val isGang: Boolean
-        get() = shape == Shape.GANG
+        get() = shape == JobKind.GANG
 
     val savable: Boolean
         get() = checkpointS > 0
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -1,7 +1,5 @@
 package wardmux.model
 
-import wardmux.worker.ReportedTask
-
 /** What a drain makes of a machine. */
 enum class Maintenance {
     NONE,
@@ -18,11 +16,11 @@
 
 /** A machine as the leader knows it. */
 class Machine(val id: MachineId, val type: MachineType, val zone: String, val spot: Boolean) {
-    var shift = 0L
+    var incarnation = 0L
     var tick = -1L
 
     /** When its last report under this leader's token came that was no copy: a sign of life. */
-    var heardAt: Micros? = null
+    var lastHeartbeatAt: Micros? = null
 
     /** When a report of it was last answered; its lease may run from then. */
     var renewedAt = Micros.LONG_AGO
@@ -31,46 +29,46 @@
      * When its present session was first heard of, or took this leader's token: a session's first
      * lease runs unrenewed, and until then others may have renewed it.
      */
-    var sessionAt = Micros.LONG_AGO
+    var incarnationSince = Micros.LONG_AGO
 
     /** Its lease runs from here at the latest. */
     val leaseFrom: Micros
-        get() = maxOf(renewedAt, sessionAt)
+        get() = maxOf(renewedAt, incarnationSince)
 
     /** When it was first heard of under an older token; perhaps by a copy of an old report. */
-    var firstStaleReportAt: Micros? = null
+    var firstStaleHeartbeatAt: Micros? = null
 
     /** Known from reports under an older token only: it may be gone for long. */
-    var onlyStaleReports = false
+    var hasOnlyStaleHeartbeats = false
 
     /** The relay that its last report came through, or null if it came to the leader itself. */
-    var via: String? = null
+    var forwardedBy: String? = null
 
     /** When an unsure leader last sent it on to another controller. */
-    var sentOnAt = Micros.LONG_AGO
+    var lastRedirectAt = Micros.LONG_AGO
 
     /** Where it takes direct orders. */
     var endpoint = ""
 
     /** A direct order is under way; one at a time. */
-    var directBusy = false
-    var directSince = Micros.LONG_AGO
+    var isCommandInFlight = false
+    var commandSentAt = Micros.LONG_AGO
 
     /**
      * Since when direct orders have gone unanswered in this session, so that they may be carried
      * out at any time; or null.
      */
-    var brokenSince: Micros? = null
+    var startUnansweredSince: Micros? = null
 
-    val directBroken: Boolean
-        get() = brokenSince != null
+    val hasUnansweredStart: Boolean
+        get() = startUnansweredSince != null
 
     /** When a direct command last found no connection to it. */
-    var unconnectedAt = Micros.LONG_AGO
+    var connectionFailedAt = Micros.LONG_AGO
 
     /** A direct command found no connection, and it has not been heard since. */
-    val unconnected: Boolean
-        get() = unconnectedAt > (heardAt ?: Micros.LONG_AGO)
+    val isUnreachable: Boolean
+        get() = connectionFailedAt > (lastHeartbeatAt ?: Micros.LONG_AGO)
 
     /** Its report is overdue, and asked for its state it did not answer; when it is asked next. */
     var probeFailed = false
@@ -81,14 +79,13 @@
      * from a report proves nothing, and they are not forgotten: a start that is carried out after
      * it would run the attempt once more.
      */
-    val loose = HashSet<TaskAttempt>()
+    val unconfirmedStarts = HashSet<TaskAttempt>()
 
     /** Attempts that ended otherwise than done, the oldest first: when that was first reported. */
     val endedSince = LinkedHashMap<TaskAttempt, Micros>()
 
     /** True for one that ended more than [kept] ago, or for the oldest of very many. */
-    fun mayForget(reported: ReportedTask, now: Micros, kept: Micros): Boolean {
-        val attempt = reported.attemptOfTask
+    fun mayForget(attempt: TaskAttempt, now: Micros, kept: Micros): Boolean {
         val since = endedSince.getOrPut(attempt) { now }
         val many = endedSince.size > MOST_ENDED && endedSince.keys.first() == attempt
         if (!many && now - since <= kept) return false
@@ -98,14 +95,14 @@
 
     /** It has reported under this leader's token, so no earlier leader can order it about. */
     var confirmed = false
-    var recalledAt: Micros? = null
+    var preemptionNoticeAt: Micros? = null
 
     /** When the cloud takes it, as its notice says. */
-    var takenAt = Micros.NEVER
+    var preemptedAt = Micros.NEVER
     var decommissioned = false
 
     /** It gets no new tasks, so that it can be returned once it is empty. */
-    var draining = false
+    var isScalingIn = false
 
     /** What a drain that operators asked for makes of it. */
     var maintenance = Maintenance.NONE
@@ -152,10 +149,10 @@
     private var usedGpus = 0.0
     private var usedMemory = 0.0
 
-    val up: Boolean
-        get() = heardAt != null
+    val isUp: Boolean
+        get() = lastHeartbeatAt != null
 
-    val empty: Boolean
+    val isEmpty: Boolean
         get() = placements.isEmpty() && orphans.isEmpty()
 
     /** Something of a cancelled job may be here. */
@@ -210,14 +207,14 @@
         if (placements[placement.name] !== placement) return
         placements.remove(placement.name)
         book(placement.job.spec, -1)
-        if (empty) idleSince = now
+        if (isEmpty) idleSince = now
     }
 
     private fun book(spec: JobSpec, sign: Int) {
         usedCpus += sign * spec.cpus
         usedGpus += sign * spec.gpus
         usedMemory += sign * spec.memoryGb
-        if (spec.shape == Shape.DAEMON) serviceCpus += sign * spec.cpus
+        if (spec.shape == JobKind.SERVICE) serviceCpus += sign * spec.cpus
         if (placements.isEmpty()) {
             serviceCpus = 0.0
             usedCpus = 0.0
@@ -276,7 +273,7 @@
 
     private fun fetchEnd(now: Micros): Micros = maxOf(fetchesOver, now)
 
-    private fun fetchTime(gb: Double) = (gb / type.fetchGbPerS).secs
+    private fun fetchTime(gb: Double) = (gb / type.fetchGbPerS).seconds
 
     private class Image(val gb: Double, var readyAt: Micros)
 
--- a/src/main/kotlin/wardmux/model/Placement.kt
+++ b/src/main/kotlin/wardmux/model/Placement.kt
@@ -6,7 +6,7 @@
     val task: TaskId,
     val attempt: Int,
     val machine: MachineId,
-    val shift: Long,
+    val incarnation: Long,
     /** Kept with the placement: its machine may not have been heard of by a later leader. */
     val zone: String,
     val charge: Charge,
@@ -14,7 +14,7 @@
     /** As workers name the task. */
     val name = task.toString()
 
-    val attemptOfTask: TaskAttempt
+    val taskAttempt: TaskAttempt
         get() = TaskAttempt(name, attempt)
 
     /** Written, so the start may go out. */
@@ -31,7 +31,7 @@
     var runningSince: Micros? = null
 
     /** The newest report that shows it, by its tick in the machine's session. */
-    var shownTick = -1L
+    var lastSeenTick = -1L
 
     /** A start went out in this term; reports show whether it has to go out again. */
     var startSent = false
@@ -40,15 +40,15 @@
     var startedAt: Micros? = null
 
     /** The halt in force went out directly. */
-    var haltSent = false
+    var stopSent = false
 
     /** It is being stopped: how long it may take to save. */
-    var haltWithin: Micros? = null
+    var gracePeriod: Micros? = null
 
     /** A start of it may be on its way or was carried out, by this leader or by an earlier one. */
     val mayBeStarted: Boolean
         get() = restored || startedAt != null
 
-    val halting: Boolean
-        get() = haltWithin != null
+    val isStopping: Boolean
+        get() = gracePeriod != null
 }
--- a/src/main/kotlin/wardmux/model/Units.kt
+++ b/src/main/kotlin/wardmux/model/Units.kt
@@ -16,7 +16,7 @@
 
     override fun compareTo(other: Micros) = value.compareTo(other.value)
 
-    val seconds: Double
+    val inSeconds: Double
         get() = value / 1e6
 
     override fun toString() = "${value}us"
@@ -31,13 +31,13 @@
 /** The most by which two steady clocks differ in rate, as a share of the elapsed time. */
 const val MAX_CLOCK_DRIFT = 0.001
 
-val Int.millis: Micros
+val Int.milliseconds: Micros
     get() = Micros(this * 1_000L)
 
-val Int.secs: Micros
+val Int.seconds: Micros
     get() = Micros(this * 1_000_000L)
 
-val Double.secs: Micros
+val Double.seconds: Micros
     get() = Micros((this * 1e6).roundToLong())
 
 /** The id of a job, as its user gave it. */
@@ -69,16 +69,16 @@
 
 /** Identifies who is entitled to give orders; the revision of the write that took leadership. */
 @JvmInline
-value class Token(val value: Long) : Comparable<Token> {
-    override fun compareTo(other: Token) = value.compareTo(other.value)
+value class FencingToken(val value: Long) : Comparable<FencingToken> {
+    override fun compareTo(other: FencingToken) = value.compareTo(other.value)
 
     override fun toString() = value.toString()
 }
 
 /** Revision of a key's last change in the state service; [ABSENT] means that it does not exist. */
 @JvmInline
-value class Stamp(val value: Long) {
+value class KeyVersion(val value: Long) {
     companion object {
-        val ABSENT = Stamp(0)
+        val ABSENT = KeyVersion(0)
     }
 }
--- a/src/main/kotlin/wardmux/peers/Cancellations.kt
+++ b/src/main/kotlin/wardmux/peers/Cancellations.kt
@@ -8,10 +8,10 @@
 import wardmux.model.JobId
 import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.records.JobRecord
 import wardmux.store.IgnoredValue
-import wardmux.store.StateStore
+import wardmux.store.KeyValueStore
 
 /** How many of the cancellations that process [boot] of [member] told the asker has. */
 @Serializable
@@ -23,7 +23,7 @@
 
 /** What a process has told users to be cancelled, as an answer to a sibling's heartbeat. */
 @Serializable
-class CancellationReport(
+class CancellationUpdate(
     @SerialName("boot") val boot: String,
     /** How long this process has run, in microseconds: it answers for no former one. */
     @SerialName("up") val up: Long,
@@ -45,9 +45,9 @@
  */
 class Cancellations(
     private val context: CoreContext,
-    private val store: StateStore,
+    private val store: KeyValueStore,
     private val boot: String,
-    private val siblings: List<String>,
+    private val peers: List<String>,
     /** What was cancelled longer ago can't be on a machine any more. */
     private val horizon: Micros,
     /** One that this process did not know of. */
@@ -126,8 +126,8 @@
     private fun siblingsAt(): Micros? {
         if (!covers(startedAt ?: return null)) return null
         var least = context.now
-        for (sibling in siblings) {
-            val progress = siblingProgress[sibling] ?: return null
+        for (peer in peers) {
+            val progress = siblingProgress[peer] ?: return null
             if (!covers(progress.since)) return null
             least = minOf(least, progress.at)
         }
@@ -144,17 +144,17 @@
         }
 
     /** What a sibling that is at [cursor] does not know yet of what this process told. */
-    fun reportFor(cursor: CancellationCursor?): CancellationReport {
+    fun reportFor(cursor: CancellationCursor?): CancellationUpdate {
         removeOld()
         val from = maxOf(cursor?.takeIf { it.boot == boot }?.count ?: 0, dropped)
         val rest = confirmedHere.drop((from - dropped).toInt())
         val jobs = rest.take(MAX_REPORTED_JOBS).map { it.job.value }
         val up = (context.now - (startedAt ?: context.now)).value
-        return CancellationReport(boot, up, from, jobs, more = rest.size > MAX_REPORTED_JOBS)
+        return CancellationUpdate(boot, up, from, jobs, more = rest.size > MAX_REPORTED_JOBS)
     }
 
     /** The answer of [member] to what was sent at [sentAt]: it holds all that it told till then. */
-    fun accept(member: String, report: CancellationReport, sentAt: Micros) {
+    fun accept(member: String, report: CancellationUpdate, sentAt: Micros) {
         var progress = siblingProgress[member]
         if (progress == null || progress.boot != report.boot) {
             val since = context.now - Micros(report.up.coerceAtLeast(0)) * (1 - MAX_CLOCK_DRIFT)
@@ -202,9 +202,9 @@
 
     companion object {
         private const val MAX_REPORTED_JOBS = 500
-        private val SCAN_PERIOD = 2.secs
+        private val SCAN_PERIOD = 2.seconds
         private const val HORIZON_FACTOR = 1.1
-        private val HORIZON_MARGIN = 5.secs
+        private val HORIZON_MARGIN = 5.seconds
 
         /** Somewhat more than a cancelled job's tasks may live. */
         fun horizon(cancelTime: Micros) = cancelTime * HORIZON_FACTOR + HORIZON_MARGIN
--- a/src/main/kotlin/wardmux/peers/Heartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
@@ -2,18 +2,18 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.model.Progress
-import wardmux.serialization.PeerCodec
+import wardmux.model.JobProgress
+import wardmux.serialization.CborFormat
 
 /** A controller's word to its siblings, about once a second. */
 @Serializable
-data class Heartbeat(
+data class PeerHeartbeat(
     @SerialName("member") val member: String,
     /** The leader's token; null from all others. */
     @SerialName("token") val token: Long? = null,
     /** How long ago the state service last answered it, in microseconds. */
     @SerialName("stateSilence") val stateSilence: Long = 0,
-    @SerialName("progress") val progress: List<Progress> = emptyList(),
+    @SerialName("progress") val progress: List<JobProgress> = emptyList(),
     /** The leader wants the others to take workers' reports too. */
     @SerialName("wantsRelays") val wantsRelays: Boolean = false,
     /** Of what the others told users to be cancelled, how much is known here. */
@@ -21,19 +21,19 @@
 )
 
 /** Heartbeats and their answers as bytes. */
-object HeartbeatCodec {
+object PeerHeartbeatCodec {
     /** A heartbeat as it is sent. */
-    fun encode(heartbeat: Heartbeat): ByteArray =
-        PeerCodec.encode(Heartbeat.serializer(), heartbeat)
+    fun encode(heartbeat: PeerHeartbeat): ByteArray =
+        CborFormat.encode(PeerHeartbeat.serializer(), heartbeat)
 
     /** The heartbeat in [bytes], or null if they hold none. */
-    fun decode(bytes: ByteArray): Heartbeat? = PeerCodec.decode(Heartbeat.serializer(), bytes)
+    fun decode(bytes: ByteArray): PeerHeartbeat? = CborFormat.decode(PeerHeartbeat.serializer(), bytes)
 
     /** The answer to a heartbeat as it is sent. */
-    fun encode(told: CancellationReport): ByteArray =
-        PeerCodec.encode(CancellationReport.serializer(), told)
+    fun encode(told: CancellationUpdate): ByteArray =
+        CborFormat.encode(CancellationUpdate.serializer(), told)
 
     /** The answer in [bytes], or null if they hold none. */
-    fun told(bytes: ByteArray): CancellationReport? =
-        PeerCodec.decode(CancellationReport.serializer(), bytes)
+    fun told(bytes: ByteArray): CancellationUpdate? =
+        CborFormat.decode(CancellationUpdate.serializer(), bytes)
 }
--- a/src/main/kotlin/wardmux/peers/Peers.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -4,20 +4,20 @@
 import wardmux.core.HttpStatus
 import wardmux.core.Outcome
 import wardmux.core.Target
+import wardmux.model.FencingToken
+import wardmux.model.JobProgress
 import wardmux.model.Micros
-import wardmux.model.Progress
-import wardmux.model.Token
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /**
  * Talk between the controllers: each tells the others that it lives and whether the state service
  * answers it; the leader also who leads and how far the jobs are.
  */
-class Peers(
+class PeerHeartbeats(
     private val context: CoreContext,
     private val member: String,
-    private val siblings: List<String>,
+    private val peers: List<String>,
     private val cancellations: Cancellations,
 ) {
     private class SiblingStatus(val at: Micros, val stateSilence: Micros)
@@ -25,25 +25,25 @@
     private var nextHeartbeatAt = Micros.ZERO
     private val busy = HashSet<String>()
     private val heard = HashMap<String, SiblingStatus>()
-    private var progress = emptyMap<String, Progress>()
+    private var progress = emptyMap<String, JobProgress>()
     private var progressAt = Micros.LONG_AGO
     private var progressToken = 0L
     private var relaysWanted = false
 
     /** Whether [member] is one of the siblings in the settings. */
-    fun knows(member: String) = member in siblings
+    fun knows(member: String) = member in peers
 
     /** The leader's counts for [job], if they are recent. */
-    fun progressOf(job: String): Progress? =
+    fun progressOf(job: String): JobProgress? =
         if (context.now - progressAt < STALE) progress[job] else null
 
     /** The answer says what this controller told users to be cancelled. */
-    fun received(heartbeat: Heartbeat): CancellationReport {
+    fun received(heartbeat: PeerHeartbeat): CancellationUpdate {
         recordHeartbeat(heartbeat)
         return cancellations.reportFor(heartbeat.heard.find { it.member == member })
     }
 
-    private fun recordHeartbeat(heartbeat: Heartbeat) {
+    private fun recordHeartbeat(heartbeat: PeerHeartbeat) {
         heard[heartbeat.member] = SiblingStatus(context.now, Micros(heartbeat.stateSilence))
         val token = heartbeat.token ?: return
         // A late copy of what a former leader said.
@@ -55,7 +55,7 @@
     }
 
     /** The leader of this token has said so in its last heartbeat. */
-    fun wantsRelays(leader: Token) =
+    fun wantsRelays(leader: FencingToken) =
         relaysWanted && progressToken == leader.value && context.now - progressAt < STALE
 
     /** Whether a heartbeat of any sibling came lately. */
@@ -67,44 +67,44 @@
      * controller that is cut off.
      */
     fun othersFareBetter(): Boolean {
-        if (siblings.isEmpty()) return false
+        if (peers.isEmpty()) return false
         val lately = heard.values.filter { context.now - it.at < STALE }
         return lately.isEmpty() || lately.any { it.stateSilence < ANSWERED_LATELY }
     }
 
     /** Sends a heartbeat to each sibling once a second, one at a time to each. */
     fun tick(
-        token: Token?,
+        token: FencingToken?,
         wantsRelays: Boolean,
         stateAnsweredAt: Micros,
-        progress: () -> List<Progress>,
+        progress: () -> List<JobProgress>,
     ) {
         if (context.now < nextHeartbeatAt) return
         nextHeartbeatAt = context.now + PERIOD
         val silence = (context.now - stateAnsweredAt).value
         val heard = cancellations.cursors()
-        val heartbeat = Heartbeat(member, token?.value, silence, progress(), wantsRelays, heard)
-        val body = HeartbeatCodec.encode(heartbeat)
+        val heartbeat = PeerHeartbeat(member, token?.value, silence, progress(), wantsRelays, heard)
+        val body = PeerHeartbeatCodec.encode(heartbeat)
         val sentAt = context.now
-        for (sibling in siblings) {
-            if (!busy.add(sibling)) continue
-            context.send(Target.Sibling(sibling), "POST", PATH, body, TIMEOUT) { outcome ->
-                busy.remove(sibling)
+        for (peer in peers) {
+            if (!busy.add(peer)) continue
+            context.send(Target.Peer(peer), "POST", PATH, body, TIMEOUT) { outcome ->
+                busy.remove(peer)
                 val response = outcome as? Outcome.Response
                 val told =
                     response
                         ?.takeIf { it.status == HttpStatus.OK }
-                        ?.let { HeartbeatCodec.told(it.body) }
-                if (told != null) cancellations.accept(sibling, told, sentAt)
+                        ?.let { PeerHeartbeatCodec.told(it.body) }
+                if (told != null) cancellations.accept(peer, told, sentAt)
             }
         }
     }
 
     companion object {
         const val PATH = "/beat"
-        private val PERIOD = 1.secs
-        private val STALE = 3.secs
-        private val ANSWERED_LATELY = 2.secs
-        private val TIMEOUT = 900.millis
+        private val PERIOD = 1.seconds
+        private val STALE = 3.seconds
+        private val ANSWERED_LATELY = 2.seconds
+        private val TIMEOUT = 900.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/records/StoredPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredPage.kt
@@ -46,14 +46,14 @@
         val placements = ArrayList<Placement>()
         val rest = numbers.iterator()
         for (machine in machines) {
-            val shift = rest.next()
+            val incarnation = rest.next()
             val zone = zones[rest.next().toInt()]
             repeat(rest.next().toInt()) {
                 val task = TaskId(job.id, rest.next().toInt())
                 val attempt = rest.next().toInt()
                 val charge = rest.next().toInt().let { Charge(Cost(costs[it]), weights[it]) }
                 placements.add(
-                    Placement(job, task, attempt, MachineId(machine), shift, zone, charge)
+                    Placement(job, task, attempt, MachineId(machine), incarnation, zone, charge)
                 )
             }
         }
@@ -71,7 +71,7 @@
             val zones = LinkedHashMap<String, Long>()
             val machines = ArrayList<String>()
             val numbers = ArrayList<Long>()
-            for ((place, there) in placed.groupBy { it.machine to it.shift }) {
+            for ((place, there) in placed.groupBy { it.machine to it.incarnation }) {
                 machines.add(place.first.value)
                 numbers.add(place.second)
                 numbers.add(zones.place(there.first().zone))
--- a/src/main/kotlin/wardmux/scheduling/Cluster.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -1,12 +1,13 @@
 package wardmux.scheduling
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.Cost
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobPhase
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineId
@@ -14,14 +15,14 @@
 import wardmux.model.Micros
 import wardmux.model.Placement
 import wardmux.model.TaskId
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /**
  * What the leader knows of jobs, machines and who is where. Whatever may be on a machine counts
  * against its room and its team's cap until it is proven gone.
  */
-class Cluster(private val context: CoreContext, teams: List<TeamFacts>, val queue: FairQueue) {
-    private val log = logger<Cluster>()
+class ClusterState(private val context: CoreContext, teams: List<TeamQuota>, val queue: FairQueue) {
+    private val log = logger<ClusterState>()
     val teams = teams.associateBy { it.name }
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
@@ -34,7 +35,7 @@
     private val orphanCounts = HashMap<JobId, Int>()
 
     /** Machines that may have orders to be sent to them directly. */
-    val due = LinkedHashSet<Machine>()
+    val machinesWithCommands = LinkedHashSet<Machine>()
 
     /** Operators' drains are not over: only these move what would run on elsewhere. */
     var hasDrains = false
@@ -84,7 +85,7 @@
                 TaskId(job.id, task),
                 job.nextAttempt(task),
                 machine.id,
-                machine.shift,
+                machine.incarnation,
                 machine.zone,
                 charge,
             )
@@ -98,7 +99,7 @@
     fun restore(placement: Placement, machine: Machine?) {
         if (machine != null) {
             machine.add(placement)
-            due.add(machine)
+            machinesWithCommands.add(machine)
         } else {
             unplaced.getOrPut(placement.machine) { LinkedHashSet() }.add(placement)
         }
@@ -128,7 +129,8 @@
 
     /** Its user may have been told from [since] on that the job is cancelled. */
     fun cancel(job: Job, since: Micros) {
-        if (!job.over) {
+        if (!job.hasEnded) {
+            job.phase = JobPhase.CANCELLED
             job.cancelledSince = since
             cancelled++
         }
@@ -137,14 +139,13 @@
 
     /** The job's record says done. */
     fun finish(job: Job) {
-        job.finished = true
+        job.phase = JobPhase.DONE
         end(job)
     }
 
     /** Nothing of the job is to go on: what is left of it is taken down. */
     private fun end(job: Job) {
-        job.over = true
-        for (placement in job.placements.values) machines[placement.machine]?.let { due.add(it) }
+        for (placement in job.placements.values) machines[placement.machine]?.let { machinesWithCommands.add(it) }
     }
 
     /** The placement is proven gone from its machine. */
@@ -160,7 +161,7 @@
         unbook(placement)
         placement.job.release(placement, context.wall)
         val gang = placement.job.gang
-        if (gang != null && gang.ran && !placement.job.complete) breakAttempt(placement.job)
+        if (gang != null && gang.ran && !placement.job.allTasksDone) breakAttempt(placement.job)
         changed()
     }
 
@@ -172,10 +173,10 @@
         val gang = job.gang ?: return
         gang.broken = true
         for (placement in job.placements.values) {
-            if (placement.haltWithin == Micros.ZERO) continue
-            placement.haltWithin = Micros.ZERO
-            placement.haltSent = false
-            machines[placement.machine]?.let { due.add(it) }
+            if (placement.gracePeriod == Micros.ZERO) continue
+            placement.gracePeriod = Micros.ZERO
+            placement.stopSent = false
+            machines[placement.machine]?.let { machinesWithCommands.add(it) }
         }
     }
 
@@ -256,7 +257,7 @@
         }
         jobs.clear()
         unplaced.clear()
-        due.clear()
+        machinesWithCommands.clear()
         cpus.clear()
         gpus.clear()
     }
@@ -269,7 +270,7 @@
             share = maxOf(share, spec.memoryGb * type.cpus / type.memoryGb)
             if (type.gpus > 0) share = maxOf(share, spec.gpus * type.cpus / type.gpus)
         }
-        return Cost((share * maxOf(run, 1.secs).value).toLong())
+        return Cost((share * maxOf(run, 1.seconds).value).toLong())
     }
 
     /** The type that shares are measured by. */
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -1,37 +1,37 @@
 package wardmux.scheduling
 
 import wardmux.config.OperatorSettings
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Maintenance
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 
 /** Which machines a task may go to, and which of them suits it best. */
 class Eligibility(
     private val context: CoreContext,
     private val operators: OperatorSettings,
-    private val workers: WorkerFacts,
+    private val workers: WorkerTiming,
     private val pools: MachinePools,
 ) {
     /** True if new tasks may go to the machine. */
     fun usable(machine: Machine): Boolean {
-        val heardAt = machine.heardAt ?: return false
-        val quiet = (workers.reportS * operators.quietReports).secs
+        val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
+        val quiet = (workers.reportS * operators.quietReports).seconds
         return machine.confirmed &&
             !machine.decommissioned &&
-            !machine.draining &&
+            !machine.isScalingIn &&
             machine.maintenance != Maintenance.CORDONED &&
-            !machine.directBroken &&
-            !machine.unconnected &&
-            machine.recalledAt == null &&
-            !(machine.directBusy && context.now - machine.directSince > UNANSWERED) &&
-            context.now - heardAt < quiet &&
+            !machine.hasUnansweredStart &&
+            !machine.isUnreachable &&
+            machine.preemptionNoticeAt == null &&
+            !(machine.isCommandInFlight && context.now - machine.commandSentAt > UNANSWERED) &&
+            context.now - lastHeartbeatAt < quiet &&
             // One that only answers gets no lease: what it took would die with its session.
             context.now - machine.renewedAt < quiet &&
             context.now >= machine.pausedUntil
@@ -45,7 +45,7 @@
         (spec.spot || !machine.spot) &&
             (spec.types == null || machine.type.label in spec.types) &&
             (spec.zone == null || spec.zone == machine.zone) &&
-            (machine.maintenance != Maintenance.YIELDING || spec.urgency <= Urgency.HIGH)
+            (machine.maintenance != Maintenance.YIELDING || spec.urgency <= PriorityClass.HIGH)
 
     /** True if a machine of this kind could take a task of the job, were it empty. */
     fun suits(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
@@ -63,7 +63,7 @@
 
     /** Where the tasks of a job that is bound to zones are or may be, with how many. */
     fun zonesOf(job: Job): Map<String, Int> {
-        if (!job.zoned) return emptyMap()
+        if (!job.isZoneBound) return emptyMap()
         val zones = HashMap<String, Int>()
         for (placement in job.placements.values) {
             zones.merge(placement.zone, 1, Int::plus)
@@ -78,13 +78,13 @@
      */
     fun score(spec: JobSpec, machine: Machine): Double {
         val fetch = machine.imageWait(spec.image, spec.imageGb, context.now)
-        return fetch.seconds * FETCH_WEIGHT +
+        return fetch.inSeconds * FETCH_WEIGHT +
             (pools.dearness(machine.type, machine.spot) - 1) * DEAR_WEIGHT +
             leftOver(spec, machine) / machine.type.cpus
     }
 
     private fun leftOver(spec: JobSpec, machine: Machine): Double =
-        if (spec.shape == Shape.DAEMON) machine.type.cpus - machine.serviceCpus - spec.cpus
+        if (spec.shape == JobKind.SERVICE) machine.type.cpus - machine.serviceCpus - spec.cpus
         else machine.freeCpus - spec.cpus
 
     private companion object {
@@ -92,6 +92,6 @@
         const val DEAR_WEIGHT = 0.5
 
         /** A direct command that is open for longer keeps new tasks from the machine. */
-        val UNANSWERED = 1.secs
+        val UNANSWERED = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -6,7 +6,7 @@
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.millis
+import wardmux.model.milliseconds
 
 /** Where a gang can go as a whole: with room for all of it, and pages that can be written. */
 class GangPlacement(
@@ -118,6 +118,6 @@
                 pagesHold(job, machines) { it.type.fitting(job.spec) })
 
     private companion object {
-        val IMAGE_WAIT_STEP = 250.millis
+        val IMAGE_WAIT_STEP = 250.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -1,13 +1,13 @@
 package wardmux.scheduling
 
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.model.GangAttempt
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.Machine
 import wardmux.model.MachineId
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /**
  * Keeps room and cap for gangs that wait: a gang needs all of both at once, and small tasks would
@@ -15,10 +15,10 @@
  */
 class GangReservations(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val eligibility: Eligibility,
     private val placement: GangPlacement,
-    private val workers: WorkerFacts,
+    private val workers: WorkerTiming,
 ) {
     /** Decides anew, before each plan, for the jobs that are [ready] to start. */
     fun update(ready: List<Job>) {
@@ -44,7 +44,7 @@
         ready
             .filter {
                 it.spec.isGang &&
-                    !it.atFault &&
+                    !it.isFailing &&
                     it.isBlockedLong(context.now) &&
                     !placement.neverWritten(it)
             }
@@ -140,7 +140,7 @@
     fun mayReplaceLost(job: Job) = job.gang?.let { mayReplaceIn(it) } == true
 
     private fun mayReplaceIn(gang: GangAttempt): Boolean {
-        val longest = (workers.gangWaitS * REPLACED_PART).secs
+        val longest = (workers.gangWaitS * REPLACED_PART).seconds
         return !gang.broken && !gang.ran && context.now - gang.since < longest
     }
 
--- a/src/main/kotlin/wardmux/scheduling/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -5,8 +5,8 @@
 import wardmux.model.JobSpec
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /**
  * Machine types that stand in for each other, because no open work needs the larger ones for their
@@ -102,7 +102,7 @@
     fun observeNow(jobs: Collection<Job>) {
         observeAt = context.now + PERIOD
         knownTypes = types()
-        val open = jobs.filter { !it.over && !it.complete }
+        val open = jobs.filter { !it.hasEnded && !it.allTasksDone }
         val demands = HashMap<String, ResourceDemand>()
         for (job in open) {
             val smallest = smallestFor(job.spec) ?: continue
@@ -150,9 +150,9 @@
     }
 
     private companion object {
-        val PERIOD = 250.millis
+        val PERIOD = 250.milliseconds
 
         /** Work of a kind that was there comes again: its machines are not filled up meanwhile. */
-        val REMEMBERED = 600.secs
+        val REMEMBERED = 600.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -42,7 +42,7 @@
     fun add(placement: Placement) {
         if (placement.attempt == 1) open++
         placed++
-        size.machine(placement.machine, placement.shift, placement.zone)
+        size.machine(placement.machine, placement.incarnation, placement.zone)
         size.task(placement.task.index, placement.attempt)
         size.charge(if (placement.job.sharesCharge) null else placement.charge)
     }
@@ -59,9 +59,9 @@
         private val zones = HashSet<String>()
         private val charges = HashSet<Charge?>()
 
-        fun machine(id: MachineId, shift: Long, zone: String) {
-            if (!machines.add(id to shift)) return
-            bytes += id.value.length + QUOTES + number(shift) + ZONE_PLACE + COUNT
+        fun machine(id: MachineId, incarnation: Long, zone: String) {
+            if (!machines.add(id to incarnation)) return
+            bytes += id.value.length + QUOTES + number(incarnation) + ZONE_PLACE + COUNT
             if (zones.add(zone)) bytes += zone.length + QUOTES
         }
 
@@ -149,7 +149,7 @@
             for (share in shares) {
                 repeat(share.tasks) {
                     if (task > 0 && task % job.pageSize == 0) size = RecordSize(FRAME)
-                    size.machine(share.machine.id, share.machine.shift, share.machine.zone)
+                    size.machine(share.machine.id, share.machine.incarnation, share.machine.zone)
                     size.task(task++, job.nextGangAttempt)
                     size.charge(null)
                     if (size.bytes + MOST_A_PLACEMENT > mostBytes) return false
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.core.CoreContext
-import wardmux.election.Leadership
+import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.logging.logger
 import wardmux.model.Job
@@ -15,15 +15,15 @@
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.records.JobRecord
 import wardmux.serialization.jsonBytes
-import wardmux.store.Change
-import wardmux.store.Condition
-import wardmux.store.Priority
-import wardmux.store.Result
-import wardmux.store.StateStore
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.VersionCondition
+import wardmux.store.WriteOperation
 
 /** The pages that one write still takes, for the planner: what can't be written isn't placed. */
 class Admission(private val most: Int, val mostBytes: Int = Int.MAX_VALUE) {
@@ -91,8 +91,8 @@
  */
 class PlacementStore(
     private val context: CoreContext,
-    private val store: StateStore,
-    private val cluster: Cluster,
+    private val store: KeyValueStore,
+    private val cluster: ClusterState,
     private val role: Role.Leader,
     private val period: Micros,
     private val listener: Listener,
@@ -123,7 +123,7 @@
 
     private inner class Draft {
         val conditions = arrayListOf(role.condition)
-        val changes = ArrayList<Change>()
+        val changes = ArrayList<WriteOperation>()
         val pages = ArrayList<WrittenPage>()
         val finishing = ArrayList<Job>()
         val decommissioning = ArrayList<Machine>()
@@ -138,7 +138,7 @@
 
         fun put(key: String, data: JsonElement) {
             bytes += key.length + data.toString().length
-            changes.add(Change(put = key, data = data))
+            changes.add(WriteOperation(put = key, data = data))
         }
     }
 
@@ -155,7 +155,7 @@
      * order two writes to different jobs: one that is applied late, after it was given up on, would
      * add its placements to those made since, and together they could pass a team's cap.
      */
-    var tagsStamp = 0L
+    var tagsVersion = 0L
     private var nextAt = Micros.LONG_AGO
 
     val ready: Boolean
@@ -186,7 +186,7 @@
     }
 
     private fun finishing() =
-        cluster.jobs.values.asSequence().filter { it.complete && !it.finished && !it.over }
+        cluster.jobs.values.asSequence().filter { it.allTasksDone && !it.isDone && !it.hasEnded }
 
     fun flush() {
         if (!ready) return
@@ -198,10 +198,10 @@
         addRemovals(draft)
         addExpiredDecommissions(draft)
         if (draft.changes.isEmpty()) return
-        draft.conditions.add(Condition(FairQueue.KEY, tagsStamp))
+        draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
         draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
         inFlight = true
-        store.multi(draft.conditions, draft.changes, Priority.LEADER) { settle(draft, it) }
+        store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { settle(draft, it) }
         nextAt = context.now + period
     }
 
@@ -211,7 +211,7 @@
                 if (!job.hasPlanned(page)) continue
                 if (!draft.room(1, 2)) return
                 if (addPage(draft, job, page)) {
-                    draft.conditions.add(Condition(JobRecord.key(job.id), job.stamp.value))
+                    draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
                 } else {
                     // No start goes out without its record.
                     for (placement in job.placementsOf(page)) {
@@ -225,10 +225,10 @@
     private fun addFinished(draft: Draft) {
         for (job in finishing()) {
             if (!draft.room(2, 1)) return
-            draft.conditions.add(Condition(JobRecord.key(job.id), job.stamp.value))
+            draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
             val record = JobRecord(JobState.DONE, job.acceptedAt.value)
             draft.put(JobRecord.key(job.id), record.toJson())
-            draft.changes.add(Change(remove = JobRecord.openKey(job.id)))
+            draft.changes.add(WriteOperation(remove = JobRecord.openKey(job.id)))
             draft.finishing.add(job)
         }
     }
@@ -244,7 +244,7 @@
     private fun addDirty(draft: Draft) {
         for (job in cluster.jobs.values) {
             val since = job.dirtySince ?: continue
-            if (job.over || job.complete || context.wall - since < PATIENCE) continue
+            if (job.hasEnded || job.allTasksDone || context.wall - since < PATIENCE) continue
             for (page in job.dirtyPages()) {
                 if (job.hasPlanned(page)) continue
                 val key = Job.pageKey(job.id, page)
@@ -258,20 +258,20 @@
     /** Pages of jobs that are over go once nothing of them is left on a machine. */
     private fun addRemovals(draft: Draft) {
         for (job in cluster.jobs.values) {
-            if (!job.over || job.placements.isNotEmpty()) continue
+            if (!job.hasEnded || job.placements.isNotEmpty()) continue
             val pages = job.storedPages()
             for (page in pages) {
                 // Nobody waits for it, so it never takes what a start or an end needs.
                 if (!draft.room(1, 1) || draft.changes.size >= store.writesToSpare) return
                 val key = Job.pageKey(job.id, page)
                 tooLargeUntil.remove(key)
-                draft.conditions.add(Condition(key, job.pageStamp(page)))
-                draft.changes.add(Change(remove = key))
+                draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+                draft.changes.add(WriteOperation(remove = key))
                 draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
             }
-            if (job.finished || job.unlisted || pages.isNotEmpty()) continue
+            if (job.isDone || job.unlisted || pages.isNotEmpty()) continue
             if (!draft.room(1, 0) || draft.changes.size >= store.writesToSpare) return
-            draft.changes.add(Change(remove = JobRecord.cancelledKey(job.id)))
+            draft.changes.add(WriteOperation(remove = JobRecord.cancelledKey(job.id)))
             draft.unlisting.add(job)
         }
     }
@@ -279,7 +279,7 @@
     private fun addExpiredDecommissions(draft: Draft) {
         for (machine in expiredDecommissions) {
             if (!draft.room(1, 0)) return
-            draft.changes.add(Change(remove = machineKey(machine)))
+            draft.changes.add(WriteOperation(remove = machineKey(machine)))
             draft.expiredDecommissions.add(machine)
         }
     }
@@ -297,7 +297,7 @@
             return false
         }
         tooLargeUntil.remove(key)
-        draft.conditions.add(Condition(key, job.pageStamp(page)))
+        draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
         draft.put(key, content.data)
         val planned = job.placementsOf(page).filter { !it.committed }
         draft.pages.add(WrittenPage(job, page, content.done, planned, removed = false))
@@ -305,17 +305,17 @@
         return true
     }
 
-    private fun settle(draft: Draft, result: Result<Long>) {
+    private fun settle(draft: Draft, result: StoreResult<Long>) {
         inFlight = false
         when (result) {
-            is Result.Ok -> committed(draft, result.value)
-            is Result.Conflict -> conflict(draft, result.failed)
-            is Result.Refused -> {
+            is StoreResult.Ok -> committed(draft, result.value)
+            is StoreResult.Conflict -> conflict(draft, result.failed)
+            is StoreResult.Refused -> {
                 takeBack(draft)
                 nextAt = context.now + REFUSED_PAUSE
             }
-            is Result.Invalid,
-            is Result.Absent -> {
+            is StoreResult.Invalid,
+            is StoreResult.Absent -> {
                 log.error(
                     "a write was found invalid: {}",
                     draft.changes.map { it.put ?: it.remove },
@@ -323,18 +323,18 @@
                 takeBack(draft)
                 nextAt = context.now + INVALID_PAUSE
             }
-            is Result.Indeterminate -> {
+            is StoreResult.Indeterminate -> {
                 log.info("a write got no response; reading again what is stored")
                 listener.lost()
             }
         }
     }
 
-    private fun committed(draft: Draft, stamp: Long) {
-        tagsStamp = stamp
+    private fun committed(draft: Draft, version: Long) {
+        tagsVersion = version
         for (written in draft.pages) {
             if (written.removed) written.job.forgetPage(written.page)
-            else written.job.written(written.page, stamp, written.done)
+            else written.job.written(written.page, version, written.done)
             for (placement in written.planned) written.job.commit(placement)
         }
         for (job in draft.finishing) {
@@ -351,7 +351,7 @@
     }
 
     private fun conflict(draft: Draft, failed: List<String>) {
-        if (Leadership.KEY in failed) return listener.fenced()
+        if (LeaderElection.KEY in failed) return listener.fenced()
         val changed =
             (draft.pages.map { it.job } + draft.finishing).filter { JobRecord.key(it.id) in failed }
         if (changed.isEmpty() || FairQueue.KEY in failed) {
@@ -378,15 +378,15 @@
 
         /** Well below the 64 KiB that a transaction may hold. */
         private const val MAX_BYTES = 40_000
-        private val REFUSED_PAUSE = 300.millis
+        private val REFUSED_PAUSE = 300.milliseconds
 
         /**
          * How tasks ended is written for many at once: until then the machines keep it, and a later
          * leader is told again.
          */
-        private val PATIENCE = 3.secs
-        private val TOO_LARGE_PAUSE = 1.secs
-        private val INVALID_PAUSE = 5.secs
+        private val PATIENCE = 3.seconds
+        private val TOO_LARGE_PAUSE = 1.seconds
+        private val INVALID_PAUSE = 5.seconds
 
         fun machineKey(machine: Machine) = "$MACHINES${machine.id.value}"
     }
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -1,21 +1,21 @@
 package wardmux.scheduling
 
 import java.util.PriorityQueue
-import wardmux.config.ObjectiveFacts
 import wardmux.config.OperatorSettings
-import wardmux.config.WorkerFacts
+import wardmux.config.ServiceLevelObjective
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineType
-import wardmux.model.Need
 import wardmux.model.Placement
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.ResourceRequest
+import wardmux.model.seconds
 
 /**
  * Decides what goes where. Of the waiting tasks that fit, exact fits come first; then the more
@@ -28,10 +28,10 @@
  */
 class Planner(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val operators: OperatorSettings,
-    workers: WorkerFacts,
-    objectives: List<ObjectiveFacts>,
+    workers: WorkerTiming,
+    objectives: List<ServiceLevelObjective>,
     private val pools: MachinePools,
     types: () -> List<MachineType>,
 ) {
@@ -50,13 +50,13 @@
 
     /** Room and cap that are kept for gangs. */
     val gangReservations = GangReservations(context, cluster, eligibility, gangPlacement, workers)
-    private val order = TeamOrder(objectives, cluster.estimates, operators.longestWaitS.secs)
+    private val order = TeamOrder(objectives, cluster.estimates, operators.longestWaitS.seconds)
 
     /** Places what it can while [admission] has room for the job's page in the write to come. */
     fun plan(admission: Admission) {
         mostBytes = admission.mostBytes
         gangPlacement.mostBytes = mostBytes
-        val ready = cluster.jobs.values.filter { it.waiting > 0 && context.wall >= it.notBefore }
+        val ready = cluster.jobs.values.filter { it.waiting > 0 && context.wall >= it.backoffUntil }
         if (ready.isEmpty()) {
             if (cluster.jobs.values.all { it.placements.isEmpty() }) cluster.queue.idle()
             return
@@ -77,7 +77,7 @@
                         }
                 }
         for (exact in listOf(true, false)) {
-            for (urgency in Urgency.entries) {
+            for (urgency in PriorityClass.entries) {
                 queues[urgency]?.let { place(it, Pass(round, exact)) }
             }
         }
@@ -98,15 +98,15 @@
         private val seats = HashMap<JobId, Seats>()
 
         /** What no machine has room for: room only shrinks within a plan. */
-        private val hopeless = HashSet<Need>()
+        private val hopeless = HashSet<ResourceRequest>()
 
         fun seatsFor(job: Job): Seats? {
             seats[job.id]?.let {
                 return it
             }
-            if (job.need in hopeless) return null
+            if (job.resourceRequest in hopeless) return null
             val found = Seats(job, candidates(job))
-            if (found.isEmpty && job.failedOn.isEmpty() && !job.zoned) hopeless.add(job.need)
+            if (found.isEmpty && job.failedMachines.isEmpty() && !job.isZoneBound) hopeless.add(job.resourceRequest)
             seats[job.id] = found
             return found
         }
@@ -121,7 +121,7 @@
                     !gangReservations.isReservedFromJob(job, machine) &&
                     eligibility.allowed(spec, machine) &&
                     machine.fits(spec) &&
-                    (machine.id !in job.failedOn || round.usable <= job.failedOn.size)
+                    (machine.id !in job.failedMachines || round.usable <= job.failedMachines.size)
             }
         }
     }
@@ -209,7 +209,7 @@
     private var held: Set<String> = emptySet()
 
     private fun isOverdue(job: Job) =
-        !job.begun && !job.atFault && context.wall - job.acceptedAt > operators.longestWaitS.secs
+        !job.hasStarted && !job.isFailing && context.wall - job.acceptedAt > operators.longestWaitS.seconds
 
     /** True if machines of this type are held, and for other work than this. */
     fun isHeldFrom(spec: JobSpec, type: MachineType) =
@@ -224,16 +224,16 @@
      * What a team can count on: its cap, or, where room is scarce, what it has or is guaranteed.
      */
     private fun counted(team: String, scarce: Boolean): Double {
-        val facts = cluster.teams[team] ?: return 0.0
-        if (!scarce) return facts.cpusMax
-        return minOf(facts.cpusMax, maxOf(facts.cpus, cluster.usedCpus(team)))
+        val deployment = cluster.teams[team] ?: return 0.0
+        if (!scarce) return deployment.cpusMax
+        return minOf(deployment.cpusMax, maxOf(deployment.cpus, cluster.usedCpus(team)))
     }
 
     private fun placeOne(job: Job, pass: Pass): Boolean {
         // The machines that it fits exactly hold the fewest of its tasks.
         if (pass.exact && PageSizeEstimate.needsFewMachines(job, mostBytes)) return false
         if (!gangReservations.leavesCap(job)) return false
-        if (job.spec.shape == Shape.GANG) return placeGang(job, pass)
+        if (job.spec.shape == JobKind.GANG) return placeGang(job, pass)
         if (job.waiting <= 0 || cluster.headroom(job.spec) < 1) return false
         return placeNext(job, pass) != null
     }
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -3,21 +3,21 @@
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Shape
+import wardmux.model.PriorityClass
 import wardmux.model.TaskStatus
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Stops work to make room for other work. */
 class Preemption(
     private val context: CoreContext,
-    private val cluster: Cluster,
+    private val cluster: ClusterState,
     private val planner: Planner,
-    private val stopper: TaskStopper,
+    private val stopper: TaskEvictor,
     private val operators: OperatorSettings,
 ) {
     /** Placements looked at so far: what it costs. */
@@ -35,7 +35,7 @@
                 val since = job.blockedSince
                 since != null &&
                     job.waiting > 0 &&
-                    !job.atFault &&
+                    !job.isFailing &&
                     context.now - since >= patience(job)
             }
         if (blocked.isEmpty()) return
@@ -49,7 +49,7 @@
             val usable = planner.eligibility.usable(machine)
             for (placement in machine.placements.values) {
                 val other = placement.job.spec.urgency
-                if (placement.halting) leaving.add(placement)
+                if (placement.isStopping) leaving.add(placement)
                 else if (!usable || !placement.committed || placement.status == null) continue
                 else if (other > highest || (callBack && other == highest)) stoppable.add(placement)
             }
@@ -81,7 +81,7 @@
 
     /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
     private fun patience(job: Job): Micros =
-        if (job.spec.shape == Shape.DAEMON) Micros.ZERO else operators.preemptAfterS.secs
+        if (job.spec.shape == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
 
     /**
      * What may be stopped for whom, the cheapest first. For most jobs that is only what is less
@@ -89,7 +89,7 @@
      * waits.
      */
     private inner class Victims(private val sorted: List<Pair<Placement, Double>>) {
-        private val lists = HashMap<Pair<Urgency, Boolean>, List<Placement>>()
+        private val lists = HashMap<Pair<PriorityClass, Boolean>, List<Placement>>()
 
         fun of(job: Job): List<Placement> {
             val urgency = job.spec.urgency
@@ -123,9 +123,9 @@
             stopper.stop(victim, "room for ${job.id}")
             if (victim.job.spec.urgency == job.spec.urgency) calledBack = true
             freed += victim.job.spec.cpus
-            if (job.zoned) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
+            if (job.isZoneBound) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
         }
-        if (calledBack) job.calledBackAt = context.now
+        if (calledBack) job.lastReclaimAt = context.now
         return freed
     }
 
@@ -136,7 +136,7 @@
         zones: Map<String, Int>,
         wanted: Double,
     ): Boolean {
-        if (victim.halting || !mayStop(job, victim)) return false
+        if (victim.isStopping || !mayStop(job, victim)) return false
         val machine = cluster.machines[victim.machine] ?: return false
         return isRoomFor(job, machine, zones) &&
             !fetchesAlone(victim) &&
@@ -163,7 +163,7 @@
 
     /** What has no end goes where most like it is: other machines come free for good. */
     private fun orderedFor(job: Job, victims: List<Placement>): List<Placement> {
-        if (job.spec.shape != Shape.DAEMON) return victims
+        if (job.spec.shape != JobKind.SERVICE) return victims
         val held = HashMap<MachineId, Double>()
         fun servicesAt(machine: MachineId) =
             held.getOrPut(machine) { cluster.machines[machine]?.serviceCpus ?: 0.0 }
@@ -173,7 +173,7 @@
     private fun mayStop(job: Job, victim: Placement): Boolean {
         val other = victim.job.spec
         // One task of a gang takes the others with it.
-        if (other.shape == Shape.GANG) return false
+        if (other.shape == JobKind.GANG) return false
         if (other.urgency > job.spec.urgency) return true
         // A guarantee is called back only from work that keeps what it has done, and never from
         // more urgent work: otherwise two teams below theirs stop each other without end.
@@ -189,10 +189,10 @@
      * Its team is below its guarantee. After each call-back it waits again, for the room to come.
      */
     private fun mayCallBack(job: Job): Boolean {
-        val pause = operators.callBackAfterS.secs
+        val pause = operators.callBackAfterS.seconds
         val own = cluster.teams[job.spec.team] ?: return false
         if (cluster.usedCpus(own.name) + job.spec.cpus > own.cpus) return false
-        return waited(job) >= pause && context.now - job.calledBackAt >= pause
+        return waited(job) >= pause && context.now - job.lastReclaimAt >= pause
     }
 
     private fun waited(job: Job): Micros = job.blockedSince?.let { context.now - it } ?: Micros.ZERO
@@ -202,7 +202,7 @@
         if (victim.status != TaskStatus.FETCHING) return false
         val machine = cluster.machines[victim.machine] ?: return false
         return machine.placements.values.none {
-            it !== victim && !it.halting && it.job.spec.image == victim.job.spec.image
+            it !== victim && !it.isStopping && it.job.spec.image == victim.job.spec.image
         }
     }
 
@@ -215,7 +215,7 @@
     private fun loss(victim: Placement): Double {
         val spec = victim.job.spec
         val since = victim.runningSince ?: return 0.0
-        val lost = if (spec.savable) spec.saveS else (context.now - since).seconds
+        val lost = if (spec.savable) spec.saveS else (context.now - since).inSeconds
         return (lost + RESTART_S) * spec.cpus
     }
 
@@ -223,6 +223,6 @@
         const val MOST_AT_ONCE = 64
         const val MOST_WASTE = 2.0
         const val RESTART_S = 3.0
-        val SOON = 3.secs
+        val SOON = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/TaskStopper.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -1,23 +1,23 @@
 package wardmux.scheduling
 
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.Micros
 import wardmux.model.Placement
 import wardmux.model.TaskStatus
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Stops tasks so that what can be saved is saved. The halts go out with the next commands. */
-class TaskStopper(private val cluster: Cluster, private val workers: WorkerFacts) {
-    private val log = logger<TaskStopper>()
+class TaskEvictor(private val cluster: ClusterState, private val workers: WorkerTiming) {
+    private val log = logger<TaskEvictor>()
 
     /** Of a gang all are stopped: those not told in time spoil what the others save. */
     fun stop(victim: Placement, why: String) {
         if (victim.job.spec.isGang) return stopGang(victim.job, why)
         val spec = victim.job.spec
         val save = spec.savable && victim.status == TaskStatus.RUNNING
-        halt(victim, if (save) (spec.saveS + SAVE_MARGIN_S).secs else Micros.ZERO)
+        halt(victim, if (save) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
         log.info("stopping {} on {}: {}", victim.task, victim.machine, why)
     }
 
@@ -26,16 +26,16 @@
         val save = spec.savable && job.placements.values.all { it.status == TaskStatus.RUNNING }
         if (!save) cluster.breakAttempt(job)
         else {
-            val within = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).secs
+            val within = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).seconds
             for (placement in job.placements.values) halt(placement, within)
         }
         log.info("stopping all {} tasks of {}: {}", job.placements.size, job.id, why)
     }
 
     private fun halt(victim: Placement, within: Micros) {
-        victim.haltWithin = within
-        victim.haltSent = false
-        cluster.machines[victim.machine]?.let { cluster.due.add(it) }
+        victim.gracePeriod = within
+        victim.stopSent = false
+        cluster.machines[victim.machine]?.let { cluster.machinesWithCommands.add(it) }
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/scheduling/TeamOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamOrder.kt
@@ -1,7 +1,7 @@
 package wardmux.scheduling
 
 import java.util.PriorityQueue
-import wardmux.config.ObjectiveFacts
+import wardmux.config.ServiceLevelObjective
 import wardmux.model.Job
 import wardmux.model.JobSpec
 import wardmux.model.Micros
@@ -16,7 +16,7 @@
  * goes before all else, so that the largest jobs are not held up for ever by smaller ones.
  */
 class TeamOrder(
-    private val objectives: List<ObjectiveFacts>,
+    private val objectives: List<ServiceLevelObjective>,
     private val estimates: Estimates,
     private val longestWait: Micros,
 ) {
@@ -29,8 +29,8 @@
     fun sort(jobs: List<Job>, cpus: Double, wall: Micros): List<Job> {
         if (jobs.size < 2) return jobs
         val bySubmission = compareBy<Job>({ it.acceptedAt.value }, { it.id.value })
-        val (faulty, good) = jobs.sortedWith(bySubmission).partition { it.atFault }
-        val (overdue, others) = good.partition { !it.begun && wall - it.acceptedAt > longestWait }
+        val (faulty, good) = jobs.sortedWith(bySubmission).partition { it.isFailing }
+        val (overdue, others) = good.partition { !it.hasStarted && wall - it.acceptedAt > longestWait }
         val (timed, untimed) = others.partition { limits(it.spec).isNotEmpty() }
         if (timed.size < 2 || cpus <= 0) return overdue + others + faulty
         var open = timed.map { entry(it, cpus, wall) }
@@ -60,9 +60,9 @@
 
     private fun entry(job: Job, cpus: Double, wall: Micros): Entry {
         val spec = job.spec
-        val run = estimates.runTime(spec).seconds
+        val run = estimates.runTime(spec).inSeconds
         val left = spec.tasks - job.doneCount - job.placements.size * HALF
-        val age = (wall - job.acceptedAt).seconds
+        val age = (wall - job.acceptedAt).inSeconds
         val due = limits(spec).map { it - age }.toDoubleArray()
         return Entry(job, left * spec.cpus / cpus * run, run, due)
     }
--- a/src/main/kotlin/wardmux/serialization/PeerCodec.kt
+++ b/src/main/kotlin/wardmux/serialization/CborFormat.kt
@@ -6,7 +6,7 @@
 
 /** How controllers write what they tell each other. */
 @OptIn(ExperimentalSerializationApi::class)
-object PeerCodec {
+object CborFormat {
     private val cbor = Cbor { ignoreUnknownKeys = true }
 
     /** [value] as CBOR. */
--- a/src/main/kotlin/wardmux/store/StateStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -3,27 +3,27 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.JsonElement
-import wardmux.config.StateFacts
+import wardmux.config.StoreLimits
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
 import wardmux.core.Outcome
 import wardmux.core.Target
 import wardmux.logging.logger
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 
 /**
  * The state service as this controller may use it: its share of the request and write limits, the
  * lease before all else, and never more than the service's own limits on one transaction.
  */
-class StateStore(private val context: CoreContext, limits: StateFacts, nodes: Int) {
+class KeyValueStore(private val context: CoreContext, limits: StoreLimits, nodes: Int) {
     /** Lower limits may hold from any moment on, so they are kept from the start. */
-    private val facts = limits.lowest
+    private val deployment = limits.lowest
 
-    private val log = logger<StateStore>()
-    private val limiter = RateLimiter(context, facts, nodes)
+    private val log = logger<KeyValueStore>()
+    private val limiter = RateLimiter(context, deployment, nodes)
     private val queue = RequestQueue(context, limiter)
 
     /** When the service last carried something out for this controller. */
@@ -36,11 +36,11 @@
 
     /** The most changes that one transaction may hold. */
     val maxChanges: Int
-        get() = facts.txnOps
+        get() = deployment.txnOps
 
     /** The most conditions that one transaction may hold. */
     val maxConditions: Int
-        get() = facts.txnOps * CONDITIONS_PER_CHANGE
+        get() = deployment.txnOps * CONDITIONS_PER_CHANGE
 
     /**
      * What the layout of stored pages is made for: it stays as the version before has it, which
@@ -50,7 +50,7 @@
 
     /** The largest value that may be written. */
     val maxValueBytes: Int
-        get() = (facts.valueKb * BYTES_PER_KB).toInt()
+        get() = (deployment.valueKb * BYTES_PER_KB).toInt()
 
     /** The leader writes for all, so most changes are its; most requests are users' questions. */
     fun lead(leading: Boolean) {
@@ -62,12 +62,12 @@
         get() = limiter.writesToSpare
 
     /** Reads one key. */
-    fun get(key: String, priority: Priority = Priority.READ, then: (Result<Item>) -> Unit) {
+    fun get(key: String, priority: RequestPriority = RequestPriority.READ, then: (StoreResult<KeyValue>) -> Unit) {
         submit(priority, 0, "GET", "/keys/$key", "", READ_TIMEOUT, then) { status, text ->
             when (status) {
-                HttpStatus.OK -> Result.Ok(lenientJson.decodeFromString(Item.serializer(), text))
+                HttpStatus.OK -> StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
                 HttpStatus.NOT_FOUND ->
-                    Result.Absent(lenientJson.decodeFromString(AbsentWire.serializer(), text).epoch)
+                    StoreResult.Absent(lenientJson.decodeFromString(AbsentWire.serializer(), text).revision)
                 else -> failure(status)
             }
         }
@@ -81,40 +81,40 @@
     fun <T : Any> scan(
         prefix: String,
         values: KSerializer<T>,
-        priority: Priority = Priority.LEADER,
+        priority: RequestPriority = RequestPriority.LEADER,
         then: (Scan<T>?) -> Unit,
     ) = scanPage(prefix, values, priority, null, ArrayList(), 0, then)
 
     /** All that was found under a prefix, and the revision of the first page. */
-    class Scan<T : Any>(val items: List<Scanned<T>>, val epoch: Long)
+    class Scan<T : Any>(val items: List<ScannedKey<T>>, val revision: Long)
 
     private fun <T : Any> scanPage(
         prefix: String,
         values: KSerializer<T>,
-        priority: Priority,
+        priority: RequestPriority,
         from: String?,
-        found: MutableList<Scanned<T>>,
+        found: MutableList<ScannedKey<T>>,
         firstEpoch: Long,
         then: (Scan<T>?) -> Unit,
     ) {
         val path = "/keys?under=$prefix&limit=1000" + if (from == null) "" else "&from=$from"
-        val answer: (Result<PageWire<T>>) -> Unit = { result ->
-            if (result is Result.Ok) {
+        val answer: (StoreResult<PageWire<T>>) -> Unit = { result ->
+            if (result is StoreResult.Ok) {
                 val page = result.value
-                val epoch = if (from == null) page.epoch else firstEpoch
+                val revision = if (from == null) page.revision else firstEpoch
                 found.addAll(page.items)
                 if (page.truncated && page.items.isNotEmpty()) {
                     val last = page.items.last().key
-                    scanPage(prefix, values, priority, last, found, epoch, then)
+                    scanPage(prefix, values, priority, last, found, revision, then)
                 } else {
-                    then(Scan(found, epoch))
+                    then(Scan(found, revision))
                 }
             } else {
                 then(null)
             }
         }
         submit(priority, 0, "GET", path, "", READ_TIMEOUT, answer) { status, text ->
-            if (status == HttpStatus.OK) Result.Ok(page(text, values)) else failure(status)
+            if (status == HttpStatus.OK) StoreResult.Ok(page(text, values)) else failure(status)
         }
     }
 
@@ -137,17 +137,17 @@
                     } catch (e: IllegalArgumentException) {
                         null
                     }
-                Scanned(item.key, value, item.stamp)
+                ScannedKey(item.key, value, item.version)
             }
-        return PageWire(items, page.truncated, page.epoch)
+        return PageWire(items, page.truncated, page.revision)
     }
 
     /** Gives the revision of the changes. */
     fun multi(
-        conditions: List<Condition>,
-        changes: List<Change>,
-        priority: Priority,
-        then: (Result<Long>) -> Unit,
+        conditions: List<VersionCondition>,
+        changes: List<WriteOperation>,
+        priority: RequestPriority,
+        then: (StoreResult<Long>) -> Unit,
     ) {
         val wire = MultiWire(conditions, changes.ifEmpty { null })
         val body = lenientJson.encodeToString(MultiWire.serializer(), wire)
@@ -155,9 +155,9 @@
         submit(priority, changes.size, "POST", "/multi", body, timeout, then) { status, text ->
             when (status) {
                 HttpStatus.OK ->
-                    Result.Ok(lenientJson.decodeFromString(CommittedWire.serializer(), text).epoch)
+                    StoreResult.Ok(lenientJson.decodeFromString(CommittedWire.serializer(), text).revision)
                 HttpStatus.CONFLICT ->
-                    Result.Conflict(
+                    StoreResult.Conflict(
                         lenientJson.decodeFromString(ConflictWire.serializer(), text).failed
                     )
                 else -> failure(status)
@@ -166,30 +166,30 @@
     }
 
     /** Asks for a lease of the given length; gives its number. */
-    fun grant(life: Micros, then: (Result<Long>) -> Unit) {
+    fun grant(life: Micros, then: (StoreResult<Long>) -> Unit) {
         val body = lenientJson.encodeToString(LifeWire.serializer(), LifeWire(life.value / 1_000))
-        submit(Priority.LEASE, 0, "POST", "/leases", body, LEASE_TIMEOUT, then) { status, text ->
+        submit(RequestPriority.LEASE, 0, "POST", "/leases", body, LEASE_TIMEOUT, then) { status, text ->
             if (status == HttpStatus.OK)
-                Result.Ok(lenientJson.decodeFromString(PermitWire.serializer(), text).permit)
+                StoreResult.Ok(lenientJson.decodeFromString(PermitWire.serializer(), text).permit)
             else failure(status)
         }
     }
 
     /** Extends a lease by its length. */
-    fun renew(lease: Long, then: (Result<Unit>) -> Unit) {
-        submit(Priority.LEASE, 0, "POST", "/leases/$lease/renew", "", LEASE_TIMEOUT, then) { s, _ ->
+    fun renew(lease: Long, then: (StoreResult<Unit>) -> Unit) {
+        submit(RequestPriority.LEASE, 0, "POST", "/leases/$lease/renew", "", LEASE_TIMEOUT, then) { s, _ ->
             when (s) {
-                HttpStatus.OK -> Result.Ok(Unit)
-                HttpStatus.NOT_FOUND -> Result.Absent(0)
+                HttpStatus.OK -> StoreResult.Ok(Unit)
+                HttpStatus.NOT_FOUND -> StoreResult.Absent(0)
                 else -> failure(s)
             }
         }
     }
 
     /** Ends a lease; keys bound to it are removed. */
-    fun end(lease: Long, then: (Result<Unit>) -> Unit) {
-        submit(Priority.LEASE, 0, "DELETE", "/leases/$lease", "", LEASE_TIMEOUT, then) { s, _ ->
-            if (s in HttpStatus.SUCCESS || s == HttpStatus.NOT_FOUND) Result.Ok(Unit)
+    fun end(lease: Long, then: (StoreResult<Unit>) -> Unit) {
+        submit(RequestPriority.LEASE, 0, "DELETE", "/leases/$lease", "", LEASE_TIMEOUT, then) { s, _ ->
+            if (s in HttpStatus.SUCCESS || s == HttpStatus.NOT_FOUND) StoreResult.Ok(Unit)
             else failure(s)
         }
     }
@@ -199,37 +199,37 @@
         prefix: String,
         from: Long,
         block: Micros,
-        priority: Priority,
-        then: (Result<Changes>) -> Unit,
+        priority: RequestPriority,
+        then: (StoreResult<WatchResponse>) -> Unit,
     ) {
         val path = "/watch?under=$prefix&from=$from&block_ms=${block.value / 1_000}"
         val timeout = block + WATCH_SLACK
         submit(priority, 0, "GET", path, "", timeout, then) { status, text ->
             when (status) {
-                HttpStatus.OK -> Result.Ok(lenientJson.decodeFromString(Changes.serializer(), text))
-                HttpStatus.GONE -> Result.Invalid
+                HttpStatus.OK -> StoreResult.Ok(lenientJson.decodeFromString(WatchResponse.serializer(), text))
+                HttpStatus.GONE -> StoreResult.Invalid
                 else -> failure(status)
             }
         }
     }
 
-    private fun failure(status: Int): Result<Nothing> =
+    private fun failure(status: Int): StoreResult<Nothing> =
         when (status) {
             HttpStatus.TOO_MANY_REQUESTS,
-            HttpStatus.SERVICE_UNAVAILABLE -> Result.Refused
-            HttpStatus.BAD_REQUEST -> Result.Invalid
-            else -> Result.Indeterminate
+            HttpStatus.SERVICE_UNAVAILABLE -> StoreResult.Refused
+            HttpStatus.BAD_REQUEST -> StoreResult.Invalid
+            else -> StoreResult.Indeterminate
         }
 
     private fun <T> submit(
-        priority: Priority,
+        priority: RequestPriority,
         writes: Int,
         method: String,
         path: String,
         body: String,
         timeout: Micros,
-        then: (Result<T>) -> Unit,
-        read: (Int, String) -> Result<T>,
+        then: (StoreResult<T>) -> Unit,
+        read: (Int, String) -> StoreResult<T>,
     ) {
         val bytes = body.encodeToByteArray()
         val deadline = context.now + QUEUE_TIME
@@ -245,7 +245,7 @@
                 }
             }
         }
-        request = QueuedRequest(writes, deadline, send, refuse = { then(Result.Refused) })
+        request = QueuedRequest(writes, deadline, send, refuse = { then(StoreResult.Refused) })
         queue.add(priority, request)
     }
 
@@ -261,16 +261,16 @@
     private fun isRateLimited(outcome: Outcome) =
         outcome is Outcome.Response && outcome.status == HttpStatus.TOO_MANY_REQUESTS
 
-    private fun <T> interpret(outcome: Outcome, read: (Int, String) -> Result<T>): Result<T> =
+    private fun <T> interpret(outcome: Outcome, read: (Int, String) -> StoreResult<T>): StoreResult<T> =
         when (outcome) {
-            is Outcome.Unsent -> Result.Refused
-            is Outcome.Unknown -> Result.Indeterminate
+            is Outcome.Unsent -> StoreResult.Refused
+            is Outcome.Unknown -> StoreResult.Indeterminate
             is Outcome.Response ->
                 try {
                     read(outcome.status, outcome.text)
                 } catch (e: SerializationException) {
                     log.error("state service answered {}: {}", outcome.status, e.message)
-                    Result.Indeterminate
+                    StoreResult.Indeterminate
                 }
         }
 
@@ -280,10 +280,10 @@
     private companion object {
         const val CONDITIONS_PER_CHANGE = 4
         const val BYTES_PER_KB = 1024
-        val QUEUE_TIME = 1_200.millis
-        val READ_TIMEOUT = 1_500.millis
-        val WRITE_TIMEOUT = 2.secs
-        val LEASE_TIMEOUT = 1.secs
-        val WATCH_SLACK = 2.secs
+        val QUEUE_TIME = 1_200.milliseconds
+        val READ_TIMEOUT = 1_500.milliseconds
+        val WRITE_TIMEOUT = 2.seconds
+        val LEASE_TIMEOUT = 1.seconds
+        val WATCH_SLACK = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -1,6 +1,6 @@
 package wardmux.store
 
-import wardmux.config.StateFacts
+import wardmux.config.StoreLimits
 import wardmux.core.CoreContext
 import wardmux.model.Micros
 
@@ -9,7 +9,7 @@
  */
 class RateLimiter(
     private val context: CoreContext,
-    private val facts: StateFacts,
+    private val deployment: StoreLimits,
     private val nodes: Int,
 ) {
     private var requestTokens = 0.0
@@ -38,8 +38,8 @@
 
     /** Adds what the time since the last call allows, up to the burst. */
     fun refill() {
-        val rate = facts.rps * share(LEADERS_REQUESTS) * MARGIN
-        val elapsed = refilledAt?.let { (context.now - it).seconds } ?: 1.0
+        val rate = deployment.rps * share(LEADERS_REQUESTS) * MARGIN
+        val elapsed = refilledAt?.let { (context.now - it).inSeconds } ?: 1.0
         refilledAt = context.now
         requestTokens = (requestTokens + elapsed * rate).coerceAtMost(rate)
         writeTokens = (writeTokens + elapsed * writeRate()).coerceAtMost(writeBurst())
@@ -52,14 +52,14 @@
             else -> (1 - leaders) / (nodes - 1)
         }
 
-    private fun writeRate() = facts.writeRps * share(LEADERS_WRITES) * MARGIN
+    private fun writeRate() = deployment.writeRps * share(LEADERS_WRITES) * MARGIN
 
     /** A whole transaction must fit, or it would wait for ever; only a leader's are large. */
     private fun writeBurst() =
         maxOf(
             writeRate(),
-            if (leading) facts.txnOps.toDouble()
-            else maxOf(facts.writeRps * USERS_BURST, USERS_CHANGES),
+            if (leading) deployment.txnOps.toDouble()
+            else maxOf(deployment.writeRps * USERS_BURST, USERS_CHANGES),
         )
 
     private companion object {
--- a/src/main/kotlin/wardmux/store/RequestQueue.kt
+++ b/src/main/kotlin/wardmux/store/RequestQueue.kt
@@ -2,10 +2,10 @@
 
 import wardmux.core.CoreContext
 import wardmux.model.Micros
-import wardmux.model.millis
+import wardmux.model.milliseconds
 
 /** The order in which requests are sent when there is not room for all. */
-enum class Priority {
+enum class RequestPriority {
     LEASE,
     USER_WRITE,
     LEADER,
@@ -26,19 +26,19 @@
 
 /** Requests to the state service in the order of their priority, as fast as [limiter] allows. */
 class RequestQueue(private val context: CoreContext, private val limiter: RateLimiter) {
-    private val queues = List(Priority.entries.size) { ArrayDeque<QueuedRequest>() }
+    private val queues = List(RequestPriority.entries.size) { ArrayDeque<QueuedRequest>() }
 
     /** Nothing but leases is sent until then: the service has refused for its limits. */
     private var pausedUntil = Micros.LONG_AGO
 
     /** Queues [request] behind the others of its priority, and sends what may be sent. */
-    fun add(priority: Priority, request: QueuedRequest) {
+    fun add(priority: RequestPriority, request: QueuedRequest) {
         queues[priority.ordinal].addLast(request)
         sendDue()
     }
 
     /** The service refused [request] for its limits: it goes first, after a pause. */
-    fun retry(priority: Priority, request: QueuedRequest) {
+    fun retry(priority: RequestPriority, request: QueuedRequest) {
         pausedUntil = context.now + LIMITED_PAUSE
         queues[priority.ordinal].addFirst(request)
     }
@@ -50,7 +50,7 @@
         for (queue in queues) {
             while (queue.isNotEmpty()) {
                 val request = queue.first()
-                val lease = queue === queues[Priority.LEASE.ordinal]
+                val lease = queue === queues[RequestPriority.LEASE.ordinal]
                 if (!lease && (!limiter.allowsRequest || context.now < pausedUntil)) return
                 if (!lease && !limiter.allowsWrites(request.writes)) break
                 limiter.spend(request.writes)
@@ -73,6 +73,6 @@
     }
 
     private companion object {
-        val LIMITED_PAUSE = 150.millis
+        val LIMITED_PAUSE = 150.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/worker/ReportReader.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
@@ -5,9 +5,9 @@
 
 /**
  * Reads workers' reports. Most say what the machine's last one said, but for the tick: these are
- * told by comparing bytes, and cost no parsing. Their [Report.tasks] is the very list of the last.
+ * told by comparing bytes, and cost no parsing. Their [WorkerHeartbeat.tasks] is the very list of the last.
  */
-class ReportReader(
+class WorkerHeartbeatReader(
     /** What the reports that are kept may take together. */
     private val mostBytes: Long = Long.MAX_VALUE
 ) {
@@ -16,7 +16,7 @@
         /** Where the digits of the tick begin and end. */
         val from: Int,
         val to: Int,
-        val report: Report,
+        val report: WorkerHeartbeat,
     )
 
     private val lasts = Object2ObjectLinkedOpenHashMap<String, Last>()
@@ -28,7 +28,7 @@
         private set
 
     /** Null if it is no report. */
-    fun read(body: ByteArray): Report? {
+    fun read(body: ByteArray): WorkerHeartbeat? {
         val name = textAfter(body, BOX)
         val from = numberAfter(body, TICK)
         if (name == null || from < 0) return parse(body)
@@ -50,9 +50,9 @@
         while (keptBytes > mostBytes) keptBytes -= lasts.removeFirst().body.size
     }
 
-    private fun parse(body: ByteArray): Report? {
+    private fun parse(body: ByteArray): WorkerHeartbeat? {
         parsed++
-        return Report.parse(body)
+        return WorkerHeartbeat.parse(body)
     }
 
     private fun isSame(body: ByteArray, from: Int, to: Int, last: Last) =
--- a/src/main/kotlin/wardmux/worker/WorkerWire.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerMessages.kt
@@ -15,7 +15,7 @@
     @SerialName("cause") val cause: String? = null,
     @SerialName("kept") val kept: Boolean = false,
 ) {
-    val attemptOfTask: TaskAttempt
+    val taskAttempt: TaskAttempt
         get() = TaskAttempt(task, attempt)
 
     /** A state that this version doesn't know is taken for one in which the task runs. */
@@ -31,13 +31,13 @@
 }
 
 @Serializable
-data class Report(
+data class WorkerHeartbeat(
     @SerialName("box") val machine: String,
     @SerialName("endpoint") val endpoint: String = "",
     @SerialName("boxkind") val type: String,
     @SerialName("ward") val zone: String,
     @SerialName("loaners") val spot: Boolean = false,
-    @SerialName("shift") val shift: Long,
+    @SerialName("shift") val incarnation: Long,
     @SerialName("tick") val tick: Long,
     @SerialName("baton") val token: Long = 0,
     @SerialName("recall_s") val recallS: Double? = null,
@@ -49,7 +49,7 @@
 
     companion object {
         /** Null if it is no report. */
-        fun parse(body: ByteArray): Report? =
+        fun parse(body: ByteArray): WorkerHeartbeat? =
             try {
                 lenientJson.decodeFromString(serializer(), body.decodeToString())
             } catch (e: IllegalArgumentException) {
@@ -60,32 +60,32 @@
 }
 
 @Serializable
-data class Order(
+data class WorkerCommand(
     @SerialName("verb") val verb: String,
     @SerialName("piece") val task: String,
     @SerialName("try") val attempt: Int,
     @SerialName("letgo_s") val withinS: Double? = null,
 ) {
-    val attemptOfTask: TaskAttempt
+    val taskAttempt: TaskAttempt
         get() = TaskAttempt(task, attempt)
 
     companion object {
         const val HALT = "halt"
 
-        fun start(p: Placement) = Order("start", p.task.toString(), p.attempt)
+        fun start(p: Placement) = WorkerCommand("start", p.task.toString(), p.attempt)
 
-        fun halt(task: String, attempt: Int, withinS: Double) = Order(HALT, task, attempt, withinS)
+        fun halt(task: String, attempt: Int, withinS: Double) = WorkerCommand(HALT, task, attempt, withinS)
 
-        fun forget(task: String, attempt: Int) = Order("forget", task, attempt)
+        fun forget(task: String, attempt: Int) = WorkerCommand("forget", task, attempt)
     }
 }
 
 /** Orders sent to the worker itself, outside its reports. */
 @Serializable
-data class DirectOrders(
+data class DirectCommands(
     @SerialName("baton") val token: Long,
-    @SerialName("shift") val shift: Long,
-    @SerialName("orders") val orders: List<Order>,
+    @SerialName("shift") val incarnation: Long,
+    @SerialName("orders") val orders: List<WorkerCommand>,
 )
 
 @Serializable
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -2,39 +2,39 @@
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
+import wardmux.election.LeaderElection
 import wardmux.election.LeaderRecord
-import wardmux.election.Leadership
-import wardmux.forwarding.Batch
-import wardmux.forwarding.BatchAnswer
-import wardmux.forwarding.FullReport
-import wardmux.forwarding.Mail
-import wardmux.forwarding.RelayCodec
-import wardmux.forwarding.StoreRelayClient
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.FullHeartbeat
+import wardmux.forwarding.HeartbeatBatch
+import wardmux.forwarding.HeartbeatBatchResponse
 import wardmux.forwarding.StoredAnswers
+import wardmux.forwarding.StoredBatchClient
+import wardmux.forwarding.UndeliveredCommands
 import wardmux.model.Charge
 import wardmux.model.Cost
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobKind
+import wardmux.model.JobProgress
 import wardmux.model.JobSpec
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.MachineId
 import wardmux.model.MachineType
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Progress
-import wardmux.model.Shape
-import wardmux.model.Stamp
+import wardmux.model.PriorityClass
 import wardmux.model.TaskId
-import wardmux.model.Urgency
 import wardmux.peers.CancellationCursor
-import wardmux.peers.CancellationReport
-import wardmux.peers.Heartbeat
-import wardmux.peers.HeartbeatCodec
+import wardmux.peers.CancellationUpdate
+import wardmux.peers.PeerHeartbeat
+import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.lenientJson
-import wardmux.worker.Order
+import wardmux.worker.WorkerCommand
 
 /**
  * What the samples of the formats say. It was written once by the version in production, into the
@@ -79,8 +79,8 @@
             id = "job-000412",
             jobClass = "train",
             team = "batch",
-            shape = Shape.BATCH,
-            urgency = Urgency.HIGH,
+            shape = JobKind.ARRAY,
+            urgency = PriorityClass.HIGH,
             tasks = 40,
             cpus = 2.5,
             gpus = 1.0,
@@ -102,8 +102,8 @@
     val DAEMON_SPEC =
         BATCH_SPEC.copy(
             id = "job-000413",
-            shape = Shape.DAEMON,
-            urgency = Urgency.PROD,
+            shape = JobKind.SERVICE,
+            urgency = PriorityClass.PROD,
             tasks = 3,
             gpus = 0.0,
             types = null,
@@ -118,12 +118,12 @@
     val GANG_SPEC =
         BATCH_SPEC.copy(
             id = "job-000414",
-            shape = Shape.GANG,
-            urgency = Urgency.NORMAL,
+            shape = JobKind.GANG,
+            urgency = PriorityClass.NORMAL,
             types = null,
             deadlineS = null,
         )
-    val IDLE_SPEC = DAEMON_SPEC.copy(id = "job-000415", shape = Shape.BATCH, urgency = Urgency.IDLE)
+    val IDLE_SPEC = DAEMON_SPEC.copy(id = "job-000415", shape = JobKind.ARRAY, urgency = PriorityClass.IDLE)
     val GANG_AGAIN_SPEC = GANG_SPEC.copy(id = "job-000416", tasks = 8)
     val GANG_DONE_SPEC = GANG_SPEC.copy(id = "job-000417", tasks = 8)
     val SPECS = listOf(BATCH_SPEC, DAEMON_SPEC, GANG_SPEC, IDLE_SPEC)
@@ -141,14 +141,14 @@
 
     val CHARGES = listOf(Charge(Cost(88_750_000), 97.4), Charge(Cost(177_500_000), 0.125))
 
-    fun emptyJob() = Job(BATCH_SPEC, Stamp(7), Micros(ACCEPTED_AT), PAGE_SIZE)
+    fun emptyJob() = Job(BATCH_SPEC, KeyVersion(7), Micros(ACCEPTED_AT), PAGE_SIZE)
 
     private fun placement(
         job: Job,
         task: Int,
         attempt: Int,
         machine: String,
-        shift: Long,
+        incarnation: Long,
         zone: String,
         charge: Int,
     ) =
@@ -157,7 +157,7 @@
             TaskId(job.id, task),
             attempt,
             MachineId(machine),
-            shift,
+            incarnation,
             zone,
             CHARGES[charge],
         )
@@ -220,7 +220,7 @@
             gang.release(placed.first(), Micros.ZERO)
         }
 
-    fun emptyGang(spec: JobSpec) = Job(spec, Stamp(7), Micros(ACCEPTED_AT), PAGE_SIZE)
+    fun emptyGang(spec: JobSpec) = Job(spec, KeyVersion(7), Micros(ACCEPTED_AT), PAGE_SIZE)
 
     const val GANG_ATTEMPT = 3
 
@@ -234,26 +234,26 @@
     val TRIED = mapOf(19 to 1, 24 to 3, 30 to 1)
 
     val BEAT =
-        Heartbeat(
+        PeerHeartbeat(
             member = "n1",
             token = 4_711,
             stateSilence = 1_250_000,
-            progress = listOf(Progress("job-000412", 8, 5), Progress("job-000413", 0, 0)),
+            progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0)),
             wantsRelays = true,
             heard =
                 listOf(CancellationCursor("n2", "n2-5f3a", 12), CancellationCursor("n3", "n3-1", 0)),
         )
-    val FOLLOWER_BEAT = Heartbeat(member = "n3")
+    val FOLLOWER_BEAT = PeerHeartbeat(member = "n3")
 
     val TOLD =
-        CancellationReport(
+        CancellationUpdate(
             boot = "n2-5f3a",
             up = 86_400_000_000,
             from = 12,
             jobs = listOf("job-000412", "job-000413"),
             more = true,
         )
-    val NOTHING_TOLD = CancellationReport(boot = "n3-1", up = 0, from = 0)
+    val NOTHING_TOLD = CancellationUpdate(boot = "n3-1", up = 0, from = 0)
 
     const val REPORT_BODY =
         """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"rackmid","ward":"east",""" +
@@ -262,29 +262,29 @@
             """{"piece":"job-000412/17","try":2,"status":"ended","cause":"stopped","kept":true}]}"""
 
     fun batch() =
-        Batch(
+        HeartbeatBatch(
             member = "n3",
             boot = "n3-1",
             number = 41,
             token = 4_711,
             echo = 55_000_000,
             since = 250_000,
-            reports = listOf(FullReport(6, REPORT_BODY.encodeToByteArray())),
+            reports = listOf(FullHeartbeat(6, REPORT_BODY.encodeToByteArray())),
             signs = listOf(4, 90, 5, 1_000_000),
         )
 
     /** The first of a process: it has no clock to echo and nothing to tell. */
     fun firstBatch() =
-        Batch(member = "n3", boot = "n3-1", number = 1, token = 4_711, echo = 0, since = 0)
+        HeartbeatBatch(member = "n3", boot = "n3-1", number = 1, token = 4_711, echo = 0, since = 0)
 
     val ORDERS =
         listOf(
-            Order(verb = "halt", task = "job-000412/16", attempt = 1, withinS = 4.5),
-            Order(verb = "forget", task = "job-000412/17", attempt = 2),
+            WorkerCommand(verb = "halt", task = "job-000412/16", attempt = 1, withinS = 4.5),
+            WorkerCommand(verb = "forget", task = "job-000412/17", attempt = 2),
         )
 
     fun answer() =
-        BatchAnswer(
+        HeartbeatBatchResponse(
             boot = "n3-1",
             number = 41,
             token = 4_711,
@@ -292,7 +292,7 @@
             wanted = false,
             grant = 5_280_000,
             unknown = listOf(4, 5),
-            mail = listOf(Mail("i-000001", 3, ORDERS), Mail("i-000002", 1, emptyList())),
+            mail = listOf(UndeliveredCommands("i-000001", 3, ORDERS), UndeliveredCommands("i-000002", 1, emptyList())),
             refuse = listOf("i-000007"),
             shed = 3,
             shedTo = "n1",
@@ -301,7 +301,7 @@
         )
 
     fun plainAnswer() =
-        BatchAnswer(boot = "n3-1", number = 1, token = 4_711, clock = 55_000_000, grant = 5_280_000)
+        HeartbeatBatchResponse(boot = "n3-1", number = 1, token = 4_711, clock = 55_000_000, grant = 5_280_000)
 
     const val CONDEMNED_WHY = "tasks fail on it"
     const val CONDEMNED_KEY = "m/i-000001"
@@ -313,7 +313,7 @@
      */
     fun stored(): Map<String, JsonElement> {
         val all = LinkedHashMap<String, JsonElement>()
-        all[Leadership.KEY] = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), LEADER)
+        all[LeaderElection.KEY] = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), LEADER)
         all[FairQueue.KEY] = tags().toJson(Micros(TAGS_AT))
         all[MachineTypeList.KEY] = MachineTypeList.encode(TYPES)
         for (spec in SPECS) {
@@ -328,10 +328,10 @@
         for (page in 0..2) all[Job.pageKey(gang.id, page)] = gang.page(page)
         for (other in listOf(gangAgain(), gangDone())) all[Job.pageKey(other.id, 0)] = other.page(0)
         all[CONDEMNED_KEY] = JsonPrimitive(CONDEMNED_WHY)
-        all[StoreRelayClient.BATCHES + "n3"] = JsonPrimitive(RelayCodec.pack(batch()))
-        all[StoreRelayClient.ANSWERS] =
+        all[StoredBatchClient.BATCHES + "n3"] = JsonPrimitive(ForwardingCodec.pack(batch()))
+        all[StoredBatchClient.ANSWERS] =
             JsonPrimitive(
-                RelayCodec.pack(
+                ForwardingCodec.pack(
                     StoredAnswers(
                         mapOf("n1" to plainAnswer(), "n3" to answer().withoutMail()) +
                             ("n4" to answer())
@@ -343,13 +343,13 @@
 
     fun messages(): Map<String, ByteArray> =
         mapOf(
-            "beat" to HeartbeatCodec.encode(BEAT),
-            "beat of a follower" to HeartbeatCodec.encode(FOLLOWER_BEAT),
-            "told" to HeartbeatCodec.encode(TOLD),
-            "nothing told" to HeartbeatCodec.encode(NOTHING_TOLD),
-            "batch" to RelayCodec.encode(batch()),
-            "first batch" to RelayCodec.encode(firstBatch()),
-            "answer" to RelayCodec.encode(answer()),
-            "plain answer" to RelayCodec.encode(plainAnswer()),
+            "beat" to PeerHeartbeatCodec.encode(BEAT),
+            "beat of a follower" to PeerHeartbeatCodec.encode(FOLLOWER_BEAT),
+            "told" to PeerHeartbeatCodec.encode(TOLD),
+            "nothing told" to PeerHeartbeatCodec.encode(NOTHING_TOLD),
+            "batch" to ForwardingCodec.encode(batch()),
+            "first batch" to ForwardingCodec.encode(firstBatch()),
+            "answer" to ForwardingCodec.encode(answer()),
+            "plain answer" to ForwardingCodec.encode(plainAnswer()),
         )
 }
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -8,15 +8,15 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.jsonObject
+import wardmux.election.LeaderElection
 import wardmux.election.LeaderRecord
-import wardmux.election.Leadership
-import wardmux.forwarding.RelayCodec
-import wardmux.forwarding.StoreRelayClient
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.StoredBatchClient
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.peers.HeartbeatCodec
+import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 import wardmux.records.StoredPage
@@ -58,7 +58,7 @@
 
     @Test
     fun `the leader's record, the tags and the machine types`() {
-        rewritten(Leadership.KEY) {
+        rewritten(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record)
         }
@@ -138,9 +138,9 @@
     private fun contents(job: Job): List<String> =
         List(job.spec.tasks) { task ->
             val at = job.placements.get(task)
-            val place = at?.run { "on $machine $shift $zone, try $attempt, $charge" }
-            val next = if (job.isDone(task)) "done" else "next ${job.nextAttempt(task)}"
-            "$task ${if (place == null || job.isDone(task)) next else ""} $place"
+            val place = at?.run { "on $machine $incarnation $zone, try $attempt, $charge" }
+            val next = if (job.isTaskDone(task)) "done" else "next ${job.nextAttempt(task)}"
+            "$task ${if (place == null || job.isTaskDone(task)) next else ""} $place"
         }
 
     @Test
@@ -154,26 +154,26 @@
     @Test
     fun `heartbeats and what is told of cancellations`() {
         for (name in listOf("beat", "beat of a follower")) {
-            sentOn(name) { HeartbeatCodec.encode(assertNotNull(HeartbeatCodec.decode(it))) }
+            sentOn(name) { PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it))) }
         }
         for (name in listOf("told", "nothing told")) {
-            sentOn(name) { HeartbeatCodec.encode(assertNotNull(HeartbeatCodec.told(it))) }
+            sentOn(name) { PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.told(it))) }
         }
     }
 
     @Test
     fun `batches and answers, sent and by way of the state service`() {
         for (name in listOf("batch", "first batch")) {
-            sentOn(name) { RelayCodec.encode(assertNotNull(RelayCodec.batch(it))) }
+            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.batch(it))) }
         }
         for (name in listOf("answer", "plain answer")) {
-            sentOn(name) { RelayCodec.encode(assertNotNull(RelayCodec.answer(it))) }
+            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.answer(it))) }
         }
-        packedAgain(StoreRelayClient.BATCHES + "n3") {
-            RelayCodec.pack(assertNotNull(RelayCodec.batch(it)))
+        packedAgain(StoredBatchClient.BATCHES + "n3") {
+            ForwardingCodec.pack(assertNotNull(ForwardingCodec.batch(it)))
         }
-        packedAgain(StoreRelayClient.ANSWERS) {
-            RelayCodec.pack(assertNotNull(RelayCodec.answers(it)))
+        packedAgain(StoredBatchClient.ANSWERS) {
+            ForwardingCodec.pack(assertNotNull(ForwardingCodec.answers(it)))
         }
     }
 
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -12,23 +12,23 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
+import wardmux.election.LeaderElection
 import wardmux.election.LeaderRecord
-import wardmux.election.Leadership
-import wardmux.forwarding.Batch
-import wardmux.forwarding.BatchAnswer
-import wardmux.forwarding.RelayCodec
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.HeartbeatBatch
+import wardmux.forwarding.HeartbeatBatchResponse
 import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.JobKind
+import wardmux.model.JobProgress
 import wardmux.model.JobSpec
 import wardmux.model.JobState
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Progress
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
-import wardmux.peers.HeartbeatCodec
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
+import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 import wardmux.records.StoredPage
@@ -152,7 +152,7 @@
 
     @Test
     fun `the leader's record is read`() =
-        eachStored(Leadership.KEY) {
+        eachStored(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             assertEquals("n2", record.member)
             assertEquals("n2-5f3a", record.boot)
@@ -206,8 +206,8 @@
             assertEquals(JobId("job-000412"), spec.jobId)
             assertEquals("train", spec.jobClass)
             assertEquals("batch", spec.team)
-            assertEquals(Shape.BATCH, spec.shape)
-            assertEquals(Urgency.HIGH, spec.urgency)
+            assertEquals(JobKind.ARRAY, spec.shape)
+            assertEquals(PriorityClass.HIGH, spec.urgency)
             assertEquals(40, spec.tasks)
             assertEquals(2.5, spec.cpus)
             assertEquals(1.0, spec.gpus)
@@ -240,15 +240,15 @@
                 assertEquals(job.id, found.task.job)
                 assertEquals(placement.attempt, found.attempt, "attempt of $task")
                 assertEquals(placement.machine, found.machine, "machine of $task")
-                assertEquals(placement.shift, found.shift, "session of $task")
+                assertEquals(placement.incarnation, found.incarnation, "session of $task")
                 assertEquals(placement.zone, found.zone, "zone of $task")
                 assertEquals(placement.charge, found.charge, "charge of $task")
                 assertTrue(found.restored && found.committed)
             }
-            assertEquals(9_000_000_000, read.getValue(23).shift)
+            assertEquals(9_000_000_000, read.getValue(23).incarnation)
             assertEquals(MachineId("i-000003"), read.getValue(23).machine)
             assertEquals("west", read.getValue(22).zone)
-            assertEquals(99, job.pageStamp(1))
+            assertEquals(99, job.pageVersion(1))
         }
 
     @Test
@@ -260,7 +260,7 @@
                 job.load(number, 99, page(form(stored.getValue("t/job-000412/$number"))))
             }
             val tasks = 0 until job.spec.tasks
-            assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isDone(it) })
+            assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isTaskDone(it) })
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isRecorded(it) })
             for (task in tasks) {
                 val last = FormatContents.TRIED[task] ?: job.placements.get(task)?.attempt ?: 0
@@ -291,7 +291,7 @@
         }
         eachGangPages(FormatContents.GANG_DONE_SPEC, 0..0) { gang, read ->
             assertEquals((1..7).toList(), read.map { it.task.index })
-            assertTrue(gang.complete)
+            assertTrue(gang.allTasksDone)
         }
     }
 
@@ -316,17 +316,17 @@
         val harness = ControllerHarness()
         harness.accept(plainJob(1, "job-000001"))
         harness.accept(plainJob(1, "job-000002"))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val machine = ManualWorker(harness, "i-000001")
         val token = machine.token()
         val failed = { job: Int ->
             """{"piece":"job-00000$job/0","try":1,"status":"ended","cause":"error"}"""
         }
-        harness.run(1.secs)
-        machine.handleReport(token)
-        harness.run(1.secs)
-        machine.handleReport(token, "${failed(1)},${failed(2)}")
-        harness.run(1.secs)
+        harness.run(1.seconds)
+        machine.handleHeartbeat(token)
+        harness.run(1.seconds)
+        machine.handleHeartbeat(token, "${failed(1)},${failed(2)}")
+        harness.run(1.seconds)
         val sample = stored.getValue(FormatContents.CONDEMNED_KEY)
         assertEquals(sample, harness.stored(FormatContents.CONDEMNED_KEY))
     }
@@ -338,11 +338,11 @@
         val harness = ControllerHarness()
         if (decommissioned != null) harness.write(FormatContents.CONDEMNED_KEY, decommissioned)
         harness.accept(plainJob(1).copy(zone = "a"))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000002", "b").token()
         val machine = ManualWorker(harness, "i-000001", "a")
         val answers =
-            List(4) { machine.report(token).toString().also { harness.run(0.5.secs) } } +
+            List(4) { machine.report(token).toString().also { harness.run(0.5.seconds) } } +
                 harness.direct
         return answers.any { "\"verb\":\"start\"" in it }
     }
@@ -357,25 +357,25 @@
     @Test
     fun `a heartbeat is read`() {
         eachMessage("beat") {
-            val heartbeat = assertNotNull(HeartbeatCodec.decode(it))
+            val heartbeat = assertNotNull(PeerHeartbeatCodec.decode(it))
             assertEquals("n1", heartbeat.member)
             assertEquals(4_711, heartbeat.token)
             assertEquals(1_250_000, heartbeat.stateSilence)
-            val progress = listOf(Progress("job-000412", 8, 5), Progress("job-000413", 0, 0))
+            val progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0))
             assertEquals(progress, heartbeat.progress)
             assertTrue(heartbeat.wantsRelays)
             val heard = heartbeat.heard.map { h -> Triple(h.member, h.boot, h.count) }
             assertEquals(listOf(Triple("n2", "n2-5f3a", 12L), Triple("n3", "n3-1", 0L)), heard)
         }
         eachMessage("beat of a follower") {
-            assertEquals(FormatContents.FOLLOWER_BEAT, HeartbeatCodec.decode(it))
+            assertEquals(FormatContents.FOLLOWER_BEAT, PeerHeartbeatCodec.decode(it))
         }
     }
 
     @Test
     fun `the answer to a heartbeat is read`() {
         eachMessage("told") {
-            val told = assertNotNull(HeartbeatCodec.told(it))
+            val told = assertNotNull(PeerHeartbeatCodec.told(it))
             assertEquals("n2-5f3a", told.boot)
             assertEquals(86_400_000_000, told.up)
             assertEquals(12, told.from)
@@ -383,7 +383,7 @@
             assertTrue(told.more)
         }
         eachMessage("nothing told") {
-            val told = assertNotNull(HeartbeatCodec.told(it))
+            val told = assertNotNull(PeerHeartbeatCodec.told(it))
             assertEquals("n3-1", told.boot)
             assertEquals(0, told.up)
             assertEquals(0, told.from)
@@ -392,7 +392,7 @@
         }
     }
 
-    private fun assertWhole(batch: Batch?) {
+    private fun assertWhole(batch: HeartbeatBatch?) {
         assertNotNull(batch)
         assertEquals("n3", batch.member)
         assertEquals("n3-1", batch.boot)
@@ -406,7 +406,7 @@
         assertEquals(listOf<Long>(4, 90, 5, 1_000_000), batch.signs)
     }
 
-    private fun assertWhole(answer: BatchAnswer?) {
+    private fun assertWhole(answer: HeartbeatBatchResponse?) {
         assertNotNull(answer)
         assertEquals("n3-1", answer.boot)
         assertEquals(41, answer.number)
@@ -415,7 +415,7 @@
         assertFalse(answer.wanted)
         assertEquals(5_280_000, answer.grant)
         assertEquals(listOf<Long>(4, 5), answer.unknown)
-        val mail = answer.mail.map { Triple(it.machine, it.shift, it.orders) }
+        val mail = answer.mail.map { Triple(it.machine, it.incarnation, it.orders) }
         val orders = FormatContents.ORDERS
         val wanted = listOf(Triple("i-000001", 3L, orders), Triple("i-000002", 1L, emptyList()))
         assertEquals(wanted, mail)
@@ -426,7 +426,7 @@
         assertFalse(answer.renews)
     }
 
-    private fun assertBare(answer: BatchAnswer?) {
+    private fun assertBare(answer: HeartbeatBatchResponse?) {
         assertNotNull(answer)
         assertEquals("n3-1", answer.boot)
         assertEquals(4_711, answer.token)
@@ -438,7 +438,7 @@
         assertNull(answer.shedTo)
     }
 
-    private fun assertPlain(answer: BatchAnswer?) {
+    private fun assertPlain(answer: HeartbeatBatchResponse?) {
         assertBare(answer)
         assertEquals(1, answer?.number)
         assertEquals(55_000_000, answer?.clock)
@@ -449,10 +449,10 @@
 
     @Test
     fun `batches are read`() {
-        eachMessage("batch") { assertWhole(RelayCodec.batch(it)) }
-        eachStored("r/n3") { assertWhole(RelayCodec.batch(it)) }
+        eachMessage("batch") { assertWhole(ForwardingCodec.batch(it)) }
+        eachStored("r/n3") { assertWhole(ForwardingCodec.batch(it)) }
         eachMessage("first batch") {
-            val batch = assertNotNull(RelayCodec.batch(it))
+            val batch = assertNotNull(ForwardingCodec.batch(it))
             assertEquals("n3", batch.member)
             assertEquals("n3-1", batch.boot)
             assertEquals(1, batch.number)
@@ -466,10 +466,10 @@
 
     @Test
     fun `the answers to batches are read`() {
-        eachMessage("answer") { assertWhole(RelayCodec.answer(it)) }
-        eachMessage("plain answer") { assertPlain(RelayCodec.answer(it)) }
+        eachMessage("answer") { assertWhole(ForwardingCodec.answer(it)) }
+        eachMessage("plain answer") { assertPlain(ForwardingCodec.answer(it)) }
         eachStored("a/relays") {
-            val answers = assertNotNull(RelayCodec.answers(it)).byMember
+            val answers = assertNotNull(ForwardingCodec.answers(it)).byMember
             assertEquals(setOf("n1", "n3", "n4"), answers.keys)
             assertPlain(answers["n1"])
             assertWhole(answers["n4"])
--- a/src/test/kotlin/wardmux/app/ReadyTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadyTest.kt
@@ -4,43 +4,43 @@
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.Json
 import wardmux.core.Port
-import wardmux.model.secs
-import wardmux.peers.Heartbeat
-import wardmux.peers.HeartbeatCodec
+import wardmux.model.seconds
+import wardmux.peers.PeerHeartbeat
+import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 
 /** Which controllers users are sent to when the state service is in trouble, and for whom. */
 class ReadyTest {
-    private val harness = ControllerHarness(siblings = listOf("n1"))
+    private val harness = ControllerHarness(peers = listOf("n1"))
 
     private fun ready() = harness.call("GET", "/ready")?.first
 
     /** Seconds in which the sibling says how long ago the state service answered it. */
-    private fun pass(seconds: Int, siblingsSilence: (Int) -> Long) =
-        repeat(seconds) {
+    private fun pass(inSeconds: Int, siblingsSilence: (Int) -> Long) =
+        repeat(inSeconds) {
             val heartbeat =
-                HeartbeatCodec.encode(
-                    Heartbeat("n1", stateSilence = siblingsSilence(it) * 1_000_000)
+                PeerHeartbeatCodec.encode(
+                    PeerHeartbeat("n1", stateSilence = siblingsSilence(it) * 1_000_000)
                 )
             harness.call("POST", "/beat", heartbeat, Port.PEER)
             harness.call("GET", "/submissions/job-000001")
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
 
     @Test
     fun `a quiet follower, which asks the state service next to nothing, stays ready`() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         repeat(20) {
-            harness.call("POST", "/beat", HeartbeatCodec.encode(Heartbeat("n1")), Port.PEER)
-            harness.run(1.secs)
+            harness.call("POST", "/beat", PeerHeartbeatCodec.encode(PeerHeartbeat("n1")), Port.PEER)
+            harness.run(1.seconds)
             assertEquals(200, ready())
         }
     }
 
     @Test
     fun `in an outage for all, all stay ready`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         harness.refuse = { true }
         pass(12) { it.toLong() }
         assertEquals(200, ready())
@@ -48,7 +48,7 @@
 
     @Test
     fun `one that alone is refused is not ready until it is served again`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         harness.refuse = { true }
         pass(5) { 0 }
         assertEquals(503, ready())
--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
@@ -4,12 +4,12 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
+import wardmux.model.JobKind
 import wardmux.model.Machine
 import wardmux.model.MachineType
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 import wardmux.scheduling.Admission
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
@@ -18,8 +18,8 @@
 class MachineDrainerTest {
     private val type =
         MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 50.0, zones = listOf("a", "b"))
-    private val teams = listOf(TeamFacts("team-0", 700.0, 700.0))
-    private val harness = PlannerHarness(teams, listOf(type), now = 100.secs)
+    private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
+    private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val drainer =
         MachineDrainer(
             harness.context,
@@ -29,12 +29,12 @@
         )
     private val service =
         plainJob(2, "job-000001")
-            .copy(shape = Shape.DAEMON, urgency = Urgency.PROD, spot = false, estimateS = 0.0)
+            .copy(shape = JobKind.SERVICE, urgency = PriorityClass.PROD, spot = false, estimateS = 0.0)
 
     private fun ordinary(number: Int) = harness.machine(number, type, spot = false)
 
     private fun haveImage(vararg machines: Machine) {
-        for (machine in machines) machine.imageReady(service.image, service.imageGb, 50.secs)
+        for (machine in machines) machine.imageReady(service.image, service.imageGb, 50.seconds)
     }
 
     private fun adjust(surplus: Double) {
@@ -44,8 +44,8 @@
         drainer.moveReplicas()
     }
 
-    private fun halting() =
-        harness.cluster.machines.values.flatMap { it.placements.values }.filter { it.halting }
+    private fun isStopping() =
+        harness.cluster.machines.values.flatMap { it.placements.values }.filter { it.isStopping }
 
     @Test
     fun `the machine with least on it is emptied, and one replica of a service moves at a time`() {
@@ -57,11 +57,11 @@
         harness.run(harness.job(plainJob(1, "job-000003").copy(cpus = 6.0)), 0, other)
         haveImage(sparse, other)
         adjust(1.5)
-        assertTrue(sparse.draining)
-        assertFalse(other.draining)
-        assertEquals(listOf(sparse.id), halting().map { it.machine })
+        assertTrue(sparse.isScalingIn)
+        assertFalse(other.isScalingIn)
+        assertEquals(listOf(sparse.id), isStopping().map { it.machine })
         adjust(-1.0)
-        assertFalse(sparse.draining, "it takes tasks again where room is short")
+        assertFalse(sparse.isScalingIn, "it takes tasks again where room is short")
     }
 
     @Test
@@ -73,11 +73,11 @@
         harness.run(harness.job(plainJob(1, "job-000002").copy(cpus = 14.0)), 0, other)
         haveImage(sparse)
         adjust(1.5)
-        assertTrue(sparse.draining)
-        assertEquals(0, halting().size, "its image is nowhere else")
+        assertTrue(sparse.isScalingIn)
+        assertEquals(0, isStopping().size, "its image is nowhere else")
         haveImage(other)
         adjust(0.5)
-        assertEquals(1, halting().size)
+        assertEquals(1, isStopping().size)
     }
 
     @Test
@@ -87,10 +87,10 @@
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
         harness.run(harness.job(plainJob(1, "job-000003")), 0, spot)
         adjust(0.9)
-        assertFalse(machine.draining)
+        assertFalse(machine.isScalingIn)
         adjust(5.0)
-        assertTrue(machine.draining)
-        assertFalse(spot.draining)
+        assertTrue(machine.isScalingIn)
+        assertFalse(spot.isScalingIn)
     }
 
     @Test
--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -3,31 +3,31 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.NextStateFacts
-import wardmux.config.TeamFacts
+import wardmux.config.AnnouncedStoreLimits
+import wardmux.config.TeamQuota
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.MachineType
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.records.MachineTypeList
 import wardmux.sim.ControllerHarness
 import wardmux.sim.plainJob
 
 class ProvisionerTest {
     /** The machines that are asked for in one decision, as many in each zone. */
-    private fun askedFor(next: NextStateFacts?): Int {
-        val facts = ControllerHarness.SETTINGS.facts
+    private fun askedFor(next: AnnouncedStoreLimits?): Int {
+        val deployment = ControllerHarness.SETTINGS.deployment
         val settings =
             ControllerHarness.SETTINGS.copy(
-                facts =
-                    facts.copy(
-                        teams = listOf(TeamFacts("team-0", 700.0, 12_000.0)),
-                        state = facts.state.copy(next = next),
+                deployment =
+                    deployment.copy(
+                        teams = listOf(TeamQuota("team-0", 700.0, 12_000.0)),
+                        state = deployment.state.copy(next = next),
                     )
             )
         val harness = ControllerHarness(given = settings)
         harness.accept(plainJob(80).copy(cpus = 16.0))
-        harness.run(20.secs)
+        harness.run(20.seconds)
         val counts =
             harness.cloud
                 .filter { it.startsWith("/machines {") }
@@ -41,22 +41,22 @@
 
     @Test
     fun `none is asked for what the page of the job cannot take yet`() {
-        val asked = askedFor(NextStateFacts(valueKb = 2.0, txnOps = 4, writeRps = 18.0))
+        val asked = askedFor(AnnouncedStoreLimits(valueKb = 2.0, txnOps = 4, writeRps = 18.0))
         assertTrue(asked in 35..50, "$asked asked for")
     }
 
     /** Kinds of machines that are asked for first, as "type spot". */
     private fun kindsAskedFor(vararg jobs: JobSpec): Set<String> {
-        val facts = ControllerHarness.SETTINGS.facts
-        val teams = listOf(TeamFacts("team-0", 700.0, 12_000.0))
+        val deployment = ControllerHarness.SETTINGS.deployment
+        val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
         // The list is not waited for, so that it is decided before anything waited for long.
-        val cloud = facts.cloud.copy(listLagS = 0.1)
+        val cloud = deployment.cloud.copy(listLagS = 0.1)
         val settings =
-            ControllerHarness.SETTINGS.copy(facts = facts.copy(teams = teams, cloud = cloud))
+            ControllerHarness.SETTINGS.copy(deployment = deployment.copy(teams = teams, cloud = cloud))
         val harness = ControllerHarness(given = settings)
         harness.write(MachineTypeList.KEY, MachineTypeList.encode(listOf(SMALL, LARGE)))
         for (job in jobs) harness.accept(job)
-        harness.run(4.secs)
+        harness.run(4.seconds)
         return harness.cloud
             .filter { it.startsWith("/machines {") }
             .map { Regex(""""boxkind":"(\w+)".*"loaners":(\w+)""").find(it)!!.destructured }
@@ -80,7 +80,7 @@
     fun `a service gets ordinary machines, however many spot machines there are`() {
         val service =
             plainJob(64, "job-000003")
-                .copy(shape = Shape.DAEMON, spot = false, spread = true, estimateS = 0.0)
+                .copy(shape = JobKind.SERVICE, spot = false, spread = true, estimateS = 0.0)
         val asked = kindsAskedFor(smallTasks, service)
         assertEquals(setOf("large spot", "large"), asked)
     }
--- a/src/test/kotlin/wardmux/config/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -16,7 +16,7 @@
     private fun file(text: String) = File(dir, "settings.toml").also { it.writeText(text) }
 
     private fun refused(text: String): String {
-        val message = assertFailsWith<BadSettings> { SettingsFiles.platform(file(text)) }.message
+        val message = assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(file(text)) }.message
         assertEquals(1, message.orEmpty().lines().size)
         return message.orEmpty()
     }
@@ -25,9 +25,9 @@
     fun `the platform's file is read, unknown fields and all`() {
         val settings = SettingsFiles.platform(file("later = 3\n" + ArchiveTrainingRun.SAMPLE))
         assertEquals("wardbox-0", settings.member)
-        assertEquals(listOf("team-0", "team-1"), settings.facts.teams.map { it.name })
-        assertEquals(48, settings.facts.state.txnOps)
-        assertEquals(listOf("wardbox-1"), settings.siblings.map { it.member })
+        assertEquals(listOf("team-0", "team-1"), settings.deployment.teams.map { it.name })
+        assertEquals(48, settings.deployment.state.txnOps)
+        assertEquals(listOf("wardbox-1"), settings.peers.map { it.member })
     }
 
     @Test
@@ -67,16 +67,16 @@
 
     @Test
     fun `limits to come may be named, and the smaller of both are kept`() {
-        val without = SettingsFiles.platform(file(ArchiveTrainingRun.SAMPLE)).facts.state
+        val without = SettingsFiles.platform(file(ArchiveTrainingRun.SAMPLE)).deployment.state
         assertNull(without.next)
         assertEquals(without, without.lowest)
-        val with = SettingsFiles.platform(file(sampleWithNext)).facts.state
+        val with = SettingsFiles.platform(file(sampleWithNext)).deployment.state
         assertEquals(48, with.txnOps)
-        assertEquals(StateFacts(with.rps, 18.0, 2.0, 4), with.lowest)
-        val one = with.copy(next = NextStateFacts(rps = 9.0, txnOps = 99))
+        assertEquals(StoreLimits(with.rps, 18.0, 2.0, 4), with.lowest)
+        val one = with.copy(next = AnnouncedStoreLimits(rps = 9.0, txnOps = 99))
         assertEquals(without.copy(rps = 9.0), one.lowest)
         val partial = sampleWithNext.replace("value_kb = 2.0\ntxn_ops = 4", "later = 1")
-        val read = SettingsFiles.platform(file(partial)).facts.state
+        val read = SettingsFiles.platform(file(partial)).deployment.state
         assertEquals(without.copy(writeRps = 18.0), read.lowest)
     }
 
@@ -97,7 +97,7 @@
     @Test
     fun `an unreadable file is named`() {
         val missing = File(dir, "none.toml")
-        val message = assertFailsWith<BadSettings> { SettingsFiles.platform(missing) }.message
+        val message = assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(missing) }.message
         assertContains(message.orEmpty(), "none.toml: cannot be read")
     }
 
@@ -105,16 +105,16 @@
     fun `operators' settings have defaults, ranges and no unknown fields`() {
         assertEquals(OperatorSettings(), SettingsFiles.operators(null))
         assertEquals(60.0, SettingsFiles.operators(file("half_life_s = 60.0")).halfLifeS)
-        val range = assertFailsWith<BadSettings> { SettingsFiles.operators(file("norm_s = 0.0")) }
+        val range = assertFailsWith<InvalidSettingsException> { SettingsFiles.operators(file("norm_s = 0.0")) }
         assertContains(range.message.orEmpty(), "norm_s must be from 1.0")
-        val unknown = assertFailsWith<BadSettings> { SettingsFiles.operators(file("nrom_s = 5.0")) }
+        val unknown = assertFailsWith<InvalidSettingsException> { SettingsFiles.operators(file("nrom_s = 5.0")) }
         assertContains(unknown.message.orEmpty(), "nrom_s")
     }
 
     private fun operators(text: String) = SettingsFiles.operators(file(text))
 
     private fun operatorsRefused(text: String): String {
-        val message = assertFailsWith<BadSettings> { operators(text) }.message.orEmpty()
+        val message = assertFailsWith<InvalidSettingsException> { operators(text) }.message.orEmpty()
         assertEquals(1, message.lines().size)
         return message
     }
--- a/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
@@ -6,14 +6,15 @@
 import kotlin.test.assertNull
 import wardmux.config.BudgetSettings
 import wardmux.config.DrainSettings
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.model.Job
+import wardmux.model.JobKind
+import wardmux.model.JobPhase
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Placement
-import wardmux.model.Shape
 import wardmux.model.TaskStatus
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
@@ -21,16 +22,16 @@
 class DisruptionsTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val harness =
-        PlannerHarness(listOf(TeamFacts("team-0", 700.0, 700.0)), listOf(type), now = 100.secs)
+        PlannerHarness(listOf(TeamQuota("team-0", 700.0, 700.0)), listOf(type), now = 100.seconds)
     private val budget = BudgetSettings(mostDisrupted = 2, leastReplicas = 2)
     private val disruptions =
-        Disruptions(harness.context, harness.cluster, DrainSettings(budget = budget), 6.secs)
+        Disruptions(harness.context, harness.cluster, DrainSettings(budget = budget), 6.seconds)
     private val machine = harness.machine(1, type)
-    private val job = harness.job(plainJob(4).copy(shape = Shape.DAEMON))
+    private val job = harness.job(plainJob(4).copy(shape = JobKind.SERVICE))
 
     init {
         repeat(4) { harness.run(job, it, machine) }
-        for (placement in job.placements.values) placement.runningSince = 50.secs
+        for (placement in job.placements.values) placement.runningSince = 50.seconds
         disruptions.count()
     }
 
@@ -53,12 +54,12 @@
 
     @Test
     fun `a machine that is silent, unconfirmed, recalled or given up has lost all`() {
-        allLostBy { heardAt = 93.secs }
-        assertEquals(0, lost { machine.heardAt = 100.secs })
+        allLostBy { lastHeartbeatAt = 93.seconds }
+        assertEquals(0, lost { machine.lastHeartbeatAt = 100.seconds })
         allLostBy { confirmed = false }
         assertEquals(0, lost { machine.confirmed = true })
-        allLostBy { recalledAt = 99.secs }
-        assertEquals(0, lost { machine.recalledAt = null })
+        allLostBy { preemptionNoticeAt = 99.seconds }
+        assertEquals(0, lost { machine.preemptionNoticeAt = null })
         allLostBy { decommissioned = true }
     }
 
@@ -68,7 +69,7 @@
         assertEquals(0, lost { first.status = TaskStatus.FETCHING })
         assertEquals(1, lost { first.restored = true })
         first.restored = false
-        assertEquals(1, lost { first.runningSince = 50.secs })
+        assertEquals(1, lost { first.runningSince = 50.seconds })
     }
 
     @Test
@@ -91,7 +92,7 @@
     @Test
     fun `jobs that are over count for nothing`() {
         machine.confirmed = false
-        assertEquals(0, lost { job.over = true })
+        assertEquals(0, lost { job.phase = JobPhase.CANCELLED })
     }
 
     @Test
@@ -101,7 +102,7 @@
         disruptions.stopped(first)
         assertNull(disruptions.refusal(job, 1))
         assertIs<BudgetRefusal.NotNow>(disruptions.refusal(job, 2))
-        val small = harness.job(plainJob(2, "job-000002").copy(shape = Shape.DAEMON))
+        val small = harness.job(plainJob(2, "job-000002").copy(shape = JobKind.SERVICE))
         assertIs<BudgetRefusal.Never>(disruptions.refusal(small, 1), "two replicas must stay up")
     }
 
@@ -109,7 +110,7 @@
     fun `a share is rounded up, and the smaller of number and share holds`() {
         fun limit(share: Double): Int {
             val settings = DrainSettings(budget = budget.copy(mostDisruptedShare = share))
-            val own = Disruptions(harness.context, harness.cluster, settings, 6.secs)
+            val own = Disruptions(harness.context, harness.cluster, settings, 6.seconds)
             own.count()
             return own.limitOf("team-0")
         }
@@ -121,7 +122,7 @@
 
     @Test
     fun `replicas of one service are limited beside the team`() {
-        val other: Job = harness.job(plainJob(3, "job-000003").copy(shape = Shape.DAEMON))
+        val other: Job = harness.job(plainJob(3, "job-000003").copy(shape = JobKind.SERVICE))
         repeat(3) { harness.run(other, it, harness.machine(2 + it, type)) }
         disruptions.count()
         disruptions.stopped(other.placements.get(0))
--- a/src/test/kotlin/wardmux/drain/DrainDay.kt
+++ b/src/test/kotlin/wardmux/drain/DrainDay.kt
@@ -6,12 +6,12 @@
 import wardmux.config.BudgetSettings
 import wardmux.config.DrainSettings
 import wardmux.config.OperatorSettings
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.sim.ClusterSimulation
 import wardmux.sim.FakeWorker
 
@@ -44,8 +44,8 @@
             .randomJob()
             .copy(
                 team = "team-$team",
-                shape = Shape.DAEMON,
-                urgency = Urgency.NORMAL,
+                shape = JobKind.SERVICE,
+                urgency = PriorityClass.NORMAL,
                 tasks = replicas,
                 cpus = cpus,
                 zone = null,
@@ -57,13 +57,13 @@
                 saveS = 0.0,
             )
 
-    /** An array of tasks that run for about [seconds] and save. */
-    fun array(team: Int, tasks: Int, seconds: Double, cpus: Double = 2.0): JobSpec =
+    /** An array of tasks that run for about [inSeconds] and save. */
+    fun array(team: Int, tasks: Int, inSeconds: Double, cpus: Double = 2.0): JobSpec =
         service(team, tasks, cpus)
             .copy(
-                shape = Shape.BATCH,
+                shape = JobKind.ARRAY,
                 spot = true,
-                estimateS = seconds,
+                estimateS = inSeconds,
                 checkpointS = 5.0,
                 saveS = 2.0,
             )
@@ -73,9 +73,9 @@
     /** Lets jobs begin; the usual ones, unless others were submitted. */
     fun begin(vararg specs: JobSpec): DrainDay {
         val jobs = specs.ifEmpty { arrayOf(service(0, 4), service(1, 3), array(2, 3, 60.0)) }
-        simulation.run(8.secs)
+        simulation.run(8.seconds)
         for (spec in jobs) simulation.submit(spec)
-        simulation.run(40.secs)
+        simulation.run(40.seconds)
         return this
     }
 
@@ -105,7 +105,7 @@
         repeat(60) {
             val answer = askOnce(method, path, body, by)
             if (answer != null && answer.first != 503) return answer
-            simulation.run(clock.now + 1.secs)
+            simulation.run(clock.now + 1.seconds)
         }
         error("no answer to $method $path")
     }
@@ -122,7 +122,7 @@
             answer = status?.let { it to text }
             over = true
         }
-        while (!over) simulation.run(clock.now + 1.secs)
+        while (!over) simulation.run(clock.now + 1.seconds)
         return answer
     }
 
@@ -148,24 +148,24 @@
         val until = clock.now + most
         while (!reached()) {
             assertTrue(clock.now < until, "not within $most: $what; ${stored()}")
-            simulation.run(clock.now + 50.millis)
+            simulation.run(clock.now + 50.milliseconds)
         }
     }
 
-    fun runUntilStep(phase: StepPhase, most: Micros = 300.secs) =
+    fun runUntilStep(phase: StepPhase, most: Micros = 300.seconds) =
         runUntil(most, "$phase") { stored()?.step?.phase == phase }
 
-    fun runUntilDone(most: Micros = 900.secs, id: String = "d1") =
+    fun runUntilDone(most: Micros = 900.seconds, id: String = "d1") =
         runUntil(most, "done") { stored(id)?.state == DrainState.DONE }
 
     /** All that was drained is gone, nothing was lost beyond the budgets, and no rule is broken. */
-    fun check(noticedAfter: Micros = 9.secs) {
+    fun check(noticedAfter: Micros = 9.seconds) {
         assertNotNull(stored())
         assertEquals(emptyList(), drained.filter { it.alive }.map { it.id }, "${stored()}")
         checkBudgets(noticedAfter)
     }
 
-    fun checkBudgets(noticedAfter: Micros = 9.secs) {
+    fun checkBudgets(noticedAfter: Micros = 9.seconds) {
         val limit = { team: String -> settings.budgetOf(team).mostDisrupted }
         assertEquals(emptyList(), losses.beyond(limit, noticedAfter, duringDrains()))
         assertEquals(emptyList(), simulation.problems())
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -13,16 +13,16 @@
 import wardmux.config.BudgetSettings
 import wardmux.config.DrainSettings
 import wardmux.config.OperatorSettings
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** Drains through the failures that they are made for, each brought about on purpose. */
 class DrainFaultsTest {
-    private fun DrainDay.crashLeader() = simulation.leader()?.let { simulation.crash(it, 3.secs) }
+    private fun DrainDay.crashLeader() = simulation.leader()?.let { simulation.crash(it, 3.seconds) }
 
     private fun DrainDay.crashAll() {
-        for (node in simulation.nodes) simulation.crash(node, 3.secs)
+        for (node in simulation.nodes) simulation.crash(node, 3.seconds)
     }
 
     /** Calls [action] as the leader sends its [number]th write of a drain from now. */
@@ -56,13 +56,13 @@
     private fun DrainDay.befall(fault: LeaderFault) {
         val leader = simulation.leader() ?: return
         when (fault) {
-            LeaderFault.ENDS -> simulation.crash(leader, 3.secs)
-            LeaderFault.ENDS_LATER -> clock.after(400.millis) { simulation.crash(leader, 3.secs) }
+            LeaderFault.ENDS -> simulation.crash(leader, 3.seconds)
+            LeaderFault.ENDS_LATER -> clock.after(400.milliseconds) { simulation.crash(leader, 3.seconds) }
             LeaderFault.STANDS_STILL ->
-                clock.after(100.millis) { simulation.freeze(leader, 15.secs) }
+                clock.after(100.milliseconds) { simulation.freeze(leader, 15.seconds) }
             LeaderFault.IS_CUT_OFF -> {
                 simulation.network.cut(leader)
-                clock.after(15.secs) { simulation.network.mend(leader) }
+                clock.after(15.seconds) { simulation.network.mend(leader) }
             }
         }
     }
@@ -82,14 +82,14 @@
     @ValueSource(longs = [1, 2, 3, 4])
     fun `late commands of the first leader take nothing beyond the budget`(seed: Long) {
         val day = DrainDay(seed).begin().start()
-        for (worker in day.workers()) day.simulation.lateOrders[worker.id] = 4.secs
+        for (worker in day.workers()) day.simulation.lateOrders[worker.id] = 4.seconds
         for (write in listOf(3, 6)) {
             day.atDrainWrite(write) { day.befall(LeaderFault.STANDS_STILL) }
-            day.simulation.run(day.clock.now + 60.secs)
+            day.simulation.run(day.clock.now + 60.seconds)
         }
         day.simulation.lateOrders.clear()
         day.runUntilDone()
-        day.check(noticedAfter = 20.secs)
+        day.check(noticedAfter = 20.seconds)
     }
 
     /** Two machines with a replica each, drained side by side, of which one may be down. */
@@ -114,13 +114,13 @@
     @ValueSource(longs = [1, 2, 3, 4])
     fun `what an earlier leader may have stopped counts until it is heard of`(seed: Long) {
         val (day, machines) = sideBySide(seed)
-        day.runUntil(200.secs, "a stop") { day.losses.stops.isNotEmpty() }
+        day.runUntil(200.seconds, "a stop") { day.losses.stops.isNotEmpty() }
         // The next leader does not hear of the stop: that machine reaches no controller.
         val stopped =
             day.workers().filter { it.id in machines }.filter { it.tasksThere == 0 }.map { it.id }
         day.simulation.network.mute.addAll(stopped)
         day.crashLeader()
-        day.clock.after(25.secs) { day.simulation.network.mute.removeAll(stopped.toSet()) }
+        day.clock.after(25.seconds) { day.simulation.network.mute.removeAll(stopped.toSet()) }
         day.runUntilBothDone()
     }
 
@@ -130,8 +130,8 @@
         val (day, machines) = sideBySide(seed)
         val network = day.simulation.network
         // Direct commands take long, and once the stop is sent nothing else gets through.
-        for (machine in machines) day.simulation.lateOrders[machine] = 8.secs
-        day.runUntil(200.secs, "a stop is recorded") {
+        for (machine in machines) day.simulation.lateOrders[machine] = 8.seconds
+        day.runUntil(200.seconds, "a stop is recorded") {
             listOf("d1", "d2").any { day.stored(it)?.step?.moved?.isNotEmpty() == true }
         }
         val leader = checkNotNull(day.simulation.leader())
@@ -142,8 +142,8 @@
             "\"tags\"" in transaction.toString() && swallowed++ == 0
         }
         day.submit(day.array(1, 2, 5.0))
-        day.clock.after(9.secs) { for (machine in machines) network.join(leader, machine) }
-        day.simulation.run(day.clock.now + 12.secs)
+        day.clock.after(9.seconds) { for (machine in machines) network.join(leader, machine) }
+        day.simulation.run(day.clock.now + 12.seconds)
         assertTrue(swallowed > 0)
         day.simulation.lateOrders.clear()
         day.runUntilBothDone()
@@ -153,15 +153,15 @@
     fun `a drain yields to urgent work that waits for room, and says so`() {
         val day = DrainDay(5, capacity = 1)
         day.begin(day.service(0, 2, cpus = 6.0), day.service(1, 2, cpus = 6.0))
-        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = Urgency.HIGH)
+        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = PriorityClass.HIGH)
         day.submit(urgent)
-        day.simulation.run(day.clock.now + 5.secs)
+        day.simulation.run(day.clock.now + 5.seconds)
         day.start()
         var said = false
         while (day.simulation.rules.finalOf(urgent.id) == null) {
             if ("goes first" in day.status().waitsFor) said = true
-            day.simulation.run(day.clock.now + 5.secs)
-            assertTrue(day.clock.now < 900.secs, "the urgent work never ended")
+            day.simulation.run(day.clock.now + 5.seconds)
+            assertTrue(day.clock.now < 900.seconds, "the urgent work never ended")
         }
         assertTrue(said, "it did not say that it yields")
         assertEquals(0, day.stored()?.returned)
@@ -178,7 +178,7 @@
         if (sick) day.simulation.cloud.bornSick = true else day.simulation.cloud.stillborn = 1.0
         val before = day.losses.stops.size
         day.start()
-        day.simulation.run(day.clock.now + 60.secs)
+        day.simulation.run(day.clock.now + 60.seconds)
         if (!sick) {
             assertEquals(before, day.losses.stops.size, "moved to a machine that is not up")
             assertEquals(StepPhase.PREPARING, day.stored()?.step?.phase)
@@ -210,16 +210,16 @@
         val first = day.workers().first { it.tasksThere == 2 }
         val second = day.workers().first { it.tasksThere == 1 }
         day.start(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
-        day.runUntil(60.secs, "a stop") { day.losses.stops.isNotEmpty() }
+        day.runUntil(60.seconds, "a stop") { day.losses.stops.isNotEmpty() }
         assertEquals(200, day.steer(DrainApi.PAUSE))
-        day.simulation.run(day.clock.now + 20.secs)
+        day.simulation.run(day.clock.now + 20.seconds)
         assertTrue(first.tasksThere > 0, "nothing is left to be moved")
         // What was there finds no machine for a while.
         day.simulation.cloud.stillborn = 1.0
         day.simulation.cloud.kill(second)
-        day.simulation.run(day.clock.now + 20.secs)
+        day.simulation.run(day.clock.now + 20.seconds)
         assertEquals(200, day.steer(DrainApi.RESUME))
-        day.runUntil(30.secs, "it pauses") { day.stored()?.reason == PauseReason.LOSS }
+        day.runUntil(30.seconds, "it pauses") { day.stored()?.reason == PauseReason.LOSS }
         assertTrue("workers are disrupted" in day.stored()?.note.orEmpty())
         day.simulation.cloud.stillborn = 0.0
         day.runUntilDone()
@@ -234,7 +234,7 @@
         day.runUntilStep(StepPhase.EMPTYING)
         for (worker in day.workers().filter { it.spot }.drop(1)) {
             worker.recallS = 10.0
-            day.clock.after(10.secs) { day.simulation.cloud.takeBack(worker) }
+            day.clock.after(10.seconds) { day.simulation.cloud.takeBack(worker) }
         }
         day.runUntilDone()
         day.check()
@@ -245,7 +245,7 @@
         val day = DrainDay(13).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         day.simulation.state.outage(null)
-        day.simulation.run(day.clock.now + 40.secs)
+        day.simulation.run(day.clock.now + 40.seconds)
         assertEquals(503, day.askOnce("GET", "${DrainApi.PATH}/d1")?.first, "at once")
         day.simulation.state.back(null)
         day.runUntilDone()
@@ -254,15 +254,15 @@
 
     @ParameterizedTest
     @ValueSource(ints = [5, 12, 40])
-    fun `a machine that hangs while it is drained and comes back`(seconds: Int) {
+    fun `a machine that hangs while it is drained and comes back`(inSeconds: Int) {
         val day = DrainDay(15).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         val names = day.stored()?.step?.machines.orEmpty()
         val hung = day.workers().filter { it.id in names }
         for (worker in hung) worker.hanging = true
-        day.clock.after(seconds.secs) { for (worker in hung) worker.hanging = false }
+        day.clock.after(inSeconds.seconds) { for (worker in hung) worker.hanging = false }
         day.runUntilDone()
-        day.check(noticedAfter = 20.secs)
+        day.check(noticedAfter = 20.seconds)
     }
 
     @Test
@@ -294,7 +294,7 @@
         day.runUntilStep(StepPhase.EMPTYING)
         val lower = DrainSettings(budget = budget.copy(mostDisrupted = 1))
         day.simulation.operatorsOf = { day.operators.copy(drain = lower) }
-        val until = day.clock.now + 5.secs
+        val until = day.clock.now + 5.seconds
         day.crashAll()
         day.simulation.run(until)
         val before = day.losses.stops.size
@@ -302,7 +302,7 @@
         day.check()
         val later = day.losses.stops.drop(before)
         val beyond = later.filter { it.lost.size > 1 }
-        assertEquals(emptyList(), beyond.map { "${it.team} at ${it.at.seconds}: ${it.lost.keys}" })
+        assertEquals(emptyList(), beyond.map { "${it.team} at ${it.at.inSeconds}: ${it.lost.keys}" })
     }
 
     @Test
@@ -310,15 +310,15 @@
         val none = BudgetSettings(mostDisrupted = 0, stepPauseS = 1.0)
         val day = DrainDay(23, DrainSettings(budget = none))
         day.begin(day.service(0, 3)).start()
-        day.runUntil(120.secs, "paused") { day.stored()?.reason == PauseReason.BUDGET }
+        day.runUntil(120.seconds, "paused") { day.stored()?.reason == PauseReason.BUDGET }
         assertTrue("its budget is 0" in day.stored()?.note.orEmpty(), "${day.stored()}")
-        day.simulation.run(day.clock.now + 60.secs)
+        day.simulation.run(day.clock.now + 60.seconds)
         assertEquals(emptyList(), day.losses.stops.map { it.team })
         val raised = DrainSettings(budget = none.copy(mostDisrupted = 1))
         day.simulation.operatorsOf = { day.operators.copy(drain = raised) }
         day.crashAll()
         day.runUntilDone()
-        assertEquals(emptyList(), day.losses.beyond({ 1 }, 9.secs))
+        assertEquals(emptyList(), day.losses.beyond({ 1 }, 9.seconds))
         assertEquals(emptyList(), day.simulation.problems())
     }
 
@@ -334,7 +334,7 @@
 
         val tooMany = DrainDay(27, DrainSettings(budget = budget.copy(leastReplicas = 4)))
         tooMany.begin(tooMany.service(0, 4)).start()
-        tooMany.runUntil(120.secs, "paused") { tooMany.stored()?.reason == PauseReason.BUDGET }
+        tooMany.runUntil(120.seconds, "paused") { tooMany.stored()?.reason == PauseReason.BUDGET }
         assertTrue("must stay up" in tooMany.stored()?.note.orEmpty())
         assertEquals(0, tooMany.losses.stops.size)
     }
@@ -346,7 +346,7 @@
         val before = day.stored()
         day.simulation.operatorsOf = { OperatorSettings() }
         day.crashAll()
-        day.simulation.run(day.clock.now + 60.secs)
+        day.simulation.run(day.clock.now + 60.seconds)
         assertEquals(before, day.stored())
         assertEquals(404, day.askOnce("GET", "${DrainApi.PATH}/d1")?.first)
         day.simulation.operatorsOf = { day.operators }
@@ -359,12 +359,12 @@
     fun `with drains beside controllers of a version that has none`() {
         val day = DrainDay(31)
         day.simulation.operatorsOf = { if (it == "n1") OperatorSettings() else day.operators }
-        for (node in day.simulation.nodes) day.simulation.crash(node, 1.secs)
+        for (node in day.simulation.nodes) day.simulation.crash(node, 1.seconds)
         day.begin()
-        day.runUntil(60.secs, "a leader") { day.simulation.leader() != null }
+        day.runUntil(60.seconds, "a leader") { day.simulation.leader() != null }
         while (day.simulation.leader() == "n1") {
             day.crashLeader()
-            day.simulation.run(day.clock.now + 10.secs)
+            day.simulation.run(day.clock.now + 10.seconds)
         }
         val other = day.simulation.nodes.first { it != "n1" && it != day.simulation.leader() }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), REQUEST)
@@ -403,10 +403,10 @@
     fun `writes that get no answer and are carried out late`(seed: Long) {
         val day = DrainDay(seed).begin().start()
         day.simulation.state.lateWrites = 0.3
-        day.simulation.run(day.clock.now + 90.secs)
+        day.simulation.run(day.clock.now + 90.seconds)
         day.simulation.state.lateWrites = 0.0
         day.runUntilDone()
-        day.check(noticedAfter = 20.secs)
+        day.check(noticedAfter = 20.seconds)
     }
 
     private companion object {
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.io.TempDir
 import picocli.CommandLine
 import wardmux.app.WardmuxCommand
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /**
@@ -48,7 +48,7 @@
             plainJob(REPLICAS, "job-%06d".format(number + 1))
                 .copy(
                     team = "team-${number % 3}",
-                    shape = Shape.DAEMON,
+                    shape = JobKind.SERVICE,
                     cpus = 8.0,
                     spot = false,
                     estimateS = 0.0,
@@ -81,7 +81,7 @@
             val services = services()
             services.forEach { site.submit(it) }
             val all = services.sumOf { it.tasks }
-            site.await("all services run", 300.secs) { site.running(services) == all }
+            site.await("all services run", 300.seconds) { site.running(services) == all }
             val before = site.machines(ZONE)
             val began = site.now()
             val upBefore = site.machines().size
@@ -98,7 +98,7 @@
             assertEquals(DrainExit.OK, started.code, started.text)
             assertEquals(DrainExit.OK, site.command("start", "--id", "d1", *options).code)
 
-            site.await("the first step", 120.secs) { site.isEmptying() }
+            site.await("the first step", 120.seconds) { site.isEmptying() }
             val leader = checkNotNull(site.leader())
             site.kill(leader)
             val during = site.command("status", "d1")
@@ -107,15 +107,15 @@
             val other = site.busyMachines(OTHER_ZONE).firstOrNull()
             other?.let { site.crash(it) }
 
-            val most = if (isLong) 3600.secs else 400.secs
+            val most = if (isLong) 3600.seconds else 400.seconds
             site.await("done", most) { site.stored("d1")?.state == DrainState.DONE }
             val took = site.now() - began
-            site.await("all services run again", 300.secs) { site.running(services) == all }
+            site.await("all services run again", 300.seconds) { site.running(services) == all }
             assertEquals(emptyList(), site.machines(ZONE).filter { it in before })
-            assertEquals(emptyList(), site.problems(budget, noticedAfter = 30.secs))
+            assertEquals(emptyList(), site.problems(budget, noticedAfter = 30.seconds))
             val list = site.command("list")
             assertTrue("d1  done" in list.text, list.text)
-            val extra = site.machineSeconds() - secondsBefore - upBefore * took.seconds.toLong()
+            val extra = site.machineSeconds() - secondsBefore - upBefore * took.inSeconds.toLong()
             if (isLong) println(figures(site, took, extra))
             assertEquals(DrainExit.CONFLICT, site.command("cancel", "d1").code)
             assertEquals(DrainExit.UNKNOWN_DRAIN, site.command("status", "d2").code)
@@ -130,7 +130,7 @@
     private fun figures(site: LoopbackSite, took: Micros, extraSeconds: Long): String {
         val record = site.stored("d1")
         return "machines $machines, budget $budget, lost at most ${site.peaks()}, " +
-            "took ${took.seconds.toInt()} s, steps ${record?.stepsDone}, " +
+            "took ${took.inSeconds.toInt()} s, steps ${record?.stepsDone}, " +
             "returned ${record?.returned}, moved ${record?.moved}, " +
             "machine hours beyond those before ${"%.2f".format(extraSeconds / 3600.0)}"
     }
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -11,9 +11,9 @@
 import wardmux.config.DrainSettings
 import wardmux.config.OperatorSettings
 import wardmux.maintenance.WindowSettings
+import wardmux.model.JobKind
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 import wardmux.sim.ClusterSimulation
 
@@ -33,9 +33,9 @@
                 day.begin(service, day.service(1, 3), day.array(2, 3, 60.0)).start()
                 day.runUntilStep(phase)
                 assertEquals(200, day.steer(DrainApi.CANCEL))
-                day.simulation.run(day.clock.now + 20.secs)
+                day.simulation.run(day.clock.now + 20.seconds)
                 val before = day.losses.stops.size
-                day.simulation.run(day.clock.now + 60.secs)
+                day.simulation.run(day.clock.now + 60.seconds)
                 assertEquals(before, day.losses.stops.size, "it goes on")
                 assertEquals(DrainState.CANCELLED, day.state())
                 assertEquals(200, day.steer(DrainApi.CANCEL), "a repeat")
@@ -63,7 +63,7 @@
         for (team in 0..2) day.submit(day.array(team, 16, 200.0).copy(spot = true))
         val left = day.workers().filter { it.id in machines }
         assertTrue(left.isNotEmpty())
-        day.runUntil(60.secs, "it takes tasks") { left.all { it.view().freeCpus < 3.0 } }
+        day.runUntil(60.seconds, "it takes tasks") { left.all { it.view().freeCpus < 3.0 } }
     }
 
     @Test
@@ -72,7 +72,7 @@
         val budget = BudgetSettings(stepPauseS = 1.0)
         val planned = DrainDay(4, DrainSettings(budget = budget, windows = listOf(closed)))
         planned.begin().start()
-        planned.simulation.run(planned.clock.now + 30.secs)
+        planned.simulation.run(planned.clock.now + 30.seconds)
         assertEquals(DrainState.PLANNED, planned.state())
         assertTrue("1971-01-01T03:00:00Z" in planned.status().waitsFor, planned.status().waitsFor)
         assertEquals(200, planned.steer(DrainApi.CANCEL))
@@ -96,10 +96,10 @@
         val day = DrainDay(8).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         assertEquals(200, day.steer(DrainApi.PAUSE))
-        day.simulation.run(day.clock.now + 20.secs)
+        day.simulation.run(day.clock.now + 20.seconds)
         val before = day.losses.stops.size
-        day.simulation.leader()?.let { day.simulation.crash(it, 3.secs) }
-        day.simulation.run(day.clock.now + 60.secs)
+        day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
+        day.simulation.run(day.clock.now + 60.seconds)
         assertEquals(before, day.losses.stops.size)
         assertEquals(PauseReason.OPERATOR, day.status().record.reason)
         assertEquals(200, day.steer(DrainApi.RESUME))
@@ -113,7 +113,7 @@
         val day = DrainDay(9).begin()
         val request = ordinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
         day.start(request)
-        day.simulation.run(300.secs)
+        day.simulation.run(300.seconds)
         if (action == DeadlineAction.PAUSE) {
             assertEquals(PauseReason.DEADLINE, day.status().record.reason)
             assertEquals(200, day.steer(DrainApi.RESUME))
@@ -140,8 +140,8 @@
         val day = DrainDay(11).begin()
         val unknown = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
         day.simulation.state.write(DrainRecord.key("d1"), unknown)
-        day.simulation.leader()?.let { day.simulation.crash(it, 3.secs) }
-        day.simulation.run(day.clock.now + 40.secs)
+        day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
+        day.simulation.run(day.clock.now + 40.seconds)
         assertEquals(409, day.ask("GET", "${DrainApi.PATH}/d1").first)
         assertEquals(409, day.ask("POST", DrainApi.PATH, body(ordinary)).first)
         assertTrue("\"unreadable\":[\"d1\"]" in day.ask("GET", DrainApi.PATH).second)
@@ -176,12 +176,12 @@
         val most = 3
         val budget = BudgetSettings(mostDisrupted = most, stepPauseS = 1.0)
         val day = DrainDay(14, DrainSettings(budget = budget))
-        val small = day.array(0, 3, 400.0, cpus = 4.0).copy(shape = Shape.GANG, spot = false)
-        val large = day.array(1, 4, 400.0, cpus = 4.0).copy(shape = Shape.GANG, spot = false)
-        day.simulation.gangs.lengths[small.id] = 300.secs
-        day.simulation.gangs.lengths[large.id] = 300.secs
+        val small = day.array(0, 3, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
+        val large = day.array(1, 4, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
+        day.simulation.gangs.lengths[small.id] = 300.seconds
+        day.simulation.gangs.lengths[large.id] = 300.seconds
         day.begin(small, large).start(ordinary.copy(graceS = 0.0))
-        day.runUntilDone(1500.secs)
+        day.runUntilDone(1500.seconds)
         day.check()
         assertTrue(day.losses.stops.any { it.team == "team-0" }, "the small one was not moved")
         assertTrue(day.losses.stops.none { it.team == "team-1" }, "the large one was stopped")
@@ -192,7 +192,7 @@
         val day = DrainDay(16, capacity = 1)
         val bound = day.service(0, 1, cpus = 12.0).copy(zone = "b")
         day.begin(bound, day.service(1, 2, cpus = 4.0)).start(ordinary.copy(stepSize = 1))
-        day.runUntil(600.secs, "a machine is returned") { (day.stored()?.returned ?: 0) > 0 }
+        day.runUntil(600.seconds, "a machine is returned") { (day.stored()?.returned ?: 0) > 0 }
         assertTrue(day.runs(bound), "its only machine was taken")
         day.checkBudgets()
     }
@@ -273,7 +273,7 @@
         val leader = checkNotNull(day.simulation.leader())
         val other = day.simulation.nodes.first { it != leader }
         assertEquals(Source.LEADER, day.status(by = other).source)
-        day.simulation.crash(leader, 10.secs)
+        day.simulation.crash(leader, 10.seconds)
         var refused: Int? = null
         day.simulation.operate("POST", "${DrainApi.PATH}/d1/pause", by = other) { status, _ ->
             refused = status
@@ -302,7 +302,7 @@
         val seen = ArrayList<String>()
         simulation.state.heard = { path, body -> seen.add("$path $body") }
         repeat(5) { simulation.submit(simulation.randomJob()) }
-        simulation.run(60.secs)
+        simulation.run(60.seconds)
         return seen
     }
 
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -5,8 +5,8 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 import wardmux.model.MachineId
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** Plans keep every limit; the solver's is never worse than the greedy one. */
 class DrainPlanTest {
@@ -19,7 +19,7 @@
             emptyMap(),
         )
 
-    private fun solve(problem: DrainProblem) = SolverPlanner.plan(problem, 30.secs, 5_000)
+    private fun solve(problem: DrainProblem) = SolverPlanner.plan(problem, 30.seconds, 5_000)
 
     private fun problem(
         loads: List<MachineLoad>,
@@ -85,7 +85,7 @@
             val problem = seeded(seed, machines)
             val greedy = GreedyPlanner.plan(problem)
             val solved =
-                if (sizes == null) solve(problem) else SolverPlanner.plan(problem, 300.millis)
+                if (sizes == null) solve(problem) else SolverPlanner.plan(problem, 300.milliseconds)
             assertTrue(greedy.isSound(problem), "greedy, seed $seed")
             assertTrue(solved.isSound(problem), "solved, seed $seed")
             assertTrue(solved.measure <= greedy.measure, "seed $seed")
@@ -94,10 +94,10 @@
             mostCpus += solved.measure.mostCpus - greedy.measure.mostCpus
             if (solved.isOptimal) optimal++
         }
-        val millis = (System.nanoTime() - began) / 1_000_000 / SEEDS
+        val milliseconds = (System.nanoTime() - began) / 1_000_000 / SEEDS
         assertTrue(solvedSteps < greedySteps, "the solver never found fewer steps")
         return "$machines machines: greedy $greedySteps steps, solver $solvedSteps, " +
-            "$optimal of $SEEDS proven, CPUs at once by $mostCpus, $millis ms each"
+            "$optimal of $SEEDS proven, CPUs at once by $mostCpus, $milliseconds ms each"
     }
 
     @Test
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.provider.ValueSource
 import wardmux.config.BudgetSettings
 import wardmux.config.DrainSettings
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.JobKind
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 import wardmux.sim.FaultInjector
 
 /** Drains on seeded days: calm ones, and ones with troubles of every kind. */
@@ -33,7 +33,7 @@
         day.runUntilDone()
         day.check()
         assertEquals(3, day.losses.peakOf("team-0"))
-        assertTrue(day.losses.beyond({ 2 }, 9.secs).isNotEmpty())
+        assertTrue(day.losses.beyond({ 2 }, 9.seconds).isNotEmpty())
     }
 
     @ParameterizedTest
@@ -49,14 +49,14 @@
         val faults = FaultInjector(day.simulation) { day.submit(calmJob(day)) }
         val kinds = faults.basicFaults + faults.networkFaults + faults.partitionFaults
         for (at in 45..170 step 12) {
-            clock.after(at.secs - clock.now) { kinds[clock.random.nextInt(kinds.size)]() }
-            if (at % 3 == 0) clock.after(at.secs - clock.now) { day.submit(calmJob(day)) }
+            clock.after(at.seconds - clock.now) { kinds[clock.random.nextInt(kinds.size)]() }
+            if (at % 3 == 0) clock.after(at.seconds - clock.now) { day.submit(calmJob(day)) }
         }
-        day.simulation.run(230.secs)
+        day.simulation.run(230.seconds)
         for (worker in day.workers()) worker.sick = false
-        day.runUntilDone(1500.secs)
+        day.runUntilDone(1500.seconds)
         // Commands may be 40 s on their way: what was lost meanwhile could not be known.
-        day.check(noticedAfter = 45.secs)
+        day.check(noticedAfter = 45.seconds)
     }
 
     /** Of a class that stops no other for its room: only the drain moves work. */
@@ -64,8 +64,8 @@
         day.simulation.randomJob().let { job ->
             val isEndless = job.estimateS == 0.0
             val spec = if (isEndless) job.copy(estimateS = 8.0) else job
-            val plain = spec.copy(urgency = Urgency.NORMAL, tasks = minOf(job.tasks, 6))
-            if (isEndless) plain.copy(shape = Shape.BATCH) else plain
+            val plain = spec.copy(urgency = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
+            if (isEndless) plain.copy(shape = JobKind.ARRAY) else plain
         }
 
     private companion object {
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackSite.kt
@@ -8,9 +8,9 @@
 import java.util.concurrent.Callable
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.TimeUnit
-import wardmux.config.StateFacts
-import wardmux.config.TeamFacts
-import wardmux.config.WorkerFacts
+import wardmux.config.StoreLimits
+import wardmux.config.TeamQuota
+import wardmux.config.WorkerTiming
 import wardmux.core.Outcome
 import wardmux.core.Port
 import wardmux.election.LeaderRecord
@@ -19,7 +19,7 @@
 import wardmux.http.HttpServer
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 import wardmux.sim.FakeCloud
 import wardmux.sim.FakeStateService
@@ -45,11 +45,11 @@
     private val clock = SimulatedClock(1)
     private val zones = listOf("a", "b", "c")
     private val nodes = listOf("n0", "n1", "n2")
-    private val teams = List(TEAMS) { TeamFacts("team-$it", teamCpus, teamCpus) }
-    private val workerFacts = WorkerFacts(reportS = 1.0, leaseS = 16.0, cancelS = 36.0)
-    private val stateFacts = StateFacts(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
+    private val teams = List(TEAMS) { TeamQuota("team-$it", teamCpus, teamCpus) }
+    private val workerFacts = WorkerTiming(reportS = 1.0, leaseS = 16.0, cancelS = 36.0)
+    private val stateFacts = StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
     private val state = FakeStateService(clock, stateFacts)
-    private val rules = Rules(teams, workerFacts.cancelS.secs + Rules.SLACK)
+    private val rules = Rules(teams, workerFacts.cancelS.seconds + Rules.SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
     private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
@@ -76,7 +76,7 @@
             PUMP_MILLIS,
             TimeUnit.MILLISECONDS,
         )
-        clock.every(1.secs) { machineSeconds += cloud.workers().size }
+        clock.every(1.seconds) { machineSeconds += cloud.workers().size }
         nodes.forEach(::start)
     }
 
@@ -201,7 +201,7 @@
             loop.execute {
                 users.values
                     .toList()[it % nodes.size]
-                    .send("POST", "/submissions", body, 5.secs, reply::complete)
+                    .send("POST", "/submissions", body, 5.seconds, reply::complete)
             }
             val status = (reply.get() as? Outcome.Response)?.status
             if (status == 200 || status == 201) return
@@ -260,7 +260,7 @@
 
     private fun config(node: String): String {
         val own = addresses.getValue(node)
-        val siblings =
+        val peers =
             (nodes - node).joinToString("\n") {
                 "[[siblings]]\nmember = \"$it\"\naddr = \"$HOST:${addresses.getValue(it).peer}\"\n"
             }
@@ -274,7 +274,7 @@
 api_addr = "$HOST:${own.api}"
 peer_bind = "$HOST:${own.peer}"
 
-$siblings
+$peers
 [services]
 cloud = "$HOST:$cloudPort"
 state = "$HOST:$statePort"
@@ -318,6 +318,6 @@
         const val MOST_TRIES = 60
         const val RETRY_MILLIS = 500L
         const val LOG_LINES = 30
-        val REPORT_TIMEOUT = 4.secs
+        val REPORT_TIMEOUT = 4.seconds
     }
 }
--- a/src/test/kotlin/wardmux/fleet/FleetTest.kt
+++ b/src/test/kotlin/wardmux/fleet/FleetTest.kt
@@ -5,7 +5,7 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 import wardmux.core.Outcome
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
@@ -23,12 +23,12 @@
 
     /** The start of a job's only task goes out to the first machine, and no answer comes. */
     private fun startUnanswered(): Long {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = first.token()
-        first.handleReport(token)
+        first.handleHeartbeat(token)
         harness.directOutcome = Outcome.Unknown
         harness.accept(plainJob(1))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         assertEquals(1, startsOf("job-000001/0"))
         return token
     }
@@ -37,7 +37,7 @@
         repeat(20) {
             first.report(token)
             second.report(token)
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
 
     @Test
@@ -45,9 +45,9 @@
         val token = startUnanswered()
         // Its reports go on, and none shows the task.
         repeat(3) {
-            first.handleReport(token)
-            second.handleReport(token)
-            harness.run(1.secs)
+            first.handleHeartbeat(token)
+            second.handleHeartbeat(token)
+            harness.run(1.seconds)
         }
         harness.accept(plainJob(1, "job-000002"))
         bothReport(token)
@@ -68,12 +68,12 @@
 
     @Test
     fun `a copy of an old report is no sign of life and brings no machine back`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         harness.accept(plainJob(1))
         // Under an older token, over and over: all that a leader knows of a machine long gone.
         repeat(40) {
             first.report(0, at = 7)
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
         assertEquals(0, startsOf("job-000001/0"))
         assertTrue(deletions("i-000001") > 0, "kept for the copies' sake")
@@ -81,11 +81,11 @@
 
     @Test
     fun `copies do not keep a silent machine alive`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = first.token()
-        first.handleReport(token)
+        first.handleHeartbeat(token)
         repeat(14) {
-            harness.run(1.secs)
+            harness.run(1.seconds)
             first.report(token, at = 1)
         }
         assertTrue(deletions("i-000001") > 0, "a copy counted as a sign of life")
@@ -93,32 +93,32 @@
 
     @Test
     fun `an overdue machine that does not answer either is given up before others`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = first.token()
         repeat(2) {
-            first.handleReport(token)
-            harness.run(0.5.secs)
+            first.handleHeartbeat(token)
+            harness.run(0.5.seconds)
         }
         // Reports of 2.5 s: asked after 3.75 s, given up after 8 s, and after 10 s if not asked.
-        harness.run(7.secs)
+        harness.run(7.seconds)
         assertEquals(0, deletions("i-000001"))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         assertTrue(deletions("i-000001") > 0, "still kept")
     }
 
     @Test
     fun `an attempt that was stopped is not forgotten while a copy of its start may come`() {
         harness.accept(plainJob(1))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = first.token()
-        first.handleReport(token)
-        harness.run(1.secs)
+        first.handleHeartbeat(token)
+        harness.run(1.seconds)
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
         val again = """{"piece":"job-000001/0","try":2,"status":"running"}"""
         val answers =
             List(170) {
-                harness.run(1.secs)
-                first.handleReport(token, "$stopped,$again")
+                harness.run(1.seconds)
+                first.handleHeartbeat(token, "$stopped,$again")
             }
         assertTrue(answers.take(150).none { "forget" in it })
         assertContains(answers.drop(150).joinToString(), "forget")
@@ -131,18 +131,18 @@
      */
     @Test
     fun `a session that began unanswered lives for a lease from its beginning`() {
-        val harness = ControllerHarness(siblings = listOf("n1"))
+        val harness = ControllerHarness(peers = listOf("n1"))
         val first = ManualWorker(harness, "i-000001")
         val second = ManualWorker(harness, "i-000002")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = first.token()
-        first.handleReport(token)
+        first.handleHeartbeat(token)
         harness.outage()
         repeat(40) {
-            harness.run(1.secs)
+            harness.run(1.seconds)
             first.report(token)
         }
-        first.shift = 3
+        first.incarnation = 3
         first.report(token)
         second.report(token)
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
@@ -153,10 +153,10 @@
         harness.outageOver()
         harness.accept(plainJob(1))
         val starts = { harness.direct.count { "\"start\"" in it && "job-000001/0" in it } }
-        harness.run(3.secs)
+        harness.run(3.seconds)
         assertEquals(0, starts(), "started where no lease is renewed")
         first.report(token)
-        harness.run(3.secs)
+        harness.run(3.seconds)
         assertEquals(1, starts())
     }
 }
--- a/src/test/kotlin/wardmux/http/SocketTest.kt
+++ b/src/test/kotlin/wardmux/http/SocketTest.kt
@@ -10,12 +10,12 @@
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.core.Port
 import wardmux.jobs.submission
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
 /** Bad input through a real socket: answered at once, and the connection stays usable if it can. */
 class SocketTest {
-    private val harness = ControllerHarness().also { it.run(2.secs) }
+    private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val group = NioEventLoopGroup(1)
     private val server =
         HttpServer(group, maxConnections = 3, maxWorkers = 2, idleSeconds = 60, ::answer)
