--- a/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
@@ -6,16 +6,16 @@
 import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.config.NextStateFacts
+import wardmux.config.AnnouncedStoreLimits
 import wardmux.model.JobId
 import wardmux.model.JobState
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 
 /** Requests that nobody needs and users send all the same. */
 class OddRequestsTest {
-    private val harness = ControllerHarness().also { it.run(2.secs) }
+    private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val id = JobId("job-000412")
     private val spec = (SubmissionReader.read(submission()) as Submission.Good).spec
 
@@ -51,7 +51,7 @@
         for ((state, word) in listOf(JobState.DONE to "done", JobState.CANCELLED to "cancelled")) {
             for (repeat in repeats) {
                 // One that has never seen the job, so that nothing comes from memory.
-                val harness = ControllerHarness().also { it.run(2.secs) }
+                val harness = ControllerHarness().also { it.run(2.seconds) }
                 harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
                 val before = harness.stored(JobRecord.key(id))
                 val calls =
@@ -138,14 +138,14 @@
         assertEquals(400, submit("pieces" to JsonPrimitive(0)).first)
     }
 
-    private val lower = NextStateFacts(valueKb = 2.0)
+    private val lower = AnnouncedStoreLimits(valueKb = 2.0)
     private val manyKinds =
         JsonArray(List(300) { text("kind-%03d".format(it)) } + List(300) { text("mid") })
 
     @Test
     fun `a job is not refused for its size where its record fits what is of use of it`() {
         for (told in listOf(null, lower)) {
-            val harness = ControllerHarness(told = told).also { it.run(2.secs) }
+            val harness = ControllerHarness(told = told).also { it.run(2.seconds) }
             if (told != null) harness.lower(told)
             val long = text("x".repeat(600))
             val body = submission("boxkinds" to manyKinds, "bundle" to long, "jobclass" to long)
@@ -160,7 +160,7 @@
 
     @Test
     fun `one that no value can hold gets 422 and is asked for once, a known one its state`() {
-        val harness = ControllerHarness(told = lower).also { it.run(2.secs) }
+        val harness = ControllerHarness(told = lower).also { it.run(2.seconds) }
         harness.lower(lower)
         val submit = { changes: Array<Pair<String, JsonElement?>> ->
             harness.call("POST", "/submissions", submission(*changes))!!
--- a/src/test/kotlin/wardmux/jobs/PollsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/PollsTest.kt
@@ -3,7 +3,7 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
 class PollsTest {
@@ -29,9 +29,9 @@
 
     @Test
     fun `one request tells of many jobs, and none is passed over`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         for (number in 1..60) submit(number)
-        harness.run(2.secs)
+        harness.run(2.seconds)
         harness.hold = true
         harness.stateCalls.clear()
         val asked =
@@ -46,7 +46,7 @@
 
     @Test
     fun `a job that is over meanwhile, or was never there, is read`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         submit(1)
         harness.hold = true
         harness.call("GET", "/submissions/${id(1)}")
@@ -60,12 +60,12 @@
 
     @Test
     fun `what can't be read in time is answered at once, with when to come back`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         submit(1)
         harness.hold = true
         repeat(9) { harness.call("GET", "/submissions/${id(1)}") }
         val last = harness.lastCall
-        harness.run(2.secs)
+        harness.run(2.seconds)
         assertEquals(503, harness.answerTo(last)?.first)
     }
 }
--- a/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -11,7 +11,7 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.model.JobState
-import wardmux.model.Urgency
+import wardmux.model.PriorityClass
 import wardmux.records.JobRecord
 
 val GOOD_FIELDS: Map<String, JsonElement> =
@@ -52,7 +52,7 @@
     fun `a good submission is read whole`() {
         val good = assertIs<Submission.Good>(SubmissionReader.read(submission()))
         assertEquals(16, good.spec.tasks)
-        assertEquals(Urgency.HIGH, good.spec.urgency)
+        assertEquals(PriorityClass.HIGH, good.spec.urgency)
         assertNull(good.spec.types)
         assertEquals(900.0, good.spec.deadlineS)
     }
--- a/src/test/kotlin/wardmux/leader/LoneLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/LoneLeaderTest.kt
@@ -9,9 +9,9 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import wardmux.core.Port
-import wardmux.model.secs
-import wardmux.peers.Heartbeat
-import wardmux.peers.HeartbeatCodec
+import wardmux.model.seconds
+import wardmux.peers.PeerHeartbeat
+import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
@@ -23,43 +23,43 @@
 
     @Test
     fun `an unsure leader starts nothing, sends each worker on once, and renews who comes back`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = machine.token()
-        machine.handleReport(token)
+        machine.handleHeartbeat(token)
         harness.refuse = { true }
         harness.accept(plainJob(1))
-        val statuses = List(14) { machine.report(token)?.first.also { harness.run(1.secs) } }
+        val statuses = List(14) { machine.report(token)?.first.also { harness.run(1.seconds) } }
         assertEquals(1, statuses.count { it == 421 }, "$statuses")
         assertEquals(200, statuses.last())
         assertTrue(harness.direct.none { "start" in it })
         // In a mere outage the worker comes back, and all goes on.
         harness.refuse = { false }
-        harness.run(5.secs)
+        harness.run(5.seconds)
         assertEquals(200, machine.report(token)?.first)
     }
 
     @Test
     fun `a worker that has met a successor ends the lone leader's term`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = machine.token()
         harness.refuse = { true }
-        harness.run(6.secs)
+        harness.run(6.seconds)
         assertNotEquals(200, machine.report(token + 1)?.first)
         assertNotEquals(200, machine.report(token)?.first)
     }
 
     @Test
     fun `a leader that most machines stopped reporting to lets a sibling lead`() {
-        val harness = ControllerHarness(siblings = listOf("n1"))
-        harness.run(2.secs)
+        val harness = ControllerHarness(peers = listOf("n1"))
+        harness.run(2.seconds)
         val machines = List(6) { ManualWorker(harness, "i-00000$it") }
         val token = machines.first().token()
-        val heartbeat = HeartbeatCodec.encode(Heartbeat("n1"))
-        fun pass(heard: List<ManualWorker>, seconds: Int) =
-            repeat(seconds) {
+        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
+        fun pass(heard: List<ManualWorker>, inSeconds: Int) =
+            repeat(inSeconds) {
                 for (machine in heard) machine.report(token)
                 harness.call("POST", "/beat", heartbeat, Port.PEER)
-                harness.run(1.secs)
+                harness.run(1.seconds)
             }
         pass(machines, 4)
         pass(machines.take(4), 10)
@@ -70,18 +70,18 @@
 
     @Test
     fun `a leader that hears no machine at all gives up none of them, and its lease soon`() {
-        val harness = ControllerHarness(siblings = listOf("n1"))
-        harness.run(2.secs)
+        val harness = ControllerHarness(peers = listOf("n1"))
+        harness.run(2.seconds)
         val machines = List(11) { ManualWorker(harness, "i-0000$it") }
         val token = machines.first().token()
-        val heartbeat = HeartbeatCodec.encode(Heartbeat("n1"))
+        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
         repeat(5) {
             for (machine in machines) machine.report(token)
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
         repeat(7) {
             harness.call("POST", "/beat", heartbeat, Port.PEER)
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
         assertEquals(null, harness.stored("leader"))
         assertTrue(harness.cloud.none { "delete" in it }, "machines are given up for its own cut")
@@ -89,23 +89,23 @@
 
     @Test
     fun `a leader keeps its lease in an outage, in which nobody could take it`() {
-        val harness = ControllerHarness(siblings = listOf("n1"))
-        harness.run(2.secs)
+        val harness = ControllerHarness(peers = listOf("n1"))
+        harness.run(2.seconds)
         val machines = List(11) { ManualWorker(harness, "i-0000$it") }
         val token = machines.first().token()
-        val heartbeat = HeartbeatCodec.encode(Heartbeat("n1"))
+        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
         repeat(5) {
             for (machine in machines) machine.report(token)
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
         // None is heard for long enough to give the lease up, had the outage not begun.
-        harness.run(3.secs)
+        harness.run(3.seconds)
         harness.outage()
         repeat(4) {
             harness.call("POST", "/beat", heartbeat, Port.PEER)
-            harness.run(1.secs)
+            harness.run(1.seconds)
         }
-        assertContains(machines.first().handleReport(token), "\"baton\":$token")
+        assertContains(machines.first().handleHeartbeat(token), "\"baton\":$token")
     }
 
     @Test
@@ -114,10 +114,10 @@
             "leader",
             Json.parseToJsonElement("""{"member":"n0","boot":"former"}"""),
         )
-        harness.run(3.secs)
+        harness.run(3.seconds)
         val record = harness.stored("leader")!!.jsonObject
         assertEquals("rig", record.getValue("boot").jsonPrimitive.content)
-        val heartbeat = HeartbeatCodec.encode(Heartbeat("stranger", token = Long.MAX_VALUE))
+        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("stranger", token = Long.MAX_VALUE))
         assertEquals(400, harness.call("POST", "/beat", heartbeat, Port.PEER)?.first)
         assertEquals(400, harness.call("POST", "/beat", ByteArray(9) { -1 }, Port.PEER)?.first)
         machine.token()
@@ -129,10 +129,10 @@
             harness.write(key, Json.parseToJsonElement("""["no such thing"]"""))
         }
         harness.accept(plainJob(1))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = machine.token()
-        machine.handleReport(token)
-        harness.run(2.secs)
+        machine.handleHeartbeat(token)
+        harness.run(2.seconds)
         assertTrue(harness.direct.any { "job-000001/0" in it }, "nothing was started")
     }
 }
--- a/src/test/kotlin/wardmux/leader/TakeOverTest.kt
+++ b/src/test/kotlin/wardmux/leader/TakeOverTest.kt
@@ -6,12 +6,12 @@
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
+import wardmux.model.JobKind
 import wardmux.model.JobState
-import wardmux.model.Shape
-import wardmux.model.secs
-import wardmux.peers.CancellationReport
-import wardmux.peers.HeartbeatCodec
-import wardmux.peers.Peers
+import wardmux.model.seconds
+import wardmux.peers.CancellationUpdate
+import wardmux.peers.PeerHeartbeatCodec
+import wardmux.peers.PeerHeartbeats
 import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
@@ -33,19 +33,19 @@
 
     private var tick = 0
 
-    private fun handleReport(
+    private fun handleHeartbeat(
         machine: String,
         zone: String,
         token: Long,
         tasks: String = "",
     ): String =
-        ManualWorker(harness, machine, zone).also { it.tick = tick++ }.handleReport(token, tasks)
+        ManualWorker(harness, machine, zone).also { it.tick = tick++ }.handleHeartbeat(token, tasks)
 
     /** With time for orders to go out after each. */
     private fun reportOften(times: Int, machine: String, zone: String, token: Long) =
         repeat(times) {
-            handleReport(machine, zone, token)
-            harness.run(0.5.secs)
+            handleHeartbeat(machine, zone, token)
+            harness.run(0.5.seconds)
         }
 
     private fun token(): Long = ManualWorker(harness, "i-000099").also { it.tick = tick++ }.token()
@@ -62,20 +62,20 @@
             refused = refused || first
             first
         }
-        while (!refused) harness.run(0.1.secs)
+        while (!refused) harness.run(0.1.seconds)
         val cancelled = JobRecord(JobState.CANCELLED, 0, job).toJson()
         harness.write(JobRecord.key(job.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
         harness.remove(JobRecord.openKey(job.jobId))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        assertContains(handleReport("i-000001", "a", token(), running), "\"verb\":\"halt\"")
+        assertContains(handleHeartbeat("i-000001", "a", token(), running), "\"verb\":\"halt\"")
     }
 
     @Test
     fun `a cancellation that a sibling tells while the new leader reads is not lost`() {
-        val harness = ControllerHarness(siblings = listOf("n1"))
-        val gang = plainJob(2).copy(shape = Shape.GANG)
+        val harness = ControllerHarness(peers = listOf("n1"))
+        val gang = plainJob(2).copy(shape = JobKind.GANG)
         harness.accept(gang)
         val page =
             """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001","i-000002"],""" +
@@ -86,25 +86,25 @@
             if (path.startsWith("/keys?under=t/")) harness.hold = true
             false
         }
-        while (!harness.hold) harness.run(0.1.secs)
+        while (!harness.hold) harness.run(0.1.seconds)
         harness.refuse = { false }
         val cancelled = JobRecord(JobState.CANCELLED, 0, gang).toJson()
         harness.write(JobRecord.key(gang.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(gang.jobId), cancelled)
         harness.remove(JobRecord.openKey(gang.jobId))
         var told = 0
-        harness.sibling = { path, _ ->
-            val word = CancellationReport("b", 1_000_000_000, 0, listOf(gang.id))
-            if (path == Peers.PATH) HeartbeatCodec.encode(word).also { told++ } else null
+        harness.peer = { path, _ ->
+            val word = CancellationUpdate("b", 1_000_000_000, 0, listOf(gang.id))
+            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(word).also { told++ } else null
         }
-        harness.run(1.2.secs)
+        harness.run(1.2.seconds)
         assertTrue(told > 0, "the sibling was not asked")
         harness.release()
-        harness.run(3.secs)
+        harness.run(3.seconds)
         val machine = ManualWorker(harness, "i-000001")
         val token = machine.token()
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        val answers = List(3) { machine.handleReport(token, running).also { harness.run(1.secs) } }
+        val answers = List(3) { machine.handleHeartbeat(token, running).also { harness.run(1.seconds) } }
         assertContains(answers.joinToString() + harness.direct, "\"verb\":\"halt\"")
     }
 
@@ -116,9 +116,9 @@
         val cancelled = JobRecord(JobState.CANCELLED, 0, job).toJson()
         harness.write(JobRecord.key(job.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
-        harness.run(2.secs)
+        harness.run(2.seconds)
         assertFalse(harness.stateCalls.any { it.startsWith("GET /keys/j/") })
-        harness.run(60.secs)
+        harness.run(60.seconds)
         assertEquals(null, harness.stored("t/job-000309/0"))
         assertEquals(null, harness.stored("c/job-000001"))
     }
@@ -127,12 +127,12 @@
     fun `a job that must stay in one zone stays there though its machine is still silent`() {
         harness.accept(spec(2, oneZone = true))
         placed("i-000009", "b")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = token()
         reportOften(6, "i-000001", "a", token)
         assertFalse(harness.direct.any { "job-000001/1" in it }, "started in the other zone")
         reportOften(4, "i-000002", "b", token)
-        val last = handleReport("i-000002", "b", token)
+        val last = handleHeartbeat("i-000002", "b", token)
         assertContains(harness.direct.joinToString() + last, "job-000001/1")
     }
 
@@ -140,11 +140,11 @@
     fun `what a record places and its machine lacks is not started again but placed anew`() {
         harness.accept(spec(1))
         placed("i-000001", "a")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = token()
         // Its room and cap may have gone to others after the record was written.
         val answers =
-            List(4) { handleReport("i-000001", "a", token).also { harness.run(0.5.secs) } }
+            List(4) { handleHeartbeat("i-000001", "a", token).also { harness.run(0.5.seconds) } }
         val sent = answers.joinToString() + harness.direct.joinToString()
         assertFalse("""{"verb":"start","piece":"job-000001/0","try":1}""" in sent)
         assertContains(sent, """{"verb":"start","piece":"job-000001/0","try":2}""")
@@ -152,8 +152,8 @@
 
     @Test
     fun `a worker that has seen a higher token is sent elsewhere, and the leader steps down`() {
-        harness.run(2.secs)
-        handleReport("i-000001", "a", 0)
+        harness.run(2.seconds)
+        handleHeartbeat("i-000001", "a", 0)
         val body =
             """{"box":"i-000001","endpoint":"","boxkind":"mid","ward":"a","shift":1,"tick":99,""" +
                 """"baton":999999,"pieces":[]}"""
@@ -165,13 +165,13 @@
     fun `a report under an older token frees no placement`() {
         harness.accept(spec(1))
         placed("i-000001", "a")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = token()
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
-        handleReport("i-000001", "a", token - 1, stopped)
+        handleHeartbeat("i-000001", "a", token - 1, stopped)
         reportOften(4, "i-000002", "a", token)
         assertFalse(harness.direct.any { "job-000001/0" in it }, "it may be a copy")
-        handleReport("i-000001", "a", token, stopped)
+        handleHeartbeat("i-000001", "a", token, stopped)
         reportOften(4, "i-000002", "a", token)
         assertContains(harness.direct.joinToString(), """"job-000001/0","try":2""")
     }
@@ -180,14 +180,14 @@
     fun `a late report gets no orders and proves nothing`() {
         harness.accept(spec(1))
         placed("i-000001", "a")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = token()
         tick = 50
-        handleReport("i-000001", "a", token)
-        harness.run(0.5.secs)
+        handleHeartbeat("i-000001", "a", token)
+        harness.run(0.5.seconds)
         tick = 60
-        assertContains(handleReport("i-000001", "a", token), "start")
+        assertContains(handleHeartbeat("i-000001", "a", token), "start")
         tick = 10
-        assertFalse("start" in handleReport("i-000001", "a", token))
+        assertFalse("start" in handleHeartbeat("i-000001", "a", token))
     }
 }
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -10,16 +10,16 @@
 import wardmux.config.OperatorSettings
 import wardmux.core.Outcome
 import wardmux.core.Port
-import wardmux.forwarding.Batch
-import wardmux.forwarding.BatchAnswer
-import wardmux.forwarding.FullReport
-import wardmux.forwarding.RelayCodec
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.FullHeartbeat
+import wardmux.forwarding.HeartbeatBatch
+import wardmux.forwarding.HeartbeatBatchResponse
 import wardmux.model.JobState
 import wardmux.model.TaskAttempt
-import wardmux.model.secs
-import wardmux.peers.CancellationReport
-import wardmux.peers.HeartbeatCodec
-import wardmux.peers.Peers
+import wardmux.model.seconds
+import wardmux.peers.CancellationUpdate
+import wardmux.peers.PeerHeartbeatCodec
+import wardmux.peers.PeerHeartbeats
 import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
@@ -30,7 +30,7 @@
  */
 class LeaderRenewalTest {
     private val harness =
-        ControllerHarness(siblings = listOf("n1"), OperatorSettings(reportsPerCore = 0.0))
+        ControllerHarness(peers = listOf("n1"), OperatorSettings(reportsPerCore = 0.0))
     private val machine = ManualWorker(harness, "i-000001")
     private val other = ManualWorker(harness, "i-000099")
     private val job = plainJob(1)
@@ -49,31 +49,31 @@
             ),
         )
         siblingTells()
-        harness.run(2.secs)
+        harness.run(2.seconds)
         return other.token()
     }
 
     private fun siblingTells(vararg jobs: String) {
-        val report = CancellationReport("b", 1_000_000_000, 0, jobs.toList())
-        harness.sibling = { path, _ ->
-            if (path == Peers.PATH) HeartbeatCodec.encode(report) else null
+        val report = CancellationUpdate("b", 1_000_000_000, 0, jobs.toList())
+        harness.peer = { path, _ ->
+            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(report) else null
         }
     }
 
-    private fun batch(token: Long, vararg reports: FullReport): BatchAnswer {
-        val batch = Batch("n1", "b", 1, token, 0, 0, reports.toList())
-        harness.call("POST", RelayCodec.PATH, RelayCodec.encode(batch), Port.PEER)
-        return assertNotNull(RelayCodec.answer(harness.bytesOf(harness.lastCall)))
+    private fun batch(token: Long, vararg reports: FullHeartbeat): HeartbeatBatchResponse {
+        val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports.toList())
+        harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), Port.PEER)
+        return assertNotNull(ForwardingCodec.answer(harness.bytesOf(harness.lastCall)))
     }
 
-    private fun report(token: Long, tick: Int, tasks: String): FullReport {
+    private fun report(token: Long, tick: Int, tasks: String): FullHeartbeat {
         val body =
             """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","loaners":""" +
                 """false,"shift":1,"tick":$tick,"baton":$token,"pieces":[$tasks]}"""
-        return FullReport(tick.toLong(), body.encodeToByteArray())
+        return FullHeartbeat(tick.toLong(), body.encodeToByteArray())
     }
 
-    private fun named(answer: BatchAnswer) =
+    private fun named(answer: HeartbeatBatchResponse) =
         assertNotNull(answer.mustHalt).map { it.machine to it.tasks }
 
     private val theTask = "i-000001" to listOf(TaskAttempt("job-000001/0", 1))
@@ -81,7 +81,7 @@
     @Test
     fun `the first answer to a machine renews its lease with the halt`() {
         val token = takeOver()
-        val answer = machine.handleReport(token - 1, running)
+        val answer = machine.handleHeartbeat(token - 1, running)
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, halt)
     }
@@ -98,11 +98,11 @@
     fun `a machine that does not show the task is not renewed before it proves that it is gone`() {
         val token = takeOver()
         harness.direct.clear()
-        assertContains(machine.handleReport(token - 1), "\"baton\":0")
+        assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
         // An earlier leader's start may still be under way: the halt makes it void.
-        harness.run(0.5.secs)
+        harness.run(0.5.seconds)
         assertEquals(1, harness.direct.count { halt in it && "\"baton\":$token" in it })
-        assertContains(machine.handleReport(token), "\"baton\":$token")
+        assertContains(machine.handleHeartbeat(token), "\"baton\":$token")
     }
 
     @Test
@@ -110,8 +110,8 @@
         val token = takeOver()
         harness.directOutcome = Outcome.Unknown
         repeat(4) {
-            assertContains(machine.handleReport(token - 1), "\"baton\":0")
-            harness.run(1.5.secs)
+            assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
+            harness.run(1.5.seconds)
         }
         assertTrue(harness.direct.count { halt in it } >= 3, "sent once")
     }
@@ -120,18 +120,18 @@
     fun `a start that went unanswered before the cancellation ends the lease in time`() {
         siblingTells()
         harness.accept(job)
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = machine.token()
-        machine.handleReport(token)
+        machine.handleHeartbeat(token)
         harness.directOutcome = Outcome.Unknown
-        harness.run(1.secs)
+        harness.run(1.seconds)
         assertEquals(1, harness.direct.count { "\"start\"" in it })
         siblingTells(job.id)
-        harness.run(1.1.secs)
+        harness.run(1.1.seconds)
         // Of 36 s a lease of 16 s, a relay's grant of 5.3 s and a margin remain.
         val renewed =
             List(20) {
-                harness.run(1.secs)
+                harness.run(1.seconds)
                 "\"baton\":$token" in machine.report(token)?.second.orEmpty()
             }
         assertTrue(renewed.take(4).all { it }, "given up at once: $renewed")
@@ -162,15 +162,15 @@
     fun `a cancellation that it saw itself counts from when it last knew that there was none`() {
         siblingTells()
         harness.accept(job)
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = machine.token()
-        machine.handleReport(token)
-        harness.run(1.secs)
-        machine.handleReport(token, running)
+        machine.handleHeartbeat(token)
+        harness.run(1.seconds)
+        machine.handleHeartbeat(token, running)
         siblingTells(job.id)
-        harness.run(1.1.secs)
+        harness.run(1.1.seconds)
         assertEquals(emptyList(), named(batch(token)), "halted without haste")
-        harness.run(12.secs)
+        harness.run(12.seconds)
         assertEquals(listOf(theTask), named(batch(token)))
     }
 
--- a/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -7,23 +7,23 @@
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
 import wardmux.core.Port
-import wardmux.forwarding.Batch
-import wardmux.forwarding.BatchAnswer
-import wardmux.forwarding.Mail
-import wardmux.forwarding.RelayCodec
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.HeartbeatBatch
+import wardmux.forwarding.HeartbeatBatchResponse
+import wardmux.forwarding.UndeliveredCommands
 import wardmux.model.TaskAttempt
-import wardmux.model.secs
-import wardmux.peers.Heartbeat
-import wardmux.peers.HeartbeatCodec
+import wardmux.model.seconds
+import wardmux.peers.PeerHeartbeat
+import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
-import wardmux.worker.Order
+import wardmux.worker.WorkerCommand
 
 /** Which leases a relay renews whose leader, played here, names tasks that have to be halted. */
 class RelayRenewalTest {
-    private val harness = ControllerHarness(siblings = listOf("n1"))
+    private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
-    private val batches = ArrayList<Batch>()
+    private val batches = ArrayList<HeartbeatBatch>()
     private val token = 7L
     private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
     private val ended = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
@@ -33,11 +33,11 @@
     private var mustHalt: List<CancelledTasks>? =
         listOf(CancelledTasks("i-000001", listOf(TaskAttempt("job-000001/0", 1))))
     private var cancelledJobs = emptyList<String>()
-    private var mail = emptyList<Mail>()
+    private var mail = emptyList<UndeliveredCommands>()
     private var refuse = emptyList<String>()
 
-    private fun answer(batch: Batch) =
-        BatchAnswer(
+    private fun answer(batch: HeartbeatBatch) =
+        HeartbeatBatchResponse(
             "rig",
             batch.number,
             token,
@@ -51,17 +51,17 @@
 
     private fun begin() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
-        harness.sibling = { path, body ->
-            val batch = if (path == RelayCodec.PATH) RelayCodec.batch(body) else null
+        harness.peer = { path, body ->
+            val batch = if (path == ForwardingCodec.PATH) ForwardingCodec.batch(body) else null
             batch?.let {
                 batches.add(it)
-                RelayCodec.encode(answer(it))
+                ForwardingCodec.encode(answer(it))
             }
         }
-        harness.run(1.secs)
-        val heartbeat = Heartbeat("n1", token = token, wantsRelays = true)
-        harness.call("POST", "/beat", HeartbeatCodec.encode(heartbeat), Port.PEER)
-        harness.run(1.secs)
+        harness.run(1.seconds)
+        val heartbeat = PeerHeartbeat("n1", token = token, wantsRelays = true)
+        harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
+        harness.run(1.seconds)
     }
 
     private fun told() = batches.flatMap { batch -> batch.reports.map { it.body.decodeToString() } }
@@ -69,31 +69,31 @@
     @Test
     fun `a machine that shows the task is renewed with its halt, and keeps all others`() {
         begin()
-        val answer = machine.handleReport(0, "$running,$fine")
+        val answer = machine.handleHeartbeat(0, "$running,$fine")
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, halt)
         assertFalse("job-000002" in answer)
         // Again until it is gone: the answer may have been lost.
-        assertContains(machine.handleReport(token, "$running,$fine"), halt)
-        assertFalse("halt" in machine.handleReport(token, "$ended,$fine"))
+        assertContains(machine.handleHeartbeat(token, "$running,$fine"), halt)
+        assertFalse("halt" in machine.handleHeartbeat(token, "$ended,$fine"))
     }
 
     @Test
     fun `one that does not show it is not renewed, and the leader hears that at once`() {
         begin()
-        assertContains(machine.handleReport(3, fine), "\"baton\":0")
-        harness.run(1.secs)
+        assertContains(machine.handleHeartbeat(3, fine), "\"baton\":0")
+        harness.run(1.seconds)
         assertTrue(told().any { "\"baton\":3" in it }, "the leader was not told: ${told()}")
         // The leader has the proof.
         mustHalt = emptyList()
-        harness.run(1.1.secs)
-        assertContains(machine.handleReport(token, fine), "\"baton\":$token")
+        harness.run(1.1.seconds)
+        assertContains(machine.handleHeartbeat(token, fine), "\"baton\":$token")
     }
 
     @Test
     fun `a task that ended there needs no halt, as a start of it has no effect`() {
         begin()
-        val answer = machine.handleReport(token, ended)
+        val answer = machine.handleHeartbeat(token, ended)
         assertContains(answer, "\"baton\":$token")
         assertFalse("halt" in answer)
     }
@@ -103,7 +103,7 @@
         mustHalt = emptyList()
         cancelledJobs = listOf("job-000001")
         begin()
-        val answer = machine.handleReport(0, "$running,$fine")
+        val answer = machine.handleHeartbeat(0, "$running,$fine")
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, halt)
     }
@@ -112,35 +112,35 @@
     fun `a cancellation that becomes known halts what an unchanged report goes on showing`() {
         mustHalt = emptyList()
         begin()
-        machine.handleReport(token, running)
-        assertFalse("halt" in machine.handleReport(token, running))
+        machine.handleHeartbeat(token, running)
+        assertFalse("halt" in machine.handleHeartbeat(token, running))
         cancelledJobs = listOf("job-000001")
-        harness.run(1.1.secs)
-        assertContains(machine.handleReport(token, running), halt)
+        harness.run(1.1.seconds)
+        assertContains(machine.handleHeartbeat(token, running), halt)
         // Again: the answer may have been lost.
-        assertContains(machine.handleReport(token, running), halt)
+        assertContains(machine.handleHeartbeat(token, running), halt)
     }
 
     @Test
     fun `an order that the leader left is not repeated beside the halt`() {
         begin()
-        machine.handleReport(token, running)
-        mail = listOf(Mail("i-000001", 1, listOf(Order.halt("job-000001/0", 1, 0.0))))
-        harness.run(1.1.secs)
-        val answer = machine.handleReport(token, running)
+        machine.handleHeartbeat(token, running)
+        mail = listOf(UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0))))
+        harness.run(1.1.seconds)
+        val answer = machine.handleHeartbeat(token, running)
         assertEquals(1, Regex("\"halt\"").findAll(answer).count(), answer)
     }
 
     @Test
     fun `a machine that is refused for the task alone is heard on`() {
         begin()
-        machine.handleReport(token, fine)
+        machine.handleHeartbeat(token, fine)
         refuse = listOf("i-000001")
-        harness.run(1.1.secs)
+        harness.run(1.1.seconds)
         assertEquals(200, machine.report(token, fine)?.first)
         // Given up, it is named no more.
         mustHalt = emptyList()
-        harness.run(1.1.secs)
+        harness.run(1.1.seconds)
         assertEquals(503, machine.report(token, fine)?.first)
     }
 
@@ -148,6 +148,6 @@
     fun `with a leader of an earlier version it halts what it knows itself`() {
         mustHalt = null
         begin()
-        assertContains(machine.handleReport(token, fine), "\"baton\":$token")
+        assertContains(machine.handleHeartbeat(token, fine), "\"baton\":$token")
     }
 }
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -19,7 +19,7 @@
         val spec = read.spec.copy(tasks = SubmissionReader.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
             val size = Job.pageSize(limit)
-            val job = Job(spec, Stamp(1), Micros.ZERO, size)
+            val job = Job(spec, KeyVersion(1), Micros.ZERO, size)
             val last = (spec.tasks - 1) / size
             for (task in last * size until spec.tasks) job.place(widest(job, task), Micros.ZERO)
             for (task in 0 until size) job.place(widest(job, task), Micros.ZERO)
@@ -27,7 +27,7 @@
                 assertTrue(job.page(page).toString().length <= limit, "page $page of $size tasks")
             }
             val stored = lenientJson.decodeFromJsonElement(StoredPage.serializer(), job.page(0))
-            assertEquals(size, Job(spec, Stamp(1), Micros.ZERO, size).load(0, 1, stored).size)
+            assertEquals(size, Job(spec, KeyVersion(1), Micros.ZERO, size).load(0, 1, stored).size)
         }
     }
 
@@ -37,12 +37,12 @@
         val spec = read.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
             for (perMachine in listOf(1, 3, 16)) {
-                val job = Job(spec, Stamp(1), Micros.ZERO, Job.pageSize(16 * 1024))
+                val job = Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024))
                 // What two rounds admit, ended in between as badly as can be.
                 repeat(2) {
                     val admission = Admission(7, limit)
                     for (task in 0 until spec.tasks) {
-                        if (job.isDone(task) || job.placements.containsKey(task)) continue
+                        if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
                         if (!admission.admits(job, task)) continue
                         val placement = widest(job, task, job.nextAttempt(task), task / perMachine)
                         job.place(placement, Micros.ZERO)
@@ -83,7 +83,7 @@
         for (round in 0 until 200) {
             val admission = Admission(7, LOWERED)
             for (task in tasks) {
-                if (job.isDone(task) || job.placements.containsKey(task)) continue
+                if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
                 if (!admission.admits(job, task)) continue
                 val placement = widest(job, task, job.nextAttempt(task), task)
                 job.place(placement, Micros.ZERO)
@@ -98,14 +98,14 @@
             }
             stored = write(job, number)
             tasks.filterTo(forgotten) { job.isRecorded(it) }
-            val known = tasks.filter { job.isDone(it) }
+            val known = tasks.filter { job.isTaskDone(it) }
             if (known.size == tasks.count()) return
             if (round % 4 == 3) {
                 val before = job
                 job = loaded(spec, stored, number)
                 for (task in known) {
-                    assertEquals(before.isRecorded(task), job.isDone(task), "$task")
-                    assertTrue(job.isDone(task) || job.nextAttempt(task) > 1, "$task")
+                    assertEquals(before.isRecorded(task), job.isTaskDone(task), "$task")
+                    assertTrue(job.isTaskDone(task) || job.nextAttempt(task) > 1, "$task")
                     // Its machine still has the result, and tells it; else it runs once more.
                     if (task !in forgotten) job.complete(task, Micros.ZERO)
                 }
@@ -128,7 +128,7 @@
         jsonBytes(lenientJson.encodeToJsonElement(StoredPage.serializer(), page))
 
     private fun loaded(spec: JobSpec, stored: StoredPage, page: Int) =
-        Job(spec, Stamp(1), Micros.ZERO, Job.pageSize(16 * 1024)).also { it.load(page, 1, stored) }
+        Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024)).also { it.load(page, 1, stored) }
 
     private fun assertFits(job: Job, limit: Int) {
         for (page in 0..1) {
--- a/src/test/kotlin/wardmux/peers/CancellationsTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationsTest.kt
@@ -5,47 +5,47 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
-import wardmux.config.StateFacts
+import wardmux.config.StoreLimits
 import wardmux.core.CoreContext
 import wardmux.core.Port
 import wardmux.model.JobId
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
-import wardmux.store.StateStore
+import wardmux.store.KeyValueStore
 
 /** Who knows what users were told to be cancelled, and what a leader does that may not know it. */
 class CancellationsTest {
-    private val harness = ControllerHarness(siblings = listOf("n1"))
+    private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
     private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
     private var heartbeats = 0
 
     private fun siblingTells(vararg jobs: String, boot: String = "b", upS: Long = 1_000) {
-        harness.sibling = { path, _ ->
-            if (path != Peers.PATH) null
+        harness.peer = { path, _ ->
+            if (path != PeerHeartbeats.PATH) null
             else {
                 heartbeats++
-                HeartbeatCodec.encode(CancellationReport(boot, upS * 1_000_000, 0, jobs.toList()))
+                PeerHeartbeatCodec.encode(CancellationUpdate(boot, upS * 1_000_000, 0, jobs.toList()))
             }
         }
     }
 
     private fun leads(): Long {
         harness.accept(plainJob(1))
-        harness.run(3.secs)
+        harness.run(3.seconds)
         val token = machine.token()
-        machine.handleReport(token)
-        harness.run(1.secs)
+        machine.handleHeartbeat(token)
+        harness.run(1.seconds)
         return token
     }
 
     /** Renewed in each of so many seconds: an answer under no token renews nothing. */
-    private fun renewals(token: Long, seconds: Int): List<Boolean> =
-        List(seconds) {
-            harness.run(1.secs)
+    private fun renewals(token: Long, inSeconds: Int): List<Boolean> =
+        List(inSeconds) {
+            harness.run(1.seconds)
             val answer = machine.report(token, running)
             answer?.first == 200 && "\"baton\":$token" in answer.second
         }
@@ -68,7 +68,7 @@
         siblingTells()
         val token = leads()
         harness.outage()
-        harness.sibling = { _, _ -> null }
+        harness.peer = { _, _ -> null }
         // Cancelled 36 s before, all must be gone: a lease of 16 s and a relay's grant go off that.
         val renewed = renewals(token, 40)
         assertTrue(renewed.take(8).any { it }, "$renewed")
@@ -84,7 +84,7 @@
         assertFalse(renewals(token, 40).drop(15).any { it })
         // The state service shows what the process before has told.
         harness.outageOver()
-        harness.run(3.secs)
+        harness.run(3.seconds)
         assertTrue(renewals(token, 3).any { it })
     }
 
@@ -93,9 +93,9 @@
         siblingTells()
         val token = leads()
         harness.outage()
-        harness.run(5.secs)
+        harness.run(5.seconds)
         siblingTells("job-000001")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val answers = List(4) { machine.report(token, running)?.second.orEmpty() }
         assertContains(answers.joinToString(), "\"verb\":\"halt\"")
     }
@@ -108,10 +108,10 @@
             harness.call(
                 "POST",
                 "/beat",
-                HeartbeatCodec.encode(Heartbeat("n1", heard = heard)),
+                PeerHeartbeatCodec.encode(PeerHeartbeat("n1", heard = heard)),
                 Port.PEER,
             )
-            HeartbeatCodec.told(harness.bytesOf(harness.lastCall))!!
+            PeerHeartbeatCodec.told(harness.bytesOf(harness.lastCall))!!
         }
         assertEquals(emptyList(), heartbeat(emptyList()).jobs)
         assertEquals(200, harness.call("POST", "/submissions/job-000001/abort")?.first)
@@ -123,22 +123,22 @@
             heartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
         )
         // Of no use to anybody any more.
-        harness.run(60.secs)
+        harness.run(60.seconds)
         assertEquals(emptyList(), heartbeat(emptyList()).jobs)
     }
 
     private class Known {
-        val context = CoreContext().also { it.at(100.secs, 100.secs) }
-        private val store = StateStore(context, StateFacts(900.0, 900.0, 8.0, 8), 2)
-        val cancellations = Cancellations(context, store, "own", listOf("n1"), 60.secs) {}
+        val context = CoreContext().also { it.at(100.seconds, 100.seconds) }
+        private val store = KeyValueStore(context, StoreLimits(900.0, 900.0, 8.0, 8), 2)
+        val cancellations = Cancellations(context, store, "own", listOf("n1"), 60.seconds) {}
         private val job = JobId("job-000001")
 
-        fun at(second: Int) = context.at(second.secs, second.secs)
+        fun at(second: Int) = context.at(second.seconds, second.seconds)
 
-        fun toldBy(sibling: List<String>) =
+        fun toldBy(peer: List<String>) =
             cancellations.accept(
                 "n1",
-                CancellationReport("b", 1_000_000_000, 0, sibling),
+                CancellationUpdate("b", 1_000_000_000, 0, peer),
                 context.now,
             )
 
@@ -152,22 +152,22 @@
     @Test
     fun `a cancellation counts from when it was last known that there was none`() =
         Known().run {
-            cancellations.shown(90.secs)
+            cancellations.shown(90.seconds)
             at(120)
             learn()
-            assertEquals(90.secs, since())
-            cancellations.shown(119.secs)
+            assertEquals(90.seconds, since())
+            cancellations.shown(119.seconds)
             at(130)
             // Told once more, and read from what is stored: no later for that.
             learn()
             learnStored()
-            assertEquals(90.secs, since())
+            assertEquals(90.seconds, since())
         }
 
     @Test
     fun `one that is read from what is stored counts from as long ago as can be`() =
         Known().run {
-            cancellations.shown(119.secs)
+            cancellations.shown(119.seconds)
             at(120)
             learnStored()
             assertEquals(Micros.LONG_AGO, since())
@@ -177,12 +177,12 @@
     fun `one that a sibling tells counts from when all were last heard`() =
         Known().run {
             // Nothing is known of what former processes told.
-            cancellations.shown(100.secs)
+            cancellations.shown(100.seconds)
             cancellations.tick()
             at(101)
             toldBy(emptyList())
             at(150)
             toldBy(listOf("job-000001"))
-            assertEquals(101.secs, since())
+            assertEquals(101.seconds, since())
         }
 }
--- a/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
@@ -5,14 +5,14 @@
 import kotlin.test.assertTrue
 import wardmux.model.Cost
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 
 class FairQueueTest {
     private val second = Cost(1_000_000)
 
     /** No memory: the usage that would halve a weight is out of reach. */
     private fun plain(vararg teams: Pair<String, Double>) =
-        FairQueue(mapOf(*teams), 600.secs, normSeconds = 1e9)
+        FairQueue(mapOf(*teams), 600.seconds, normSeconds = 1e9)
 
     private fun FairQueue.next(teams: List<String>, wall: Micros): String {
         // Ties go to the heavier team, as in the paper's example.
@@ -33,18 +33,18 @@
 
     @Test
     fun `usage halves in a half-life, in one step or in many`() {
-        val queue = FairQueue(mapOf("a" to 4.0), 100.secs, 10.0)
+        val queue = FairQueue(mapOf("a" to 4.0), 100.seconds, 10.0)
         queue.charge("a", second, Micros.ZERO)
-        val other = FairQueue(mapOf("a" to 4.0), 100.secs, 10.0)
+        val other = FairQueue(mapOf("a" to 4.0), 100.seconds, 10.0)
         other.charge("a", second, Micros.ZERO)
-        for (t in 1..20) other.usage("a", (t * 5).secs)
-        assertEquals(500_000.0, queue.usage("a", 100.secs), 1e-6)
-        assertEquals(500_000.0, other.usage("a", 100.secs), 1e-3)
+        for (t in 1..20) other.usage("a", (t * 5).seconds)
+        assertEquals(500_000.0, queue.usage("a", 100.seconds), 1e-6)
+        assertEquals(500_000.0, other.usage("a", 100.seconds), 1e-3)
     }
 
     @Test
     fun `usage of one norm halves the weight`() {
-        val queue = FairQueue(mapOf("a" to 4.0), 1_000_000.secs, normSeconds = 10.0)
+        val queue = FairQueue(mapOf("a" to 4.0), 1_000_000.seconds, normSeconds = 10.0)
         assertEquals(4.0, queue.weight("a", Micros.ZERO), 1e-9)
         queue.charge("a", Cost(40_000_000), Micros.ZERO)
         assertEquals(2.0, queue.weight("a", Micros.ZERO), 1e-9)
@@ -52,7 +52,7 @@
 
     @Test
     fun `a finish is corrected by the weight at dispatch, not by the present one`() {
-        val queue = FairQueue(mapOf("a" to 4.0), 600.secs, normSeconds = 10.0)
+        val queue = FairQueue(mapOf("a" to 4.0), 600.seconds, normSeconds = 10.0)
         val charge = queue.charge("a", Cost(40_000_000), Micros.ZERO)
         assertEquals(10_000_000, queue.startTag("a"))
         queue.correct("a", charge, Cost(80_000_000), Micros.ZERO)
@@ -83,7 +83,7 @@
         assertEquals(queue.clock, next.clock)
         for (team in listOf("a", "b")) {
             assertEquals(queue.startTag(team), next.startTag(team))
-            assertEquals(queue.usage(team, 9.secs), next.usage(team, 9.secs), 1e-6)
+            assertEquals(queue.usage(team, 9.seconds), next.usage(team, 9.seconds), 1e-6)
         }
     }
 
@@ -100,7 +100,7 @@
     @Test
     fun `of more teams than a value holds the least ahead are left out`() {
         val names = List(100) { "team-$it" }
-        val many = FairQueue(names.associateWith { 10.0 }, 600.secs, 600.0)
+        val many = FairQueue(names.associateWith { 10.0 }, 600.seconds, 600.0)
         for ((i, name) in names.withIndex()) many.charge(
             name,
             Cost(10_000_000L * (i + 1)),
--- a/src/test/kotlin/wardmux/scheduling/FewMachinesTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FewMachinesTest.kt
@@ -3,11 +3,11 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.MachineType
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.records.StoredPage
 import wardmux.serialization.lenientJson
 import wardmux.sim.plainJob
@@ -16,10 +16,10 @@
 class FewMachinesTest {
     private val small = MachineType("small", 2.0, memoryGb = 16.0, zones = listOf("a"))
     private val large = MachineType("large", 64.0, memoryGb = 256.0, zones = listOf("a"))
-    private val teams = listOf(TeamFacts("team-0", 700.0, 12_000.0))
-    private val harness = PlannerHarness(teams, listOf(small, large), now = 100.secs)
+    private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
+    private val harness = PlannerHarness(teams, listOf(small, large), now = 100.seconds)
 
-    private fun job(shape: Shape, tasks: Int, cpus: Double = 1.0, id: Int = 1) =
+    private fun job(shape: JobKind, tasks: Int, cpus: Double = 1.0, id: Int = 1) =
         harness.job(
             plainJob(tasks, "job-%06d".format(id)).copy(shape = shape, cpus = cpus, estimateS = 9.0)
         )
@@ -35,7 +35,7 @@
     @Test
     fun `a gang goes to as few machines as its page holds`() {
         smallAndLarge()
-        val gang = job(Shape.GANG, 110)
+        val gang = job(JobKind.GANG, 110)
         harness.planner.plan(Admission(7, LOWERED))
         assertEquals(110, gang.placements.size)
         assertTrue(bytesOf(gang) <= LOWERED, "${bytesOf(gang)} bytes")
@@ -46,7 +46,7 @@
     @Test
     fun `so do the replicas of a service`() {
         smallAndLarge()
-        val service = job(Shape.DAEMON, 125)
+        val service = job(JobKind.SERVICE, 125)
         repeat(3) { harness.planner.plan(Admission(7, LOWERED)) }
         assertEquals(125, service.placements.size)
         assertTrue(bytesOf(service) <= LOWERED, "${bytesOf(service)} bytes")
@@ -55,8 +55,8 @@
     @Test
     fun `replicas that do not fit wait, the others run, and other jobs are placed`() {
         repeat(200) { harness.machine(it, small) }
-        val service = job(Shape.DAEMON, 120, cpus = 2.0)
-        val other = job(Shape.BATCH, 5, id = 2)
+        val service = job(JobKind.SERVICE, 120, cpus = 2.0)
+        val other = job(JobKind.ARRAY, 5, id = 2)
         repeat(3) { harness.planner.plan(Admission(7, LOWERED)) }
         assertTrue(service.placements.size >= 50, "${service.placements.size} replicas")
         assertTrue(service.placements.size < 120)
@@ -68,9 +68,9 @@
     @Test
     fun `a gang that no page holds takes nothing from others`() {
         repeat(150) { harness.machine(it, small) }
-        val never = job(Shape.GANG, 120, cpus = 2.0)
-        val gang = job(Shape.GANG, 3, id = 2)
-        val other = job(Shape.BATCH, 5, id = 3)
+        val never = job(JobKind.GANG, 120, cpus = 2.0)
+        val gang = job(JobKind.GANG, 3, id = 2)
+        val other = job(JobKind.ARRAY, 5, id = 3)
         harness.planner.plan(Admission(2, LOWERED))
         assertEquals(0, never.placements.size)
         assertEquals(3, gang.placements.size)
@@ -79,14 +79,14 @@
 
     @Test
     fun `nor does it keep room, hires or stops for itself`() {
-        val only = PlannerHarness(teams, listOf(small), now = 100.secs)
+        val only = PlannerHarness(teams, listOf(small), now = 100.seconds)
         repeat(150) { only.machine(it, small) }
         val full = only.unlisted(plainJob(1, "job-999999").copy(cpus = 2.0))
         for (machine in only.cluster.machines.values) machine.add(only.placement(full, 0, machine))
-        val spec = plainJob(120, "job-000001").copy(shape = Shape.GANG, cpus = 2.0)
-        val never = only.job(spec, acceptedAt = 1.secs)
-        val gang = only.job(spec.copy(id = "job-000002", tasks = 3), acceptedAt = 2.secs)
-        for (job in listOf(never, gang)) job.blockedSince = 10.secs
+        val spec = plainJob(120, "job-000001").copy(shape = JobKind.GANG, cpus = 2.0)
+        val never = only.job(spec, acceptedAt = 1.seconds)
+        val gang = only.job(spec.copy(id = "job-000002", tasks = 3), acceptedAt = 2.seconds)
+        for (job in listOf(never, gang)) job.blockedSince = 10.seconds
         only.planner.plan(Admission(7, LOWERED))
         assertEquals(listOf(gang), only.planner.shortOfRoom())
         assertTrue(
--- a/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
@@ -4,7 +4,7 @@
 import kotlin.test.assertEquals
 import wardmux.model.Machine
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /** Room for gangs: it is gathered and kept, as small tasks would take each bit that comes free. */
@@ -44,10 +44,10 @@
         assertEquals(8, gang.placements.size)
         harness.cluster.undo(gang.placements.values.first())
         harness.cluster.book(spec.copy(cpus = 700.0 - 7 * spec.cpus), 1)
-        val later = harness.context.now + 60.secs
+        val later = harness.context.now + 60.seconds
         harness.context.at(later, later)
         plan()
         assertEquals(true, gang.gang?.broken)
-        assertEquals(setOf(Micros.ZERO), gang.placements.values.map { it.haltWithin }.toSet())
+        assertEquals(setOf(Micros.ZERO), gang.placements.values.map { it.gracePeriod }.toSet())
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
@@ -6,10 +6,10 @@
 import wardmux.core.CoreContext
 import wardmux.model.Job
 import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.Stamp
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /** Which types stand in for each other: only those that nothing open needs for their size. */
@@ -37,7 +37,7 @@
     private val context = CoreContext()
     private val pools = MachinePools(context) { listOf(small, large) }
 
-    private fun job(spec: JobSpec) = Job(spec, Stamp(1), Micros.ZERO, 128)
+    private fun job(spec: JobSpec) = Job(spec, KeyVersion(1), Micros.ZERO, 128)
 
     private fun observe(at: Micros, vararg specs: JobSpec) {
         context.at(at, at)
@@ -49,36 +49,36 @@
 
     @Test
     fun `a larger type that nothing needs for its size is an exact fit too`() {
-        observe(0.secs, smallTask)
+        observe(0.seconds, smallTask)
         assertEquals(setOf("small", "large"), pools.exactFor(smallTask))
         assertEquals(listOf(large, small), pools.pools.single().cheapestFirst(spot = true))
     }
 
     @Test
     fun `one that some work needs stays for that work, also for a while after it`() {
-        observe(0.secs, smallTask, largeTask)
+        observe(0.seconds, smallTask, largeTask)
         assertEquals(setOf("small"), pools.exactFor(smallTask))
         assertEquals(setOf("large"), pools.exactFor(largeTask))
-        observe(300.secs, smallTask)
+        observe(300.seconds, smallTask)
         assertEquals(setOf("small"), pools.exactFor(smallTask))
-        observe(1_000.secs, smallTask)
+        observe(1_000.seconds, smallTask)
         assertEquals(setOf("small", "large"), pools.exactFor(smallTask))
     }
 
     @Test
     fun `what a machine stands for follows from the resource that runs out first`() {
-        observe(0.secs, smallTask)
+        observe(0.seconds, smallTask)
         assertEquals(4.0, pools.pools.single().weightOf(large))
         // Of tasks that need their memory the large one, which has no more, takes no more.
         val memoryTask = smallTask.copy(memoryGb = 16.0)
-        observe(10.secs, memoryTask)
+        observe(10.seconds, memoryTask)
         assertEquals(1.0, pools.pools.single().weightOf(large))
         assertEquals(listOf(small, large), pools.pools.single().cheapestFirst(spot = true))
     }
 
     @Test
     fun `dear kinds are measured against the cheapest of their pool`() {
-        observe(0.secs, smallTask)
+        observe(0.seconds, smallTask)
         assertEquals(1.0, pools.dearness(large, spot = true))
         assertTrue(pools.dearness(small, spot = true) in 1.5..1.7)
         assertTrue(pools.dearness(large, spot = false) < pools.dearness(small, spot = false))
@@ -87,7 +87,7 @@
     @Test
     fun `a type that holds no task of the kind is no exact fit for it`() {
         val wide = smallTask.copy(types = listOf("small"))
-        observe(0.secs, wide)
+        observe(0.seconds, wide)
         assertEquals(setOf("small"), pools.exactFor(wide))
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
@@ -3,17 +3,17 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.model.Job
 import wardmux.model.MachineType
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /** What a page takes for now bounds what hiring counts of the tasks that wait. */
 class PageSizeEstimateTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
-    private val teams = listOf(TeamFacts("team-0", 700.0, 12_000.0))
-    private val harness = PlannerHarness(teams, listOf(type), now = 100.secs)
+    private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
+    private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
 
     private fun placeable(job: Job, together: Int) =
         PageSizeEstimate.placeable(job, together, MOST_BYTES)
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -1,32 +1,32 @@
 package wardmux.scheduling
 
 import wardmux.config.OperatorSettings
-import wardmux.config.TeamFacts
-import wardmux.config.WorkerFacts
+import wardmux.config.TeamQuota
+import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.model.Charge
 import wardmux.model.Cost
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.MachineType
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Shape
-import wardmux.model.Stamp
 import wardmux.model.TaskId
 import wardmux.model.TaskStatus
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /** A planner with all that it needs, for decisions set up by hand. */
-class PlannerHarness(teams: List<TeamFacts>, types: List<MachineType>, now: Micros) {
+class PlannerHarness(teams: List<TeamQuota>, types: List<MachineType>, now: Micros) {
     val context = CoreContext().also { it.at(now, now) }
     val cluster =
-        Cluster(context, teams, FairQueue(teams.associate { it.name to it.cpus }, 600.secs, 600.0))
-    private val workers = WorkerFacts(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
-    val stopper = TaskStopper(cluster, workers)
+        ClusterState(context, teams, FairQueue(teams.associate { it.name to it.cpus }, 600.seconds, 600.0))
+    private val workers = WorkerTiming(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
+    val stopper = TaskEvictor(cluster, workers)
     val pools = MachinePools(context) { types }
     val planner =
         Planner(context, cluster, OperatorSettings(), workers, emptyList(), pools) { types }
@@ -35,7 +35,7 @@
     fun machine(number: Int, type: MachineType, zone: String = "a", spot: Boolean = true): Machine {
         val machine = Machine(MachineId("i-%06d".format(number)), type, zone, spot)
         machine.confirmed = true
-        machine.heardAt = context.now
+        machine.lastHeartbeatAt = context.now
         machine.renewedAt = context.now
         cluster.add(machine)
         return machine
@@ -46,7 +46,7 @@
 
     /** One that only takes room. */
     fun unlisted(spec: JobSpec, acceptedAt: Micros = Micros.ZERO) =
-        Job(spec, Stamp(1), acceptedAt, 128)
+        Job(spec, KeyVersion(1), acceptedAt, 128)
 
     fun placement(job: Job, task: Int, machine: Machine) =
         Placement(job, TaskId(job.id, task), 1, machine.id, 1, machine.zone, Charge(Cost(1), 1.0))
@@ -76,9 +76,9 @@
 
         /** One team, machines of one type, and tasks of a gang that share an image. */
         fun ofOneTeam() =
-            PlannerHarness(listOf(TeamFacts("team-0", 700.0, 700.0)), listOf(MID), now = 100.secs)
+            PlannerHarness(listOf(TeamQuota("team-0", 700.0, 700.0)), listOf(MID), now = 100.seconds)
 
         fun gang(tasks: Int): JobSpec =
-            plainJob(tasks, "job-000001").copy(shape = Shape.GANG, image = "gang-image")
+            plainJob(tasks, "job-000001").copy(shape = JobKind.GANG, image = "gang-image")
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
@@ -4,22 +4,22 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.model.MachineType
-import wardmux.model.secs
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /** At the size of the grown deployments: what a decision costs, counted and not timed. */
 class PlannerScaleTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
-    private val teams = List(10) { TeamFacts("team-$it", 700.0, 12_000.0) }
+    private val teams = List(10) { TeamQuota("team-$it", 700.0, 12_000.0) }
 
     private class Plan(val looks: Long, val placed: Int)
 
     /** [jobs] jobs of [tasks] tasks on [machines] machines of which [open] have room. */
     private fun plan(machines: Int, open: Int, jobs: Int, tasks: Int, pages: Int): Plan {
         val random = Random(3)
-        val harness = PlannerHarness(teams, listOf(type), now = 100.secs)
+        val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
         val full = harness.unlisted(plainJob(1, "job-999999").copy(cpus = 16.0))
         repeat(machines) {
             val machine = harness.machine(it, type)
@@ -37,13 +37,13 @@
     @Test
     fun `large machines are left to a large job that waits too long, and only to such`() {
         val large = type.copy(label = "large", cpus = 64.0, memoryGb = 256.0)
-        val harness = PlannerHarness(teams, listOf(type, large), now = 200.secs)
+        val harness = PlannerHarness(teams, listOf(type, large), now = 200.seconds)
         val machine = harness.machine(1, large)
         // Room for one small task is there, and not for the large one.
         val full = harness.unlisted(plainJob(1, "job-999999").copy(cpus = 40.0))
         machine.add(harness.placement(full, 0, machine))
-        val waits = harness.job(plainJob(1, "job-000001").copy(cpus = 32.0), 10.secs)
-        val small = harness.job(plainJob(1, "job-000002").copy(cpus = 2.0), 190.secs)
+        val waits = harness.job(plainJob(1, "job-000001").copy(cpus = 32.0), 10.seconds)
+        val small = harness.job(plainJob(1, "job-000002").copy(cpus = 2.0), 190.seconds)
         harness.planner.plan(Admission(7))
         assertEquals(0, small.placements.size, "it took what the large one waits for")
         harness.cluster.jobs.remove(waits.id)
--- a/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
@@ -3,12 +3,12 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
 import wardmux.model.Job
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /**
@@ -17,11 +17,11 @@
  */
 class PreemptionScaleTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
-    private val teams = List(4) { TeamFacts("team-$it", 7_000.0, 20_000.0) }
-    private val harness = PlannerHarness(teams, listOf(type), now = 100.secs)
+    private val teams = List(4) { TeamQuota("team-$it", 7_000.0, 20_000.0) }
+    private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val preemption = harness.preemption()
 
-    private fun job(id: Int, urgency: Urgency, tasks: Int) =
+    private fun job(id: Int, urgency: PriorityClass, tasks: Int) =
         harness.job(plainJob(tasks, "job-%06d".format(id)).copy(urgency = urgency))
 
     private fun running(job: Job, machines: IntRange) {
@@ -34,12 +34,12 @@
 
     @Test
     fun `a job that waits looks only at what may be stopped for it`() {
-        running(job(900, Urgency.HIGH, 8_000), 0 until 1_000)
-        running(job(901, Urgency.NORMAL, 80), 1_000 until 1_010)
-        repeat(100) { job(it, Urgency.HIGH, 50).blockedSince = Micros.ZERO }
+        running(job(900, PriorityClass.HIGH, 8_000), 0 until 1_000)
+        running(job(901, PriorityClass.NORMAL, 80), 1_000 until 1_010)
+        repeat(100) { job(it, PriorityClass.HIGH, 50).blockedSince = Micros.ZERO }
         preemption.preempt()
         val stopped =
-            harness.cluster.jobs.values.sumOf { j -> j.placements.values.count { it.halting } }
+            harness.cluster.jobs.values.sumOf { j -> j.placements.values.count { it.isStopping } }
         assertEquals(80, stopped)
         assertTrue(preemption.looks <= 2 * 100 * 80, "${preemption.looks} looks")
     }
--- a/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
@@ -3,22 +3,22 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineType
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 import wardmux.sim.plainJob
 
 /** A replica that waits is down: what may be stopped for it is stopped at once, where it helps. */
 class ServicePreemptionTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a", "b"))
-    private val teams = listOf(TeamFacts("team-0", 700.0, 700.0))
-    private val harness = PlannerHarness(teams, listOf(type), now = 100.secs)
+    private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
+    private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val preemption = harness.preemption()
-    private val idle = harness.job(plainJob(64, "job-000900").copy(urgency = Urgency.IDLE))
+    private val idle = harness.job(plainJob(64, "job-000900").copy(urgency = PriorityClass.IDLE))
 
     private fun waiting(spec: JobSpec) =
         harness.job(spec).also { it.blockedSince = harness.context.now }
@@ -26,13 +26,13 @@
     private fun stoppedIn(zone: String) =
         harness.cluster.machines.values
             .filter { it.zone == zone }
-            .sumOf { machine -> machine.placements.values.count { it.halting } }
+            .sumOf { machine -> machine.placements.values.count { it.isStopping } }
 
     private fun service(tasks: Int) =
         plainJob(tasks, "job-000001")
             .copy(
-                shape = Shape.DAEMON,
-                urgency = Urgency.PROD,
+                shape = JobKind.SERVICE,
+                urgency = PriorityClass.PROD,
                 spread = true,
                 spot = false,
                 estimateS = 0.0,
@@ -48,7 +48,7 @@
     fun `lower work makes room for a service at once, and for others after a wait`() {
         fullMachine(1, "a")
         fullMachine(2, "b")
-        val array = waiting(service(4).copy(id = "job-000002", shape = Shape.BATCH))
+        val array = waiting(service(4).copy(id = "job-000002", shape = JobKind.ARRAY))
         preemption.preempt()
         assertEquals(0, stoppedIn("a") + stoppedIn("b"))
         harness.cluster.jobs.remove(array.id)
@@ -67,6 +67,6 @@
         preemption.preempt()
         assertEquals(0, stoppedIn("a"))
         assertEquals(2, stoppedIn("b"))
-        assertTrue(service.placements.values.none { it.halting })
+        assertTrue(service.placements.values.none { it.isStopping })
     }
 }
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.params.provider.MethodSource
 import wardmux.config.OperatorSettings
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /**
  * Seen: 56 s after its user had been told that a job was cancelled, one of its tasks was still on a
@@ -45,12 +45,12 @@
 
         /** [count] services run, and relays take reports. */
         fun begin(count: Int) {
-            clock.after(4.secs) { submit(count) }
-            simulation.run(30.secs)
-            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(1.secs)
+            clock.after(4.seconds) { submit(count) }
+            simulation.run(30.seconds)
+            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(1.seconds)
             for (job in jobs) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
             // To the letter, without the slack of the rules.
-            clock.every(100.millis) { late += jobs.filter(::outlastsItsCancellation) }
+            clock.every(100.milliseconds) { late += jobs.filter(::outlastsItsCancellation) }
         }
 
         private fun outlastsItsCancellation(job: String): Boolean {
@@ -75,12 +75,12 @@
         /** The leader ends; another leads, has read what is stored and has granted its relays. */
         fun changeLeader() {
             val former = simulation.leaderToken()
-            simulation.leader()?.let { simulation.crash(it, 1.secs) }
-            val until = clock.now + 20.secs
+            simulation.leader()?.let { simulation.crash(it, 1.seconds) }
+            val until = clock.now + 20.seconds
             while (simulation.leaderToken() in listOf(former, null) && clock.now < until) {
-                runFor(10.millis)
+                runFor(10.milliseconds)
             }
-            runFor(1500.millis)
+            runFor(1500.milliseconds)
         }
 
         /** Nothing was late, no rule broke, and what nobody cancelled runs again. */
@@ -102,7 +102,7 @@
             val worker = simulation.cloud.workers().first { it.id == machine }
             cutOff(machine)
             simulation.cancel(job)
-            runFor(500.millis)
+            runFor(500.milliseconds)
             assertEquals("cancelled", rules.finalOf(job))
             var renewals = 0
             while (rules.cancelledAt(job)?.let { clock.now - it > CANCEL } == false) {
@@ -113,7 +113,7 @@
                 worker.turnTo(relay)
                 val until = clock.now + LONGEST_MEETING
                 while (!worker.hasToken(simulation.leaderToken()) && clock.now < until) {
-                    runFor(1.millis)
+                    runFor(1.milliseconds)
                 }
                 if (worker.hasToken(simulation.leaderToken()) && worker.sessions == session) {
                     renewals++
@@ -134,13 +134,13 @@
             val churn = LeaderChurn(simulation)
             churn.begin(CHURN)
             for (job in jobs.shuffled(clock.random).take(4)) {
-                clock.after(clock.between(1.secs, 12.secs)) { simulation.cancel(job) }
+                clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancel(job) }
             }
             // Some are called off while their starts are under way.
-            clock.after(clock.between(1.secs, 6.secs)) {
+            clock.after(clock.between(1.seconds, 6.seconds)) {
                 submit(2)
                 val job = jobs.last()
-                clock.after(clock.between(500.millis, 6.secs)) { simulation.cancel(job) }
+                clock.after(clock.between(500.milliseconds, 6.seconds)) { simulation.cancel(job) }
             }
             runFor(CHURN + CALM)
             end()
@@ -149,13 +149,13 @@
     companion object {
         private const val TASKS = 3
         private const val TEAMS = 3
-        private val START = 80.secs
-        private val CANCEL = 36_200.millis
-        private val LONGEST_MEETING = 3.secs
+        private val START = 80.seconds
+        private val CANCEL = 36_200.milliseconds
+        private val LONGEST_MEETING = 3.seconds
 
         /** Longer than a cancellation may take. */
-        private val CHURN = 75.secs
-        private val CALM = 110.secs
+        private val CHURN = 75.seconds
+        private val CALM = 110.seconds
 
         @JvmStatic fun seeds(): List<Long> = (1L..5L).toList()
 
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -5,18 +5,18 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import wardmux.app.Controller
-import wardmux.config.CloudFacts
-import wardmux.config.Facts
-import wardmux.config.LimitFacts
-import wardmux.config.NextStateFacts
+import wardmux.config.AnnouncedStoreLimits
+import wardmux.config.CloudLimits
+import wardmux.config.DeploymentConfig
 import wardmux.config.OperatorSettings
-import wardmux.config.PlatformSettings
-import wardmux.config.ServiceSettings
-import wardmux.config.SiblingSettings
+import wardmux.config.PeerConfig
+import wardmux.config.PlatformConfig
+import wardmux.config.ProcessLimits
+import wardmux.config.ServiceAddresses
 import wardmux.config.SocketBudget
-import wardmux.config.StateFacts
-import wardmux.config.TeamFacts
-import wardmux.config.WorkerFacts
+import wardmux.config.StoreLimits
+import wardmux.config.TeamQuota
+import wardmux.config.WorkerTiming
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
@@ -24,12 +24,12 @@
 import wardmux.core.Port
 import wardmux.core.Target
 import wardmux.drain.SolverPlanner
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 
 /** Real controllers among fakes of all that they deal with, in simulated time. */
@@ -42,7 +42,7 @@
     gangWaitS: Double = 35.0,
     gangPeerS: Double = 6.0,
     /** The limits that controllers which start from now on are told of beforehand. */
-    var told: NextStateFacts? = null,
+    var told: AnnouncedStoreLimits? = null,
     /** Machines that the cloud has, in each zone, of spot and of ordinary ones. */
     capacity: Int = 3,
     /** Sockets that each controller may have open. */
@@ -57,25 +57,25 @@
     var lostPlans = 0.0
 
     /** Of these limits a controller is told that starts from now on, by its name. */
-    var toldTo: (member: String) -> NextStateFacts? = { told }
+    var toldTo: (member: String) -> AnnouncedStoreLimits? = { told }
     val clock = SimulatedClock(seed)
     val network = Network(clock)
     private val zones = listOf("a", "b", "c")
     val nodes = listOf("n0", "n1", "n2")
-    private val teams = List(3) { TeamFacts("team-$it", 16.0, teamCpus) }
-    private val facts =
-        Facts(
+    private val teams = List(3) { TeamQuota("team-$it", 16.0, teamCpus) }
+    private val deployment =
+        DeploymentConfig(
             nodes = nodes.size,
             zones = zones,
             clockErrorMs = 100.0,
             teams = teams,
-            workers = WorkerFacts(2.5, 16.0, 36.0, gangWaitS, gangPeerS),
-            state = StateFacts(rps = 90.0, writeRps = 40.0, valueKb = 8.0, txnOps = txnOps),
-            cloud = CloudFacts(rps = 8.0, listLagS = 3.0),
-            limits = LimitFacts(fdLimit = fdLimit),
+            workers = WorkerTiming(2.5, 16.0, 36.0, gangWaitS, gangPeerS),
+            state = StoreLimits(rps = 90.0, writeRps = 40.0, valueKb = 8.0, txnOps = txnOps),
+            cloud = CloudLimits(rps = 8.0, listLagS = 3.0),
+            limits = ProcessLimits(fdLimit = fdLimit),
         )
-    val state = FakeStateService(clock, facts.state)
-    val rules = Rules(teams, facts.workers.cancelS.secs + Rules.SLACK)
+    val state = FakeStateService(clock, deployment.state)
+    val rules = Rules(teams, deployment.workers.cancelS.seconds + Rules.SLACK)
     val gangs = FakeGangs(clock, rules, gangWaitS, gangPeerS)
     private val specs = HashMap<String, JobSpec>()
     val cloud = FakeCloud(clock, zones, capacity, ::worker)
@@ -130,7 +130,7 @@
         }
 
         val drift = 1.0 + clock.random.nextDouble(-0.0005, 0.0005)
-        val offset = clock.between(Micros.ZERO, 100.millis)
+        val offset = clock.between(Micros.ZERO, 100.milliseconds)
         val answers = HashMap<Long, (Int, ByteArray) -> Unit>()
         val core = Controller(settings(member), operatorsOf(member), "${++boots}")
         var alive = true
@@ -177,8 +177,8 @@
         /** Bounded by nodes and not by time, so that a seed always gives the same day. */
         private fun solve(effect: Effect.Solve) {
             if (lostPlans > 0 && clock.chance(lostPlans)) return
-            val plan = SolverPlanner.plan(effect.problem, 60.secs, nodes = 2_000)
-            clock.after(200.millis) { feed(Input.Solved(effect.id, plan)) }
+            val plan = SolverPlanner.plan(effect.problem, 60.seconds, nodes = 2_000)
+            clock.after(200.milliseconds) { feed(Input.Solved(effect.id, plan)) }
         }
 
         private fun send(effect: Effect.Send) {
@@ -216,7 +216,7 @@
                     if (late == null) deliver(workers[host], effect.path, body, back)
                     else clock.after(late) { deliver(workers[host], effect.path, body, back) }
                 }
-                is Target.Sibling ->
+                is Target.Peer ->
                     call(target.member, Port.PEER, effect.method, effect.path, effect.body, answer)
             }
         }
@@ -231,7 +231,7 @@
     ) {
         if (worker == null || !worker.alive) return
         when {
-            worker.hanging -> clock.after(500.millis) { deliver(worker, path, body, back) }
+            worker.hanging -> clock.after(500.milliseconds) { deliver(worker, path, body, back) }
             path == "/status" -> back(200, worker.reportBody())
             else -> worker.direct(body)?.let { (status, report) -> back(status, report) }
         }
@@ -241,19 +241,19 @@
         when (target) {
             is Target.State -> "state"
             is Target.Cloud -> "cloud"
-            is Target.Sibling -> target.member
+            is Target.Peer -> target.member
             is Target.Worker -> target.address.substringBefore(':')
         }
 
     private fun settings(member: String) =
-        PlatformSettings(
+        PlatformConfig(
             member = member,
             site = "a",
             apiAddress = "10.0.0.1:80",
             peerAddress = "10.0.0.1:81",
-            siblings = (nodes - member).map { SiblingSettings(it, address = "10.0.0.1:81") },
-            services = ServiceSettings("10.0.0.1:82", "10.0.0.1:83"),
-            facts = facts.copy(state = facts.state.copy(next = toldTo(member))),
+            peers = (nodes - member).map { PeerConfig(it, address = "10.0.0.1:81") },
+            services = ServiceAddresses("10.0.0.1:82", "10.0.0.1:83"),
+            deployment = deployment.copy(state = deployment.state.copy(next = toldTo(member))),
         )
 
     private fun call(
@@ -270,7 +270,7 @@
         process.feed(Input.Call(id, port, method, path, body))
     }
 
-    private fun handleReport(
+    private fun handleHeartbeat(
         id: String,
         node: String,
         body: String,
@@ -291,7 +291,7 @@
     }
 
     private fun worker(id: String, type: String, zone: String, spot: Boolean): FakeWorker {
-        val send: Report = { node, body, answer -> handleReport(id, node, body, answer) }
+        val send: SimulatedHeartbeat = { node, body, answer -> handleHeartbeat(id, node, body, answer) }
         val worker =
             FakeWorker(
                 id,
@@ -299,7 +299,7 @@
                 zone,
                 spot,
                 clock,
-                facts.workers,
+                deployment.workers,
                 nodes,
                 rules,
                 specs::get,
@@ -325,7 +325,7 @@
     private fun tick(process: Process) {
         if (!process.alive) return
         process.feed(Input.Tick)
-        clock.after(100.millis) { tick(process) }
+        clock.after(100.milliseconds) { tick(process) }
     }
 
     fun freeze(member: String, length: Micros) {
@@ -342,7 +342,7 @@
     fun leader(): String? = state.value("leader")?.jsonObject?.get("member")?.jsonPrimitive?.content
 
     /** The token of the leader: the revision of the write that took the key. */
-    fun leaderToken(): Long? = state.stamp("leader")
+    fun leaderToken(): Long? = state.version("leader")
 
     /** An operator asks the controller [by], or any; null if it never answers. */
     fun operate(
@@ -372,7 +372,7 @@
         then: (status: Int?, text: String) -> Unit,
     ) {
         var over = false
-        clock.after(5.secs) {
+        clock.after(5.seconds) {
             if (!over) then(null, "")
             over = true
         }
@@ -395,7 +395,7 @@
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
         rules.submitted(spec)
-        submitAgain(spec, clock.now + 60.secs)
+        submitAgain(spec, clock.now + 60.seconds)
     }
 
     private fun submitAgain(spec: JobSpec, until: Micros) {
@@ -408,11 +408,11 @@
                 accepted++
                 // Some repeat a request that was carried out.
                 if (clock.chance(0.2))
-                    clock.after(clock.between(1.secs, 40.secs)) { submitAgain(spec, clock.now) }
+                    clock.after(clock.between(1.seconds, 40.seconds)) { submitAgain(spec, clock.now) }
                 asked.add(spec.id)
                 poll(spec.id)
             } else if (clock.now < until) {
-                clock.after(clock.between(1.secs, 2.secs)) { submitAgain(spec, until) }
+                clock.after(clock.between(1.seconds, 2.seconds)) { submitAgain(spec, until) }
             }
         }
     }
@@ -425,7 +425,7 @@
         ask("GET", "/submissions/$job", ByteArray(0)) { status, text ->
             if (status != null) rules.told(clock.now, job, "GET", status, stateIn(text), askedAt)
             rules.answered(clock.now, job, status == 200)
-            clock.after(clock.between(3.secs, 6.secs)) { poll(job) }
+            clock.after(clock.between(3.seconds, 6.seconds)) { poll(job) }
         }
     }
 
@@ -435,7 +435,7 @@
         val askedAt = clock.now
         ask("POST", "/submissions/$job/abort", ByteArray(0), by) { status, text ->
             if (status != null) rules.told(clock.now, job, "abort", status, stateIn(text), askedAt)
-            if (status != 200) clock.after(1.secs) { cancel(job, by) }
+            if (status != 200) clock.after(1.seconds) { cancel(job, by) }
             // Its submission was never answered, so this is the first that its user hears of it.
             else if (asked.add(job)) poll(job)
         }
@@ -452,7 +452,7 @@
                 if (it.estimateS == 0.0) Double.MAX_VALUE else it.estimateS
             }
         val chosen = running.take(count).map { it.id }
-        for (job in chosen) clock.after(clock.between(Micros.ZERO, 200.millis)) { cancel(job) }
+        for (job in chosen) clock.after(clock.between(Micros.ZERO, 200.milliseconds)) { cancel(job) }
         if (hang == Micros.ZERO) return
         for (machine in chosen.flatMap(rules::machinesOf).distinct().take(MOST_HANGING)) {
             val worker = workers[machine] ?: continue
@@ -467,7 +467,7 @@
     private fun jobEnded(job: String) {
         if (cancelAtEnd > 0 && clock.chance(cancelAtEnd)) {
             // From before the report of the end to after the record of it.
-            clock.after(clock.between(Micros.ZERO, 1_200.millis)) { cancel(job) }
+            clock.after(clock.between(Micros.ZERO, 1_200.milliseconds)) { cancel(job) }
         }
     }
 
@@ -505,7 +505,7 @@
         }
     }
 
-    private fun plain() = randomJob().copy(shape = Shape.BATCH, zone = null)
+    private fun plain() = randomJob().copy(shape = JobKind.ARRAY, zone = null)
 
     private fun unfit(): JobSpec =
         when (clock.random.nextInt(6)) {
@@ -515,7 +515,7 @@
             3 -> plain().copy(gpus = 1.0)
             4 -> plain().copy(zone = "z")
             // More than the team's limit, all tasks together.
-            else -> plain().copy(shape = Shape.DAEMON, tasks = 6, cpus = 8.0, estimateS = 0.0)
+            else -> plain().copy(shape = JobKind.SERVICE, tasks = 6, cpus = 8.0, estimateS = 0.0)
         }
 
     private fun lacking(): JsonObject {
@@ -541,15 +541,15 @@
         val random = clock.random
         val urgent = random.nextBoolean()
         val kind = random.nextDouble()
-        val shape = if (kind < 0.1) Shape.DAEMON else if (kind < 0.15) Shape.GANG else Shape.BATCH
-        val tasks = if (shape != Shape.BATCH) 2 else 1 + random.nextInt(if (urgent) 90 else 12)
+        val shape = if (kind < 0.1) JobKind.SERVICE else if (kind < 0.15) JobKind.GANG else JobKind.ARRAY
+        val tasks = if (shape != JobKind.ARRAY) 2 else 1 + random.nextInt(if (urgent) 90 else 12)
         val job =
             JobSpec(
                 id = "job-%06d".format(++lastJob),
                 jobClass = if (urgent) "quick" else "long",
                 team = teams[random.nextInt(teams.size)].name,
                 shape = shape,
-                urgency = if (urgent) Urgency.HIGH else Urgency.NORMAL,
+                urgency = if (urgent) PriorityClass.HIGH else PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = if (urgent) 2.0 else 8.0,
                 gpus = 0.0,
@@ -558,16 +558,16 @@
                 imageGb = 0.5,
                 types = null,
                 zone = if (clock.chance(0.1)) "b" else null,
-                oneZone = shape == Shape.BATCH && clock.chance(0.1),
+                oneZone = shape == JobKind.ARRAY && clock.chance(0.1),
                 spread = clock.chance(0.1),
                 spot = clock.chance(0.8),
-                estimateS = if (shape == Shape.DAEMON) 0.0 else if (urgent) 4.0 else 15.0,
+                estimateS = if (shape == JobKind.SERVICE) 0.0 else if (urgent) 4.0 else 15.0,
                 checkpointS = if (urgent) 0.0 else 5.0,
                 saveS = if (urgent) 0.0 else 2.0,
                 deadlineS = 60.0,
             )
         // Tasks that need each other and may not all be in the one zone can never run.
-        val never = shape != Shape.BATCH && job.zone != null
+        val never = shape != JobKind.ARRAY && job.zone != null
         return if (never) job.copy(spread = false) else job
     }
 
@@ -575,9 +575,9 @@
     fun plainService(team: String, tasks: Int): JobSpec =
         randomJob()
             .copy(
-                shape = Shape.DAEMON,
+                shape = JobKind.SERVICE,
                 team = team,
-                urgency = Urgency.NORMAL,
+                urgency = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = 2.0,
                 zone = null,
@@ -597,7 +597,7 @@
     private fun watchWaitingAgain() {
         val healthy = cloud.workers().filter { !it.hanging && !it.sick && it.recallS == null }
         rules.rooms(clock.now, healthy.map { it.view() }, cloud.workers().map { it.view() })
-        clock.after(1.secs) { watchWaitingAgain() }
+        clock.after(1.seconds) { watchWaitingAgain() }
     }
 
     /** The checks at the end of a day whose troubles were over at [calm]. */
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -7,47 +7,47 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import wardmux.app.Controller
-import wardmux.config.CloudFacts
-import wardmux.config.Facts
-import wardmux.config.LimitFacts
-import wardmux.config.NextStateFacts
+import wardmux.config.AnnouncedStoreLimits
+import wardmux.config.CloudLimits
+import wardmux.config.DeploymentConfig
 import wardmux.config.OperatorSettings
-import wardmux.config.PlatformSettings
-import wardmux.config.ServiceSettings
-import wardmux.config.SiblingSettings
-import wardmux.config.StateFacts
-import wardmux.config.TeamFacts
-import wardmux.config.WorkerFacts
+import wardmux.config.PeerConfig
+import wardmux.config.PlatformConfig
+import wardmux.config.ProcessLimits
+import wardmux.config.ServiceAddresses
+import wardmux.config.StoreLimits
+import wardmux.config.TeamQuota
+import wardmux.config.WorkerTiming
 import wardmux.core.Effect
 import wardmux.core.Input
 import wardmux.core.Outcome
 import wardmux.core.Port
 import wardmux.core.Target
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.JobState
 import wardmux.model.MachineType
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 
 /** One controller whose state service answers at once, for situations set up by hand. */
 class ControllerHarness(
-    siblings: List<String> = emptyList(),
+    peers: List<String> = emptyList(),
     operators: OperatorSettings = OperatorSettings(),
-    given: PlatformSettings = SETTINGS,
+    given: PlatformConfig = SETTINGS,
     /** The limits of the state service that are to come. */
-    told: NextStateFacts? = given.facts.state.next,
+    told: AnnouncedStoreLimits? = given.deployment.state.next,
 ) {
     private val settings =
         given.copy(
-            siblings = siblings.map { SiblingSettings(it, address = "10.0.0.2:81") },
-            facts = given.facts.let { it.copy(state = it.state.copy(next = told)) },
+            peers = peers.map { PeerConfig(it, address = "10.0.0.2:81") },
+            deployment = given.deployment.let { it.copy(state = it.state.copy(next = told)) },
         )
     private val clock = SimulatedClock(1)
-    private val state = FakeStateService(clock, settings.facts.state)
+    private val state = FakeStateService(clock, settings.deployment.state)
     private val core = Controller(settings, operators, "rig")
     private val answers = HashMap<Long, Pair<Int, String>>()
     private val bytes = HashMap<Long, ByteArray>()
@@ -60,7 +60,7 @@
     var directOutcome: Outcome = Outcome.Unsent
 
     /** What a sibling answers to the bytes it is sent on a path: as a rule it gets none. */
-    var sibling: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
+    var peer: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
 
     /** Requests to the cloud, which nobody answers. */
     val cloud = ArrayList<String>()
@@ -83,7 +83,7 @@
     fun outageOver() = state.back(null)
 
     /** The limits are lower from now on. */
-    fun lower(limits: NextStateFacts) = state.lower(limits)
+    fun lower(limits: AnnouncedStoreLimits) = state.lower(limits)
 
     /** Requests to the state service that get 503. */
     var refuse: (String) -> Boolean = { false }
@@ -119,7 +119,7 @@
         val until = clock.now + length
         while (clock.now < until) {
             feed(Input.Tick)
-            clock.run(clock.now + 100.millis) {}
+            clock.run(clock.now + 100.milliseconds) {}
         }
     }
 
@@ -186,8 +186,8 @@
                 if (effect.path == "/do") direct.add(body)
                 feed(Input.Reply(effect.id, directOutcome))
             }
-            effect.target is Target.Sibling -> {
-                val answer = sibling(effect.path, effect.body)
+            effect.target is Target.Peer -> {
+                val answer = peer(effect.path, effect.body)
                 val outcome = if (answer == null) Outcome.Unsent else Outcome.Response(200, answer)
                 feed(Input.Reply(effect.id, outcome))
             }
@@ -209,21 +209,21 @@
         val TYPE =
             MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 50.0, zones = listOf("a", "b"))
         val SETTINGS =
-            PlatformSettings(
+            PlatformConfig(
                 member = "n0",
                 site = "a",
                 apiAddress = "10.0.0.1:80",
                 peerAddress = "10.0.0.1:81",
-                services = ServiceSettings("10.0.0.1:82", "10.0.0.1:83"),
-                facts =
-                    Facts(
+                services = ServiceAddresses("10.0.0.1:82", "10.0.0.1:83"),
+                deployment =
+                    DeploymentConfig(
                         nodes = 1,
                         zones = listOf("a", "b"),
-                        teams = listOf(TeamFacts("team-0", 16.0, 64.0)),
-                        workers = WorkerFacts(2.5, 16.0, 36.0),
-                        state = StateFacts(900.0, 900.0, 8.0, 8),
-                        cloud = CloudFacts(8.0, 3.0),
-                        limits = LimitFacts(fdLimit = 1000),
+                        teams = listOf(TeamQuota("team-0", 16.0, 64.0)),
+                        workers = WorkerTiming(2.5, 16.0, 36.0),
+                        state = StoreLimits(900.0, 900.0, 8.0, 8),
+                        cloud = CloudLimits(8.0, 3.0),
+                        limits = ProcessLimits(fdLimit = 1000),
                     ),
             )
     }
@@ -235,8 +235,8 @@
         id,
         "c",
         "team-0",
-        Shape.BATCH,
-        Urgency.HIGH,
+        JobKind.ARRAY,
+        PriorityClass.HIGH,
         tasks,
         2.0,
         0.0,
@@ -260,21 +260,21 @@
     private val zone: String = "a",
 ) {
     var tick = 0
-    var shift = 1
+    var incarnation = 1
 
     fun report(token: Long, tasks: String = "", at: Int = ++tick): Pair<Int, String>? {
         val body =
             """{"box":"$id","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"$zone","loaners":""" +
-                """false,"shift":$shift,"tick":$at,"baton":$token,"pieces":[$tasks]}"""
+                """false,"shift":$incarnation,"tick":$at,"baton":$token,"pieces":[$tasks]}"""
         return harness.call("POST", "/hello", body.encodeToByteArray())
     }
 
-    fun handleReport(token: Long, tasks: String = ""): String {
+    fun handleHeartbeat(token: Long, tasks: String = ""): String {
         val answer = report(token, tasks)
         check(answer?.first == 200) { "answered $answer" }
         return answer.second
     }
 
     /** The leader's token, as a first report learns it. */
-    fun token(): Long = Regex("\"baton\":(\\d+)").find(handleReport(0))!!.groupValues[1].toLong()
+    fun token(): Long = Regex("\"baton\":(\\d+)").find(handleHeartbeat(0))!!.groupValues[1].toLong()
 }
--- a/src/test/kotlin/wardmux/sim/FakeCloud.kt
+++ b/src/test/kotlin/wardmux/sim/FakeCloud.kt
@@ -13,7 +13,7 @@
 import kotlinx.serialization.json.put
 import kotlinx.serialization.json.putJsonArray
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** The cloud, written from PROTOCOL; its list is always late. */
 class FakeCloud(
@@ -45,7 +45,7 @@
     val problems = ArrayList<String>()
 
     init {
-        clock.every(1.secs) {
+        clock.every(1.seconds) {
             listings.addLast(listing())
             if (listings.size > LAG) listings.removeFirst()
         }
@@ -58,7 +58,7 @@
         val box = Box(id, zone, spot, clock.now)
         boxes[id] = box
         if (!clock.chance(stillborn)) {
-            clock.after(clock.between(1.secs, 6.secs)) {
+            clock.after(clock.between(1.seconds, 6.seconds)) {
                 if (boxes[id] === box)
                     box.worker = newWorker(id, TYPE, zone, spot).also { it.sick = bornSick }
             }
@@ -91,12 +91,12 @@
                         put(
                             "status",
                             when {
-                                diedAt != null && clock.now - diedAt > 30.secs -> "failed"
+                                diedAt != null && clock.now - diedAt > 30.seconds -> "failed"
                                 box.worker == null -> "starting"
                                 else -> "running"
                             },
                         )
-                        put("held_s", (clock.now - box.rentedAt).seconds)
+                        put("held_s", (clock.now - box.rentedAt).inSeconds)
                     }
                 }
                 put("truncated", false)
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -2,8 +2,8 @@
 
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** A task of a gang as it is on its machine, from its image on. */
 interface GangTask {
@@ -26,8 +26,8 @@
     waitS: Double = 35.0,
     peerS: Double = 6.0,
 ) {
-    private val longestWait = waitS.secs
-    private val peerTime = peerS.secs
+    private val longestWait = waitS.seconds
+    private val peerTime = peerS.seconds
     private val attempts = LinkedHashMap<Pair<String, Int>, Attempt>()
 
     /** How long each gang runs in all; drawn when its first task joins, unless it is set before. */
@@ -59,7 +59,7 @@
     /** The task has its image. */
     fun join(task: GangTask, spec: JobSpec) {
         if (spec.id !in lengths) {
-            lengths[spec.id] = clock.between(1.secs, maxOf(1.secs, (spec.estimateS * 1.5).secs))
+            lengths[spec.id] = clock.between(1.seconds, maxOf(1.seconds, (spec.estimateS * 1.5).seconds))
         }
         attempts
             .getOrPut(task.job to task.attempt) { Attempt(spec, task.attempt) }
@@ -182,7 +182,7 @@
             }
         }
 
-        private fun savedAt(member: Member) = (member.toldAt ?: clock.now) + spec.saveS.secs
+        private fun savedAt(member: Member) = (member.toldAt ?: clock.now) + spec.saveS.seconds
 
         private fun failSave(running: List<Member>) {
             lose { clock.now }
@@ -199,7 +199,7 @@
             if (broken || safe || complete) return
             broken = true
             if (spec.savable) {
-                val step = spec.checkpointS.secs.value
+                val step = spec.checkpointS.seconds.value
                 val checkpoint = Micros(progress.value / step * step)
                 saved[spec.id] = maxOf(savedOf(spec.id), checkpoint)
             }
@@ -232,6 +232,6 @@
     }
 
     private companion object {
-        val TICK = 100.millis
+        val TICK = 100.milliseconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/FakeStateService.kt
+++ b/src/test/kotlin/wardmux/sim/FakeStateService.kt
@@ -16,11 +16,11 @@
 import kotlinx.serialization.json.long
 import kotlinx.serialization.json.put
 import kotlinx.serialization.json.putJsonArray
-import wardmux.config.NextStateFacts
-import wardmux.config.StateFacts
+import wardmux.config.AnnouncedStoreLimits
+import wardmux.config.StoreLimits
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.store.Change
+import wardmux.model.milliseconds
+import wardmux.store.WriteOperation
 
 /** A transaction that got no answer, with what its sender changed before it was carried out. */
 class LateTransaction(
@@ -49,12 +49,12 @@
 }
 
 /** The state service, written from PROTOCOL. */
-class FakeStateService(private val clock: SimulatedClock, private val facts: StateFacts) {
-    private class Entry(val data: JsonElement, val stamp: Long, val lease: Long?)
+class FakeStateService(private val clock: SimulatedClock, private val deployment: StoreLimits) {
+    private class Entry(val data: JsonElement, val version: Long, val lease: Long?)
 
     private class Lease(val life: Micros, var until: Micros)
 
-    private class Change(val revision: Long, val key: String, val data: JsonElement?)
+    private class WriteOperation(val revision: Long, val key: String, val data: JsonElement?)
 
     private class Watch(
         val member: String,
@@ -67,7 +67,7 @@
 
     private val keys = TreeMap<String, Entry>()
     private val leases = HashMap<Long, Lease>()
-    private val changes = ArrayList<Change>()
+    private val changes = ArrayList<WriteOperation>()
     private val watches = ArrayList<Watch>()
     private var revision = 0L
     private var lastLease = 0L
@@ -86,7 +86,7 @@
     var heard: ((path: String, body: String) -> Unit)? = null
 
     /** Lower limits than those it began with, or null. */
-    private var lowered: NextStateFacts? = null
+    private var lowered: AnnouncedStoreLimits? = null
     private val written = ArrayDeque<Micros>()
 
     /** What was refused for its size under the lower limits. */
@@ -104,7 +104,7 @@
     private val committed = HashMap<String, ArrayList<JsonObject>>()
 
     init {
-        clock.every(50.millis) { expire() }
+        clock.every(50.milliseconds) { expire() }
     }
 
     /** If [endsWatches], what the member watches tells it nothing more either. */
@@ -132,7 +132,7 @@
 
     fun value(key: String): JsonElement? = keys[key]?.data
 
-    fun stamp(key: String): Long? = keys[key]?.stamp
+    fun version(key: String): Long? = keys[key]?.version
 
     private fun expire() {
         if (null in refused) return
@@ -150,7 +150,7 @@
     }
 
     private fun remove(key: String) {
-        if (keys.remove(key) != null) changes.add(Change(revision, key, null))
+        if (keys.remove(key) != null) changes.add(WriteOperation(revision, key, null))
     }
 
     fun handle(
@@ -181,7 +181,7 @@
             route == "/leases" -> {
                 val life =
                     Json.parseToJsonElement(body).jsonObject.getValue("life_ms").jsonPrimitive.int
-                leases[++lastLease] = Lease(life.millis, clock.now + life.millis)
+                leases[++lastLease] = Lease(life.milliseconds, clock.now + life.milliseconds)
                 answer(200, """{"permit":$lastLease}""")
             }
             route.endsWith("/renew") -> {
@@ -206,7 +206,7 @@
     private fun item(key: String, entry: Entry) = buildJsonObject {
         put("k", key)
         put("data", entry.data)
-        put("stamp", entry.stamp)
+        put("stamp", entry.version)
         if (entry.lease != null) put("permit", entry.lease)
     }
 
@@ -228,14 +228,14 @@
     /** Nobody hears what becomes of it. */
     private fun carryOutLate(from: String, transaction: JsonObject) {
         val before = committed[from].orEmpty().size
-        clock.after(clock.between(2_000.millis, 12_000.millis)) {
+        clock.after(clock.between(2_000.milliseconds, 12_000.milliseconds)) {
             carryOut(from, transaction, before)
         }
     }
 
     private fun carryOut(from: String, transaction: JsonObject, before: Int) {
         // It arrived before the outage began, and is carried out after it.
-        if (null in refused) clock.after(500.millis) { carryOut(from, transaction, before) }
+        if (null in refused) clock.after(500.milliseconds) { carryOut(from, transaction, before) }
         else {
             val newer = committed[from].orEmpty().drop(before)
             val put =
@@ -252,8 +252,8 @@
     private fun multi(from: String, json: JsonObject, answer: (Int, String) -> Unit) {
         val conditions = json["if"]?.jsonArray ?: JsonArray(emptyList())
         val then = json["then"]?.jsonArray ?: JsonArray(emptyList())
-        if (then.size > facts.txnOps) problems.add("${then.size} changes in a transaction")
-        if (conditions.size > facts.txnOps * 4) problems.add("${conditions.size} conditions")
+        if (then.size > deployment.txnOps) problems.add("${then.size} changes in a transaction")
+        if (conditions.size > deployment.txnOps * 4) problems.add("${conditions.size} conditions")
         if (json.toString().length > 65_536)
             problems.add("a transaction of ${json.toString().length}")
         lowered?.let { limits ->
@@ -263,7 +263,7 @@
                 beyond.add("$what from $from")
                 return answer(400, """{"error":"too large"}""")
             }
-            written.removeIf { it < clock.now - 1_000.millis }
+            written.removeIf { it < clock.now - 1_000.milliseconds }
             if (written.size + then.size > (limits.writeRps ?: Double.MAX_VALUE)) {
                 limited++
                 return answer(429, "{}")
@@ -274,7 +274,7 @@
             conditions
                 .map { it.jsonObject }
                 .filter {
-                    (keys[it.text("k")]?.stamp ?: 0) != it.getValue("stamp").jsonPrimitive.long
+                    (keys[it.text("k")]?.version ?: 0) != it.getValue("stamp").jsonPrimitive.long
                 }
                 .map { it.text("k") }
         val puts = then.map { it.jsonObject }.filter { "put" in it }
@@ -298,7 +298,7 @@
                 val data = change.getValue("data")
                 if (data.toString().length > maxValue) problems.add("$key holds too much")
                 keys[key] = Entry(data, revision, change["permit"]?.jsonPrimitive?.long)
-                changes.add(Change(revision, key, data))
+                changes.add(WriteOperation(revision, key, data))
             } else {
                 remove(key)
             }
@@ -307,11 +307,11 @@
         wake()
     }
 
-    private fun tooLarge(change: JsonObject, limits: NextStateFacts) =
+    private fun tooLarge(change: JsonObject, limits: AnnouncedStoreLimits) =
         change["data"].toString().length > (limits.valueKb ?: Double.MAX_VALUE) * 1024
 
     /** In force from now on, though nobody is told. */
-    fun lower(limits: NextStateFacts) {
+    fun lower(limits: AnnouncedStoreLimits) {
         lowered = limits
     }
 
@@ -323,7 +323,7 @@
             .values
             .maxOfOrNull { it.data.toString().length } ?: 0
 
-    private val maxValue = (facts.valueKb * 1024).toInt()
+    private val maxValue = (deployment.valueKb * 1024).toInt()
 
     private fun JsonObject.text(name: String) = getValue(name).jsonPrimitive.content
 
@@ -336,7 +336,7 @@
         val watch = Watch(member, query.getValue("under"), from, answer)
         watches.add(watch)
         val block = query["block_ms"]?.toInt() ?: 0
-        clock.after(block.millis) { close(watch) }
+        clock.after(block.milliseconds) { close(watch) }
         wake()
     }
 
@@ -345,7 +345,7 @@
 
     private fun close(watch: Watch) {
         if (!watch.open || null in refused) return
-        if (waits(watch)) return clock.after(500.millis) { close(watch) }
+        if (waits(watch)) return clock.after(500.milliseconds) { close(watch) }
         watch.open = false
         watches.remove(watch)
         watch.answer(200, """{"epoch":$revision,"events":[]}""")
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -13,15 +13,15 @@
 import kotlinx.serialization.json.long
 import kotlinx.serialization.json.put
 import kotlinx.serialization.json.putJsonArray
-import wardmux.config.WorkerFacts
+import wardmux.config.WorkerTiming
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** How a worker reaches a controller: status and body, or null for no response. */
-typealias Report = (node: String, body: String, answer: (Int, String) -> Unit) -> Unit
+typealias SimulatedHeartbeat = (node: String, body: String, answer: (Int, String) -> Unit) -> Unit
 
 /** A worker, written from PROTOCOL. */
 class FakeWorker(
@@ -30,14 +30,14 @@
     val zone: String,
     val spot: Boolean,
     private val clock: SimulatedClock,
-    private val facts: WorkerFacts,
+    private val deployment: WorkerTiming,
     private val nodes: List<String>,
     private val rules: Rules,
     private val specOf: (String) -> JobSpec?,
     private val gangs: FakeGangs = FakeGangs(clock, rules),
     /** Where it takes direct commands. */
     private val endpoint: String = "$id:9000",
-    private val send: Report,
+    private val send: SimulatedHeartbeat,
 ) {
     private class Task(val name: String, val attempt: Int) {
         var status = "fetching"
@@ -82,11 +82,11 @@
     var starts = 0
         private set
 
-    private var shift = 1L
+    private var incarnation = 1L
 
     /** Sessions that it has had. */
     val sessions: Long
-        get() = shift
+        get() = incarnation
 
     /** It has taken this token. */
     fun hasToken(leaders: Long?): Boolean = token == leaders
@@ -117,7 +117,7 @@
         }
 
     init {
-        clock.every(100.millis) { if (alive && !hanging) step() }
+        clock.every(100.milliseconds) { if (alive && !hanging) step() }
     }
 
     /** What this machine has and holds, fetching tasks included. */
@@ -152,15 +152,15 @@
     }
 
     private fun step() {
-        if (clock.now - answeredSentAt > facts.leaseS.secs) {
+        if (clock.now - answeredSentAt > deployment.leaseS.seconds) {
             for (task in tasks.values) lose(task)
             tasks.clear()
-            shift++
+            incarnation++
             tick = 0
             answeredSentAt = clock.now
             changed = true
         }
-        val due = clock.now >= nextAt || (changed && clock.now - lastSentAt >= 500.millis)
+        val due = clock.now >= nextAt || (changed && clock.now - lastSentAt >= 500.milliseconds)
         if (!busy && due) report()
     }
 
@@ -171,7 +171,7 @@
                 put("boxkind", type)
                 put("ward", zone)
                 put("loaners", spot)
-                put("shift", shift)
+                put("shift", incarnation)
                 put("tick", ++tick)
                 put("baton", token)
                 recallS?.let { put("recall_s", it) }
@@ -204,18 +204,18 @@
         changed = false
         val sentAt = clock.now
         lastSentAt = sentAt
-        val sentIn = shift
-        nextAt = sentAt + clock.between((facts.reportS * 0.75).secs, (facts.reportS * 1.25).secs)
+        val sentIn = incarnation
+        nextAt = sentAt + clock.between((deployment.reportS * 0.75).seconds, (deployment.reportS * 1.25).seconds)
         var over = false
         fun end(next: Boolean) {
             over = true
             busy = false
             if (next) {
                 node = (node + 1) % nodes.size
-                nextAt = clock.now + 1.secs
+                nextAt = clock.now + 1.seconds
             }
         }
-        clock.after(4.secs) { if (!over && own == call) end(next = true) }
+        clock.after(4.seconds) { if (!over && own == call) end(next = true) }
         send(nodes[node], reportBody()) { status, body ->
             // Dropped after four seconds: commands in such a response are not executed.
             if (over || own != call || !alive || hanging) return@send
@@ -223,7 +223,7 @@
                 200 -> {
                     end(next = false)
                     if (wanders) node = (node + 1) % nodes.size
-                    if (sentIn == shift) take(Json.parseToJsonElement(body).jsonObject, sentAt)
+                    if (sentIn == incarnation) take(Json.parseToJsonElement(body).jsonObject, sentAt)
                 }
                 421 -> {
                     val steward =
@@ -237,7 +237,7 @@
                     end(next = index < 0 || index == node)
                     if (index >= 0 && index != node) {
                         node = index
-                        nextAt = clock.now + clock.between(Micros.ZERO, 500.millis)
+                        nextAt = clock.now + clock.between(Micros.ZERO, 500.milliseconds)
                     }
                 }
                 else -> end(next = true)
@@ -259,7 +259,7 @@
         if (!alive) return null
         val json = Json.parseToJsonElement(body).jsonObject
         val given = json.getValue("baton").jsonPrimitive.long
-        val right = given >= token && json.getValue("shift").jsonPrimitive.long == shift
+        val right = given >= token && json.getValue("shift").jsonPrimitive.long == incarnation
         if (right) {
             if (given > token) changed = true
             token = given
@@ -292,7 +292,7 @@
             spec == null || task.index >= spec.tasks -> refuse(task, "unknown")
             others.any { it.name == task.name } -> refuse(task, "busy")
             used + spec.cpus > CPUS + 1e-6 -> refuse(task, "full")
-            else -> clock.after(clock.between(50.millis, 3.secs)) { run(task, spec) }
+            else -> clock.after(clock.between(50.milliseconds, 3.seconds)) { run(task, spec) }
         }
     }
 
@@ -305,7 +305,7 @@
 
     private fun run(task: Task, spec: JobSpec) {
         if (!present(task) || task.status != "fetching") return
-        if (hanging) return clock.after(1.secs) { run(task, spec) }
+        if (hanging) return clock.after(1.seconds) { run(task, spec) }
         if (task.name in results || gangs.isDone(task.job)) {
             rules.startsOfDone++
             return end(task, "done", false)
@@ -313,15 +313,15 @@
         task.status = "running"
         changed = true
         rules.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
-        if (spec.shape == Shape.GANG) {
+        if (spec.shape == JobKind.GANG) {
             task.status = "gathering"
             return gangs.join(Seat(task).also { task.seat = it }, spec)
         }
         starts++
         rules.losses.runs(clock.now, task.name, spec.team)
-        if (sick) return clock.after(1.secs) { if (present(task)) end(task, "error", false) }
+        if (sick) return clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
         if (spec.estimateS > 0) {
-            clock.after(clock.between(1.secs, (spec.estimateS * 1.5).secs)) { finish(task) }
+            clock.after(clock.between(1.seconds, (spec.estimateS * 1.5).seconds)) { finish(task) }
         }
     }
 
@@ -331,12 +331,12 @@
         changed = true
         starts++
         specOf(task.job)?.let { rules.losses.runs(clock.now, task.name, it.team) }
-        if (sick) clock.after(1.secs) { if (present(task)) end(task, "error", false) }
+        if (sick) clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
     }
 
     private fun finish(task: Task) {
         if (!present(task) || task.status != "running") return
-        if (hanging) return clock.after(1.secs) { finish(task) }
+        if (hanging) return clock.after(1.seconds) { finish(task) }
         results.add(task.name)
         end(task, "done", true)
     }
@@ -365,7 +365,7 @@
             task.status == "running" && spec.savable && within >= spec.saveS -> {
                 task.status = "saving"
                 rules.losses.lost(clock.now, task.name, causeOfStop())
-                clock.after(spec.saveS.secs) {
+                clock.after(spec.saveS.seconds) {
                     task.kept = true
                     if (present(task)) end(task, "stopped", false)
                 }
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -1,8 +1,8 @@
 package wardmux.sim
 
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** All that may happen to a [simulation], for days of every kind; [submit] brings one more job. */
 class FaultInjector(private val simulation: ClusterSimulation, private val submit: () -> Unit) {
@@ -17,50 +17,50 @@
 
     val basicFaults: List<() -> Unit> =
         listOf(
-            { simulation.crash(someNode(), clock.between(100.millis, 8.secs)) },
+            { simulation.crash(someNode(), clock.between(100.milliseconds, 8.seconds)) },
             {
-                simulation.leader()?.let { simulation.crash(it, clock.between(200.millis, 3.secs)) }
+                simulation.leader()?.let { simulation.crash(it, clock.between(200.milliseconds, 3.seconds)) }
             },
             {
-                for (node in simulation.nodes) simulation.crash(node, clock.between(1.secs, 8.secs))
+                for (node in simulation.nodes) simulation.crash(node, clock.between(1.seconds, 8.seconds))
             },
             {
                 for ((i, node) in members().withIndex()) {
-                    clock.after((i * 7).secs) { simulation.crash(node, 3.secs) }
+                    clock.after((i * 7).seconds) { simulation.crash(node, 3.seconds) }
                 }
             },
-            { outage(null, clock.between(1.secs, 25.secs)) },
-            { outage(someNode(), clock.between(1.secs, 40.secs)) },
-            { simulation.leader()?.let { outage(it, clock.between(4.secs, 40.secs)) } },
+            { outage(null, clock.between(1.seconds, 25.seconds)) },
+            { outage(someNode(), clock.between(1.seconds, 40.seconds)) },
+            { simulation.leader()?.let { outage(it, clock.between(4.seconds, 40.seconds)) } },
             {
                 simulation.cloud.down = true
-                clock.after(20.secs) { simulation.cloud.down = false }
+                clock.after(20.seconds) { simulation.cloud.down = false }
             },
             { someWorkers(2).forEach { simulation.cloud.kill(it) } },
             { someWorkers(4).filter { it.spot }.forEach { simulation.cloud.takeBack(it) } },
             {
                 for (worker in someWorkers(3).filter { it.spot }) {
                     worker.recallS = 10.0
-                    clock.after(10.secs) { simulation.cloud.takeBack(worker) }
+                    clock.after(10.seconds) { simulation.cloud.takeBack(worker) }
                 }
             },
             {
                 for (worker in someWorkers(2)) {
                     worker.hanging = true
                     // Some go on just inside their lease, some just outside it.
-                    clock.after(clock.between(2.secs, 30.secs)) { worker.hanging = false }
+                    clock.after(clock.between(2.seconds, 30.seconds)) { worker.hanging = false }
                 }
             },
-            { for (worker in someWorkers(2)) cut(worker.id, clock.between(3.secs, 50.secs)) },
-            { cut(someNode(), clock.between(2.secs, 30.secs)) },
+            { for (worker in someWorkers(2)) cut(worker.id, clock.between(3.seconds, 50.seconds)) },
+            { cut(someNode(), clock.between(2.seconds, 30.seconds)) },
             { someWorkers(1).forEach { it.sick = true } },
             {
                 simulation.network.late = 0.05
-                clock.after(30.secs) { simulation.network.late = 0.0 }
+                clock.after(30.seconds) { simulation.network.late = 0.0 }
             },
             {
                 simulation.network.loss = 0.1
-                clock.after(20.secs) { simulation.network.loss = 0.0 }
+                clock.after(20.seconds) { simulation.network.loss = 0.0 }
             },
             { repeat(6) { submit() } },
         )
@@ -70,54 +70,54 @@
      */
     val networkFaults: List<() -> Unit> =
         listOf(
-            { for (worker in someWorkers(3)) deaf(worker.id, clock.between(5.secs, 60.secs)) },
+            { for (worker in someWorkers(3)) deaf(worker.id, clock.between(5.seconds, 60.seconds)) },
             {
                 for (worker in someWorkers(2)) for (node in simulation.nodes) apart(node, worker.id)
             },
             {
                 simulation.network.copies = 0.2
-                clock.after(40.secs) { simulation.network.copies = 0.0 }
+                clock.after(40.seconds) { simulation.network.copies = 0.0 }
             },
             {
                 // What was sent before a machine's end arrives after its deletion.
                 simulation.network.copies = 0.5
                 someWorkers(2).forEach { simulation.cloud.kill(it) }
-                clock.after(15.secs) { simulation.network.copies = 0.0 }
+                clock.after(15.seconds) { simulation.network.copies = 0.0 }
             },
-            { simulation.leader()?.let { alone(it, clock.between(8.secs, 50.secs)) } },
-            { alone(someNode(), clock.between(8.secs, 50.secs)) },
-            { simulation.leader()?.let { unheard(it, clock.between(8.secs, 50.secs)) } },
+            { simulation.leader()?.let { alone(it, clock.between(8.seconds, 50.seconds)) } },
+            { alone(someNode(), clock.between(8.seconds, 50.seconds)) },
+            { simulation.leader()?.let { unheard(it, clock.between(8.seconds, 50.seconds)) } },
             {
                 for (node in simulation.nodes) {
-                    simulation.crash(node, clock.between(20.millis, 400.millis))
+                    simulation.crash(node, clock.between(20.milliseconds, 400.milliseconds))
                 }
             },
             {
                 // In the middle of the election that the first crash begins.
                 simulation.leader()?.let {
-                    simulation.crash(it, clock.between(20.millis, 300.millis))
+                    simulation.crash(it, clock.between(20.milliseconds, 300.milliseconds))
                 }
-                clock.after(clock.between(10.millis, 5.secs)) {
-                    simulation.crash(someNode(), clock.between(20.millis, 300.millis))
+                clock.after(clock.between(10.milliseconds, 5.seconds)) {
+                    simulation.crash(someNode(), clock.between(20.milliseconds, 300.milliseconds))
                 }
             },
             {
-                val length = clock.between(5.secs, 40.secs)
+                val length = clock.between(5.seconds, 40.seconds)
                 for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                     part(a, b, length)
             },
-            { slow("state", 60.millis) },
-            { slow(someNode(), 500.millis) },
+            { slow("state", 60.milliseconds) },
+            { slow(someNode(), 500.milliseconds) },
         )
 
     /** Frozen controllers and zones that are cut off. */
     val partitionFaults: List<() -> Unit> =
         listOf(
-            { simulation.freeze(someNode(), clock.between(1.secs, 30.secs)) },
-            { simulation.leader()?.let { simulation.freeze(it, clock.between(1.secs, 30.secs)) } },
+            { simulation.freeze(someNode(), clock.between(1.seconds, 30.seconds)) },
+            { simulation.leader()?.let { simulation.freeze(it, clock.between(1.seconds, 30.seconds)) } },
             {
                 // A zone cut off with a controller in it.
-                val length = clock.between(5.secs, 47.secs)
+                val length = clock.between(5.seconds, 47.seconds)
                 val inside = simulation.cloud.workers().filter { it.zone == "a" }.map { it.id }
                 for (host in inside + simulation.nodes.first()) {
                     for (other in simulation.nodes.drop(1) + "state" + "cloud" + "user") {
@@ -133,41 +133,41 @@
         listOf(
             {
                 simulation.state.lateWrites = 0.3
-                clock.after(clock.between(5.secs, 25.secs)) { simulation.state.lateWrites = 0.0 }
+                clock.after(clock.between(5.seconds, 25.seconds)) { simulation.state.lateWrites = 0.0 }
             },
             {
                 simulation.network.lateReports = 0.3
-                clock.after(clock.between(10.secs, 40.secs)) {
+                clock.after(clock.between(10.seconds, 40.seconds)) {
                     simulation.network.lateReports = 0.0
                 }
             },
-            { for (worker in someWorkers(4)) mute(worker.id, clock.between(5.secs, 50.secs)) },
-            { deafZone(clock.between(5.secs, 40.secs)) },
+            { for (worker in someWorkers(4)) mute(worker.id, clock.between(5.seconds, 50.seconds)) },
+            { deafZone(clock.between(5.seconds, 40.seconds)) },
             { simulation.cancelNow(1 + clock.random.nextInt(6), Micros.ZERO) },
-            { simulation.cancelNow(6, clock.between(2.secs, 30.secs)) },
+            { simulation.cancelNow(6, clock.between(2.seconds, 30.seconds)) },
             {
                 simulation.cancelAtEnd = 0.5
-                clock.after(30.secs) { simulation.cancelAtEnd = 0.0 }
+                clock.after(30.seconds) { simulation.cancelAtEnd = 0.0 }
             },
-            { for (i in 1..25) clock.after((i * 1_300).millis) { simulation.oddRequest() } },
+            { for (i in 1..25) clock.after((i * 1_300).milliseconds) { simulation.oddRequest() } },
             {
                 // The leader is cut off, and jobs are cancelled through the next one.
-                simulation.leader()?.let { alone(it, clock.between(8.secs, 50.secs)) }
-                clock.after(clock.between(1.secs, 12.secs)) { simulation.cancelNow(6, Micros.ZERO) }
+                simulation.leader()?.let { alone(it, clock.between(8.seconds, 50.seconds)) }
+                clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancelNow(6, Micros.ZERO) }
             },
-            { gap(clock.between(5.secs, 40.secs)) },
-            { gap(clock.between(40.secs, 70.secs)) },
+            { gap(clock.between(5.seconds, 40.seconds)) },
+            { gap(clock.between(40.seconds, 70.seconds)) },
             {
                 // A leader ends while it does not hear some of its machines.
-                for (worker in someWorkers(4)) mute(worker.id, clock.between(5.secs, 40.secs))
-                simulation.leader()?.let { simulation.crash(it, clock.between(100.millis, 6.secs)) }
+                for (worker in someWorkers(4)) mute(worker.id, clock.between(5.seconds, 40.seconds))
+                simulation.leader()?.let { simulation.crash(it, clock.between(100.milliseconds, 6.seconds)) }
             },
         )
 
     /** The state service refuses the leader alone, jobs are cancelled, then it refuses all. */
     private fun gap(length: Micros) {
-        val alone = clock.between(1.secs, 14.secs)
-        simulation.leader()?.let { outage(it, alone + 3.secs) }
+        val alone = clock.between(1.seconds, 14.seconds)
+        simulation.leader()?.let { outage(it, alone + 3.seconds) }
         clock.after(clock.between(Micros.ZERO, alone)) { simulation.cancelNow(6, Micros.ZERO) }
         clock.after(alone) { outage(null, length) }
     }
@@ -191,7 +191,7 @@
     }
 
     private fun apart(a: String, b: String) {
-        val length = clock.between(3.secs, 40.secs)
+        val length = clock.between(3.seconds, 40.seconds)
         part(a, b, length)
         if (clock.chance(0.5)) part(b, a, length)
     }
@@ -219,7 +219,7 @@
 
     private fun slow(host: String, by: Micros) {
         simulation.network.slow[host] = by
-        clock.after(30.secs) { simulation.network.slow.remove(host) }
+        clock.after(30.seconds) { simulation.network.slow.remove(host) }
     }
 
     private fun outage(member: String?, length: Micros) {
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.MethodSource
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** A gang is cancelled at each phase of its life; each is brought about on purpose. */
 class GangCancellationTest {
@@ -30,17 +30,17 @@
         val gang = day.gang(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
         when (phase) {
             Phase.WAITING -> simulation.cloud.down = true
-            Phase.STARTING -> for (i in 0..20) simulation.lateOrders["i-%06d".format(i)] = 3.secs
+            Phase.STARTING -> for (i in 0..20) simulation.lateOrders["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
                 day.once({ day.allRun(gang) }) {
-                    day.clock.after(6.secs) { day.holding(gang).first().recallS = 30.0 }
+                    day.clock.after(6.seconds) { day.holding(gang).first().recallS = 30.0 }
                 }
             Phase.BETWEEN ->
                 day.once({ day.allRun(gang) }) {
                     simulation.cloud.rent("a", spot = false)
-                    day.clock.after(6.secs) { simulation.cloud.kill(day.holding(gang).first()) }
+                    day.clock.after(6.seconds) { simulation.cloud.kill(day.holding(gang).first()) }
                 }
-            Phase.DONE -> simulation.gangs.lengths[gang.id] = 6.secs
+            Phase.DONE -> simulation.gangs.lengths[gang.id] = 6.seconds
             else -> Unit
         }
         return gang
@@ -54,7 +54,7 @@
         when (phase) {
             Phase.WAITING ->
                 day.once({ day.stored("q", gang) != null }) {
-                    day.clock.after(6.secs) {
+                    day.clock.after(6.seconds) {
                         assertEquals(null, page())
                         action()
                     }
@@ -70,7 +70,7 @@
             Phase.STARTING -> day.once({ page() != null && day.states(gang).isEmpty() }, action)
             Phase.FETCHING -> day.once({ day.states(gang) == List(3) { "fetching" } }, action)
             Phase.GATHERING -> day.once({ "gathering" in day.states(gang) }, action)
-            Phase.RUNNING -> day.once({ day.allRun(gang) }) { day.clock.after(6.secs, action) }
+            Phase.RUNNING -> day.once({ day.allRun(gang) }) { day.clock.after(6.seconds, action) }
             Phase.SAVING -> day.once({ simulation.gangs.isSaving(gang.id) }, action)
             Phase.BETWEEN -> day.once({ begun() && day.holding(gang).isEmpty() }, action)
             Phase.DONE -> day.rules.whenAllDone = { action() }
@@ -85,36 +85,36 @@
     ) {
         val day = GangDay(seed)
         val simulation = day.simulation
-        simulation.run(2.secs)
+        simulation.run(2.seconds)
         val gang = arrange(day, phase)
         var cancelledAt: Micros? = null
         inPhase(day, phase, gang) {
             if (cancelledAt == null) {
                 cancelledAt = day.clock.now
                 simulation.cancel(gang.id)
-                if (seed > 2) day.changeLeader(latest = 3.secs)
+                if (seed > 2) day.changeLeader(latest = 3.seconds)
                 // Room for all of it comes afterwards.
-                day.clock.after(2.secs) {
+                day.clock.after(2.seconds) {
                     simulation.cloud.down = false
                     simulation.cloud.rent("b", spot = false)
                     simulation.cloud.rent("c", spot = false)
                 }
-                day.clock.after(20.secs) { simulation.lateOrders.clear() }
+                day.clock.after(20.seconds) { simulation.lateOrders.clear() }
             }
         }
         simulation.submit(gang)
-        simulation.run(60.secs)
+        simulation.run(60.seconds)
         val asked = checkNotNull(cancelledAt) { "$phase was not reached" }
         // Whoever was under way has arrived by then.
         val told = day.rules.cancelledAt(gang.id) ?: asked
-        assertTrue(told - asked < 10.secs, "told after ${told - asked}")
+        assertTrue(told - asked < 10.seconds, "told after ${told - asked}")
         val settled = told + UNDER_WAY
         simulation.run(maxOf(day.clock.now, settled))
         val starts = day.rules.starts
         val begun = day.rules.gangsBegun
         simulation.run(told + CANCEL_TIME)
         assertEquals(emptyList(), day.states(gang), "still on machines")
-        simulation.run(told + 120.secs)
+        simulation.run(told + 120.seconds)
         day.holds()
         assertEquals(starts to begun, day.rules.starts to day.rules.gangsBegun, "started later")
         val final = day.rules.finalOf(gang.id)
@@ -125,10 +125,10 @@
     }
 
     companion object {
-        private val CANCEL_TIME = 36.secs
+        private val CANCEL_TIME = 36.seconds
 
         /** Ordered before a leader could hear of it, and then on its way. */
-        private val UNDER_WAY = 10.secs
+        private val UNDER_WAY = 10.seconds
 
         @JvmStatic
         fun phases(): List<Arguments> =
--- a/src/test/kotlin/wardmux/sim/GangDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangDay.kt
@@ -2,12 +2,12 @@
 
 import kotlin.test.assertEquals
 import wardmux.config.OperatorSettings
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.records.JobRecord
 
 /** A simulated day on which gangs are brought into trouble on purpose. */
@@ -28,24 +28,24 @@
 
     /** The first time that the condition holds, looked at often. */
     fun once(condition: () -> Boolean, action: () -> Unit) {
-        if (condition()) action() else clock.after(20.millis) { once(condition, action) }
+        if (condition()) action() else clock.after(20.milliseconds) { once(condition, action) }
     }
 
-    fun gang(tasks: Int, cpus: Double, team: Int = 0, length: Micros = 400.secs): JobSpec =
+    fun gang(tasks: Int, cpus: Double, team: Int = 0, length: Micros = 400.seconds): JobSpec =
         simulation
             .randomJob()
             .copy(
                 jobClass = "gang",
                 team = "team-$team",
-                shape = Shape.GANG,
-                urgency = Urgency.NORMAL,
+                shape = JobKind.GANG,
+                urgency = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 zone = null,
                 oneZone = false,
                 spread = false,
                 spot = true,
-                estimateS = length.seconds,
+                estimateS = length.inSeconds,
                 checkpointS = 5.0,
                 saveS = 2.0,
             )
@@ -55,8 +55,8 @@
         gang(tasks, cpus, team)
             .copy(
                 jobClass = "small",
-                shape = Shape.BATCH,
-                urgency = Urgency.HIGH,
+                shape = JobKind.ARRAY,
+                urgency = PriorityClass.HIGH,
                 estimateS = estimate,
                 checkpointS = 0.0,
                 saveS = 0.0,
@@ -78,7 +78,7 @@
     /** The controller that leads ends, and is back soon. */
     fun changeLeader(latest: Micros) {
         clock.after(clock.between(Micros.ZERO, latest)) {
-            simulation.leader()?.let { simulation.crash(it, 2.secs) }
+            simulation.leader()?.let { simulation.crash(it, 2.seconds) }
         }
     }
 
--- a/src/test/kotlin/wardmux/sim/GangFaultDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultDay.kt
@@ -7,15 +7,15 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import wardmux.model.Job
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
 import wardmux.model.Micros
 import wardmux.model.Placement
-import wardmux.model.Shape
-import wardmux.model.Stamp
+import wardmux.model.PriorityClass
 import wardmux.model.TaskId
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.records.StoredPage
 import wardmux.serialization.lenientJson
 
@@ -48,8 +48,8 @@
                 .copy(
                     jobClass = "gang",
                     team = "team-0",
-                    shape = Shape.GANG,
-                    urgency = Urgency.HIGH,
+                    shape = JobKind.GANG,
+                    urgency = PriorityClass.HIGH,
                     tasks = tasks,
                     cpus = cpus,
                     memoryGb = 0.1,
@@ -63,7 +63,7 @@
                 )
         simulation.startIsSent = ::checkStart
         clock.after(at) { simulation.submit(gang) }
-        clock.every(20.millis) {
+        clock.every(20.milliseconds) {
             val attempts = simulation.rules.attemptsOf(gang.id)
             if (attempts.size > 1) broken.add("attempts $attempts at once at ${clock.now}")
         }
@@ -86,13 +86,13 @@
     /** What is stored of the gang's tasks that may be on machines. */
     fun recorded(): Map<Int, Placement> {
         val pages = 0..(gang.tasks - 1) / PAGE_SIZE
-        val stamps = pages.map { simulation.state.stamp(Job.pageKey(gang.jobId, it)) }
+        val stamps = pages.map { simulation.state.version(Job.pageKey(gang.jobId, it)) }
         if (stamps != read.first) read = stamps to readPages(pages)
         return read.second
     }
 
     private fun readPages(pages: IntRange): Map<Int, Placement> {
-        val job = Job(gang, Stamp(0), Micros.ZERO, PAGE_SIZE)
+        val job = Job(gang, KeyVersion(0), Micros.ZERO, PAGE_SIZE)
         return pages
             .mapNotNull { simulation.state.value(Job.pageKey(gang.jobId, it)) }
             .flatMap {
@@ -112,7 +112,7 @@
     /** Once, [after] the gang began to run. */
     fun onceItRuns(after: Micros, action: () -> Unit) {
         if (simulation.rules.gangsBegun > 0) clock.after(after, action)
-        else clock.after(20.millis) { onceItRuns(after, action) }
+        else clock.after(20.milliseconds) { onceItRuns(after, action) }
     }
 
     /** The machines that hold tasks of the gang, in the order of these tasks. */
@@ -187,7 +187,7 @@
         const val CHECKPOINT_S = 5.0
 
         /** Machines that stand idle are returned, so not long after they came up. */
-        val SUBMITTED = 7.secs
+        val SUBMITTED = 7.seconds
 
         /** Tasks that a page holds with values of up to 8 KiB. */
         private val PAGE_SIZE = Job.pageSize(8 * 1024)
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -5,10 +5,10 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
+import wardmux.model.JobKind
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** Gangs in trouble: each situation is brought about on purpose. */
 class GangFaultsTest {
@@ -31,17 +31,17 @@
             if (pages > 0) writes++
             val end = {
                 partly = day.recorded().size in 1 until MANY
-                day.simulation.crash(from, day.clock.between(1.secs, 8.secs))
+                day.simulation.crash(from, day.clock.between(1.seconds, 8.seconds))
             }
             val ends = pages > 0 && writes == if (seed % 3 == 1L) 2 else 1
             if (ends && seed % 3 == 1L) end()
             // Carried out before this, and the answer is on its way, or the next write is not.
             if (ends && seed % 3 == 0L) day.clock.after(Micros(1)) { end() }
             if (ends && seed % 3 == 2L)
-                day.clock.after(day.clock.between(9.millis, 200.millis), end)
+                day.clock.after(day.clock.between(9.milliseconds, 200.milliseconds), end)
             ends && seed % 3 == 1L
         }
-        day.isDone(160.secs)
+        day.isDone(160.seconds)
         assertTrue(partly, "the leader did not end between the writes")
     }
 
@@ -56,12 +56,12 @@
             val ends = day.pagesIn(transaction) == 3 && ++writes == 1
             if (ends) {
                 day.clock.after(Micros(1)) {
-                    day.simulation.crash(from, day.clock.between(1.secs, 8.secs))
+                    day.simulation.crash(from, day.clock.between(1.seconds, 8.seconds))
                 }
             }
             ends && seed % 2 == 0L
         }
-        day.isDone(160.secs)
+        day.isDone(160.seconds)
         assertTrue(writes > 0, "the pages were never written together")
     }
 
@@ -84,14 +84,14 @@
                 target = machine
                 // Nothing that is sent later arrives before it.
                 simulation.lateOrders[machine] = late
-                day.clock.after(12.millis) {
-                    if (seed % 2 == 0L) day.deaf(machine, 60.secs) else day.mute(machine, 60.secs)
+                day.clock.after(12.milliseconds) {
+                    if (seed % 2 == 0L) day.deaf(machine, 60.seconds) else day.mute(machine, 60.seconds)
                 }
-                day.clock.after(3.secs) { day.roomOutside("") }
-                if (undeleted) day.keepMachines(late + 4.secs)
+                day.clock.after(3.seconds) { day.roomOutside("") }
+                if (undeleted) day.keepMachines(late + 4.seconds)
             }
         }
-        day.isDone(240.secs)
+        day.isDone(240.seconds)
         return day
     }
 
@@ -101,7 +101,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `a lost task is replaced beside its late start`(seed: Long) {
-        val late = (2.0 * seed + 4.0).secs
+        val late = (2.0 * seed + 4.0).seconds
         val day = lateStart(seed, late)
         if (late >= GIVEN_UP) assertReplaced(day)
     }
@@ -109,20 +109,20 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `a late start comes to a machine that can't be deleted yet`(seed: Long) {
-        lateStart(seed, late = (2.0 * seed + 4.0).secs, undeleted = true)
+        lateStart(seed, late = (2.0 * seed + 4.0).seconds, undeleted = true)
     }
 
     /** The others have left when the start comes, and the next attempt is due. */
     @ParameterizedTest
     @ValueSource(longs = [2, 4, 6, 8, 10, 12, 14, 16])
     fun `a late start of an attempt that is over holds back the next`(seed: Long) {
-        lateStart(seed, late = (9.0 + seed / 4.0).secs, undeleted = true, gangWaitS = 4.0)
+        lateStart(seed, late = (9.0 + seed / 4.0).seconds, undeleted = true, gangWaitS = 4.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `the replacement is in the zone of the others`(seed: Long) {
-        assertReplaced(lateStart(seed, late = GIVEN_UP + 6.secs, oneZone = true))
+        assertReplaced(lateStart(seed, late = GIVEN_UP + 6.seconds, oneZone = true))
     }
 
     // Halts that reach only some.
@@ -131,10 +131,10 @@
     private fun haltedInPart(seed: Long, heldUp: Micros): GangFaultDay {
         val day = GangFaultDay(seed)
         day.submit(tasks = 3, cpus = 9.0, estimateS = LONG)
-        day.onceItRuns(after = day.clock.between(6.secs, 14.secs)) {
+        day.onceItRuns(after = day.clock.between(6.seconds, 14.seconds)) {
             val (taken, other) = day.machines()
             taken.recallS = 25.0
-            day.clock.after(25.secs) { day.simulation.cloud.takeBack(taken) }
+            day.clock.after(25.seconds) { day.simulation.cloud.takeBack(taken) }
             if (seed % 2 == 0L) day.hang(other, heldUp)
             else {
                 day.simulation.lateOrders[other.id] = heldUp
@@ -142,21 +142,21 @@
                 day.clock.after(heldUp) { day.simulation.lateOrders.remove(other.id) }
             }
         }
-        day.beginsAgain(120.secs)
+        day.beginsAgain(120.seconds)
         return day
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `a halt that is held up for longer than the others wait loses the save`(seed: Long) {
-        val day = haltedInPart(seed, heldUp = (8.0 + seed).secs)
+        val day = haltedInPart(seed, heldUp = (8.0 + seed).seconds)
         assertEquals(null, day.simulation.gangs.causes["kept"])
         assertTrue(
             (day.simulation.gangs.causes["peers"] ?: 0) > 0,
             "${day.simulation.gangs.causes}",
         )
         val saved = day.simulation.gangs.savedOf(day.gang.id)
-        val step = GangFaultDay.CHECKPOINT_S.secs
+        val step = GangFaultDay.CHECKPOINT_S.seconds
         assertTrue(saved >= step, "no progress is kept: $saved")
         assertEquals(0, saved.value % step.value, "it did not fall back: $saved")
     }
@@ -164,7 +164,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a halt that is held up for less is in time for the save`(seed: Long) {
-        val day = haltedInPart(seed, heldUp = 2.secs)
+        val day = haltedInPart(seed, heldUp = 2.seconds)
         // Once one has saved, the rest is stopped at once.
         val causes = day.simulation.gangs.causes
         assertTrue((causes["kept"] ?: 0) > 0 && "peers" !in causes, "$causes")
@@ -177,21 +177,21 @@
     fun `a gang's zone is cut off while its next attempt is due`(seed: Long) {
         val day = GangFaultDay(seed)
         day.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        day.onceItRuns(after = day.clock.between(3.secs, 9.secs)) {
+        day.onceItRuns(after = day.clock.between(3.seconds, 9.seconds)) {
             val zone = day.machines().first().zone
-            val length = day.clock.between(20.secs, 60.secs)
-            if (seed % 2 == 0L) day.keepMachines(40.secs)
-            day.clock.after(6.secs) { day.roomOutside(zone) }
+            val length = day.clock.between(20.seconds, 60.seconds)
+            if (seed % 2 == 0L) day.keepMachines(40.seconds)
+            day.clock.after(6.seconds) { day.roomOutside(zone) }
             for (worker in day.simulation.cloud.workers()) {
                 if (worker.zone == zone) day.cutOff(worker.id, length)
             }
             if (seed % 4 < 2) {
-                day.clock.after(day.clock.between(6.secs, 12.secs)) {
+                day.clock.after(day.clock.between(6.seconds, 12.seconds)) {
                     day.machines().firstOrNull()?.let(day.simulation.cloud::kill)
                 }
             }
         }
-        day.beginsAgain(200.secs)
+        day.beginsAgain(200.seconds)
     }
 
     // Remains in another zone.
@@ -201,18 +201,18 @@
     fun `remains in one zone hold the next attempt back, with room in the others`(seed: Long) {
         val day = GangFaultDay(seed)
         day.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        day.onceItRuns(after = day.clock.between(3.secs, 9.secs)) {
+        day.onceItRuns(after = day.clock.between(3.seconds, 9.seconds)) {
             val (lost, hanging) = day.machines()
             val zone = lost.zone
-            day.hang(hanging, day.clock.between(11.secs, 13.secs))
-            if (seed % 2 == 0L) day.keepMachines(30.secs)
+            day.hang(hanging, day.clock.between(11.seconds, 13.seconds))
+            if (seed % 2 == 0L) day.keepMachines(30.seconds)
             day.simulation.cloud.kill(lost)
             for (worker in day.simulation.cloud.workers()) {
                 if (worker !== hanging && worker.zone == zone) day.simulation.cloud.kill(worker)
             }
-            day.clock.after(5.secs) { day.roomOutside(zone) }
+            day.clock.after(5.seconds) { day.roomOutside(zone) }
         }
-        day.beginsAgain(120.secs)
+        day.beginsAgain(120.seconds)
     }
 
     // Remains that no record tells of.
@@ -221,21 +221,21 @@
     @Test
     fun `a task without a record holds back the next attempt until it is gone`() {
         val harness = ControllerHarness()
-        harness.accept(plainJob(tasks = 2, oneZone = true).copy(shape = Shape.GANG))
-        harness.run(2.secs)
+        harness.accept(plainJob(tasks = 2, oneZone = true).copy(shape = JobKind.GANG))
+        harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000099").token()
         val machines =
             listOf("a", "b").mapIndexed { i, zone -> ManualWorker(harness, "i-00000$i", zone) }
         val remains = """{"piece":"job-000001/0","try":3,"status":"running"}"""
         repeat(4) {
-            assertTrue(""""halt"""" in machines[0].handleReport(token, remains))
-            assertTrue(""""start"""" !in machines[1].handleReport(token))
-            harness.run(2.secs)
+            assertTrue(""""halt"""" in machines[0].handleHeartbeat(token, remains))
+            assertTrue(""""start"""" !in machines[1].handleHeartbeat(token))
+            harness.run(2.seconds)
             assertEquals(null, harness.stored("t/job-000001/0"))
         }
-        machines[0].handleReport(token)
-        harness.run(1.secs)
-        val answers = machines.map { it.handleReport(token) }
+        machines[0].handleHeartbeat(token)
+        harness.run(1.seconds)
+        val answers = machines.map { it.handleHeartbeat(token) }
         assertEquals(1, answers.count { """"start"""" in it }, "$answers")
     }
 
@@ -247,6 +247,6 @@
         const val LONG = 4_000.0
 
         /** What is not there by then is taken for lost. */
-        val GIVEN_UP = 14.secs
+        val GIVEN_UP = 14.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -5,12 +5,12 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.JobState
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 import wardmux.records.JobRecord
 
 /** Gangs that lose machines, end in part or want for room, each brought about on purpose. */
@@ -23,19 +23,19 @@
         for (zone in listOf("a", "b", "c")) repeat(2) {
             day.simulation.cloud.rent(zone, spot = true)
         }
-        val running = List(3) { day.gang(tasks = 3, cpus = 7.0, team = it, length = 60.secs) }
-        val late = day.gang(tasks = 3, cpus = 6.0, team = 2, length = 30.secs)
+        val running = List(3) { day.gang(tasks = 3, cpus = 7.0, team = it, length = 60.seconds) }
+        val late = day.gang(tasks = 3, cpus = 6.0, team = 2, length = 30.seconds)
         running.forEach { day.simulation.submit(it) }
         var struck = false
         day.once({ running.all { day.allRun(it) } }) {
-            day.clock.after(12.secs) { day.simulation.submit(late) }
+            day.clock.after(12.seconds) { day.simulation.submit(late) }
             day.once({ "gathering" in day.states(late) }) {
                 assertTrue(running.all { day.allRun(it) })
                 struck = true
                 wave(day, running, late)
             }
         }
-        day.simulation.run(300.secs)
+        day.simulation.run(300.seconds)
         assertTrue(struck, "no gang gathered while the others ran")
         assertFalse("alone" in day.simulation.gangs.causes, "${day.simulation.gangs.causes}")
         day.done(running + late)
@@ -51,14 +51,14 @@
             val at = day.clock.now
             // All of the gang were told within the time of a report and a direct order.
             val hit = taken.any { it.statesOf(late.id).isNotEmpty() }
-            day.at(at + 3.secs) {
+            day.at(at + 3.seconds) {
                 val there = taken.flatMap { it.statesOf(late.id).values }
                 assertFalse("gathering" in there, "it waits on for a machine that goes")
                 val ends = day.simulation.gangs.endsOf(late.id)
                 assertTrue(!hit || (ends.isNotEmpty() && ends.all { it == "stopped" }), "$ends")
             }
             for (worker in taken) worker.recallS = 8.0
-            day.at(at + 7.secs) {
+            day.at(at + 7.seconds) {
                 assertEquals(emptyList(), taken.filter { it.tasksThere > 0 }.map { it.id })
                 for (job in running) {
                     assertEquals(
@@ -66,10 +66,10 @@
                         day.simulation.gangs.endsOf(job.id).take(3),
                         job.id,
                     )
-                    assertTrue(day.simulation.gangs.savedOf(job.id) > 11.secs)
+                    assertTrue(day.simulation.gangs.savedOf(job.id) > 11.seconds)
                 }
             }
-            day.at(at + 8.secs) { for (worker in taken) day.simulation.cloud.takeBack(worker) }
+            day.at(at + 8.seconds) { for (worker in taken) day.simulation.cloud.takeBack(worker) }
         }
 
     @ParameterizedTest
@@ -82,12 +82,12 @@
             for (worker in taken) day.simulation.cloud.takeBack(worker)
             val left = all.filter { day.holding(it).isNotEmpty() }
             assertTrue(left.isNotEmpty(), "nothing is left of any gang")
-            day.clock.after(7.secs) {
+            day.clock.after(7.seconds) {
                 for (job in left - late) {
                     assertTrue(day.simulation.gangs.endsOf(job.id).isNotEmpty(), "${job.id} ran on")
                 }
                 for (job in running) assertTrue(
-                    day.simulation.gangs.savedOf(job.id) >= 10.secs,
+                    day.simulation.gangs.savedOf(job.id) >= 10.seconds,
                     job.id,
                 )
             }
@@ -100,7 +100,7 @@
     fun `one task done is the whole gang, though nothing is heard of the rest`(seed: Long) {
         val day = GangDay(seed)
         val simulation = day.simulation
-        val gang = day.gang(tasks = 4, cpus = 9.0, length = 10.secs)
+        val gang = day.gang(tasks = 4, cpus = 9.0, length = 10.seconds)
         var doneAt: Micros? = null
         day.rules.whenAllDone = {
             if (doneAt == null) {
@@ -109,18 +109,18 @@
                 // Before any of them can tell of its end.
                 for (worker in rest) worker.hanging = true
                 day.clock.after(Micros.ZERO) { rest.forEach { lose(day, it, seed.toInt()) } }
-                if (seed > 4) day.changeLeader(latest = 2.secs)
+                if (seed > 4) day.changeLeader(latest = 2.seconds)
             }
         }
         simulation.submit(gang)
         // Needs nearly all of the team's limit.
         val next = day.small(team = 0, tasks = 4, cpus = 9.0, estimate = 10.0)
-        day.at(20.secs) { simulation.submit(next) }
-        simulation.run(30.secs)
-        simulation.run(checkNotNull(doneAt) { "it did not end" } + 20.secs)
+        day.at(20.seconds) { simulation.submit(next) }
+        simulation.run(30.seconds)
+        simulation.run(checkNotNull(doneAt) { "it did not end" } + 20.seconds)
         assertEquals(JobState.DONE, day.recordOf(gang))
         assertEquals("done", day.rules.finalOf(gang.id))
-        simulation.run(200.secs)
+        simulation.run(200.seconds)
         assertEquals(1, day.rules.gangsBegun)
         assertEquals(0, day.rules.startsOfDone, "run again")
         assertEquals(null, simulation.state.value("t/${gang.id}/0"))
@@ -132,7 +132,7 @@
         val network = day.simulation.network
         val nodes = day.simulation.nodes
         if (how % 4 != 1)
-            day.clock.after(if (how % 4 == 2) 60.secs else Micros.ZERO) { worker.hanging = false }
+            day.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) { worker.hanging = false }
         when (how % 4) {
             0 -> day.simulation.cloud.kill(worker)
             3 -> for (node in nodes) network.part(node, worker.id)
@@ -146,20 +146,20 @@
     @ValueSource(ints = [4])
     fun `the rest of a done gang keeps its room until it is proven gone`(count: Int) {
         val harness = ControllerHarness()
-        harness.accept(plainJob(2, "job-000001").copy(shape = Shape.GANG, cpus = 16.0))
-        harness.run(2.secs)
+        harness.accept(plainJob(2, "job-000001").copy(shape = JobKind.GANG, cpus = 16.0))
+        harness.run(2.seconds)
         val machines = List(count) { ManualWorker(harness, "i-00000$it") }
         val token = machines.map { it.token() }.last()
         val held = List(count) { LinkedHashSet<String>() }
         fun reports(rounds: Int) =
             repeat(rounds) {
                 for ((i, machine) in machines.withIndex()) {
-                    val answer = machine.handleReport(token, held[i].joinToString { "{$it}" })
+                    val answer = machine.handleHeartbeat(token, held[i].joinToString { "{$it}" })
                     for (start in STARTED.findAll(answer)) {
                         held[i].add(start.groupValues[1] + ""","status":"running"""")
                     }
                 }
-                harness.run(1.secs)
+                harness.run(1.seconds)
             }
         fun on(job: String) = held.indices.filter { i -> held[i].any { job in it } }
         fun done(machine: Int) {
@@ -191,7 +191,7 @@
     fun `gangs of two teams and many small tasks do not wait for long where room is short`(
         seed: Long
     ) {
-        val took = shortOfRoom(seed, Urgency.NORMAL)
+        val took = shortOfRoom(seed, PriorityClass.NORMAL)
         took.assertWithin(LONGEST_GANG) { it.isGang }
         took.assertWithin(LONGEST_SMALL) { !it.isGang }
     }
@@ -202,7 +202,7 @@
     fun `a gang that waits for more urgent work of its own team keeps no room from another's`(
         seed: Long
     ) {
-        val took = shortOfRoom(seed, Urgency.HIGH)
+        val took = shortOfRoom(seed, PriorityClass.HIGH)
         took.assertWithin(LONGEST_GANG) { it.isGang && it.team == "team-0" }
         took.assertWithin(LONGEST_SMALL) { !it.isGang }
     }
@@ -213,30 +213,30 @@
     }
 
     /** How long each job took, until its user was told that it is done. */
-    private fun shortOfRoom(seed: Long, urgency: Urgency): Map<JobSpec, Micros> {
+    private fun shortOfRoom(seed: Long, urgency: PriorityClass): Map<JobSpec, Micros> {
         val day = GangDay(seed, capacity = 1)
         val since = LinkedHashMap<JobSpec, Micros>()
         fun submit(job: JobSpec) {
             since[job] = day.clock.now
             day.simulation.submit(job)
         }
-        for (second in 2..80) day.at(second.secs) {
+        for (second in 2..80) day.at(second.seconds) {
             submit(day.small(team = 1, tasks = 6).copy(urgency = urgency))
             submit(day.small(team = 2, tasks = 12))
         }
         // One zone has two machines: room for one of these gangs.
-        for (second in listOf(12, 16, 20)) day.at(second.secs) {
-            submit(day.gang(tasks = 12, cpus = 2.0, team = 0, length = 10.secs).copy(zone = "b"))
-            submit(day.gang(tasks = 8, cpus = 3.0, team = 1, length = 10.secs).copy(zone = "b"))
+        for (second in listOf(12, 16, 20)) day.at(second.seconds) {
+            submit(day.gang(tasks = 12, cpus = 2.0, team = 0, length = 10.seconds).copy(zone = "b"))
+            submit(day.gang(tasks = 8, cpus = 3.0, team = 1, length = 10.seconds).copy(zone = "b"))
         }
-        if (seed > 3) day.at(25.secs) { day.changeLeader(latest = 10.secs) }
+        if (seed > 3) day.at(25.seconds) { day.changeLeader(latest = 10.seconds) }
         val took = HashMap<JobSpec, Micros>()
-        day.clock.every(1.secs) {
+        day.clock.every(1.seconds) {
             for ((job, at) in since) {
                 if (day.rules.finalOf(job.id) == "done") took.putIfAbsent(job, day.clock.now - at)
             }
         }
-        day.simulation.run(300.secs)
+        day.simulation.run(300.seconds)
         day.done(since.keys.toList())
         return took
     }
@@ -245,7 +245,7 @@
         val STARTED = Regex("""\{"verb":"start",("piece":"[^"]+","try":\d+)""")
 
         /** Six gangs of 10 s each come one after the other in their zone. */
-        val LONGEST_GANG = 100.secs
-        val LONGEST_SMALL = 120.secs
+        val LONGEST_GANG = 100.seconds
+        val LONGEST_SMALL = 120.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import wardmux.config.OperatorSettings
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 
 /** Seeded days of gangs among arrays, with the troubles of [RandomSimulationTest]. */
 class GangSimulationTest {
@@ -28,8 +28,8 @@
                 .randomJob()
                 .copy(
                     jobClass = "gang",
-                    shape = Shape.GANG,
-                    urgency = if (clock.chance(0.5)) Urgency.HIGH else Urgency.NORMAL,
+                    shape = JobKind.GANG,
+                    urgency = if (clock.chance(0.5)) PriorityClass.HIGH else PriorityClass.NORMAL,
                     tasks = tasks,
                     cpus = 2.0,
                     oneZone = clock.chance(0.7),
@@ -43,12 +43,12 @@
         private fun submit() {
             val gang = clock.chance(0.5)
             val spec =
-                if (gang) gang() else simulation.randomJob().takeIf { it.shape != Shape.GANG }
+                if (gang) gang() else simulation.randomJob().takeIf { it.shape != JobKind.GANG }
             if (spec == null) return
             if (gang) gangs.add(spec.id)
             simulation.submit(spec)
-            if (spec.shape == Shape.DAEMON || clock.chance(0.1)) {
-                clock.after(clock.between(1.secs, 60.secs)) { simulation.cancel(spec.id) }
+            if (spec.shape == JobKind.SERVICE || clock.chance(0.1)) {
+                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(spec.id) }
             }
         }
 
@@ -63,8 +63,8 @@
 
         fun play(troubled: Boolean) {
             simulation.cloud.stillborn = if (troubled) 0.1 else 0.0
-            for (at in 2..150 step 9) clock.after(at.secs) { submit() }
-            if (troubled) for (at in 10..170 step 9) clock.after(at.secs) { trouble() }
+            for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
+            if (troubled) for (at in 10..170 step 9) clock.after(at.seconds) { trouble() }
             simulation.run(END)
             if (troubled) simulation.endOfDay(CALM)
         }
@@ -110,8 +110,8 @@
             .copy(
                 jobClass = "gang",
                 team = team,
-                shape = Shape.GANG,
-                urgency = Urgency.NORMAL,
+                shape = JobKind.GANG,
+                urgency = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 zone = zone,
@@ -133,13 +133,13 @@
     @Test
     fun `a large gang behind a stream of small tasks`() {
         val simulation = ClusterSimulation(3)
-        simulation.run(10.secs)
+        simulation.run(10.seconds)
         for (at in 0..200 step 2) {
-            simulation.clock.after(at.secs) { simulation.submit(small(simulation)) }
+            simulation.clock.after(at.seconds) { simulation.submit(small(simulation)) }
         }
         val large = gang(simulation, tasks = 12)
-        simulation.clock.after(20.secs) { simulation.submit(large) }
-        assertDone(simulation, listOf(large), within = 200.secs)
+        simulation.clock.after(20.seconds) { simulation.submit(large) }
+        assertDone(simulation, listOf(large), within = 200.seconds)
     }
 
     private fun small(simulation: ClusterSimulation): JobSpec =
@@ -147,8 +147,8 @@
             .randomJob()
             .copy(
                 team = "team-1",
-                shape = Shape.BATCH,
-                urgency = Urgency.HIGH,
+                shape = JobKind.ARRAY,
+                urgency = PriorityClass.HIGH,
                 tasks = 4,
                 cpus = 1.0,
                 zone = null,
@@ -164,27 +164,27 @@
     @Test
     fun `two gangs that compete for the room of one zone`() {
         val simulation = ClusterSimulation(4)
-        simulation.run(10.secs)
+        simulation.run(10.seconds)
         val both = listOf("team-0", "team-1").map { gang(simulation, 4, 8.0, it, zone = "b") }
         both.forEach(simulation::submit)
-        assertDone(simulation, both, within = 200.secs)
+        assertDone(simulation, both, within = 200.seconds)
     }
 
     /** Each team's limit holds one of its gangs only. */
     @Test
     fun `many gangs of one team come one after the other`() {
         val simulation = ClusterSimulation(5)
-        simulation.run(10.secs)
+        simulation.run(10.seconds)
         val all = List(4) { gang(simulation, 12) }
         all.forEach(simulation::submit)
-        assertDone(simulation, all, within = 300.secs)
+        assertDone(simulation, all, within = 300.seconds)
     }
 
     companion object {
-        private val END = 420.secs
+        private val END = 420.seconds
 
         /** As in [RandomSimulationTest]. */
-        private val CALM = 285.secs
+        private val CALM = 285.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.gangs=100-500"`. */
         @JvmStatic fun seeds(): List<Long> = days("wardmux.gangs", "1-16")
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangsTest.kt
@@ -7,23 +7,23 @@
 import kotlinx.serialization.json.jsonArray
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.config.TeamFacts
-import wardmux.config.WorkerFacts
+import wardmux.config.TeamQuota
+import wardmux.config.WorkerTiming
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** The fake workers do with gangs what the page says, for worlds that rely on it. */
 class GangsTest {
     private val clock = SimulatedClock(7)
-    private val rules = Rules(listOf(TeamFacts("team-0", 100.0, 100.0)), 36.secs)
+    private val rules = Rules(listOf(TeamQuota("team-0", 100.0, 100.0)), 36.seconds)
     private val gangs = FakeGangs(clock, rules)
     private val job = "job-000001"
     private val spec =
         plainJob(3, job)
-            .copy(shape = Shape.GANG, estimateS = 10_000.0, checkpointS = 20.0, saveS = 2.0)
+            .copy(shape = JobKind.GANG, estimateS = 10_000.0, checkpointS = 20.0, saveS = 2.0)
     private var specNow: JobSpec = spec
-    private val facts = WorkerFacts(reportS = 2.5, leaseS = 16.0, cancelS = 36.0)
+    private val deployment = WorkerTiming(reportS = 2.5, leaseS = 16.0, cancelS = 36.0)
     private val workers =
         List(4) {
             FakeWorker(
@@ -32,7 +32,7 @@
                 "a",
                 false,
                 clock,
-                facts,
+                deployment,
                 listOf("n0"),
                 rules,
                 { specNow },
@@ -45,7 +45,7 @@
     init {
         rules.submitted(spec)
         // Each has its leader's token.
-        clock.run(4.secs) {}
+        clock.run(4.seconds) {}
     }
 
     private fun order(worker: Int, order: String) {
@@ -72,7 +72,7 @@
 
     private fun states(vararg of: Int) = of.map(::stateOf)
 
-    private fun wait(seconds: Double) = clock.run(clock.now + seconds.secs) {}
+    private fun wait(inSeconds: Double) = clock.run(clock.now + inSeconds.seconds) {}
 
     private fun runAll(attempt: Int = 1) {
         for (worker in 0..2) start(worker, attempt = attempt)
@@ -140,7 +140,7 @@
         assertEquals(List(2) { "running" }, states(0, 2))
         wait(6.0)
         assertEquals(List(2) { "ended peers" }, states(0, 2))
-        assertEquals(40.secs, gangs.savedOf(job))
+        assertEquals(40.seconds, gangs.savedOf(job))
     }
 
     @Test
@@ -181,7 +181,7 @@
         assertEquals(listOf("ended stopped true", "running", "running"), states(0, 1, 2))
         // Safe from now, whatever becomes of the others.
         val kept = gangs.savedOf(job)
-        assertTrue(kept > 29.secs && kept < 33.secs, "$kept")
+        assertTrue(kept > 29.seconds && kept < 33.seconds, "$kept")
         workers[2].die()
         wait(2.0)
         assertEquals(listOf("ended stopped true", "ended stopped true"), states(0, 1))
@@ -196,7 +196,7 @@
         halt(1, 2.0)
         wait(6.1)
         assertEquals(listOf("ended stopped", "ended stopped", "ended peers"), states(0, 1, 2))
-        assertEquals(20.secs, gangs.savedOf(job))
+        assertEquals(20.seconds, gangs.savedOf(job))
     }
 
     @Test
@@ -208,7 +208,7 @@
         workers[2].die()
         wait(6.0)
         assertEquals(List(2) { "ended peers" }, states(0, 1))
-        assertEquals(20.secs, gangs.savedOf(job))
+        assertEquals(20.seconds, gangs.savedOf(job))
     }
 
     @Test
@@ -220,7 +220,7 @@
         assertEquals("ended stopped", stateOf(1))
         wait(6.0)
         assertEquals(listOf("ended peers", "ended peers"), states(0, 2))
-        assertEquals(20.secs, gangs.savedOf(job))
+        assertEquals(20.seconds, gangs.savedOf(job))
     }
 
     @Test
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -4,9 +4,9 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 import wardmux.config.OperatorSettings
-import wardmux.model.Shape
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.JobKind
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** Four thousand machines report to three controllers, through a change of leaders. */
 class LargeFleetTest {
@@ -24,12 +24,12 @@
             simulation.cloud.rent(ZONES[it % ZONES.size], spot = it % KINDS < ZONES.size)
         }
         // Something runs on every machine, so that none is given back.
-        simulation.clock.after(2.secs) { simulation.submit(longJob(simulation)) }
-        simulation.run(50.secs)
+        simulation.clock.after(2.seconds) { simulation.submit(longJob(simulation)) }
+        simulation.run(50.seconds)
         val before = simulation.cloud.workers().map { it.id }
         assertEquals(MACHINES, before.size)
-        simulation.crash(simulation.leader()!!, back = 700.millis)
-        simulation.run(110.secs)
+        simulation.crash(simulation.leader()!!, back = 700.milliseconds)
+        simulation.run(110.seconds)
         assertEquals(emptyList(), simulation.problems())
         assertEquals(before, simulation.cloud.workers().map { it.id }, "some were given up")
         val sessions = simulation.cloud.workers().count { it.sessions > 1 }
@@ -43,7 +43,7 @@
         simulation
             .randomJob()
             .copy(
-                shape = Shape.BATCH,
+                shape = JobKind.ARRAY,
                 tasks = MACHINES,
                 cpus = FakeWorker.CPUS,
                 zone = null,
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -9,16 +9,16 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 import wardmux.core.Port
-import wardmux.election.Leadership
-import wardmux.forwarding.Batch
-import wardmux.forwarding.FullReport
-import wardmux.forwarding.RelayCodec
+import wardmux.election.LeaderElection
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.FullHeartbeat
+import wardmux.forwarding.HeartbeatBatch
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 import wardmux.records.JobRecord
 import wardmux.scheduling.FairQueue
 
@@ -34,8 +34,8 @@
         randomJob()
             .copy(
                 team = "team-$team",
-                shape = Shape.BATCH,
-                urgency = Urgency.NORMAL,
+                shape = JobKind.ARRAY,
+                urgency = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 zone = null,
@@ -64,21 +64,21 @@
         }
         val jobs = ArrayList<JobSpec>()
         for (second in 4..48 step 4) {
-            clock.after(second.secs) {
+            clock.after(second.seconds) {
                 val job = simulation.job(3 + second % 4, 4.0, team = second % 3)
                 jobs.add(job)
                 simulation.submit(job)
                 if (second % 8 == 0) {
-                    clock.after(clock.between(1.secs, 9.secs)) { simulation.cancel(job.id) }
+                    clock.after(clock.between(1.seconds, 9.seconds)) { simulation.cancel(job.id) }
                 }
             }
         }
-        clock.after(24.secs) { simulation.crashLeader(2.secs) }
-        clock.after(32.secs) {
+        clock.after(24.seconds) { simulation.crashLeader(2.seconds) }
+        clock.after(32.seconds) {
             simulation.cloud.workers().firstOrNull()?.let { simulation.cloud.kill(it) }
         }
-        clock.after(44.secs) { simulation.crashLeader(300.millis) }
-        simulation.run(TROUBLED + 160.secs)
+        clock.after(44.seconds) { simulation.crashLeader(300.milliseconds) }
+        simulation.run(TROUBLED + 160.seconds)
         simulation.assertWell()
         for (job in jobs) {
             assertContains(listOf("done", "cancelled"), simulation.rules.finalOf(job.id), job.id)
@@ -101,19 +101,19 @@
     fun `writes of leader keys that are carried out late leave one leader`(seed: Long) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
-        val taking = "\"put\":\"${Leadership.KEY}\""
+        val taking = "\"put\":\"${LeaderElection.KEY}\""
         simulation.state.late = { _, transaction ->
             clock.now < TROUBLED && taking in transaction.toString() && clock.chance(0.6)
         }
         val job = simulation.job(12, 6.0)
-        clock.after(6.secs) { simulation.submit(job) }
-        for (second in 10..50 step 10) clock.after(second.secs) {
-            simulation.crashLeader(400.millis)
+        clock.after(6.seconds) { simulation.submit(job) }
+        for (second in 10..50 step 10) clock.after(second.seconds) {
+            simulation.crashLeader(400.milliseconds)
         }
-        simulation.run(TROUBLED + 100.secs)
-        val late = simulation.state.carriedOutLate.filter { it.changes(Leadership.KEY) }
+        simulation.run(TROUBLED + 100.seconds)
+        val late = simulation.state.carriedOutLate.filter { it.changes(LeaderElection.KEY) }
         assertTrue(late.isNotEmpty(), "the meeting did not come about")
-        assertEquals(0, late.count { it.replaced(Leadership.KEY) })
+        assertEquals(0, late.count { it.replaced(LeaderElection.KEY) })
         simulation.assertWell()
         assertEquals("done", simulation.rules.finalOf(job.id))
     }
@@ -128,20 +128,20 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         val job = simulation.job(2 + (seed % 2).toInt(), 60.0)
-        clock.after(5.secs) { simulation.submit(job) }
+        clock.after(5.seconds) { simulation.submit(job) }
         var seen = 0
         var changes = 0
-        clock.every(50.millis) {
+        clock.every(50.milliseconds) {
             if (simulation.rules.completedOf(job.id) > seen && seen + 1 < job.tasks) {
                 seen++
                 changes++
                 // Before or after the end is reported, written or forgotten.
-                clock.after(clock.between(Micros.ZERO, 6.secs)) {
-                    simulation.crashLeader(clock.between(300.millis, 9.secs))
+                clock.after(clock.between(Micros.ZERO, 6.seconds)) {
+                    simulation.crashLeader(clock.between(300.milliseconds, 9.seconds))
                 }
             }
         }
-        simulation.run(160.secs)
+        simulation.run(160.seconds)
         assertTrue(changes > 0)
         simulation.assertWell()
         assertEquals("done", simulation.rules.finalOf(job.id))
@@ -157,24 +157,24 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         // As it is at times: so the end is recorded between a cancellation's read and its write.
-        simulation.network.slow["state"] = 150.millis
+        simulation.network.slow["state"] = 150.milliseconds
         val jobs = List(24) { simulation.job(1 + it % 2, 4.0, team = it % 3) }
         val ended = HashSet<String>()
         for ((i, job) in jobs.withIndex()) {
-            clock.after(5.secs + 1.secs * (i / 2).toDouble()) { simulation.submit(job) }
+            clock.after(5.seconds + 1.seconds * (i / 2).toDouble()) { simulation.submit(job) }
         }
-        clock.every(20.millis) {
+        clock.every(20.milliseconds) {
             for (job in jobs) {
                 if (simulation.rules.completedOf(job.id) < job.tasks || !ended.add(job.id)) continue
                 val within = { action: () -> Unit ->
-                    clock.after(clock.between(Micros.ZERO, 800.millis), action)
+                    clock.after(clock.between(Micros.ZERO, 800.milliseconds), action)
                 }
                 within { simulation.cancel(job.id) }
                 within { simulation.poll(job.id) }
                 within { simulation.submit(job) }
             }
         }
-        simulation.run(90.secs)
+        simulation.run(90.seconds)
         simulation.assertWell()
         val finals = jobs.map { simulation.rules.finalOf(it.id) }
         // On both sides of the end's record.
@@ -191,26 +191,26 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         // Two whole machines: no third task is within the team's limit. A service runs on and on.
-        val running = simulation.job(2, 0.0, cpus = 16.0).copy(shape = Shape.DAEMON)
+        val running = simulation.job(2, 0.0, cpus = 16.0).copy(shape = JobKind.SERVICE)
         val waiting = simulation.job(2, 5.0, cpus = 16.0)
-        clock.after(6.secs) { simulation.submit(running) }
-        clock.after(20.secs) { simulation.submit(waiting) }
+        clock.after(6.seconds) { simulation.submit(running) }
+        clock.after(20.seconds) { simulation.submit(waiting) }
         var cut = emptyList<FakeWorker>()
         val spell = {
             cut = simulation.cloud.workers().filter { running.id in it.reportBody() }.take(2)
             assertEquals(2, cut.size)
             for (worker in cut) simulation.network.cut(worker.id)
-            simulation.crashLeader(3.secs)
-            clock.after(clock.between(100.millis, 6.secs)) { simulation.cancel(running.id) }
-            clock.after(clock.between(8.secs, 34.secs)) {
+            simulation.crashLeader(3.seconds)
+            clock.after(clock.between(100.milliseconds, 6.seconds)) { simulation.cancel(running.id) }
+            clock.after(clock.between(8.seconds, 34.seconds)) {
                 for (worker in cut) simulation.network.mend(worker.id)
             }
         }
-        clock.every(1.secs) {
-            val atLimit = simulation.rules.starts == running.tasks && clock.now > 30.secs
+        clock.every(1.seconds) {
+            val atLimit = simulation.rules.starts == running.tasks && clock.now > 30.seconds
             if (atLimit && cut.isEmpty()) spell()
         }
-        simulation.run(200.secs)
+        simulation.run(200.seconds)
         assertEquals(2, cut.size, "the meeting did not come about")
         simulation.assertWell()
         assertEquals("cancelled", simulation.rules.finalOf(running.id))
@@ -225,13 +225,13 @@
         harness: ControllerHarness,
         machine: String,
         attempt: Int = 1,
-        shift: Int = 1,
+        incarnation: Int = 1,
     ) =
         harness.write(
             "t/job-000001/0",
             Json.parseToJsonElement(
                 """{"c":[1],"w":[1.0],"z":["a"],"m":["$machine"],""" +
-                    """"n":[$shift,0,1,0,$attempt,0]}"""
+                    """"n":[$incarnation,0,1,0,$attempt,0]}"""
             ),
         )
 
@@ -240,27 +240,27 @@
         return """{"piece":"job-000001/0","try":$attempt,"status":"$status"$why}"""
     }
 
-    private fun body(machine: String, shift: Int, tick: Int, token: Long, tasks: String = "") =
+    private fun body(machine: String, incarnation: Int, tick: Int, token: Long, tasks: String = "") =
         ("""{"box":"$machine","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a",""" +
-                """"loaners":false,"shift":$shift,"tick":$tick,"baton":$token,""" +
+                """"loaners":false,"shift":$incarnation,"tick":$tick,"baton":$token,""" +
                 """"pieces":[$tasks]}""")
             .encodeToByteArray()
 
     private fun ControllerHarness.report(
         machine: String,
-        shift: Int,
+        incarnation: Int,
         tick: Int,
         token: Long,
         tasks: String = "",
-    ): String = call("POST", "/hello", body(machine, shift, tick, token, tasks))!!.second
+    ): String = call("POST", "/hello", body(machine, incarnation, tick, token, tasks))!!.second
 
     /** Empty machines report, with time for all that could start there to start. */
     private fun ControllerHarness.startsElsewhere(token: Long): String {
         val others = List(2) { ManualWorker(this, "i-00005$it") }
         val answers = StringBuilder()
         repeat(6) {
-            for (other in others) answers.append(other.handleReport(token))
-            run(0.5.secs)
+            for (other in others) answers.append(other.handleHeartbeat(token))
+            run(0.5.seconds)
         }
         return direct.joinToString() + answers
     }
@@ -271,7 +271,7 @@
             val harness = ControllerHarness()
             harness.accept(plainJob(1))
             placed(harness, "i-000001")
-            harness.run(2.secs)
+            harness.run(2.seconds)
             val token = ManualWorker(harness, "i-000099").token()
             harness.report("i-000001", 1, 5, token - 1, held)
             assertFalse("job-000001/0" in harness.startsElsewhere(token), "freed by [$held]")
@@ -285,10 +285,10 @@
     fun `a held report of a task that is done counts, also at a new leader`() {
         harness.accept(plainJob(1))
         placed(harness, "i-000001")
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000099").token()
         harness.report("i-000001", 1, 5, token - 1, piece("ended", cause = "done"))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         assertContains(harness.stored(JobRecord.key(plainJob(1).jobId)).toString(), "done")
     }
 
@@ -305,61 +305,61 @@
                 // An earlier attempt's end, in a newer report.
                 Triple(2, 12, stopped + "," + piece("running", attempt = 2)),
             )
-        for ((shift, tick, tasks) in olds) {
+        for ((incarnation, tick, tasks) in olds) {
             val harness = ControllerHarness()
             harness.accept(plainJob(1))
-            placed(harness, "i-000001", attempt = 2, shift = 2)
-            harness.run(2.secs)
+            placed(harness, "i-000001", attempt = 2, incarnation = 2)
+            harness.run(2.seconds)
             val token = ManualWorker(harness, "i-000099").token()
             harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
-            harness.report("i-000001", shift, tick, token, tasks)
-            assertFalse("job-000001/0" in harness.startsElsewhere(token), "$shift $tick $tasks")
+            harness.report("i-000001", incarnation, tick, token, tasks)
+            assertFalse("job-000001/0" in harness.startsElsewhere(token), "$incarnation $tick $tasks")
             val answer = harness.report("i-000001", 2, 20, token, piece("running", attempt = 2))
-            assertFalse("halt" in answer, "$shift $tick $tasks")
+            assertFalse("halt" in answer, "$incarnation $tick $tasks")
         }
     }
 
     @Test
     fun `a report older than the last frees nothing when it comes through a relay`() {
-        for ((shift, tick) in listOf(2 to 3L, 1 to 90L)) {
+        for ((incarnation, tick) in listOf(2 to 3L, 1 to 90L)) {
             val harness = ControllerHarness(listOf("n1"))
             harness.accept(plainJob(1))
-            placed(harness, "i-000001", attempt = 2, shift = 2)
-            harness.run(2.secs)
+            placed(harness, "i-000001", attempt = 2, incarnation = 2)
+            harness.run(2.seconds)
             val token = ManualWorker(harness, "i-000099").token()
             harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
-            val old = FullReport(1, body("i-000001", shift, tick.toInt(), token))
+            val old = FullHeartbeat(1, body("i-000001", incarnation, tick.toInt(), token))
             // Whole, and then as a sign of life that is older still than the last.
             for (sign in listOf(null, tick + 1)) {
                 val reports = if (sign == null) listOf(old) else emptyList()
                 val signs = if (sign == null) emptyList() else listOf(old.number, sign)
-                val batch = Batch("n1", "b", 1, token, 0, 0, reports, signs)
-                val answer = harness.call("POST", "/relay", RelayCodec.encode(batch), Port.PEER)
+                val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports, signs)
+                val answer = harness.call("POST", "/relay", ForwardingCodec.encode(batch), Port.PEER)
                 assertEquals(200, answer?.first)
             }
-            assertFalse("job-000001/0" in harness.startsElsewhere(token), "session $shift")
+            assertFalse("job-000001/0" in harness.startsElsewhere(token), "session $incarnation")
             val answer = harness.report("i-000001", 2, 20, token, piece("running", attempt = 2))
-            assertFalse("halt" in answer, "session $shift")
+            assertFalse("halt" in answer, "session $incarnation")
         }
     }
 
     @Test
     fun `a machine that a new leader hears of by an old report alone gets no work`() {
         harness.accept(plainJob(1))
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000099").token()
         harness.direct.clear()
         // It is gone; this was on its way since before the change of leader.
         repeat(4) {
             val answer = harness.report("i-000007", 1, 5 + it, token - 1)
             assertFalse("start" in answer)
-            harness.run(0.5.secs)
+            harness.run(0.5.seconds)
         }
         assertEquals(emptyList(), harness.direct.filter { "job-000001/0" in it })
         assertContains(harness.startsElsewhere(token), "job-000001/0")
     }
 
     private companion object {
-        val TROUBLED = 60.secs
+        val TROUBLED = 60.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/LeaderChurn.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChurn.kt
@@ -1,8 +1,8 @@
 package wardmux.sim
 
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /**
  * Leaders that change every few seconds, beside machines that can be reached for moments only:
@@ -19,10 +19,10 @@
         for (worker in simulation.cloud.workers()) worker.wanders = clock.chance(WANDERING)
         holdUpCommands()
         changeLeaders()
-        repeatedly(2.secs, 7.secs) { cutOffSome() }
-        repeatedly(4.secs, 15.secs) { refuse(null, clock.between(1.secs, 8.secs)) }
-        repeatedly(3.secs, 10.secs) { refuse(someNode(), clock.between(2.secs, 10.secs)) }
-        repeatedly(3.secs, 12.secs) { simulation.crash(someNode(), shortly()) }
+        repeatedly(2.seconds, 7.seconds) { cutOffSome() }
+        repeatedly(4.seconds, 15.seconds) { refuse(null, clock.between(1.seconds, 8.seconds)) }
+        repeatedly(3.seconds, 10.seconds) { refuse(someNode(), clock.between(2.seconds, 10.seconds)) }
+        repeatedly(3.seconds, 12.seconds) { simulation.crash(someNode(), shortly()) }
         clock.after(length) { end() }
     }
 
@@ -41,9 +41,9 @@
     }
 
     private fun changeLeaders() =
-        repeatedly(3.secs, 8.secs) {
+        repeatedly(3.seconds, 8.seconds) {
             if (clock.chance(ALL_END)) {
-                for (node in simulation.nodes) simulation.crash(node, clock.between(1.secs, 4.secs))
+                for (node in simulation.nodes) simulation.crash(node, clock.between(1.seconds, 4.seconds))
             } else {
                 simulation.leader()?.let { simulation.crash(it, shortly()) }
             }
@@ -53,7 +53,7 @@
     private fun holdUpCommands() {
         for (worker in simulation.cloud.workers()) {
             if (clock.chance(LATE)) {
-                simulation.lateOrders[worker.id] = clock.between(2.secs, 16.secs)
+                simulation.lateOrders[worker.id] = clock.between(2.seconds, 16.seconds)
             }
         }
     }
@@ -62,7 +62,7 @@
     private fun cutOffSome() {
         for (worker in simulation.cloud.workers()) {
             if (!clock.chance(CUT_OFF)) continue
-            val length = clock.between(2.secs, 14.secs)
+            val length = clock.between(2.seconds, 14.seconds)
             when (clock.random.nextInt(3)) {
                 0 -> hold(worker.id, length)
                 1 -> for (node in simulation.nodes) part(node, worker.id, length)
@@ -92,7 +92,7 @@
 
     private fun someNode() = simulation.nodes.random(clock.random)
 
-    private fun shortly() = clock.between(100.millis, 3.secs)
+    private fun shortly() = clock.between(100.milliseconds, 3.seconds)
 
     private companion object {
         const val WANDERING = 0.5
--- a/src/test/kotlin/wardmux/sim/LossRecorder.kt
+++ b/src/test/kotlin/wardmux/sim/LossRecorder.kt
@@ -79,6 +79,6 @@
                         it.cause == LossCause.STOPPED || stop.at - it.at > noticedAfter
                     }
                 if (known.size <= limit(stop.team)) null
-                else "${stop.team} has lost ${known.keys} at ${stop.at.seconds} s"
+                else "${stop.team} has lost ${known.keys} at ${stop.at.inSeconds} s"
             }
 }
