--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -5,20 +5,20 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.config.NextStateFacts
+import wardmux.config.AnnouncedStoreLimits
 import wardmux.config.OperatorSettings
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** The limits of the state service fall in mid-day, without notice. */
 class LoweredLimitsTest {
     private class Day(
         seed: Long,
-        told: NextStateFacts?,
+        told: AnnouncedStoreLimits?,
         operators: OperatorSettings = OperatorSettings(),
     ) {
         val simulation = ClusterSimulation(seed, operators = operators, told = told)
@@ -27,8 +27,8 @@
 
         fun submit(alwaysWide: Boolean = false) {
             val random = simulation.randomJob()
-            val spec = if (alwaysWide) random.copy(shape = Shape.BATCH) else random
-            val wide = alwaysWide || spec.shape == Shape.BATCH && clock.chance(0.5)
+            val spec = if (alwaysWide) random.copy(shape = JobKind.ARRAY) else random
+            val wide = alwaysWide || spec.shape == JobKind.ARRAY && clock.chance(0.5)
             // So many on one page that its record is larger than a value may be later.
             val job =
                 if (!wide) spec
@@ -42,23 +42,23 @@
                         zone = null,
                         oneZone = false,
                         spread = false,
-                        estimateS = clock.between(4.secs, 25.secs).seconds,
-                        urgency = Urgency.PROD,
+                        estimateS = clock.between(4.seconds, 25.seconds).inSeconds,
+                        urgency = PriorityClass.PROD,
                     )
             jobs.add(job.id)
             simulation.submit(job)
-            val daemon = spec.shape == Shape.DAEMON
+            val daemon = spec.shape == JobKind.SERVICE
             if (daemon || clock.chance(0.2)) {
-                clock.after(clock.between(1.secs, 60.secs)) { simulation.cancel(job.id) }
+                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(job.id) }
             }
         }
 
         fun crashes(from: Micros) {
             repeat(6) { i ->
-                clock.after(from + (9 * i).secs) {
+                clock.after(from + (9 * i).seconds) {
                     if (clock.chance(0.5)) {
                         simulation.leader()?.let {
-                            simulation.crash(it, clock.between(200.millis, 5.secs))
+                            simulation.crash(it, clock.between(200.milliseconds, 5.seconds))
                         }
                     } else {
                         simulation.cloud.workers().randomOrNull(clock.random)?.let {
@@ -70,7 +70,7 @@
         }
 
         fun end() {
-            simulation.run(330.secs)
+            simulation.run(330.seconds)
             assertEquals(emptyList(), simulation.problems())
             assertEquals(emptyList(), simulation.state.beyond)
             assertTrue(simulation.rules.starts > 0, "nothing ran")
@@ -82,9 +82,9 @@
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `who is told of them beforehand never goes beyond`(seed: Long) {
         val day = Day(seed, LOWER)
-        for (at in 2..100 step 7) day.clock.after(at.secs) { day.submit() }
-        day.clock.after(40.secs) { day.simulation.state.lower(LOWER) }
-        day.crashes(20.secs)
+        for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
+        day.clock.after(40.seconds) { day.simulation.state.lower(LOWER) }
+        day.crashes(20.seconds)
         day.end()
     }
 
@@ -93,19 +93,19 @@
     fun `pages stored before are read, taken down and rewritten once they fit`(seed: Long) {
         val day = Day(seed, told = null)
         val simulation = day.simulation
-        for (at in 2..100 step 7) day.clock.after(at.secs) { day.submit() }
-        for (at in listOf(1, 8)) day.clock.after(at.secs) { day.submit(alwaysWide = true) }
+        for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
+        for (at in listOf(1, 8)) day.clock.after(at.seconds) { day.submit(alwaysWide = true) }
         var fallen = false
-        day.clock.every(100.millis) {
+        day.clock.every(100.milliseconds) {
             // All come back told, while a page is large, and the limits fall at once.
             if (!fallen && simulation.state.largest("t/") > 1024) {
                 fallen = true
                 simulation.told = LOWER
-                for (node in simulation.nodes) simulation.crash(node, 500.millis)
-                day.clock.after(400.millis) { simulation.state.lower(LOWER) }
+                for (node in simulation.nodes) simulation.crash(node, 500.milliseconds)
+                day.clock.after(400.milliseconds) { simulation.state.lower(LOWER) }
             }
         }
-        day.crashes(35.secs)
+        day.crashes(35.seconds)
         day.end()
         assertTrue(fallen, "no page was larger than a value may be later")
     }
@@ -115,13 +115,13 @@
     fun `nor do batches and answers that go round by the service`(seed: Long) {
         val day = Day(seed, LOWER, OperatorSettings(reportsPerCore = 0.0))
         val simulation = day.simulation
-        for (at in 2..100 step 7) day.clock.after(at.secs) { day.submit() }
+        for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
         simulation.state.lower(LOWER)
-        day.clock.after(20.secs) {
+        day.clock.after(20.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.part(a, b)
         }
-        day.clock.after(70.secs) {
+        day.clock.after(70.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.join(a, b)
         }
@@ -134,23 +134,23 @@
     fun `gangs that a page holds run, and one that none holds stands in nobody's way`() {
         val simulation = ClusterSimulation(31, told = LOWER)
         simulation.state.lower(LOWER)
-        simulation.run(5.secs)
+        simulation.run(5.seconds)
         val never = wideGang(simulation, tasks = 200, cpus = 0.1)
         simulation.submit(never)
         val gang = wideGang(simulation, tasks = 60, cpus = 0.5)
         val service =
-            wideGang(simulation, tasks = 60, cpus = 0.1).copy(shape = Shape.DAEMON, estimateS = 0.0)
+            wideGang(simulation, tasks = 60, cpus = 0.1).copy(shape = JobKind.SERVICE, estimateS = 0.0)
         simulation.submit(gang)
         simulation.submit(service)
         val others = ArrayList<JobSpec>()
         for (at in 10..90 step 8) {
-            simulation.clock.after(at.secs) {
+            simulation.clock.after(at.seconds) {
                 val other = wideGang(simulation, tasks = 4, cpus = 2.0)
                 others.add(other)
                 simulation.submit(other)
             }
         }
-        simulation.run(200.secs)
+        simulation.run(200.seconds)
         val ended = { job: JobSpec -> simulation.rules.finalOf(job.id) }
         assertEquals(emptyList(), (others + gang).filter { ended(it) != "done" }.map { it.tasks })
         assertEquals(0, simulation.rules.machinesOf(never.id).size)
@@ -159,7 +159,7 @@
             assertEquals(null, ended(job), "it is known, and open")
             simulation.cancel(job.id)
         }
-        simulation.run(270.secs)
+        simulation.run(270.seconds)
         assertEquals(listOf("cancelled", "cancelled"), listOf(never, service).map(ended))
         assertEquals(emptyList(), simulation.problems())
         assertEquals(emptyList(), simulation.state.beyond)
@@ -171,8 +171,8 @@
             .copy(
                 jobClass = "gang",
                 team = "team-0",
-                shape = Shape.GANG,
-                urgency = Urgency.NORMAL,
+                shape = JobKind.GANG,
+                urgency = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 gpus = 0.0,
@@ -188,6 +188,6 @@
             )
 
     private companion object {
-        val LOWER = NextStateFacts(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
+        val LOWER = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
     }
 }
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -5,12 +5,12 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 import wardmux.config.OperatorSettings
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** Two troubles at once, where machines are one of them: each brought about on purpose. */
 class MachineFaultsTest {
@@ -33,8 +33,8 @@
                 .randomJob()
                 .copy(
                     team = "team-$team",
-                    shape = if (short > 0) Shape.BATCH else Shape.DAEMON,
-                    urgency = Urgency.NORMAL,
+                    shape = if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
+                    urgency = PriorityClass.NORMAL,
                     tasks = tasks,
                     cpus = 9.0,
                     zone = null,
@@ -91,26 +91,26 @@
         val day = Meeting(seed)
         val jobs = List(3) { day.large(it, 3) }
         jobs.forEach { day.simulation.submit(it) }
-        day.at(30.secs) {
-            val length = day.clock.between(12.secs, 70.secs)
+        day.at(30.seconds) {
+            val length = day.clock.between(12.seconds, 70.seconds)
             for (worker in day.busy()) {
                 if (!day.clock.chance(0.8)) continue
                 day.mute(worker, length)
                 // Nothing new goes where no lease is renewed.
-                day.clock.after(11.secs) {
+                day.clock.after(11.seconds) {
                     val before = worker.starts
-                    day.clock.after(length - 11.secs) {
+                    day.clock.after(length - 11.seconds) {
                         assertEquals(before, worker.starts, "started on a mute machine")
                     }
                 }
             }
-            day.clock.after(day.clock.between(0.secs, 20.secs)) {
+            day.clock.after(day.clock.between(0.seconds, 20.seconds)) {
                 day.simulation.cancel(jobs[0].id)
             }
         }
         val late = List(3) { day.array(it, 12) }
-        for ((i, job) in late.withIndex()) day.at((33 + 9 * i).secs) { day.simulation.submit(job) }
-        day.simulation.run(200.secs)
+        for ((i, job) in late.withIndex()) day.at((33 + 9 * i).seconds) { day.simulation.submit(job) }
+        day.simulation.run(200.seconds)
         day.done(*late.toTypedArray())
     }
 
@@ -122,16 +122,16 @@
         val day = Meeting(seed)
         val jobs = List(3) { day.large(it, 4) }
         jobs.forEach { day.simulation.submit(it) }
-        day.at(30.secs) {
+        day.at(30.seconds) {
             val busy = day.busy()
             assertTrue(busy.size >= 6, "only ${busy.size} are busy")
-            for (worker in busy.drop((seed % 3).toInt() * 3)) day.hang(worker, 90.secs)
+            for (worker in busy.drop((seed % 3).toInt() * 3)) day.hang(worker, 90.seconds)
             for (job in jobs) day.simulation.cancel(job.id)
-            day.clock.after(day.clock.between(1.secs, 25.secs)) {
-                day.simulation.leader()?.let { day.simulation.crash(it, 3.secs) }
+            day.clock.after(day.clock.between(1.seconds, 25.seconds)) {
+                day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
             }
         }
-        day.simulation.run(150.secs)
+        day.simulation.run(150.seconds)
         day.holds()
     }
 
@@ -148,18 +148,18 @@
         val together = day.array(1, 40, oneZone = true).copy(estimateS = 20.0)
         val far = day.array(2, 40, oneZone = true).copy(estimateS = 20.0)
         for (job in listOf(pinned, together, far)) day.simulation.submit(job)
-        day.at(20.secs) {
+        day.at(20.seconds) {
             val there = day.workers().shuffled(day.clock.random)
             for (worker in there.take(there.size / 2)) {
                 if (day.clock.chance(0.5)) day.simulation.cloud.kill(worker)
-                else day.hang(worker, day.clock.between(3.secs, 30.secs))
+                else day.hang(worker, day.clock.between(3.seconds, 30.seconds))
             }
-            day.clock.after(day.clock.between(0.secs, 6.secs)) {
-                day.simulation.leader()?.let { day.simulation.crash(it, 2.secs) }
+            day.clock.after(day.clock.between(0.seconds, 6.seconds)) {
+                day.simulation.leader()?.let { day.simulation.crash(it, 2.seconds) }
             }
         }
-        day.at(45.secs) { day.busy().take(2).forEach { day.simulation.cloud.kill(it) } }
-        day.simulation.run(220.secs)
+        day.at(45.seconds) { day.busy().take(2).forEach { day.simulation.cloud.kill(it) } }
+        day.simulation.run(220.seconds)
         day.done(pinned, together, far)
     }
 
@@ -172,8 +172,8 @@
         // There is room elsewhere for what is out of reach.
         val jobs = List(3) { day.large(it, 3).copy(cpus = 5.0) }
         jobs.forEach { day.simulation.submit(it) }
-        day.at(30.secs) {
-            val length = day.clock.between(5.secs, 60.secs)
+        day.at(30.seconds) {
+            val length = day.clock.between(5.seconds, 60.seconds)
             for (worker in day.busy()) {
                 when (day.clock.random.nextInt(4)) {
                     0 -> for (node in day.simulation.nodes) day.part(node, worker.id, length)
@@ -184,15 +184,15 @@
                 }
             }
             day.simulation.leader()?.let {
-                day.simulation.crash(it, day.clock.between(1.secs, 9.secs))
+                day.simulation.crash(it, day.clock.between(1.seconds, 9.seconds))
             }
-            day.clock.after(day.clock.between(0.secs, 12.secs)) {
+            day.clock.after(day.clock.between(0.seconds, 12.seconds)) {
                 day.simulation.cancel(jobs[1].id)
             }
         }
         val late = List(3) { day.array(it, 10) }
-        day.at(40.secs) { for (job in late) day.simulation.submit(job) }
-        day.simulation.run(210.secs)
+        day.at(40.seconds) { for (job in late) day.simulation.submit(job) }
+        day.simulation.run(210.seconds)
         day.done(*late.toTypedArray())
     }
 
@@ -204,8 +204,8 @@
         val day = Meeting(seed)
         val jobs = List(3) { day.large(it, 4) }
         jobs.forEach { day.simulation.submit(it) }
-        day.at(30.secs) {
-            val length = day.clock.between(17.secs, 60.secs)
+        day.at(30.seconds) {
+            val length = day.clock.between(17.seconds, 60.seconds)
             val leader = day.simulation.leader()
             // The leader is inside, or one of the others.
             val node = day.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
@@ -218,11 +218,11 @@
                 day.part(a, b, length)
                 day.part(b, a, length)
             }
-            day.clock.after(day.clock.between(0.secs, 9.secs)) { day.simulation.cancel(jobs[2].id) }
+            day.clock.after(day.clock.between(0.seconds, 9.seconds)) { day.simulation.cancel(jobs[2].id) }
         }
         val late = List(3) { day.array(it, 10) }
-        day.at(36.secs) { for (job in late) day.simulation.submit(job) }
-        day.simulation.run(210.secs)
+        day.at(36.seconds) { for (job in late) day.simulation.submit(job) }
+        day.simulation.run(210.seconds)
         day.done(*late.toTypedArray())
     }
 
@@ -236,12 +236,12 @@
         first.forEach { day.simulation.submit(it) }
         val cancelled = List(3) { day.array(it, 6).copy(estimateS = 400.0) }
         val kept = List(3) { day.array(it, 8).copy(estimateS = 20.0) }
-        day.at(25.secs) {
+        day.at(25.seconds) {
             for (job in kept + cancelled) day.simulation.submit(job)
             // While these starts go out.
-            day.clock.after(day.clock.between(20.millis, 200.millis)) {
+            day.clock.after(day.clock.between(20.milliseconds, 200.milliseconds)) {
                 for (worker in day.workers()) {
-                    val length = day.clock.between(1.secs, 15.secs)
+                    val length = day.clock.between(1.seconds, 15.seconds)
                     if (day.clock.chance(0.5)) day.hang(worker, length)
                     else if (day.clock.chance(0.5)) {
                         // The order arrives, its answer comes too late.
@@ -249,11 +249,11 @@
                     }
                 }
             }
-            day.clock.after(day.clock.between(0.secs, 6.secs)) {
+            day.clock.after(day.clock.between(0.seconds, 6.seconds)) {
                 for (job in cancelled) day.simulation.cancel(job.id)
             }
         }
-        day.simulation.run(200.secs)
+        day.simulation.run(200.seconds)
         day.done(*kept.toTypedArray())
     }
 
@@ -266,25 +266,25 @@
         val simulation = day.simulation
         val hosts = simulation.nodes + "state" + "cloud"
         val jobs = ArrayList<JobSpec>()
-        for (second in 2..60 step 3) day.at(second.secs) {
+        for (second in 2..60 step 3) day.at(second.seconds) {
             val urgent = day.clock.chance(0.5)
             val team = day.clock.random.nextInt(3)
             val job =
-                if (urgent) day.array(team, 15).copy(urgency = Urgency.HIGH)
+                if (urgent) day.array(team, 15).copy(urgency = PriorityClass.HIGH)
                 else day.large(team, 2, short = 20.0).copy(checkpointS = 3.0, saveS = 2.0)
             jobs.add(job)
             simulation.submit(job)
         }
-        day.at(10.secs) {
+        day.at(10.seconds) {
             for (host in hosts) simulation.network.slow[host] =
-                day.clock.between(50.millis, 400.millis)
+                day.clock.between(50.milliseconds, 400.milliseconds)
             for (w in day.workers()) {
-                simulation.network.slow[w.id] = day.clock.between(50.millis, 900.millis)
+                simulation.network.slow[w.id] = day.clock.between(50.milliseconds, 900.milliseconds)
             }
         }
-        day.at(70.secs) { simulation.network.slow.clear() }
-        simulation.run(330.secs)
-        simulation.endOfDay(calm = 70.secs)
+        day.at(70.seconds) { simulation.network.slow.clear() }
+        simulation.run(330.seconds)
+        simulation.endOfDay(calm = 70.seconds)
         day.done(*jobs.toTypedArray())
     }
 }
--- a/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
+++ b/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
@@ -3,9 +3,9 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.StateFacts
-import wardmux.config.TeamFacts
-import wardmux.model.secs
+import wardmux.config.StoreLimits
+import wardmux.config.TeamQuota
+import wardmux.model.seconds
 
 /**
  * A machine given up frees its tasks only once that is recorded. When a zone was lost, the records
@@ -16,10 +16,10 @@
         ControllerHarness(
             given =
                 ControllerHarness.SETTINGS.copy(
-                    facts =
-                        ControllerHarness.SETTINGS.facts.copy(
-                            teams = listOf(TeamFacts("team-0", 700.0, 12_000.0)),
-                            state = StateFacts(400.0, 40.0, 16.0, 32),
+                    deployment =
+                        ControllerHarness.SETTINGS.deployment.copy(
+                            teams = listOf(TeamQuota("team-0", 700.0, 12_000.0)),
+                            state = StoreLimits(400.0, 40.0, 16.0, 32),
                         )
                 )
         )
@@ -30,7 +30,7 @@
 
     @Test
     fun `the records of many lost machines do not wait behind all that can be placed`() {
-        harness.run(2.secs)
+        harness.run(2.seconds)
         val token = workers.first().token()
         for (worker in workers) worker.report(token)
         // All but the first of them go on reporting; then there is more to place than can be
@@ -40,11 +40,11 @@
             assertTrue(++at < MOST_ROUNDS, "no machine was given up")
             if (at == JOBS_AT) repeat(JOBS) { harness.accept(plainJob(1, "job-%06d".format(it))) }
             for (worker in workers.drop(LOST)) worker.report(token)
-            harness.run(0.5.secs)
+            harness.run(0.5.seconds)
         }
         repeat(ROUNDS_TO_RECORD) {
             for (worker in workers.drop(LOST)) worker.report(token)
-            harness.run(0.5.secs)
+            harness.run(0.5.seconds)
         }
         assertEquals(LOST, recorded(LOST))
         val placed = (0 until JOBS).count { harness.stored("t/job-%06d/0".format(it)) != null }
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -7,8 +7,8 @@
 import org.junit.jupiter.params.provider.MethodSource
 import wardmux.config.OperatorSettings
 import wardmux.model.Micros
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** Outages of the state service that meet cancellations, lone leaders and changes of leader. */
 class OutageFaultsTest {
@@ -38,11 +38,11 @@
 
         /** Six jobs run, and the leader has settled how reports come in. */
         fun begin() {
-            clock.after(4.secs) { submit(6) }
-            simulation.run(30.secs)
-            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(1.secs)
+            clock.after(4.seconds) { submit(6) }
+            simulation.run(30.seconds)
+            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(1.seconds)
             // Nothing of what was done to get there is under way any more.
-            runFor(clock.between(5.secs, 6.secs))
+            runFor(clock.between(5.seconds, 6.seconds))
             for (job in jobs) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
         }
 
@@ -85,10 +85,10 @@
             val other = others().random(clock.random)
             val late = lateOnes()
             if (way.lone) for (node in others()) apart(leader, node, GAP + OUTAGE)
-            outage(leader, 14.secs)
+            outage(leader, 14.seconds)
             val cancelled = jobs.takeLast(count)
             more(cancelled)
-            runFor(clock.between(5.millis, 400.millis))
+            runFor(clock.between(5.milliseconds, 400.milliseconds))
             for (job in cancelled) cancel(job, by = other)
             runFor(GAP)
             for (job in cancelled) assertEquals(
@@ -111,7 +111,7 @@
          */
         private fun lateOnes(): Set<String> {
             val late = HashSet<String>()
-            clock.every(100.millis) {
+            clock.every(100.milliseconds) {
                 late +=
                     jobs.filter { job ->
                         val at = rules.cancelledAt(job)
@@ -142,7 +142,7 @@
                 val hosts = cancelled.flatMap { rules.placesOf(it).values }.toSet()
                 for (worker in simulation.cloud.workers().filter { it.id in hosts }) {
                     worker.hanging = true
-                    clock.after(clock.between(8.secs, 20.secs)) { worker.hanging = false }
+                    clock.after(clock.between(8.seconds, 20.seconds)) { worker.hanging = false }
                 }
             }
         }
@@ -153,11 +153,11 @@
         Meeting(way).run {
             begin()
             for (worker in simulation.cloud.workers()) {
-                simulation.lateOrders[worker.id] = clock.between(4.secs, 13.secs)
+                simulation.lateOrders[worker.id] = clock.between(4.seconds, 13.seconds)
             }
             submit(1)
             // Decided on, written and sent, but not there; some go out with a report's answer.
-            runFor(1500.millis)
+            runFor(1500.milliseconds)
             assertTrue(rules.placesOf(jobs.last()).size < TASKS)
             gap(way, count = 1)
             // Halted while it still waits for its image, it never comes to run.
@@ -173,24 +173,24 @@
         Meeting(way).run {
             begin()
             val former = leader()
-            simulation.crash(former, 90.secs)
-            runFor(clock.between(100.millis, 2.secs))
+            simulation.crash(former, 90.seconds)
+            runFor(clock.between(100.milliseconds, 2.seconds))
             val cancelled = jobs.takeLast(3)
             for (job in cancelled) cancel(
                 job,
                 by = (simulation.nodes - former).random(clock.random),
             )
-            val until = clock.now + 20.secs
+            val until = clock.now + 20.seconds
             while (simulation.leader() in listOf(former, null) && clock.now < until) runFor(
-                1.millis
+                1.milliseconds
             )
             val leader = leader()
             assertNotEquals(former, leader)
             if (way.lone) for (node in others()) apart(leader, node, OUTAGE)
             outage(null, OUTAGE)
             for (job in cancelled) assertEquals("cancelled", rules.finalOf(job))
-            runFor(OUTAGE + 90.secs)
-            end(calm = clock.now - 90.secs)
+            runFor(OUTAGE + 90.seconds)
+            end(calm = clock.now - 90.seconds)
         }
 
     /** Nobody can have cancelled anything, so nothing is given up. */
@@ -200,7 +200,7 @@
         Meeting(way).run {
             begin()
             cancel(jobs.removeLast())
-            runFor(6.secs)
+            runFor(6.seconds)
             val before = jobs.associateWith { rules.placesOf(it) }
             outage(null, OUTAGE)
             runFor(OUTAGE)
@@ -215,20 +215,20 @@
         Meeting(way).run {
             begin()
             val leader = leader()
-            simulation.network.slow["state"] = clock.between(300.millis, 1500.millis)
+            simulation.network.slow["state"] = clock.between(300.milliseconds, 1500.milliseconds)
             for (job in jobs.take(4)) {
-                clock.after(clock.between(1.secs, 7500.millis)) { cancel(job) }
+                clock.after(clock.between(1.seconds, 7500.milliseconds)) { cancel(job) }
             }
-            runFor(5.secs)
+            runFor(5.seconds)
             if (way.lone) for (node in simulation.nodes - leader) apart(leader, node, OUTAGE)
-            outage(leader, 14.secs)
+            outage(leader, 14.seconds)
             runFor(GAP)
             outage(null, OUTAGE)
             runFor(OUTAGE)
             simulation.network.slow.remove("state")
-            runFor(70.secs)
+            runFor(70.seconds)
             assertEquals(4, jobs.count { rules.finalOf(it) == "cancelled" })
-            end(calm = clock.now - 70.secs)
+            end(calm = clock.now - 70.seconds)
         }
 
     @ParameterizedTest
@@ -237,23 +237,23 @@
         Meeting(way).run {
             begin()
             val former = leader()
-            for (host in others() + "state") apart(former, host, 70.secs)
-            val until = clock.now + 20.secs
+            for (host in others() + "state") apart(former, host, 70.seconds)
+            val until = clock.now + 20.seconds
             while (simulation.leader() in listOf(former, null) && clock.now < until) runFor(
-                10.millis
+                10.milliseconds
             )
             val next = leader()
             assertNotEquals(former, next)
             val some = jobs.shuffled(clock.random)
             cancel(some[0], by = next)
-            clock.after(clock.between(1.secs, 10.secs)) { cancel(some[1], by = next) }
+            clock.after(clock.between(1.seconds, 10.seconds)) { cancel(some[1], by = next) }
             // Asked of the lone one, which can't know and must not say that it was done.
             cancel(some[2], by = former)
-            runFor(60.secs)
+            runFor(60.seconds)
             for (job in some.take(2)) assertEquals("cancelled", rules.finalOf(job))
             assertEquals(null, rules.finalOf(some[2]))
-            runFor(80.secs)
-            end(calm = clock.now - 60.secs)
+            runFor(80.seconds)
+            end(calm = clock.now - 60.seconds)
         }
 
     @ParameterizedTest
@@ -262,19 +262,19 @@
         Meeting(way).run {
             begin()
             val tokens = HashSet<Long>()
-            clock.every(50.millis) { simulation.state.stamp("leader")?.let { tokens.add(it) } }
+            clock.every(50.milliseconds) { simulation.state.version("leader")?.let { tokens.add(it) } }
             val begun = clock.now
-            clock.after(40.secs) { outage(null, 20.secs) }
-            for (job in jobs.take(4)) clock.after(clock.between(1.secs, 110.secs)) { cancel(job) }
-            while (clock.now < begun + 120.secs) {
+            clock.after(40.seconds) { outage(null, 20.seconds) }
+            for (job in jobs.take(4)) clock.after(clock.between(1.seconds, 110.seconds)) { cancel(job) }
+            while (clock.now < begun + 120.seconds) {
                 // In the outage the key stays, while whoever would lead next comes and goes.
-                simulation.leader()?.let { simulation.crash(it, clock.between(200.millis, 5.secs)) }
-                runFor(clock.between(5.secs, 7.secs))
+                simulation.leader()?.let { simulation.crash(it, clock.between(200.milliseconds, 5.seconds)) }
+                runFor(clock.between(5.seconds, 7.seconds))
             }
             assertTrue(tokens.size > 10, "${tokens.size} leaders")
-            runFor(80.secs)
+            runFor(80.seconds)
             assertEquals(4, jobs.count { rules.finalOf(it) == "cancelled" })
-            end(calm = clock.now - 70.secs)
+            end(calm = clock.now - 70.seconds)
         }
 
     @ParameterizedTest
@@ -283,15 +283,15 @@
         Meeting(way).run {
             begin()
             for (job in jobs.take(2)) cancel(job)
-            runFor(clock.between(20.millis, 400.millis))
-            val away = clock.between(15.secs, 30.secs)
+            runFor(clock.between(20.milliseconds, 400.milliseconds))
+            val away = clock.between(15.seconds, 30.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
-                away + clock.between(1.secs, 3.secs),
+                away + clock.between(1.seconds, 3.seconds),
             )
-            runFor(away + 80.secs)
+            runFor(away + 80.seconds)
             assertEquals(2, jobs.count { rules.finalOf(it) == "cancelled" })
-            end(calm = clock.now - 76.secs)
+            end(calm = clock.now - 76.seconds)
         }
 
     @ParameterizedTest
@@ -302,33 +302,33 @@
             val first = leader()
             val quick = way.seed % 2 == 0L
             cancel(jobs[0])
-            simulation.crash(first, 300.millis)
-            runFor(clock.between(1.secs, 6.secs))
+            simulation.crash(first, 300.milliseconds)
+            runFor(clock.between(1.seconds, 6.seconds))
             cancel(jobs[1])
-            simulation.leader()?.let { simulation.crash(it, 300.millis) }
-            runFor(clock.between(1.secs, 6.secs))
+            simulation.leader()?.let { simulation.crash(it, 300.milliseconds) }
+            runFor(clock.between(1.seconds, 6.seconds))
             cancel(jobs[2])
-            runFor(clock.between(5.millis, 300.millis))
+            runFor(clock.between(5.milliseconds, 300.milliseconds))
             val back =
-                if (quick) clock.between(20.millis, 900.millis) else clock.between(1.secs, 12.secs)
+                if (quick) clock.between(20.milliseconds, 900.milliseconds) else clock.between(1.seconds, 12.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
-                if (node == first) back else 40.secs,
+                if (node == first) back else 40.seconds,
             )
-            runFor(30.secs)
+            runFor(30.seconds)
             assertEquals(first, simulation.leader(), "it leads by itself")
-            runFor(100.secs)
+            runFor(100.seconds)
             assertEquals(3, jobs.count { rules.finalOf(it) == "cancelled" })
-            end(calm = clock.now - 85.secs)
+            end(calm = clock.now - 85.seconds)
         }
 
     companion object {
         private const val TASKS = 3
-        private val START = 80.secs
-        private val GAP = 1500.millis
-        private val OUTAGE = 50.secs
-        private val CALM = 60.secs
-        private val CANCEL = 36_200.millis
+        private val START = 80.seconds
+        private val GAP = 1500.milliseconds
+        private val OUTAGE = 50.seconds
+        private val CALM = 60.seconds
+        private val CANCEL = 36_200.milliseconds
         private val SEEDS = days()
 
         /** Others for a longer search: `-DargLine="-Dwardmux.meetings=1-100"`. */
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import wardmux.config.OperatorSettings
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Seeded days with troubles of every kind, alone and together; the rules hold after each step. */
 class RandomSimulationTest {
@@ -32,24 +32,24 @@
             simulation.submit(spec)
             val daemon = spec.estimateS == 0.0
             if (daemon || clock.chance(0.15)) {
-                clock.after(clock.between(1.secs, 60.secs)) { simulation.cancel(spec.id) }
+                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(spec.id) }
             }
         }
 
         fun play(troubled: Boolean) {
             simulation.cloud.stillborn = if (troubled) 0.1 else 0.0
             simulation.poll("job-999999")
-            for (at in 2..150 step 7) clock.after(at.secs) { submit() }
+            for (at in 2..150 step 7) clock.after(at.seconds) { submit() }
             if (troubled) {
                 for (at in 10..170 step 9) {
-                    clock.after(at.secs) { trouble() }
+                    clock.after(at.seconds) { trouble() }
                 }
             }
             if (hunted) {
                 simulation.state.refusedWatchesWait = true
                 clock.after(CALM) { simulation.watchWaiting() }
             }
-            simulation.run(if (grown) 420.secs else 320.secs)
+            simulation.run(if (grown) 420.seconds else 320.seconds)
             if (grown) simulation.endOfDay(CALM)
         }
 
@@ -145,7 +145,7 @@
 
     companion object {
         /** The longest trouble lasts for 78 s, and late messages come up to 45 s after theirs. */
-        private val CALM = 285.secs
+        private val CALM = 285.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.days=100-500"`. */
         @JvmStatic fun seeds(): List<Long> = days("wardmux.days", "1-24") + FOUND
--- a/src/test/kotlin/wardmux/sim/Rules.kt
+++ b/src/test/kotlin/wardmux/sim/Rules.kt
@@ -1,12 +1,12 @@
 package wardmux.sim
 
 import kotlin.math.abs
-import wardmux.config.TeamFacts
+import wardmux.config.TeamQuota
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.secs
-import wardmux.peers.CancellationReport
+import wardmux.model.seconds
+import wardmux.peers.CancellationUpdate
 
 /** A machine as it is: what is free on it, and the tasks (job and number) that it holds. */
 class MachineView(
@@ -19,10 +19,10 @@
 )
 
 /** The rules at the end of PROTOCOL, as they look from outside the controllers. */
-class Rules(teams: List<TeamFacts>, private val cancelTime: Micros) {
+class Rules(teams: List<TeamQuota>, private val cancelTime: Micros) {
     private class On(val machine: String, val zone: String, val attempt: Int)
 
-    private class CancellationReport {
+    private class CancellationUpdate {
         var final: String? = null
         var finalAt = Micros.ZERO
         var acceptedAt: Micros? = null
@@ -36,7 +36,7 @@
     private val specs = HashMap<String, JobSpec>()
     private val on = HashMap<String, HashMap<Int, On>>()
     private val completed = HashMap<String, HashSet<Int>>()
-    private val told = HashMap<String, CancellationReport>()
+    private val told = HashMap<String, CancellationUpdate>()
     private val toldCancelledAt = HashMap<String, Micros>()
     private val askedToCancel = HashSet<String>()
     val broken = ArrayList<String>()
@@ -94,7 +94,7 @@
         val spec =
             specs[job] ?: return breaks("invented", "$job/$task runs and nobody submitted it")
         val own = on.getOrPut(job) { HashMap() }
-        if (spec.shape == Shape.GANG) checkRemains(spec, task, zone, attempt, own)
+        if (spec.shape == JobKind.GANG) checkRemains(spec, task, zone, attempt, own)
         else begun.add(job)
         own[task]?.let { breaks("ran_twice", "$job/$task on ${it.machine} and $machine") }
         if (spec.types != null && type !in spec.types) breaks("wrong_place", "$job on $type")
@@ -184,7 +184,7 @@
         val cancelled = toldCancelledAt[job] ?: return
         ordersAfterCancel++
         if (now - cancelled > HEARD_WITHIN) {
-            breaks("started_cancelled", "$order, ${(now - cancelled).seconds} s after it was told")
+            breaks("started_cancelled", "$order, ${(now - cancelled).inSeconds} s after it was told")
         }
     }
 
@@ -249,7 +249,7 @@
                 (0 until spec.tasks) - own.map { it.first }.toSet() - completed[job].orEmpty()
             if (waiting.isEmpty()) continue
             // A group and a service need room for all that waits of them.
-            val together = if (spec.shape == Shape.BATCH) 1 else waiting.size
+            val together = if (spec.shape == JobKind.ARRAY) 1 else waiting.size
             val need = spec.cpus * together
             val limit = teams[spec.team]?.cpusMax ?: 0.0
             if ((used[spec.team] ?: 0.0) + need > limit + 1e-6) continue
@@ -299,7 +299,7 @@
         state: String?,
         askedAt: Micros = now,
     ) {
-        val known = told.getOrPut(job) { CancellationReport() }
+        val known = told.getOrPut(job) { CancellationUpdate() }
         if (status == 200 || status == 201) {
             if (job !in specs) return breaks("invented", "$call of $job is answered $status")
             if (known.acceptedAt == null) known.acceptedAt = now
@@ -326,7 +326,7 @@
 
     fun answered(now: Micros, job: String, well: Boolean) {
         if (!well) return
-        val known = told.getOrPut(job) { CancellationReport() }
+        val known = told.getOrPut(job) { CancellationUpdate() }
         if (now - known.answeredAt > UNANSWERED) known.silent.add(known.answeredAt to now)
         known.answeredAt = now
     }
@@ -363,7 +363,7 @@
         }
     }
 
-    private fun since(known: CancellationReport, calm: Micros) =
+    private fun since(known: CancellationUpdate, calm: Micros) =
         maxOf(calm, known.acceptedAt ?: calm)
 
     private fun half(what: String, jobs: List<JobSpec>) {
@@ -378,7 +378,7 @@
     /** One task of a gang that is done means that all are. */
     fun allDone(job: String): Boolean {
         val spec = specs.getValue(job)
-        return completedOf(job) >= if (spec.shape == Shape.GANG) 1 else spec.tasks
+        return completedOf(job) >= if (spec.shape == JobKind.GANG) 1 else spec.tasks
     }
 
     /** Which machine each task of [job] is on. */
@@ -394,11 +394,11 @@
 
     companion object {
         /** Tasks may go on for as long as PROTOCOL gives them after a cancellation. */
-        val SLACK = 1.secs
-        private val UNANSWERED = 75.secs
-        private val LONGEST_WAIT = 240.secs
-        private val HEARD_WITHIN = 4.secs
-        private val LONGEST_BESIDE_ROOM = 90.secs
+        val SLACK = 1.seconds
+        private val UNANSWERED = 75.seconds
+        private val LONGEST_WAIT = 240.seconds
+        private val HEARD_WITHIN = 4.seconds
+        private val LONGEST_BESIDE_ROOM = 90.seconds
         private val states = setOf("queued", "running", "done", "cancelled")
     }
 }
--- a/src/test/kotlin/wardmux/sim/RulesTest.kt
+++ b/src/test/kotlin/wardmux/sim/RulesTest.kt
@@ -4,16 +4,16 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
-import wardmux.config.TeamFacts
-import wardmux.config.WorkerFacts
+import wardmux.config.TeamQuota
+import wardmux.config.WorkerTiming
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.secs
+import wardmux.model.seconds
 
 /** Each rule is broken on purpose: a checker that cannot fail checks nothing. */
 class RulesTest {
-    private val rules = Rules(listOf(TeamFacts("t", 8.0, 16.0)), 36.secs)
+    private val rules = Rules(listOf(TeamQuota("t", 8.0, 16.0)), 36.seconds)
     private val job = "job-000001"
 
     private fun spec(tasks: Int = 3) =
@@ -39,7 +39,7 @@
     ) = rules.started(at, job, task, machine, type, zone, spot, attempt)
 
     private fun told(call: String, status: Int, state: String?) =
-        rules.told(1.secs, job, call, status, state)
+        rules.told(1.seconds, job, call, status, state)
 
     private fun assertBroken(rule: String) =
         assertTrue(rules.broken.any { it.startsWith("$rule:") }, "$rule in ${rules.broken}")
@@ -53,7 +53,7 @@
         rules.ended(job, 0, "m1", done = true)
         told("GET", 200, "done")
         told("POST", 200, "done")
-        rules.check(99.secs)
+        rules.check(99.seconds)
         assertEquals(emptyList(), rules.broken)
     }
 
@@ -100,12 +100,12 @@
         rules.askedToCancel(job)
         start(0)
         told("abort", 200, "cancelled")
-        rules.check(36.secs)
+        rules.check(36.seconds)
         assertEquals(emptyList(), rules.broken)
-        rules.check(38.secs)
+        rules.check(38.seconds)
         assertBroken("ran_cancelled")
         rules.broken.clear()
-        start(1, at = 40.secs)
+        start(1, at = 40.seconds)
         assertBroken("ran_cancelled")
     }
 
@@ -115,7 +115,7 @@
         told("POST", 201, "queued")
         told("GET", 404, null)
         assertBroken("forgotten")
-        rules.told(1.secs, "job-9", "GET", 200, "queued")
+        rules.told(1.seconds, "job-9", "GET", 200, "queued")
         assertBroken("invented")
         told("GET", 200, "done")
         assertBroken("not_done")
@@ -124,7 +124,7 @@
         assertBroken("went_back")
         rules.broken.clear()
         rules.submitted(spec().copy(id = "job-000003"))
-        rules.told(1.secs, "job-000003", "GET", 200, "cancelled")
+        rules.told(1.seconds, "job-000003", "GET", 200, "cancelled")
         assertBroken("went_back")
     }
 
@@ -136,10 +136,10 @@
         rules.ordered(Micros.ZERO, job, "start")
         told("abort", 200, "cancelled")
         assertTrue(rules.knowsCancelled)
-        rules.ordered(4.secs, job, "start")
+        rules.ordered(4.seconds, job, "start")
         assertEquals(emptyList(), rules.broken)
         assertEquals(1, rules.ordersAfterCancel)
-        rules.ordered(6.secs, job, "start")
+        rules.ordered(6.seconds, job, "start")
         assertBroken("started_cancelled")
     }
 
@@ -149,13 +149,13 @@
         rules.askedToCancel(job)
         start(0)
         told("abort", 200, "cancelled")
-        start(1, at = 36.secs)
+        start(1, at = 36.seconds)
         assertEquals(1, rules.startsAfterCancel)
         assertEquals(emptyList(), rules.broken)
         rules.submitted(spec().copy(id = "job-000002"))
         rules.askedToCancel("job-000002")
-        rules.told(1.secs, "job-000002", "abort", 200, "cancelled")
-        rules.started(38.secs, "job-000002", 0, "m3", "mid", "a", false)
+        rules.told(1.seconds, "job-000002", "abort", 200, "cancelled")
+        rules.started(38.seconds, "job-000002", 0, "m3", "mid", "a", false)
         assertBroken("ran_cancelled")
     }
 
@@ -163,7 +163,7 @@
     @Test
     fun `ran_cancelled by a machine that hung and goes on`() {
         val clock = SimulatedClock(1)
-        val facts = WorkerFacts(reportS = 2.5, leaseS = 16.0, cancelS = 36.0)
+        val deployment = WorkerTiming(reportS = 2.5, leaseS = 16.0, cancelS = 36.0)
         val order = """{"verb":"start","piece":"$job/0","try":1}"""
         val worker =
             FakeWorker(
@@ -172,7 +172,7 @@
                 "a",
                 false,
                 clock,
-                facts,
+                deployment,
                 listOf("n0"),
                 rules,
                 { spec(1).copy(estimateS = 100_000.0) },
@@ -181,15 +181,15 @@
             }
         rules.submitted(spec(1))
         rules.askedToCancel(job)
-        clock.run(5.secs) {}
+        clock.run(5.seconds) {}
         rules.told(clock.now, job, "abort", 200, "cancelled")
-        clock.run(10.secs) {}
+        clock.run(10.seconds) {}
         worker.hanging = true
-        clock.run(24.secs) {}
+        clock.run(24.seconds) {}
         worker.hanging = false
-        clock.run(41.secs) { rules.check(clock.now) }
+        clock.run(41.seconds) { rules.check(clock.now) }
         assertEquals(emptyList(), rules.broken)
-        clock.run(43.secs) { rules.check(clock.now) }
+        clock.run(43.seconds) { rules.check(clock.now) }
         assertBroken("ran_cancelled")
     }
 
@@ -198,16 +198,16 @@
         rules.submitted(spec())
         told("POST", 201, "queued")
         start(0)
-        for (at in 10..100 step 10) rules.answered(at.secs, job, well = true)
-        rules.answered(150.secs, job, well = false)
-        rules.answered(190.secs, job, well = true)
+        for (at in 10..100 step 10) rules.answered(at.seconds, job, well = true)
+        rules.answered(150.seconds, job, well = false)
+        rules.answered(190.seconds, job, well = true)
         // Troubles until 120 s excuse it.
-        rules.endOfDay(200.secs, calm = 120.secs)
+        rules.endOfDay(200.seconds, calm = 120.seconds)
         assertEquals(emptyList(), rules.broken)
-        rules.endOfDay(200.secs, calm = 110.secs)
+        rules.endOfDay(200.seconds, calm = 110.seconds)
         assertBroken("forgotten")
         rules.broken.clear()
-        rules.endOfDay(270.secs, calm = 120.secs)
+        rules.endOfDay(270.seconds, calm = 120.seconds)
         assertBroken("forgotten")
     }
 
@@ -215,13 +215,13 @@
         val id = "job-%06d".format(number)
         rules.submitted(spec(tasks).copy(id = id, team = team, jobClass = jobClass, cpus = 0.1))
         rules.told(Micros.ZERO, id, "POST", 201, "queued")
-        rules.answered(400.secs, id, well = true)
+        rules.answered(400.seconds, id, well = true)
     }
 
     private fun begin(number: Int) =
-        rules.started(1.secs, "job-%06d".format(number), 0, "m1", "mid", "a", false)
+        rules.started(1.seconds, "job-%06d".format(number), 0, "m1", "mid", "a", false)
 
-    private fun endOfDay(at: Micros = 400.secs) = rules.endOfDay(at, calm = 390.secs)
+    private fun endOfDay(at: Micros = 400.seconds) = rules.endOfDay(at, calm = 390.seconds)
 
     @Test
     fun `less than half of a class and of a team is served`() {
@@ -241,8 +241,8 @@
         accepted(1, 1)
         rules.askedToCancel("job-000001")
         rules.submitted(spec().copy(id = "job-000002"))
-        rules.told(200.secs, "job-000002", "POST", 201, "queued")
-        rules.answered(400.secs, "job-000002", well = true)
+        rules.told(200.seconds, "job-000002", "POST", 201, "queued")
+        rules.answered(400.seconds, "job-000002", well = true)
         endOfDay()
         assertEquals(emptyList(), rules.broken)
     }
@@ -267,7 +267,7 @@
     private fun watchRooms(spec: JobSpec, vararg machines: MachineView): List<String> {
         rules.submitted(spec)
         rules.told(Micros.ZERO, spec.id, "POST", 201, "queued")
-        for (at in 0..95) rules.rooms(at.secs, machines.toList(), machines.toList())
+        for (at in 0..95) rules.rooms(at.seconds, machines.toList(), machines.toList())
         return rules.broken.filter { it.startsWith("left_waiting:") }
     }
 
@@ -291,7 +291,7 @@
         assertEquals(emptyList(), watchRooms(bound, room(), elsewhere))
         val half = room(8.0, job to 0)
         assertEquals(emptyList(), watchRooms(spec(2).copy(spread = true), half))
-        val replicas = spec(2).copy(spread = true, shape = Shape.DAEMON)
+        val replicas = spec(2).copy(spread = true, shape = JobKind.SERVICE)
         assertEquals(emptyList(), watchRooms(replicas, room()))
     }
 
@@ -305,7 +305,7 @@
         told("POST", 201, "queued")
         for (at in 0..95) {
             if (at == 50) start(0)
-            rules.rooms(at.secs, listOf(room()), listOf(room()))
+            rules.rooms(at.seconds, listOf(room()), listOf(room()))
         }
         assertEquals(emptyList(), rules.broken)
     }
@@ -322,7 +322,7 @@
         rules.answeredBad(job, 400, 422, "")
         assertEquals(2, rules.broken.count { it.startsWith("wrong_answer:") })
         // Nor may it be known afterwards.
-        rules.told(1.secs, job, "GET", 200, "queued")
+        rules.told(1.seconds, job, "GET", 200, "queued")
         assertBroken("invented")
     }
 
@@ -330,12 +330,12 @@
     fun `a repeat is answered with 200 and the state now`() {
         rules.submitted(spec())
         told("POST", 201, "queued")
-        rules.repeated(3.secs, job, 200, "running", askedAt = 2.secs)
+        rules.repeated(3.seconds, job, 200, "running", askedAt = 2.seconds)
         assertEquals(emptyList(), rules.broken)
-        rules.repeated(3.secs, job, 201, "queued", askedAt = 2.secs)
-        rules.repeated(3.secs, job, 200, null, askedAt = 2.secs)
+        rules.repeated(3.seconds, job, 201, "queued", askedAt = 2.seconds)
+        rules.repeated(3.seconds, job, 200, null, askedAt = 2.seconds)
         assertEquals(2, rules.broken.count { it.startsWith("wrong_answer:") })
-        rules.repeated(3.secs, job, 422, null, askedAt = 2.secs)
+        rules.repeated(3.seconds, job, 422, null, askedAt = 2.seconds)
         assertBroken("forgotten")
     }
 
@@ -346,13 +346,13 @@
         start(0)
         rules.ended(job, 0, "m1", done = true)
         told("GET", 200, "done")
-        rules.repeated(3.secs, job, 200, "done", askedAt = 2.secs)
-        rules.told(3.secs, job, "abort", 200, "done", askedAt = 2.secs)
+        rules.repeated(3.seconds, job, 200, "done", askedAt = 2.seconds)
+        rules.told(3.seconds, job, "abort", 200, "done", askedAt = 2.seconds)
         assertEquals(emptyList(), rules.broken)
-        rules.repeated(3.secs, job, 200, "queued", askedAt = 2.secs)
+        rules.repeated(3.seconds, job, 200, "queued", askedAt = 2.seconds)
         assertBroken("went_back")
         rules.broken.clear()
-        rules.told(3.secs, job, "abort", 200, "cancelled", askedAt = 2.secs)
+        rules.told(3.seconds, job, "abort", 200, "cancelled", askedAt = 2.seconds)
         assertBroken("went_back")
     }
 
@@ -363,7 +363,7 @@
         rules.submitted(spec(2))
         rules.submitted(spec(1).copy(id = "job-000002"))
         told("POST", 201, "queued")
-        rules.told(1.secs, "job-000002", "POST", 201, "queued")
+        rules.told(1.seconds, "job-000002", "POST", 201, "queued")
         rules.askedToCancel("job-000002")
         rules.ended(job, 0, "m1", done = true)
         rules.ended("job-000002", 0, "m1", done = true)
@@ -373,7 +373,7 @@
         assertEquals(listOf(job), ended)
     }
 
-    private fun gang(tasks: Int = 3) = spec(tasks).copy(shape = Shape.GANG, cpus = 1.0)
+    private fun gang(tasks: Int = 3) = spec(tasks).copy(shape = JobKind.GANG, cpus = 1.0)
 
     @Test
     fun `a gang started over the remains of its last attempt, by its task`() {
@@ -419,7 +419,7 @@
         rules.broken.clear()
         rules.submitted(gang().copy(id = "job-000002"))
         rules.ended("job-000002", 1, "m1", done = true)
-        rules.told(1.secs, "job-000002", "GET", 200, "done")
+        rules.told(1.seconds, "job-000002", "GET", 200, "done")
         assertEquals(emptyList(), rules.broken)
     }
 
--- a/src/test/kotlin/wardmux/sim/SimulatedClock.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedClock.kt
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 import wardmux.model.Micros
-import wardmux.model.millis
+import wardmux.model.milliseconds
 
 /** Simulated time: what is due is done in order, and all chance comes from one seed. */
 class SimulatedClock(seed: Long) {
@@ -91,18 +91,18 @@
     /** Again, from seconds to well over a lease later; nobody hears the answer. */
     fun copy(action: () -> Unit) {
         if (copies > 0 && clock.chance(copies)) {
-            clock.after(clock.between(200.millis, 45_000.millis), action)
+            clock.after(clock.between(200.milliseconds, 45_000.milliseconds), action)
         }
     }
 
     /** A report, from 2 s to well over a lease later; nobody hears the answer. */
     fun reportAgain(action: () -> Unit) {
         if (lateReports > 0 && clock.chance(lateReports)) {
-            clock.after(clock.between(2_000.millis, 45_000.millis), action)
+            clock.after(clock.between(2_000.milliseconds, 45_000.milliseconds), action)
         }
     }
 
-    fun delay(): Micros = clock.between(1.millis, 8.millis)
+    fun delay(): Micros = clock.between(1.milliseconds, 8.milliseconds)
 
     fun send(from: String, to: String, action: () -> Unit) {
         when {
@@ -110,7 +110,7 @@
             from in cut -> held.getOrPut(from) { ArrayList() }.add(action)
             to in cut -> held.getOrPut(to) { ArrayList() }.add(action)
             clock.chance(loss) -> Unit
-            clock.chance(late) -> clock.after(clock.between(2_000.millis, 40_000.millis), action)
+            clock.chance(late) -> clock.after(clock.between(2_000.milliseconds, 40_000.milliseconds), action)
             else -> clock.after(delay() + (slow[to] ?: Micros.ZERO), action)
         }
     }
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -2,9 +2,9 @@
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.secs
+import wardmux.model.JobKind
+import wardmux.model.PriorityClass
+import wardmux.model.seconds
 
 /** Work too small or too particular for the sums that hiring goes by still gets its machine. */
 class SmallWorkTest {
@@ -14,8 +14,8 @@
             simulation
                 .randomJob()
                 .copy(
-                    shape = Shape.BATCH,
-                    urgency = Urgency.NORMAL,
+                    shape = JobKind.ARRAY,
+                    urgency = PriorityClass.NORMAL,
                     tasks = 1,
                     cpus = 1.0,
                     zone = zone,
@@ -24,9 +24,9 @@
                     spot = spot,
                     estimateS = 3.0,
                 )
-        simulation.run(5.secs)
+        simulation.run(5.seconds)
         simulation.submit(spec)
-        simulation.run(120.secs)
+        simulation.run(120.seconds)
         assertEquals(emptyList(), simulation.problems())
         return simulation.rules.finalOf(spec.id)
     }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -5,14 +5,14 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.config.NextStateFacts
+import wardmux.config.AnnouncedStoreLimits
 import wardmux.config.OperatorSettings
+import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.Shape
-import wardmux.model.Urgency
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.PriorityClass
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /**
  * The version before and this one serve side by side while the controllers are rolled one after the
@@ -46,14 +46,14 @@
 
         init {
             simulation.toldTo = { member -> LOWER.takeIf { member in newSince } }
-            clock.every(50.millis) { watch() }
+            clock.every(50.milliseconds) { watch() }
         }
 
         val allNew: Boolean
             get() = newSince.size == simulation.nodes.size
 
         private fun watch() {
-            val token = simulation.state.stamp("leader")
+            val token = simulation.state.version("leader")
             val leader = simulation.leader()
             if (leader != null && token != lastToken) {
                 lastToken = token
@@ -96,19 +96,19 @@
                     allNew && kind < 0.3 -> gang(random)
                     // So many on one page that its record is larger than a value may be later.
                     kind < 0.5 -> wide(random)
-                    else -> random.takeIf { it.shape != Shape.GANG } ?: wide(random)
+                    else -> random.takeIf { it.shape != JobKind.GANG } ?: wide(random)
                 }
             jobs.add(job)
             simulation.submit(job)
-            if (job.shape == Shape.DAEMON || clock.chance(0.2)) {
-                clock.after(clock.between(1.secs, 60.secs)) { simulation.cancel(job.id) }
+            if (job.shape == JobKind.SERVICE || clock.chance(0.2)) {
+                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(job.id) }
             }
         }
 
         private fun gang(like: JobSpec) =
             like.copy(
                 jobClass = "gang",
-                shape = Shape.GANG,
+                shape = JobKind.GANG,
                 tasks = 2 + clock.random.nextInt(5),
                 cpus = 2.0,
                 zone = null,
@@ -121,15 +121,15 @@
 
         private fun wide(like: JobSpec) =
             like.copy(
-                shape = Shape.BATCH,
-                urgency = Urgency.PROD,
+                shape = JobKind.ARRAY,
+                urgency = PriorityClass.PROD,
                 tasks = 120,
                 cpus = 0.25,
                 memoryGb = 0.1,
                 zone = null,
                 oneZone = false,
                 spread = false,
-                estimateS = clock.between(4.secs, 25.secs).seconds,
+                estimateS = clock.between(4.seconds, 25.seconds).inSeconds,
             )
 
         private fun someNode() = simulation.nodes.random(clock.random)
@@ -137,14 +137,14 @@
         /** What meets the roll, one of each at least once over the seeds. */
         private val troubles: List<() -> Unit> =
             listOf(
-                { crash(someNode(), clock.between(200.millis, 6.secs)) },
-                { simulation.leader()?.let { crash(it, clock.between(200.millis, 3.secs)) } },
-                { for (node in simulation.nodes) crash(node, clock.between(1.secs, 4.secs)) },
-                { outage(null, clock.between(2.secs, 20.secs)) },
-                { simulation.leader()?.let { outage(it, clock.between(4.secs, 30.secs)) } },
-                { outage(someNode(), clock.between(4.secs, 30.secs)) },
-                { cutZone(clock.between(5.secs, 30.secs)) },
-                { slowState(60.millis, 20.secs) },
+                { crash(someNode(), clock.between(200.milliseconds, 6.seconds)) },
+                { simulation.leader()?.let { crash(it, clock.between(200.milliseconds, 3.seconds)) } },
+                { for (node in simulation.nodes) crash(node, clock.between(1.seconds, 4.seconds)) },
+                { outage(null, clock.between(2.seconds, 20.seconds)) },
+                { simulation.leader()?.let { outage(it, clock.between(4.seconds, 30.seconds)) } },
+                { outage(someNode(), clock.between(4.seconds, 30.seconds)) },
+                { cutZone(clock.between(5.seconds, 30.seconds)) },
+                { slowState(60.milliseconds, 20.seconds) },
                 { lead(someNode()) },
             )
 
@@ -217,15 +217,15 @@
         val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
         val at =
             when (fall) {
-                LimitsFall.BEFORE_THE_ROLL -> day.clock.between(10.secs, 20.secs)
-                LimitsFall.DURING_THE_ROLL -> day.clock.between(35.secs, 60.secs)
-                LimitsFall.AFTER_THE_ROLL -> day.clock.between(90.secs, 110.secs)
+                LimitsFall.BEFORE_THE_ROLL -> day.clock.between(10.seconds, 20.seconds)
+                LimitsFall.DURING_THE_ROLL -> day.clock.between(35.seconds, 60.seconds)
+                LimitsFall.AFTER_THE_ROLL -> day.clock.between(90.seconds, 110.seconds)
             }
         day.clock.after(at) { day.simulation.state.lower(LOWER) }
-        for (second in 2..130 step 7) day.clock.after(second.secs) { day.submit() }
-        day.lateMessages(until = 130.secs)
-        day.roll(from = 25.secs, apart = 25.secs)
-        day.troubles((seed % 3).toInt(), from = 28.secs, apart = 17.secs)
+        for (second in 2..130 step 7) day.clock.after(second.seconds) { day.submit() }
+        day.lateMessages(until = 130.seconds)
+        day.roll(from = 25.seconds, apart = 25.seconds)
+        day.troubles((seed % 3).toInt(), from = 28.seconds, apart = 17.seconds)
         day.end()
     }
 
@@ -234,15 +234,15 @@
         val day = Day(seed = 5)
         val (first, second, third) = day.simulation.nodes
         val clock = day.clock
-        for (at in 2..120 step 7) clock.after(at.secs) { day.submit() }
-        day.lateMessages(until = 120.secs)
-        clock.after(15.secs) { day.renew(second) }
-        clock.after(25.secs) { day.lead(second) }
-        clock.after(32.secs) { day.simulation.state.lower(LOWER) }
-        clock.after(50.secs) { day.lead(first) }
-        clock.after(75.secs) { day.lead(second) }
-        clock.after(95.secs) { day.renew(first) }
-        clock.after(100.secs) { day.renew(third) }
+        for (at in 2..120 step 7) clock.after(at.seconds) { day.submit() }
+        day.lateMessages(until = 120.seconds)
+        clock.after(15.seconds) { day.renew(second) }
+        clock.after(25.seconds) { day.lead(second) }
+        clock.after(32.seconds) { day.simulation.state.lower(LOWER) }
+        clock.after(50.seconds) { day.lead(first) }
+        clock.after(75.seconds) { day.lead(second) }
+        clock.after(95.seconds) { day.renew(first) }
+        clock.after(100.seconds) { day.renew(third) }
         day.end()
         val turns = day.leaders.filterIndexed { i, new -> i == 0 || day.leaders[i - 1] != new }
         assertEquals(listOf(false, true, false, true), turns)
@@ -250,18 +250,18 @@
     }
 
     companion object {
-        private val LOWER = NextStateFacts(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
-        private val RESTART = 3.secs
+        private val LOWER = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
+        private val RESTART = 3.seconds
 
         /** Longer than the leader's lease and an election. */
-        private val HAND_OVER = 12.secs
+        private val HAND_OVER = 12.seconds
 
         /** Messages come up to 45 s late, and transactions are carried out up to 12 s later. */
-        private val LAST_MESSAGES = 60.secs
+        private val LAST_MESSAGES = 60.seconds
 
         /** Troubles and late messages are over. */
-        private val CALM = 200.secs
-        private val END = 330.secs
+        private val CALM = 200.seconds
+        private val END = 330.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.upgrade=100-500"`. */
         @JvmStatic
--- a/src/test/kotlin/wardmux/store/StateStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
@@ -3,21 +3,21 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
-import wardmux.config.StateFacts
+import wardmux.config.StoreLimits
 import wardmux.core.CoreContext
 import wardmux.core.Effect
-import wardmux.model.millis
-import wardmux.model.secs
+import wardmux.model.milliseconds
+import wardmux.model.seconds
 
 /** What becomes of requests when there are more than the state service takes. */
-class StateStoreTest {
+class KeyValueStoreTest {
     private val context = CoreContext()
-    private val store = StateStore(context, StateFacts(7.0, 7.0, 8.0, 8), nodes = 7)
+    private val store = KeyValueStore(context, StoreLimits(7.0, 7.0, 8.0, 8), nodes = 7)
     private val sent = ArrayList<String>()
 
-    private fun pass(seconds: Int, ask: () -> Unit = {}) =
-        repeat(seconds * 10) {
-            context.at(context.now + 100.millis, context.wall)
+    private fun pass(inSeconds: Int, ask: () -> Unit = {}) =
+        repeat(inSeconds * 10) {
+            context.at(context.now + 100.milliseconds, context.wall)
             ask()
             store.sendDue()
             for (effect in context.take()) if (effect is Effect.Send) sent.add(effect.path)
@@ -25,20 +25,20 @@
 
     @Test
     fun `behind many questions a follower still learns who leads`() {
-        context.at(1.secs, 1.secs)
+        context.at(1.seconds, 1.seconds)
         pass(5) { repeat(5) { store.get("j/job-000001") {} } }
-        store.watch("leader", 1, 8.secs, Priority.LEASE) {}
+        store.watch("leader", 1, 8.seconds, RequestPriority.LEASE) {}
         pass(1) { repeat(5) { store.get("j/job-000001") {} } }
         assertTrue(sent.any { it.startsWith("/watch?under=leader") }, "the watch was never sent")
     }
 
     @Test
     fun `what its turn never comes for is refused in time, not left unanswered`() {
-        context.at(1.secs, 1.secs)
+        context.at(1.seconds, 1.seconds)
         var refused = 0
         pass(4) {
-            repeat(5) { store.get("j/job-000001", Priority.LEADER) {} }
-            store.get("j/job-000002", Priority.READ) { if (it is Result.Refused) refused++ }
+            repeat(5) { store.get("j/job-000001", RequestPriority.LEADER) {} }
+            store.get("j/job-000002", RequestPriority.READ) { if (it is StoreResult.Refused) refused++ }
         }
         // All but those of the last 1.2 s.
         assertTrue(refused >= 25, "$refused of 40 were refused")
--- a/src/test/kotlin/wardmux/worker/ReportReaderTest.kt
+++ b/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
@@ -8,8 +8,8 @@
 import kotlin.test.assertSame
 
 /** With thousands of machines most reports say nothing new, and must cost next to nothing. */
-class ReportReaderTest {
-    private val reader = ReportReader()
+class WorkerHeartbeatReaderTest {
+    private val reader = WorkerHeartbeatReader()
 
     private fun body(machine: Int, tick: Long, token: Long = 7, tasks: String = "") =
         """{"box":"i-%06d","endpoint":"10.1.0.9:9","boxkind":"mid","ward":"a","shift":1,"""
@@ -33,13 +33,13 @@
                     changes++
                 }
                 val text = body(machine, round * 8 + random.nextInt(8), tasks = tasks[machine])
-                assertEquals(ReportReader().reader(text), read(text))
+                assertEquals(WorkerHeartbeatReader().reader(text), read(text))
             }
         }
         assertEquals(machines + changes, reader.parsed)
     }
 
-    private fun ReportReader.reader(text: String) = read(text.encodeToByteArray())
+    private fun WorkerHeartbeatReader.reader(text: String) = read(text.encodeToByteArray())
 
     @Test
     fun `any other difference counts, and what is no report is none`() {
