--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -64,7 +64,14 @@
     private val peerHeartbeats = PeerHeartbeats(context, platform.member, peerNames, cancellations)
     private val reader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
     private val intake =
-        Intake(context, store, types, platform.deployment.teams, cancellations::confirmed, ::progressOf)
+        Intake(
+            context,
+            store,
+            types,
+            platform.deployment.teams,
+            cancellations::confirmed,
+            ::progressOf,
+        )
     private var term: LeaderTerm? = null
     private val leadership =
         LeaderElection(
@@ -134,8 +141,8 @@
         context.at(now, wall)
         when (input) {
             is Input.Tick -> tick()
-            is Input.Call -> call(input)
-            is Input.Reply -> context.settle(input)
+            is Input.Request -> call(input)
+            is Input.Response -> context.settle(input)
             is Input.Solved -> context.settle(input)
         }
         store.sendDue()
@@ -155,10 +162,12 @@
         renewalCounters.tick()
         val role = leadership.role as? Role.Leader
         val wantsRelays = term?.wantsRelays == true
-        peerHeartbeats.tick(role?.token, wantsRelays, store.answeredAt) { term?.progress().orEmpty() }
+        peerHeartbeats.tick(role?.token, wantsRelays, store.answeredAt) {
+            term?.progress().orEmpty()
+        }
     }
 
-    private fun call(call: Input.Call) {
+    private fun call(call: Input.Request) {
         val path = call.path.substringBefore('?')
         if (call.port == Port.PEER) return peerCall(call, path)
         if (call.port == Port.OPERATOR) return operatorCall(call)
@@ -177,13 +186,13 @@
         }
     }
 
-    private fun only(method: String, call: Input.Call, handle: () -> Unit) {
+    private fun only(method: String, call: Input.Request, handle: () -> Unit) {
         if (call.method == method) handle()
         else context.answer(call.id, HttpStatus.METHOD_NOT_ALLOWED, """{"error":"use $method"}""")
     }
 
     /** An id that is not of the given form was never accepted. */
-    private fun known(call: Input.Call, text: String, handle: (JobId) -> Unit) {
+    private fun known(call: Input.Request, text: String, handle: (JobId) -> Unit) {
         val id =
             try {
                 URLDecoder.decode(text, Charsets.UTF_8)
@@ -201,12 +210,14 @@
     private fun ready(call: Long) {
         val troubled = store.troubledSince
         val alone =
-            troubled != null && context.now - troubled > ALONE_AFTER && peerHeartbeats.othersFareBetter()
+            troubled != null &&
+                context.now - troubled > ALONE_AFTER &&
+                peerHeartbeats.othersFareBetter()
         if (types.types != null && !alone) context.answer(call, HttpStatus.OK, """{"ready":true}""")
         else context.answer(call, HttpStatus.SERVICE_UNAVAILABLE, """{"ready":false}""", 1)
     }
 
-    private fun handleHeartbeat(call: Input.Call) {
+    private fun handleHeartbeat(call: Input.Request) {
         val report =
             reader.read(call.body)
                 ?: return context.answer(
@@ -226,12 +237,12 @@
         context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, Redirect(leader).encode())
     }
 
-    private fun operatorCall(call: Input.Call) {
+    private fun operatorCall(call: Input.Request) {
         val api = drainApi ?: return context.answer(call.id, HttpStatus.NOT_FOUND)
         api.call(call)
     }
 
-    private fun peerCall(call: Input.Call, path: String) {
+    private fun peerCall(call: Input.Request, path: String) {
         when {
             path == PeerHeartbeats.PATH -> heartbeat(call)
             path == ForwardingCodec.PATH -> batch(call)
@@ -240,7 +251,7 @@
         }
     }
 
-    private fun heartbeat(call: Input.Call) {
+    private fun heartbeat(call: Input.Request) {
         val heartbeat = PeerHeartbeatCodec.decode(call.body)
         if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
@@ -249,7 +260,7 @@
         context.answerBytes(call.id, HttpStatus.OK, PeerHeartbeatCodec.encode(told))
     }
 
-    private fun batch(call: Input.Call) {
+    private fun batch(call: Input.Request) {
         val batch = ForwardingCodec.batch(call.body)
         if (batch == null || !peerHeartbeats.knows(batch.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -28,7 +28,7 @@
     private val sockets = platform.deployment.limits.sockets
     private val server =
         HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) {
-            feed(Input.Call(it.id, it.port, it.method, it.path, it.body))
+            feed(Input.Request(it.id, it.port, it.method, it.path, it.body))
         }
     private val solver = PlanWorker()
     private val clients = HashMap<Target, HttpClient>()
@@ -43,7 +43,7 @@
             val address = requireNotNull(SettingsFiles.address(text))
             clients[target] = HttpClient(group, address, connections, MAX_RESPONSE_BYTES)
         }
-        client(Target.State, platform.services.state, STATE_CONNECTIONS)
+        client(Target.KeyValueStore, platform.services.state, STATE_CONNECTIONS)
         client(Target.Cloud, platform.services.cloud, CLOUD_CONNECTIONS)
         for (peer in platform.peers) {
             client(Target.Peer(peer.member), peer.address, SIBLING_CONNECTIONS)
@@ -125,16 +125,16 @@
                 solver.solve(effect.problem, effect.limit) { plan ->
                     group.next().execute { feed(Input.Solved(effect.id, plan)) }
                 }
-            is Effect.Answer ->
+            is Effect.Respond ->
                 server.answer(effect.id, effect.status, effect.body, effect.retryAfterS)
-            is Effect.Send ->
+            is Effect.SendRequest ->
                 clientFor(effect.target).send(
                     effect.method,
                     effect.path,
                     effect.body,
                     effect.timeout,
                 ) { outcome ->
-                    feed(Input.Reply(effect.id, outcome))
+                    feed(Input.Response(effect.id, outcome))
                 }
         }
     }
--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -60,7 +60,9 @@
         val platform = SettingsFiles.platform(config)
         val operators = SettingsFiles.operators(settings)
         val teams = platform.deployment.teams.mapTo(HashSet()) { it.name }
-        operators.drain?.unknownTeam(teams)?.let { throw InvalidSettingsException("${settings?.name}: $it") }
+        operators.drain?.unknownTeam(teams)?.let {
+            throw InvalidSettingsException("${settings?.name}: $it")
+        }
         return platform to operators
     }
 }
--- a/src/main/kotlin/wardmux/cloud/CloudClient.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudClient.kt
@@ -122,7 +122,7 @@
     }
 
     private fun <T> interpret(outcome: Outcome, read: (String) -> T): CloudResult<T> {
-        if (outcome is Outcome.Unsent) return CloudResult.Refused(noCapacity = false)
+        if (outcome is Outcome.NotSent) return CloudResult.Refused(noCapacity = false)
         if (outcome !is Outcome.Response) return CloudResult.Indeterminate
         return when (outcome.status) {
             200 ->
--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -63,7 +63,8 @@
         val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.decommissioned }
         // Operators' drains move tasks within budgets, which this must not use up.
         if (isScalingIn.isEmpty() || cluster.hasDrains) return
-        val moving = cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
+        val moving =
+            cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
         var left = MOST_MOVING - moving
         val targets = cluster.machines.values.filter { eligibility.usable(it) }
         val promised = HashMap<Machine, Double>()
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -38,7 +38,8 @@
 
     private fun readStored() {
         store.get(MachineTypeList.KEY) { result ->
-            val stored = if (result is StoreResult.Ok) MachineTypeList.decode(result.value.data) else null
+            val stored =
+                if (result is StoreResult.Ok) MachineTypeList.decode(result.value.data) else null
             if (stored != null) {
                 types = stored
                 again(REFRESH)
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -100,7 +100,8 @@
             "running" -> Unit
             else -> {
                 val patience = machine.type.bootS * BOOT_PATIENCE
-                if (!machine.isUp && entry.heldS > patience) decommission(machine, "does not come up")
+                if (!machine.isUp && entry.heldS > patience)
+                    decommission(machine, "does not come up")
             }
         }
         return known == null
--- a/src/main/kotlin/wardmux/config/DrainSettings.kt
+++ b/src/main/kotlin/wardmux/config/DrainSettings.kt
@@ -1,7 +1,5 @@
 package wardmux.config
 
-import java.time.DateTimeException
-import java.time.ZoneId
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import wardmux.maintenance.MaintenanceWindows
--- a/src/main/kotlin/wardmux/config/PlatformConfig.kt
+++ b/src/main/kotlin/wardmux/config/PlatformConfig.kt
@@ -154,7 +154,9 @@
     /** Below this there are no sockets left for users. */
     private const val LEAST_FD_LIMIT = 32
 
-    /** The settings of the platform in [file]; throws [InvalidSettingsException] if they are wrong. */
+    /**
+     * The settings of the platform in [file]; throws [InvalidSettingsException] if they are wrong.
+     */
     fun platform(file: File): PlatformConfig {
         val settings =
             parse(file) { text ->
@@ -232,7 +234,11 @@
         positive(s.deployment.state.rps, "facts.state.rps")
         positive(s.deployment.state.writeRps, "facts.state.write_rps")
         positive(s.deployment.state.valueKb, "facts.state.value_kb")
-        need(s.deployment.state.txnOps >= LEAST_TXN_OPS, "facts.state.txn_ops", "must be at least 4")
+        need(
+            s.deployment.state.txnOps >= LEAST_TXN_OPS,
+            "facts.state.txn_ops",
+            "must be at least 4",
+        )
         s.deployment.state.next?.let { next ->
             next.rps?.let { positive(it, "facts.state.next.rps") }
             next.writeRps?.let { positive(it, "facts.state.next.write_rps") }
@@ -242,6 +248,10 @@
             }
         }
         positive(s.deployment.cloud.rps, "facts.cloud.rps")
-        need(s.deployment.limits.fdLimit > LEAST_FD_LIMIT, "facts.limits.fd_limit", "must be above 32")
+        need(
+            s.deployment.limits.fdLimit > LEAST_FD_LIMIT,
+            "facts.limits.fd_limit",
+            "must be above 32",
+        )
     }
 }
--- a/src/main/kotlin/wardmux/core/Core.kt
+++ b/src/main/kotlin/wardmux/core/Core.kt
@@ -1,21 +1,19 @@
 package wardmux.core
 
 import org.agrona.collections.Long2ObjectHashMap
-import org.slf4j.Logger
-import org.slf4j.LoggerFactory
 import wardmux.drain.DrainPlan
 import wardmux.drain.DrainProblem
 import wardmux.model.Micros
 
 /** Who a request goes to. */
 sealed interface Target {
-    /** The state service. */
-    data object State : Target
+    /** The consensus-backed key-value store. */
+    data object KeyValueStore : Target
 
     /** The service that rents out machines. */
     data object Cloud : Target
 
-    /** Another controller of this site or another, by its member name. */
+    /** Another controller, by its member name. */
     data class Peer(val member: String) : Target
 
     /** A machine's worker, by its address. */
@@ -36,8 +34,8 @@
     /** Time has passed; sent several times a second. */
     data object Tick : Input
 
-    /** A request from a user, a worker or another controller; answered with [Effect.Answer]. */
-    class Call(
+    /** A request from a user, a worker or another controller; answered with [Effect.Respond]. */
+    class Request(
         val id: Long,
         val port: Port,
         val method: String,
@@ -45,8 +43,8 @@
         val body: ByteArray,
     ) : Input
 
-    /** The outcome of the [Effect.Send] with the same [id]. */
-    class Reply(val id: Long, val outcome: Outcome) : Input
+    /** The outcome of the [Effect.SendRequest] with the same [id]. */
+    class Response(val id: Long, val outcome: Outcome) : Input
 
     /** The plan for the [Effect.Solve] with the same [id], or null if none was found in time. */
     class Solved(val id: Long, val plan: DrainPlan?) : Input
@@ -61,20 +59,26 @@
     }
 
     /** It never left this controller: no connection came about. */
-    data object Unsent : Outcome
+    data object NotSent : Outcome
 
     /** No response: it may have happened, or may still happen. */
-    data object Unknown : Outcome
+    data object NoResponse : Outcome
 }
 
 /** What the core wants done. */
 sealed interface Effect {
-    /** The answer to the [Input.Call] with the same [id]. */
-    class Answer(val id: Long, val status: Int, val body: ByteArray, val retryAfterS: Int? = null) :
-        Effect
+    /** The answer to the [Input.Request] with the same [id]. */
+    class Respond(
+        val id: Long,
+        val status: Int,
+        val body: ByteArray,
+        val retryAfterS: Int? = null,
+    ) : Effect
 
-    /** A request to another service; its outcome comes back as an [Input.Reply] with this [id]. */
-    class Send(
+    /**
+     * A request to another service; its outcome comes back as an [Input.Response] with this [id].
+     */
+    class SendRequest(
         val id: Long,
         val target: Target,
         val method: String,
@@ -121,11 +125,11 @@
     ) {
         val id = ++lastRequest
         waiting[id] = then
-        effects.add(Effect.Send(id, target, method, path, body, timeout))
+        effects.add(Effect.SendRequest(id, target, method, path, body, timeout))
     }
 
     /** Hands the outcome of a request to whoever sent it; a second reply to it is ignored. */
-    fun settle(reply: Input.Reply) {
+    fun settle(reply: Input.Response) {
         waiting.remove(reply.id)?.invoke(reply.outcome)
     }
 
@@ -143,12 +147,12 @@
 
     /** Answers the call [id] with text. */
     fun answer(id: Long, status: Int, body: String = "", retryAfterS: Int? = null) {
-        effects.add(Effect.Answer(id, status, body.encodeToByteArray(), retryAfterS))
+        effects.add(Effect.Respond(id, status, body.encodeToByteArray(), retryAfterS))
     }
 
     /** Answers the call [id] with bytes that are already encoded. */
     fun answerBytes(id: Long, status: Int, body: ByteArray) {
-        effects.add(Effect.Answer(id, status, body))
+        effects.add(Effect.Respond(id, status, body))
     }
 
     /** The effects since the last time, in their order; each is returned once. */
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -70,7 +70,7 @@
     private val leader: () -> String?,
 ) {
     /** A call on the operators' listener. */
-    fun call(call: Input.Call) {
+    fun call(call: Input.Request) {
         val path = call.path.substringBefore('?')
         if (path != PATH && !path.startsWith("$PATH/"))
             return answer(call.id, OperatorAnswers.noSuchPath())
@@ -82,7 +82,7 @@
     }
 
     /** A request that another controller passes on. */
-    fun forwarded(call: Input.Call) {
+    fun forwarded(call: Input.Request) {
         val request =
             CborFormat.decode(ForwardedRequest.serializer(), call.body)
                 ?: return context.answer(call.id, HttpStatus.BAD_REQUEST)
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -130,7 +130,8 @@
         writing[id] = stored.record
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, stored.version))
-        store.multi(conditions, listOf(WriteOperation(remove = key)), RequestPriority.LEADER) { result ->
+        store.multi(conditions, listOf(WriteOperation(remove = key)), RequestPriority.LEADER) {
+            result ->
             if (mine != generation) return@multi
             writing.remove(id)
             if (outcome(result) == DrainWrite.WRITTEN) drains.remove(id)
--- a/src/main/kotlin/wardmux/drain/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/drain/OperatorClient.kt
@@ -36,7 +36,7 @@
         var next = 0
         while (System.nanoTime() < deadline) {
             val outcome = askOnce(clients[next++ % clients.size], method, path, body)
-            if (outcome is Outcome.Unknown) mayHaveHappened = true
+            if (outcome is Outcome.NoResponse) mayHaveHappened = true
             if (outcome is Outcome.Response && outcome.status != HttpStatus.SERVICE_UNAVAILABLE)
                 return OperatorReply.Answered(outcome.status, outcome.text)
             Thread.sleep(PAUSE_MILLIS)
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -173,7 +173,8 @@
 
     /** Decides which tasks are stopped next, and has that recorded first. */
     private fun stopMore(record: DrainRecord, step: DrainStep, open: List<Machine>): Decision {
-        val graceOver = context.wall.value - step.emptyingSince >= record.request.graceS.seconds.value
+        val graceOver =
+            context.wall.value - step.emptyingSince >= record.request.graceS.seconds.value
         val candidates =
             open
                 .filter { it.confirmed }
@@ -274,7 +275,10 @@
             context.now - machine.idleSince > ENDS_RECORDED
 
     private fun isStoppable(placement: Placement) =
-        placement.committed && placement.status != null && !placement.isStopping && !placement.job.hasEnded
+        placement.committed &&
+            placement.status != null &&
+            !placement.isStopping &&
+            !placement.job.hasEnded
 
     private fun remaining(placement: Placement): Micros {
         val whole = cluster.estimates.runTime(placement.job.spec)
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -133,7 +133,11 @@
         }
     }
 
-    private fun found(data: kotlinx.serialization.json.JsonElement, version: KeyVersion, lease: Long?) {
+    private fun found(
+        data: kotlinx.serialization.json.JsonElement,
+        version: KeyVersion,
+        lease: Long?,
+    ) {
         val record =
             try {
                 lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), data)
@@ -176,9 +180,11 @@
                     data = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record),
                     permit = lease,
                 )
-            store.multi(listOf(VersionCondition(KEY, 0)), listOf(change), RequestPriority.LEASE) { written ->
+            store.multi(listOf(VersionCondition(KEY, 0)), listOf(change), RequestPriority.LEASE) {
+                written ->
                 when (written) {
-                    is StoreResult.Ok -> take(Role.Leader(FencingToken(written.value), lease), askedAt)
+                    is StoreResult.Ok ->
+                        take(Role.Leader(FencingToken(written.value), lease), askedAt)
                     is StoreResult.Conflict -> {
                         store.end(lease) {}
                         lookAgain(Micros.ZERO)
--- a/src/main/kotlin/wardmux/fleet/Fleet.kt
+++ b/src/main/kotlin/wardmux/fleet/Fleet.kt
@@ -158,7 +158,12 @@
     }
 
     /** False if it shows nothing: late, a copy, or overtaken by a direct order's answer. */
-    private fun takeIn(machine: Machine, report: WorkerHeartbeat, relay: String?, lastHeartbeatAt: Micros): Boolean {
+    private fun takeIn(
+        machine: Machine,
+        report: WorkerHeartbeat,
+        relay: String?,
+        lastHeartbeatAt: Micros,
+    ): Boolean {
         if (!isNewer(machine, report)) return false
         note(machine, report, lastHeartbeatAt)
         machine.forwardedBy = relay
@@ -191,7 +196,8 @@
         if (report.incarnation > machine.incarnation) {
             // A new session begins with nothing on the machine; its images stay.
             for (placement in machine.placements.values.toList()) {
-                if (placement.incarnation < report.incarnation) cluster.release(placement, "session over")
+                if (placement.incarnation < report.incarnation)
+                    cluster.release(placement, "session over")
             }
             // Direct orders name the session, so those of an earlier one are refused.
             machine.unconfirmedStarts.clear()
@@ -281,7 +287,11 @@
         failures.runs(machine, placement)
         val spec = placement.job.spec
         if (status != TaskStatus.FETCHING) machine.imageReady(spec.image, spec.imageGb, context.now)
-        if (machine.preemptionNoticeAt != null && !placement.isStopping && placement.job.spec.savable) {
+        if (
+            machine.preemptionNoticeAt != null &&
+                !placement.isStopping &&
+                placement.job.spec.savable
+        ) {
             stopper.stop(placement, "its machine is taken back")
         }
     }
@@ -329,7 +339,11 @@
         cluster.changed()
     }
 
-    private fun orders(machine: Machine, report: WorkerHeartbeat, starts: Boolean): List<WorkerCommand> {
+    private fun orders(
+        machine: Machine,
+        report: WorkerHeartbeat,
+        starts: Boolean,
+    ): List<WorkerCommand> {
         val orders = ArrayList<WorkerCommand>()
         if (!knowledge.isLoaded) return orders
         for (reported in report.tasks) {
@@ -462,29 +476,32 @@
         directOpen++
         val incarnation = machine.incarnation
         val body = DirectCommands(token.value, incarnation, orders)
-        val bytes = lenientJson.encodeToString(DirectCommands.serializer(), body).encodeToByteArray()
+        val bytes =
+            lenientJson.encodeToString(DirectCommands.serializer(), body).encodeToByteArray()
         val target = Target.Worker(machine.endpoint)
         context.send(target, "POST", "/do", bytes, DIRECT_TIME) { outcome ->
             machine.isCommandInFlight = false
             directOpen--
             if (outcome is Outcome.Response) unreached.clear()
             else unreached.putIfAbsent(machine, context.now)
-            if (starts.any { it.stopSent } || !machine.isEmpty) cluster.machinesWithCommands.add(machine)
+            if (starts.any { it.stopSent } || !machine.isEmpty)
+                cluster.machinesWithCommands.add(machine)
             when (outcome) {
                 is Outcome.Response -> {
                     if (outcome.status != 200) for (placement in starts) placement.startSent = false
                     settled(machine, incarnation, starts)
                     if (outcome.status == 200 || outcome.status == 409) takeDirect(machine, outcome)
                 }
-                is Outcome.Unsent -> {
+                is Outcome.NotSent -> {
                     machine.connectionFailedAt = context.now
                     for (placement in starts) placement.startSent = false
                     settled(machine, incarnation, starts)
                 }
-                is Outcome.Unknown ->
+                is Outcome.NoResponse ->
                     if (machine.incarnation == incarnation && starts.isNotEmpty()) {
                         log.info("{} starts went unanswered by {}", starts.size, machine.id)
-                        if (machine.startUnansweredSince == null) machine.startUnansweredSince = context.now
+                        if (machine.startUnansweredSince == null)
+                            machine.startUnansweredSince = context.now
                     }
             }
         }
@@ -519,7 +536,8 @@
     /** A completed task is recorded before the only other place that knows of it forgets. */
     private fun mayForget(machine: Machine, reported: ReportedTask): Boolean {
         if (reported.taskAttempt in machine.unconfirmedStarts) return false
-        if (reported.cause != "done") return machine.mayForget(reported.taskAttempt, context.now, keepEnded)
+        if (reported.cause != "done")
+            return machine.mayForget(reported.taskAttempt, context.now, keepEnded)
         val task = TaskId.parse(reported.task) ?: return true
         val job = cluster.jobs[task.job] ?: return true
         return job.hasEnded || job.isRecorded(task.index)
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -73,7 +73,8 @@
             silence > lostAfter -> suspects.silent.add(machine)
             silence > unreachableAfter && machine.probeFailed -> suspects.unreachable.add(machine)
             // Nothing new goes there, so that what went unanswered can do no harm.
-            machine.hasUnansweredStart && machine.isEmpty -> decommission(machine, "orders unanswered")
+            machine.hasUnansweredStart && machine.isEmpty ->
+                decommission(machine, "orders unanswered")
             isDeaf(machine) -> suspects.deaf.add(machine)
         }
     }
@@ -135,7 +136,8 @@
         val patience = maxOf((workers.reportS * UNSHOWN_REPORTS).seconds, UNSHOWN_LEAST)
         return machine.placements.values.any {
             if (it.status != null) return@any false
-            val startedAt = it.startedAt ?: machine.startUnansweredSince.takeIf { _ -> isLoose(machine, it) }
+            val startedAt =
+                it.startedAt ?: machine.startUnansweredSince.takeIf { _ -> isLoose(machine, it) }
             startedAt != null && lastHeartbeatAt - startedAt > patience
         }
     }
--- a/src/main/kotlin/wardmux/forwarding/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -43,7 +43,11 @@
     fun send(leader: String, batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) =
         if (isThroughStore) sendThroughStore(batch, then) else sendDirectly(leader, batch, then)
 
-    private fun sendDirectly(leader: String, batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) {
+    private fun sendDirectly(
+        leader: String,
+        batch: HeartbeatBatch,
+        then: (HeartbeatBatchResponse?) -> Unit,
+    ) {
         val bytes = ForwardingCodec.encode(batch)
         val target = Target.Peer(leader)
         context.send(target, "POST", ForwardingCodec.PATH, bytes, TIMEOUT) { outcome ->
@@ -53,7 +57,9 @@
                 throughStoreUntil = context.now + STORE_TIME
             }
             then(
-                response?.takeIf { it.status == HttpStatus.OK }?.let { ForwardingCodec.answer(it.body) }
+                response
+                    ?.takeIf { it.status == HttpStatus.OK }
+                    ?.let { ForwardingCodec.answer(it.body) }
             )
         }
     }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -117,7 +117,12 @@
         }
     }
 
-    private fun hearSigns(relayer: Relayer, batch: HeartbeatBatch, sentAt: Micros, answers: MachineAnswers) {
+    private fun hearSigns(
+        relayer: Relayer,
+        batch: HeartbeatBatch,
+        sentAt: Micros,
+        answers: MachineAnswers,
+    ) {
         for (i in 0 until batch.signs.size - 1 step 2) {
             val report = relayer.reports[batch.signs[i]]
             if (report == null) answers.unknown.add(batch.signs[i])
@@ -125,7 +130,11 @@
         }
     }
 
-    private fun answer(relayer: Relayer, batch: HeartbeatBatch, answers: MachineAnswers): HeartbeatBatchResponse {
+    private fun answer(
+        relayer: Relayer,
+        batch: HeartbeatBatch,
+        answers: MachineAnswers,
+    ): HeartbeatBatchResponse {
         val shed = relayer.shed
         relayer.shed = 0
         val mustHalt = knowledge.tasksToHalt()
@@ -161,7 +170,12 @@
         return Relayer(batch.member, batch.boot).also { relayers.add(it) }
     }
 
-    private fun hear(relayer: Relayer, report: WorkerHeartbeat, sentAt: Micros, answers: MachineAnswers) {
+    private fun hear(
+        relayer: Relayer,
+        report: WorkerHeartbeat,
+        sentAt: Micros,
+        answers: MachineAnswers,
+    ) {
         val orders = fleet.relayed(report, relayer.member, sentAt)
         if (orders == null) {
             answers.refuse.add(report.machine)
--- a/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
@@ -107,23 +107,28 @@
 }
 
 /** What the leader answers by way of the state service. */
-@Serializable class StoredAnswers(@SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>)
+@Serializable
+class StoredAnswers(@SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>)
 
 /** Batches and their answers as bytes, and packed as the state service keeps them. */
 object ForwardingCodec {
     const val PATH = "/relay"
 
     /** A batch as it is sent directly. */
-    fun encode(batch: HeartbeatBatch): ByteArray = CborFormat.encode(HeartbeatBatch.serializer(), batch)
+    fun encode(batch: HeartbeatBatch): ByteArray =
+        CborFormat.encode(HeartbeatBatch.serializer(), batch)
 
     /** An answer as it is sent directly. */
-    fun encode(answer: HeartbeatBatchResponse): ByteArray = CborFormat.encode(HeartbeatBatchResponse.serializer(), answer)
+    fun encode(answer: HeartbeatBatchResponse): ByteArray =
+        CborFormat.encode(HeartbeatBatchResponse.serializer(), answer)
 
     /** The batch in [bytes], or null if they hold none. */
-    fun batch(bytes: ByteArray): HeartbeatBatch? = CborFormat.decode(HeartbeatBatch.serializer(), bytes)
+    fun batch(bytes: ByteArray): HeartbeatBatch? =
+        CborFormat.decode(HeartbeatBatch.serializer(), bytes)
 
     /** The answer in [bytes], or null if they hold none. */
-    fun answer(bytes: ByteArray): HeartbeatBatchResponse? = CborFormat.decode(HeartbeatBatchResponse.serializer(), bytes)
+    fun answer(bytes: ByteArray): HeartbeatBatchResponse? =
+        CborFormat.decode(HeartbeatBatchResponse.serializer(), bytes)
 
     /** As the state service keeps it. */
     fun pack(batch: HeartbeatBatch): String = packed(encode(batch))
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -222,11 +222,17 @@
         val number = ++batches
         val reports = content.reports
         val signs = content.signs
-        val batch = HeartbeatBatch(member, boot, number, current.value, known, since, reports, signs)
+        val batch =
+            HeartbeatBatch(member, boot, number, current.value, known, since, reports, signs)
         send(name, current, batch, content)
     }
 
-    private fun send(name: String, current: FencingToken, batch: HeartbeatBatch, content: BatchContent) {
+    private fun send(
+        name: String,
+        current: FencingToken,
+        batch: HeartbeatBatch,
+        content: BatchContent,
+    ) {
         busy = true
         sentAt = context.now
         val askedAt = context.now
@@ -257,7 +263,8 @@
         for (job in answer.cancelledJobs) {
             if (JobId(job) !in cancellations) cancellations.learnStored(JobId(job))
         }
-        val granting = GrantedCancellationView(FencingToken(answer.token), answer, grantedUntil, cancellations)
+        val granting =
+            GrantedCancellationView(FencingToken(answer.token), answer, grantedUntil, cancellations)
         knowledge = granting
         for (machine in answer.refuse) {
             // One that only may not be renewed is heard on: its reports may prove that it may be.
--- a/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
+++ b/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
@@ -168,7 +168,10 @@
     /** Forgets machines last heard before [old]; not one of which there is more to tell. */
     fun removeSilent(old: Micros) {
         machines.entries.removeIf { (name, machine) ->
-            val gone = machine.lastHeartbeatAt < old && name !in whole && !signs.containsKey(machine.number)
+            val gone =
+                machine.lastHeartbeatAt < old &&
+                    name !in whole &&
+                    !signs.containsKey(machine.number)
             if (gone) byNumber.remove(machine.number)
             gone
         }
--- a/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
@@ -39,7 +39,12 @@
         }
     }
 
-    private fun await(batch: HeartbeatBatch, from: Long, until: Micros, then: (HeartbeatBatchResponse?) -> Unit) {
+    private fun await(
+        batch: HeartbeatBatch,
+        from: Long,
+        until: Micros,
+        then: (HeartbeatBatchResponse?) -> Unit,
+    ) {
         if (context.now >= until) return then(null)
         store.watch(ANSWERS, from, until - context.now, RequestPriority.LEASE) { result ->
             if (result !is StoreResult.Ok) return@watch then(null)
@@ -98,7 +103,8 @@
 
     private fun watch() {
         watchAt = null
-        store.watch(StoredBatchClient.BATCHES, watchFrom, WATCH_TIME, RequestPriority.LEASE) { result ->
+        store.watch(StoredBatchClient.BATCHES, watchFrom, WATCH_TIME, RequestPriority.LEASE) {
+            result ->
             if (ended) return@watch
             when (result) {
                 is StoreResult.Ok -> {
@@ -143,7 +149,9 @@
         writing = true
         writeAt = context.now + WRITE_PERIOD
         val change = WriteOperation(put = StoredBatchClient.ANSWERS, data = JsonPrimitive(packed))
-        store.multi(listOf(role.condition), listOf(change), RequestPriority.LEASE) { writing = false }
+        store.multi(listOf(role.condition), listOf(change), RequestPriority.LEASE) {
+            writing = false
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -97,7 +97,7 @@
     private fun expire(pending: PendingRequest) {
         val channel = pending.channel
         channel?.close()
-        pending.complete(if (channel == null) Outcome.Unsent else Outcome.Unknown)
+        pending.complete(if (channel == null) Outcome.NotSent else Outcome.NoResponse)
     }
 
     private fun startQueued() {
@@ -125,7 +125,7 @@
                     when {
                         !future.isSuccess -> {
                             connections--
-                            pending.complete(Outcome.Unsent)
+                            pending.complete(Outcome.NotSent)
                             startQueued()
                         }
                         pending.isCompleted -> if (keep) release(channel) else channel.close()
@@ -183,7 +183,7 @@
             idle.remove(context.channel())
             val completed = pending
             pending = null
-            completed?.complete(Outcome.Unknown)
+            completed?.complete(Outcome.NoResponse)
             startQueued()
         }
 
--- a/src/main/kotlin/wardmux/jobs/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -229,8 +229,8 @@
                     answerState(call, 200, id, JobState.CANCELLED)
                 }
                 // Changed meanwhile, or perhaps written: the record tells.
-                (result is StoreResult.Conflict || result is StoreResult.Indeterminate) && tries > 0 ->
-                    abort(call, id, tries - 1)
+                (result is StoreResult.Conflict || result is StoreResult.Indeterminate) &&
+                    tries > 0 -> abort(call, id, tries - 1)
                 else -> later(call)
             }
         }
--- a/src/main/kotlin/wardmux/jobs/Polls.kt
+++ b/src/main/kotlin/wardmux/jobs/Polls.kt
@@ -156,7 +156,8 @@
         scanning = true
         val asked = LinkedHashMap(waiting)
         waiting.clear()
-        store.scan(JobRecord.OPEN_PREFIX, IgnoredValue.serializer(), RequestPriority.READ) { found ->
+        store.scan(JobRecord.OPEN_PREFIX, IgnoredValue.serializer(), RequestPriority.READ) { found
+            ->
             scanning = false
             val listed = HashSet<JobId>()
             for (item in found?.items.orEmpty()) {
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -1,7 +1,5 @@
 package wardmux.jobs
 
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonArray
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -393,7 +393,8 @@
         watchAt = null
         val generation = watchGeneration
         val askedAt = context.now
-        store.watch(JobRecord.OPEN_PREFIX, watchFrom, WATCH_TIME, RequestPriority.LEADER) { result ->
+        store.watch(JobRecord.OPEN_PREFIX, watchFrom, WATCH_TIME, RequestPriority.LEADER) { result
+            ->
             if (over || generation != watchGeneration) return@watch
             when (result) {
                 is StoreResult.Ok -> {
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -62,7 +62,8 @@
         }
         if (!isLoaded) {
             val unconfirmedStarts = looseCancelled(machine)
-            if (unconfirmedStarts.isNotEmpty()) attempts = (attempts ?: ArrayList()).also { it.addAll(unconfirmedStarts) }
+            if (unconfirmedStarts.isNotEmpty())
+                attempts = (attempts ?: ArrayList()).also { it.addAll(unconfirmedStarts) }
         }
         return attempts ?: emptyList()
     }
@@ -92,7 +93,8 @@
         if (!isLoaded) {
             for (machine in cluster.machines.values) {
                 val unconfirmedStarts = looseCancelled(machine.id)
-                if (unconfirmedStarts.isNotEmpty()) byMachine.getOrPut(machine.id) { ArrayList() }.addAll(unconfirmedStarts)
+                if (unconfirmedStarts.isNotEmpty())
+                    byMachine.getOrPut(machine.id) { ArrayList() }.addAll(unconfirmedStarts)
             }
         }
         return byMachine.map { (machine, tasks) -> CancelledTasks(machine.value, tasks) }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -163,7 +163,11 @@
         return RenewalDecision.Withhold(WithholdingReason.UNPROVEN)
     }
 
-    private fun logHalts(report: WorkerHeartbeat, halts: List<WorkerCommand>, knowledge: CancellationView) {
+    private fun logHalts(
+        report: WorkerHeartbeat,
+        halts: List<WorkerCommand>,
+        knowledge: CancellationView,
+    ) {
         if (halts.isEmpty()) return
         log.info(
             "renewal=granted machine={} token={} halts={} jobs={}",
--- a/src/main/kotlin/wardmux/lease/WorkerHeartbeatResponse.kt
+++ b/src/main/kotlin/wardmux/lease/WorkerHeartbeatResponse.kt
@@ -23,7 +23,8 @@
             WorkerHeartbeatResponse(renewal.token.value, orders)
 
         /** What a renewal without any order says; kept by [LeaseRenewals] for all of them. */
-        fun plain(token: FencingToken): ByteArray = WorkerHeartbeatResponse(token.value, emptyList()).encode()
+        fun plain(token: FencingToken): ByteArray =
+            WorkerHeartbeatResponse(token.value, emptyList()).encode()
 
         /** Under no leader's token: the worker drops it, and stays with this controller. */
         val DROPPED = WorkerHeartbeatResponse(0, emptyList()).encode()
--- a/src/main/kotlin/wardmux/logging/Logger.kt
+++ b/src/main/kotlin/wardmux/logging/Logger.kt
@@ -1,6 +1,5 @@
 package wardmux.logging
 
-import org.agrona.collections.Long2ObjectHashMap
 import org.slf4j.Logger
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
+++ b/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
@@ -100,8 +100,7 @@
 
         /** What is wrong, in one line that begins with the field, or null. */
         fun problem(timeZone: String, holidays: String, windows: List<WindowSettings>): String? {
-            val zone =
-                zoneOf(timeZone) ?: return "time_zone: no such time zone: $timeZone"
+            val zone = zoneOf(timeZone) ?: return "time_zone: no such time zone: $timeZone"
             if (holidays.isNotEmpty() && !isCalendar(holidays))
                 return "holidays: no such calendar: $holidays"
             return windows.firstNotNullOfOrNull { problem(zone, holidays, it) }
--- a/src/main/kotlin/wardmux/maintenance/WindowSettings.kt
+++ b/src/main/kotlin/wardmux/maintenance/WindowSettings.kt
@@ -1,7 +1,5 @@
 package wardmux.maintenance
 
-import java.time.DateTimeException
-import java.time.ZoneId
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
--- a/src/main/kotlin/wardmux/model/Charge.kt
+++ b/src/main/kotlin/wardmux/model/Charge.kt
@@ -1,13 +1,5 @@
 package wardmux.model
 
-import kotlin.math.floor
-import kotlin.math.log10
-import kotlin.math.pow
-import kotlin.math.roundToLong
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
-import kotlinx.serialization.json.JsonElement
-
 /** CPU-microseconds: the largest booked share in CPUs, times the run time. */
 @JvmInline value class Cost(val value: Long)
 
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -43,7 +43,8 @@
     val id: JobId = spec.jobId
 
     /** Jobs with the same need find the same machines. */
-    val resourceRequest = ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
+    val resourceRequest =
+        ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
 
     /** Where its tasks may go depends on where its others are. */
     val isZoneBound: Boolean
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -2,13 +2,6 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import kotlinx.serialization.SerializationException
-import kotlinx.serialization.json.Json
-import kotlinx.serialization.json.JsonArray
-import kotlinx.serialization.json.JsonElement
-import kotlinx.serialization.json.JsonNull
-import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.JsonPrimitive
 
 /** A job as its user described it; also the form in which records keep it. */
 @Serializable
--- a/src/main/kotlin/wardmux/model/JobState.kt
+++ b/src/main/kotlin/wardmux/model/JobState.kt
@@ -2,7 +2,6 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import kotlinx.serialization.json.JsonElement
 
 @Serializable
 enum class JobState {
--- a/src/main/kotlin/wardmux/model/MachineType.kt
+++ b/src/main/kotlin/wardmux/model/MachineType.kt
@@ -2,8 +2,6 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import kotlinx.serialization.builtins.ListSerializer
-import kotlinx.serialization.json.JsonElement
 
 @Serializable
 data class MachineType(
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
@@ -27,7 +27,8 @@
         CborFormat.encode(PeerHeartbeat.serializer(), heartbeat)
 
     /** The heartbeat in [bytes], or null if they hold none. */
-    fun decode(bytes: ByteArray): PeerHeartbeat? = CborFormat.decode(PeerHeartbeat.serializer(), bytes)
+    fun decode(bytes: ByteArray): PeerHeartbeat? =
+        CborFormat.decode(PeerHeartbeat.serializer(), bytes)
 
     /** The answer to a heartbeat as it is sent. */
     fun encode(told: CancellationUpdate): ByteArray =
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -145,7 +145,9 @@
 
     /** Nothing of the job is to go on: what is left of it is taken down. */
     private fun end(job: Job) {
-        for (placement in job.placements.values) machines[placement.machine]?.let { machinesWithCommands.add(it) }
+        for (placement in job.placements.values) machines[placement.machine]?.let {
+            machinesWithCommands.add(it)
+        }
     }
 
     /** The placement is proven gone from its machine. */
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -106,7 +106,8 @@
             }
             if (job.resourceRequest in hopeless) return null
             val found = Seats(job, candidates(job))
-            if (found.isEmpty && job.failedMachines.isEmpty() && !job.isZoneBound) hopeless.add(job.resourceRequest)
+            if (found.isEmpty && job.failedMachines.isEmpty() && !job.isZoneBound)
+                hopeless.add(job.resourceRequest)
             seats[job.id] = found
             return found
         }
@@ -209,7 +210,9 @@
     private var held: Set<String> = emptySet()
 
     private fun isOverdue(job: Job) =
-        !job.hasStarted && !job.isFailing && context.wall - job.acceptedAt > operators.longestWaitS.seconds
+        !job.hasStarted &&
+            !job.isFailing &&
+            context.wall - job.acceptedAt > operators.longestWaitS.seconds
 
     /** True if machines of this type are held, and for other work than this. */
     fun isHeldFrom(spec: JobSpec, type: MachineType) =
--- a/src/main/kotlin/wardmux/scheduling/TeamOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamOrder.kt
@@ -30,7 +30,8 @@
         if (jobs.size < 2) return jobs
         val bySubmission = compareBy<Job>({ it.acceptedAt.value }, { it.id.value })
         val (faulty, good) = jobs.sortedWith(bySubmission).partition { it.isFailing }
-        val (overdue, others) = good.partition { !it.hasStarted && wall - it.acceptedAt > longestWait }
+        val (overdue, others) =
+            good.partition { !it.hasStarted && wall - it.acceptedAt > longestWait }
         val (timed, untimed) = others.partition { limits(it.spec).isNotEmpty() }
         if (timed.size < 2 || cpus <= 0) return overdue + others + faulty
         var open = timed.map { entry(it, cpus, wall) }
--- a/src/main/kotlin/wardmux/serialization/JsonFormat.kt
+++ b/src/main/kotlin/wardmux/serialization/JsonFormat.kt
@@ -1,7 +1,5 @@
 package wardmux.serialization
 
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
--- a/src/main/kotlin/wardmux/store/KeyValueStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -62,12 +62,19 @@
         get() = limiter.writesToSpare
 
     /** Reads one key. */
-    fun get(key: String, priority: RequestPriority = RequestPriority.READ, then: (StoreResult<KeyValue>) -> Unit) {
+    fun get(
+        key: String,
+        priority: RequestPriority = RequestPriority.READ,
+        then: (StoreResult<KeyValue>) -> Unit,
+    ) {
         submit(priority, 0, "GET", "/keys/$key", "", READ_TIMEOUT, then) { status, text ->
             when (status) {
-                HttpStatus.OK -> StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
+                HttpStatus.OK ->
+                    StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
                 HttpStatus.NOT_FOUND ->
-                    StoreResult.Absent(lenientJson.decodeFromString(AbsentWire.serializer(), text).revision)
+                    StoreResult.Absent(
+                        lenientJson.decodeFromString(AbsentWire.serializer(), text).revision
+                    )
                 else -> failure(status)
             }
         }
@@ -155,7 +162,9 @@
         submit(priority, changes.size, "POST", "/multi", body, timeout, then) { status, text ->
             when (status) {
                 HttpStatus.OK ->
-                    StoreResult.Ok(lenientJson.decodeFromString(CommittedWire.serializer(), text).revision)
+                    StoreResult.Ok(
+                        lenientJson.decodeFromString(CommittedWire.serializer(), text).revision
+                    )
                 HttpStatus.CONFLICT ->
                     StoreResult.Conflict(
                         lenientJson.decodeFromString(ConflictWire.serializer(), text).failed
@@ -168,7 +177,9 @@
     /** Asks for a lease of the given length; gives its number. */
     fun grant(life: Micros, then: (StoreResult<Long>) -> Unit) {
         val body = lenientJson.encodeToString(LifeWire.serializer(), LifeWire(life.value / 1_000))
-        submit(RequestPriority.LEASE, 0, "POST", "/leases", body, LEASE_TIMEOUT, then) { status, text ->
+        submit(RequestPriority.LEASE, 0, "POST", "/leases", body, LEASE_TIMEOUT, then) {
+            status,
+            text ->
             if (status == HttpStatus.OK)
                 StoreResult.Ok(lenientJson.decodeFromString(PermitWire.serializer(), text).permit)
             else failure(status)
@@ -177,7 +188,9 @@
 
     /** Extends a lease by its length. */
     fun renew(lease: Long, then: (StoreResult<Unit>) -> Unit) {
-        submit(RequestPriority.LEASE, 0, "POST", "/leases/$lease/renew", "", LEASE_TIMEOUT, then) { s, _ ->
+        submit(RequestPriority.LEASE, 0, "POST", "/leases/$lease/renew", "", LEASE_TIMEOUT, then) {
+            s,
+            _ ->
             when (s) {
                 HttpStatus.OK -> StoreResult.Ok(Unit)
                 HttpStatus.NOT_FOUND -> StoreResult.Absent(0)
@@ -188,7 +201,8 @@
 
     /** Ends a lease; keys bound to it are removed. */
     fun end(lease: Long, then: (StoreResult<Unit>) -> Unit) {
-        submit(RequestPriority.LEASE, 0, "DELETE", "/leases/$lease", "", LEASE_TIMEOUT, then) { s, _ ->
+        submit(RequestPriority.LEASE, 0, "DELETE", "/leases/$lease", "", LEASE_TIMEOUT, then) { s, _
+            ->
             if (s in HttpStatus.SUCCESS || s == HttpStatus.NOT_FOUND) StoreResult.Ok(Unit)
             else failure(s)
         }
@@ -206,7 +220,8 @@
         val timeout = block + WATCH_SLACK
         submit(priority, 0, "GET", path, "", timeout, then) { status, text ->
             when (status) {
-                HttpStatus.OK -> StoreResult.Ok(lenientJson.decodeFromString(WatchResponse.serializer(), text))
+                HttpStatus.OK ->
+                    StoreResult.Ok(lenientJson.decodeFromString(WatchResponse.serializer(), text))
                 HttpStatus.GONE -> StoreResult.Invalid
                 else -> failure(status)
             }
@@ -235,7 +250,7 @@
         val deadline = context.now + QUEUE_TIME
         lateinit var request: QueuedRequest
         val send = {
-            context.send(Target.State, method, path, bytes, timeout) { outcome ->
+            context.send(Target.KeyValueStore, method, path, bytes, timeout) { outcome ->
                 if (isRateLimited(outcome) && context.now < deadline) {
                     // Others had used up the limits for now.
                     queue.retry(priority, request)
@@ -261,10 +276,13 @@
     private fun isRateLimited(outcome: Outcome) =
         outcome is Outcome.Response && outcome.status == HttpStatus.TOO_MANY_REQUESTS
 
-    private fun <T> interpret(outcome: Outcome, read: (Int, String) -> StoreResult<T>): StoreResult<T> =
+    private fun <T> interpret(
+        outcome: Outcome,
+        read: (Int, String) -> StoreResult<T>,
+    ): StoreResult<T> =
         when (outcome) {
-            is Outcome.Unsent -> StoreResult.Refused
-            is Outcome.Unknown -> StoreResult.Indeterminate
+            is Outcome.NotSent -> StoreResult.Refused
+            is Outcome.NoResponse -> StoreResult.Indeterminate
             is Outcome.Response ->
                 try {
                     read(outcome.status, outcome.text)
--- a/src/main/kotlin/wardmux/store/StoreMessages.kt
+++ b/src/main/kotlin/wardmux/store/StoreMessages.kt
@@ -2,7 +2,6 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
 /** A stored key with its value, as read by [KeyValueStore.get]. */
@@ -38,7 +37,10 @@
 
 /** A transaction is carried out only if the key still has this stamp. */
 @Serializable
-data class VersionCondition(@SerialName("k") val key: String, @SerialName("stamp") val version: Long)
+data class VersionCondition(
+    @SerialName("k") val key: String,
+    @SerialName("stamp") val version: Long,
+)
 
 /** One change of a transaction: a put (with [data]) or a removal. */
 @Serializable
--- a/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
@@ -5,7 +5,8 @@
 
 /**
  * Reads workers' reports. Most say what the machine's last one said, but for the tick: these are
- * told by comparing bytes, and cost no parsing. Their [WorkerHeartbeat.tasks] is the very list of the last.
+ * told by comparing bytes, and cost no parsing. Their [WorkerHeartbeat.tasks] is the very list of
+ * the last.
  */
 class WorkerHeartbeatReader(
     /** What the reports that are kept may take together. */
--- a/src/main/kotlin/wardmux/worker/WorkerMessages.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerMessages.kt
@@ -74,7 +74,8 @@
 
         fun start(p: Placement) = WorkerCommand("start", p.task.toString(), p.attempt)
 
-        fun halt(task: String, attempt: Int, withinS: Double) = WorkerCommand(HALT, task, attempt, withinS)
+        fun halt(task: String, attempt: Int, withinS: Double) =
+            WorkerCommand(HALT, task, attempt, withinS)
 
         fun forget(task: String, attempt: Int) = WorkerCommand("forget", task, attempt)
     }
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -123,7 +123,8 @@
             types = null,
             deadlineS = null,
         )
-    val IDLE_SPEC = DAEMON_SPEC.copy(id = "job-000415", shape = JobKind.ARRAY, urgency = PriorityClass.IDLE)
+    val IDLE_SPEC =
+        DAEMON_SPEC.copy(id = "job-000415", shape = JobKind.ARRAY, urgency = PriorityClass.IDLE)
     val GANG_AGAIN_SPEC = GANG_SPEC.copy(id = "job-000416", tasks = 8)
     val GANG_DONE_SPEC = GANG_SPEC.copy(id = "job-000417", tasks = 8)
     val SPECS = listOf(BATCH_SPEC, DAEMON_SPEC, GANG_SPEC, IDLE_SPEC)
@@ -292,7 +293,11 @@
             wanted = false,
             grant = 5_280_000,
             unknown = listOf(4, 5),
-            mail = listOf(UndeliveredCommands("i-000001", 3, ORDERS), UndeliveredCommands("i-000002", 1, emptyList())),
+            mail =
+                listOf(
+                    UndeliveredCommands("i-000001", 3, ORDERS),
+                    UndeliveredCommands("i-000002", 1, emptyList()),
+                ),
             refuse = listOf("i-000007"),
             shed = 3,
             shedTo = "n1",
@@ -301,7 +306,13 @@
         )
 
     fun plainAnswer() =
-        HeartbeatBatchResponse(boot = "n3-1", number = 1, token = 4_711, clock = 55_000_000, grant = 5_280_000)
+        HeartbeatBatchResponse(
+            boot = "n3-1",
+            number = 1,
+            token = 4_711,
+            clock = 55_000_000,
+            grant = 5_280_000,
+        )
 
     const val CONDEMNED_WHY = "tasks fail on it"
     const val CONDEMNED_KEY = "m/i-000001"
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -67,7 +67,9 @@
             queue.load(it)
             queue.toJson(Micros(FormatContents.TAGS_AT))
         }
-        rewritten(MachineTypeList.KEY) { MachineTypeList.encode(assertNotNull(MachineTypeList.decode(it))) }
+        rewritten(MachineTypeList.KEY) {
+            MachineTypeList.encode(assertNotNull(MachineTypeList.decode(it)))
+        }
     }
 
     @Test
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -180,7 +180,9 @@
 
     @Test
     fun `machine types are read`() =
-        eachStored(MachineTypeList.KEY) { assertEquals(FormatContents.TYPES, MachineTypeList.decode(it)) }
+        eachStored(MachineTypeList.KEY) {
+            assertEquals(FormatContents.TYPES, MachineTypeList.decode(it))
+        }
 
     @Test
     fun `job records are read in each state and shape, under each of their keys`() {
--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
@@ -29,7 +29,12 @@
         )
     private val service =
         plainJob(2, "job-000001")
-            .copy(shape = JobKind.SERVICE, urgency = PriorityClass.PROD, spot = false, estimateS = 0.0)
+            .copy(
+                shape = JobKind.SERVICE,
+                urgency = PriorityClass.PROD,
+                spot = false,
+                estimateS = 0.0,
+            )
 
     private fun ordinary(number: Int) = harness.machine(number, type, spot = false)
 
--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -52,7 +52,9 @@
         // The list is not waited for, so that it is decided before anything waited for long.
         val cloud = deployment.cloud.copy(listLagS = 0.1)
         val settings =
-            ControllerHarness.SETTINGS.copy(deployment = deployment.copy(teams = teams, cloud = cloud))
+            ControllerHarness.SETTINGS.copy(
+                deployment = deployment.copy(teams = teams, cloud = cloud)
+            )
         val harness = ControllerHarness(given = settings)
         harness.write(MachineTypeList.KEY, MachineTypeList.encode(listOf(SMALL, LARGE)))
         for (job in jobs) harness.accept(job)
--- a/src/test/kotlin/wardmux/config/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -16,7 +16,8 @@
     private fun file(text: String) = File(dir, "settings.toml").also { it.writeText(text) }
 
     private fun refused(text: String): String {
-        val message = assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(file(text)) }.message
+        val message =
+            assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(file(text)) }.message
         assertEquals(1, message.orEmpty().lines().size)
         return message.orEmpty()
     }
@@ -97,7 +98,8 @@
     @Test
     fun `an unreadable file is named`() {
         val missing = File(dir, "none.toml")
-        val message = assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(missing) }.message
+        val message =
+            assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(missing) }.message
         assertContains(message.orEmpty(), "none.toml: cannot be read")
     }
 
@@ -105,16 +107,23 @@
     fun `operators' settings have defaults, ranges and no unknown fields`() {
         assertEquals(OperatorSettings(), SettingsFiles.operators(null))
         assertEquals(60.0, SettingsFiles.operators(file("half_life_s = 60.0")).halfLifeS)
-        val range = assertFailsWith<InvalidSettingsException> { SettingsFiles.operators(file("norm_s = 0.0")) }
+        val range =
+            assertFailsWith<InvalidSettingsException> {
+                SettingsFiles.operators(file("norm_s = 0.0"))
+            }
         assertContains(range.message.orEmpty(), "norm_s must be from 1.0")
-        val unknown = assertFailsWith<InvalidSettingsException> { SettingsFiles.operators(file("nrom_s = 5.0")) }
+        val unknown =
+            assertFailsWith<InvalidSettingsException> {
+                SettingsFiles.operators(file("nrom_s = 5.0"))
+            }
         assertContains(unknown.message.orEmpty(), "nrom_s")
     }
 
     private fun operators(text: String) = SettingsFiles.operators(file(text))
 
     private fun operatorsRefused(text: String): String {
-        val message = assertFailsWith<InvalidSettingsException> { operators(text) }.message.orEmpty()
+        val message =
+            assertFailsWith<InvalidSettingsException> { operators(text) }.message.orEmpty()
         assertEquals(1, message.lines().size)
         return message
     }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -19,7 +19,8 @@
 
 /** Drains through the failures that they are made for, each brought about on purpose. */
 class DrainFaultsTest {
-    private fun DrainDay.crashLeader() = simulation.leader()?.let { simulation.crash(it, 3.seconds) }
+    private fun DrainDay.crashLeader() =
+        simulation.leader()?.let { simulation.crash(it, 3.seconds) }
 
     private fun DrainDay.crashAll() {
         for (node in simulation.nodes) simulation.crash(node, 3.seconds)
@@ -57,7 +58,8 @@
         val leader = simulation.leader() ?: return
         when (fault) {
             LeaderFault.ENDS -> simulation.crash(leader, 3.seconds)
-            LeaderFault.ENDS_LATER -> clock.after(400.milliseconds) { simulation.crash(leader, 3.seconds) }
+            LeaderFault.ENDS_LATER ->
+                clock.after(400.milliseconds) { simulation.crash(leader, 3.seconds) }
             LeaderFault.STANDS_STILL ->
                 clock.after(100.milliseconds) { simulation.freeze(leader, 15.seconds) }
             LeaderFault.IS_CUT_OFF -> {
@@ -302,7 +304,10 @@
         day.check()
         val later = day.losses.stops.drop(before)
         val beyond = later.filter { it.lost.size > 1 }
-        assertEquals(emptyList(), beyond.map { "${it.team} at ${it.at.inSeconds}: ${it.lost.keys}" })
+        assertEquals(
+            emptyList(),
+            beyond.map { "${it.team} at ${it.at.inSeconds}: ${it.lost.keys}" },
+        )
     }
 
     @Test
--- a/src/test/kotlin/wardmux/fleet/FleetTest.kt
+++ b/src/test/kotlin/wardmux/fleet/FleetTest.kt
@@ -26,7 +26,7 @@
         harness.run(2.seconds)
         val token = first.token()
         first.handleHeartbeat(token)
-        harness.directOutcome = Outcome.Unknown
+        harness.directOutcome = Outcome.NoResponse
         harness.accept(plainJob(1))
         harness.run(2.seconds)
         assertEquals(1, startsOf("job-000001/0"))
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -70,7 +70,7 @@
     @Test
     fun `a machine that is heard through a relay gets work, directly and only so`() {
         harness.accept(plainJob(1))
-        harness.directOutcome = Outcome.Unknown
+        harness.directOutcome = Outcome.NoResponse
         val mail = ArrayList<UndeliveredCommands>()
         mail += batch(listOf(report()))!!.mail
         repeat(6) {
@@ -160,7 +160,7 @@
 
     @Test
     fun `a leader that hears its machines and reaches none of them lets another lead`() {
-        harness.directOutcome = Outcome.Unknown
+        harness.directOutcome = Outcome.NoResponse
         batch(many.map { report(machine = it) })
         harness.accept(plainJob(6).copy(cpus = 10.0))
         repeat(5) {
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -25,7 +25,10 @@
     /** What the leader answers; null: it is not reached. */
     private var answer: (HeartbeatBatch) -> HeartbeatBatchResponse? = { grant() }
 
-    private fun grant(mail: List<UndeliveredCommands> = emptyList(), unknown: List<Long> = emptyList()) =
+    private fun grant(
+        mail: List<UndeliveredCommands> = emptyList(),
+        unknown: List<Long> = emptyList(),
+    ) =
         HeartbeatBatchResponse(
             "rig",
             batches.last().number,
@@ -98,7 +101,8 @@
 
     @Test
     fun `a new leader's token drops the old grant and all that was left for machines`() {
-        val halt = UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
+        val halt =
+            UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
         answer = { grant(mail = listOf(halt)) }
         lead()
         machine.handleHeartbeat(token)
@@ -111,8 +115,10 @@
 
     @Test
     fun `what the leader left for a machine goes with the next answer, of the same session only`() {
-        val halt = UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
-        val other = UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.halt("job-000001/1", 1, 0.0)))
+        val halt =
+            UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
+        val other =
+            UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.halt("job-000001/1", 1, 0.0)))
         lead()
         val second = ManualWorker(harness, "i-000002")
         machine.handleHeartbeat(token)
@@ -176,7 +182,9 @@
 
     @Test
     fun `where the leader takes all reports itself, workers are sent to it`() {
-        answer = { HeartbeatBatchResponse("rig", it.number, token, harness.now.value, wanted = false) }
+        answer = {
+            HeartbeatBatchResponse("rig", it.number, token, harness.now.value, wanted = false)
+        }
         lead(wants = false)
         val sent = machine.report(0)
         assertEquals(421, sent?.first)
--- a/src/test/kotlin/wardmux/leader/TakeOverTest.kt
+++ b/src/test/kotlin/wardmux/leader/TakeOverTest.kt
@@ -95,7 +95,8 @@
         var told = 0
         harness.peer = { path, _ ->
             val word = CancellationUpdate("b", 1_000_000_000, 0, listOf(gang.id))
-            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(word).also { told++ } else null
+            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(word).also { told++ }
+            else null
         }
         harness.run(1.2.seconds)
         assertTrue(told > 0, "the sibling was not asked")
@@ -104,7 +105,8 @@
         val machine = ManualWorker(harness, "i-000001")
         val token = machine.token()
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        val answers = List(3) { machine.handleHeartbeat(token, running).also { harness.run(1.seconds) } }
+        val answers =
+            List(3) { machine.handleHeartbeat(token, running).also { harness.run(1.seconds) } }
         assertContains(answers.joinToString() + harness.direct, "\"verb\":\"halt\"")
     }
 
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -108,7 +108,7 @@
     @Test
     fun `the halt is sent again with each report until the proof comes`() {
         val token = takeOver()
-        harness.directOutcome = Outcome.Unknown
+        harness.directOutcome = Outcome.NoResponse
         repeat(4) {
             assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
             harness.run(1.5.seconds)
@@ -123,7 +123,7 @@
         harness.run(2.seconds)
         val token = machine.token()
         machine.handleHeartbeat(token)
-        harness.directOutcome = Outcome.Unknown
+        harness.directOutcome = Outcome.NoResponse
         harness.run(1.seconds)
         assertEquals(1, harness.direct.count { "\"start\"" in it })
         siblingTells(job.id)
--- a/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -125,7 +125,14 @@
     fun `an order that the leader left is not repeated beside the halt`() {
         begin()
         machine.handleHeartbeat(token, running)
-        mail = listOf(UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0))))
+        mail =
+            listOf(
+                UndeliveredCommands(
+                    "i-000001",
+                    1,
+                    listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)),
+                )
+            )
         harness.run(1.1.seconds)
         val answer = machine.handleHeartbeat(token, running)
         assertEquals(1, Regex("\"halt\"").findAll(answer).count(), answer)
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -128,7 +128,9 @@
         jsonBytes(lenientJson.encodeToJsonElement(StoredPage.serializer(), page))
 
     private fun loaded(spec: JobSpec, stored: StoredPage, page: Int) =
-        Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024)).also { it.load(page, 1, stored) }
+        Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024)).also {
+            it.load(page, 1, stored)
+        }
 
     private fun assertFits(job: Job, limit: Int) {
         for (page in 0..1) {
--- a/src/test/kotlin/wardmux/peers/CancellationsTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationsTest.kt
@@ -28,7 +28,9 @@
             if (path != PeerHeartbeats.PATH) null
             else {
                 heartbeats++
-                PeerHeartbeatCodec.encode(CancellationUpdate(boot, upS * 1_000_000, 0, jobs.toList()))
+                PeerHeartbeatCodec.encode(
+                    CancellationUpdate(boot, upS * 1_000_000, 0, jobs.toList())
+                )
             }
         }
     }
@@ -136,11 +138,7 @@
         fun at(second: Int) = context.at(second.seconds, second.seconds)
 
         fun toldBy(peer: List<String>) =
-            cancellations.accept(
-                "n1",
-                CancellationUpdate("b", 1_000_000_000, 0, peer),
-                context.now,
-            )
+            cancellations.accept("n1", CancellationUpdate("b", 1_000_000_000, 0, peer), context.now)
 
         fun since() = cancellations.toldSince(job)
 
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -24,7 +24,11 @@
 class PlannerHarness(teams: List<TeamQuota>, types: List<MachineType>, now: Micros) {
     val context = CoreContext().also { it.at(now, now) }
     val cluster =
-        ClusterState(context, teams, FairQueue(teams.associate { it.name to it.cpus }, 600.seconds, 600.0))
+        ClusterState(
+            context,
+            teams,
+            FairQueue(teams.associate { it.name to it.cpus }, 600.seconds, 600.0),
+        )
     private val workers = WorkerTiming(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
     val stopper = TaskEvictor(cluster, workers)
     val pools = MachinePools(context) { types }
@@ -76,7 +80,11 @@
 
         /** One team, machines of one type, and tasks of a gang that share an image. */
         fun ofOneTeam() =
-            PlannerHarness(listOf(TeamQuota("team-0", 700.0, 700.0)), listOf(MID), now = 100.seconds)
+            PlannerHarness(
+                listOf(TeamQuota("team-0", 700.0, 700.0)),
+                listOf(MID),
+                now = 100.seconds,
+            )
 
         fun gang(tasks: Int): JobSpec =
             plainJob(tasks, "job-000001").copy(shape = JobKind.GANG, image = "gang-image")
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -47,7 +47,9 @@
         fun begin(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
-            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(1.seconds)
+            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(
+                1.seconds
+            )
             for (job in jobs) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
             // To the letter, without the slack of the rules.
             clock.every(100.milliseconds) { late += jobs.filter(::outlastsItsCancellation) }
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -105,8 +105,8 @@
             for (effect in effects) {
                 val body =
                     when {
-                        effect is Effect.Answer -> effect.body
-                        effect is Effect.Send && effect.path == "/do" -> effect.body
+                        effect is Effect.Respond -> effect.body
+                        effect is Effect.SendRequest && effect.path == "/do" -> effect.body
                         else -> continue
                     }.decodeToString()
                 for (start in startOrder.findAll(body)) {
@@ -118,11 +118,11 @@
         private fun tellStarts(effect: Effect, heard: (String, String?, String, Int) -> Unit) {
             val body =
                 when {
-                    effect is Effect.Answer -> effect.body
-                    effect is Effect.Send && effect.path == "/do" -> effect.body
+                    effect is Effect.Respond -> effect.body
+                    effect is Effect.SendRequest && effect.path == "/do" -> effect.body
                     else -> return
                 }
-            val machine = (effect as? Effect.Send)?.let { hostOf(it.target) }
+            val machine = (effect as? Effect.SendRequest)?.let { hostOf(it.target) }
             for (start in startedTask.findAll(body.decodeToString())) {
                 val (task, attempt) = start.destructured
                 heard(member, machine, task, attempt.toInt())
@@ -168,8 +168,8 @@
 
         private fun perform(effect: Effect) {
             when (effect) {
-                is Effect.Answer -> answers.remove(effect.id)?.invoke(effect.status, effect.body)
-                is Effect.Send -> send(effect)
+                is Effect.Respond -> answers.remove(effect.id)?.invoke(effect.status, effect.body)
+                is Effect.SendRequest -> send(effect)
                 is Effect.Solve -> solve(effect)
             }
         }
@@ -181,10 +181,10 @@
             clock.after(200.milliseconds) { feed(Input.Solved(effect.id, plan)) }
         }
 
-        private fun send(effect: Effect.Send) {
+        private fun send(effect: Effect.SendRequest) {
             var over = false
             clock.after(effect.timeout) {
-                if (!over) feed(Input.Reply(effect.id, Outcome.Unknown))
+                if (!over) feed(Input.Response(effect.id, Outcome.NoResponse))
                 over = true
             }
             // As bytes: what controllers tell each other is no text.
@@ -192,7 +192,7 @@
                 val answer = {
                     if (!over) {
                         over = true
-                        feed(Input.Reply(effect.id, Outcome.Response(status, body)))
+                        feed(Input.Response(effect.id, Outcome.Response(status, body)))
                     }
                 }
                 network.send(hostOf(effect.target), member, answer)
@@ -204,11 +204,12 @@
             }
         }
 
-        private fun arrive(effect: Effect.Send, answer: (Int, ByteArray) -> Unit) {
+        private fun arrive(effect: Effect.SendRequest, answer: (Int, ByteArray) -> Unit) {
             val body = effect.body.decodeToString()
             val back = { status: Int, text: String -> answer(status, text.encodeToByteArray()) }
             when (val target = effect.target) {
-                is Target.State -> state.handle(member, effect.method, effect.path, body, back)
+                is Target.KeyValueStore ->
+                    state.handle(member, effect.method, effect.path, body, back)
                 is Target.Cloud -> cloud.handle(effect.method, effect.path, body, back)
                 is Target.Worker -> {
                     val host = hostOf(target)
@@ -239,7 +240,7 @@
 
     private fun hostOf(target: Target): String =
         when (target) {
-            is Target.State -> "state"
+            is Target.KeyValueStore -> "state"
             is Target.Cloud -> "cloud"
             is Target.Peer -> target.member
             is Target.Worker -> target.address.substringBefore(':')
@@ -267,7 +268,7 @@
         val process = running[member]?.takeIf { it.alive } ?: return
         val id = ++calls
         process.answers[id] = answer
-        process.feed(Input.Call(id, port, method, path, body))
+        process.feed(Input.Request(id, port, method, path, body))
     }
 
     private fun handleHeartbeat(
@@ -291,7 +292,9 @@
     }
 
     private fun worker(id: String, type: String, zone: String, spot: Boolean): FakeWorker {
-        val send: SimulatedHeartbeat = { node, body, answer -> handleHeartbeat(id, node, body, answer) }
+        val send: SimulatedHeartbeat = { node, body, answer ->
+            handleHeartbeat(id, node, body, answer)
+        }
         val worker =
             FakeWorker(
                 id,
@@ -408,7 +411,9 @@
                 accepted++
                 // Some repeat a request that was carried out.
                 if (clock.chance(0.2))
-                    clock.after(clock.between(1.seconds, 40.seconds)) { submitAgain(spec, clock.now) }
+                    clock.after(clock.between(1.seconds, 40.seconds)) {
+                        submitAgain(spec, clock.now)
+                    }
                 asked.add(spec.id)
                 poll(spec.id)
             } else if (clock.now < until) {
@@ -452,7 +457,9 @@
                 if (it.estimateS == 0.0) Double.MAX_VALUE else it.estimateS
             }
         val chosen = running.take(count).map { it.id }
-        for (job in chosen) clock.after(clock.between(Micros.ZERO, 200.milliseconds)) { cancel(job) }
+        for (job in chosen) clock.after(clock.between(Micros.ZERO, 200.milliseconds)) {
+            cancel(job)
+        }
         if (hang == Micros.ZERO) return
         for (machine in chosen.flatMap(rules::machinesOf).distinct().take(MOST_HANGING)) {
             val worker = workers[machine] ?: continue
@@ -541,7 +548,8 @@
         val random = clock.random
         val urgent = random.nextBoolean()
         val kind = random.nextDouble()
-        val shape = if (kind < 0.1) JobKind.SERVICE else if (kind < 0.15) JobKind.GANG else JobKind.ARRAY
+        val shape =
+            if (kind < 0.1) JobKind.SERVICE else if (kind < 0.15) JobKind.GANG else JobKind.ARRAY
         val tasks = if (shape != JobKind.ARRAY) 2 else 1 + random.nextInt(if (urgent) 90 else 12)
         val job =
             JobSpec(
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -57,7 +57,7 @@
     val direct = ArrayList<String>()
 
     /** What becomes of direct orders: as a rule they get no connection. */
-    var directOutcome: Outcome = Outcome.Unsent
+    var directOutcome: Outcome = Outcome.NotSent
 
     /** What a sibling answers to the bytes it is sent on a path: as a rule it gets none. */
     var peer: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
@@ -130,7 +130,7 @@
         port: Port = Port.API,
     ): Pair<Int, String>? {
         val id = ++calls
-        feed(Input.Call(id, port, method, path, body))
+        feed(Input.Request(id, port, method, path, body))
         return answers[id]
     }
 
@@ -165,35 +165,35 @@
     private fun feed(input: Input) {
         for (effect in core.handle(clock.now, clock.now, input)) {
             when (effect) {
-                is Effect.Answer -> {
+                is Effect.Respond -> {
                     answers[effect.id] = effect.status to effect.body.decodeToString()
                     bytes[effect.id] = effect.body
                 }
-                is Effect.Send -> send(effect)
+                is Effect.SendRequest -> send(effect)
                 // No plan comes: the greedy one has to serve.
                 is Effect.Solve -> Unit
             }
         }
     }
 
-    private fun send(effect: Effect.Send) {
+    private fun send(effect: Effect.SendRequest) {
         val body = effect.body.decodeToString()
         val reply = { status: Int, text: String ->
-            feed(Input.Reply(effect.id, Outcome.Response(status, text.encodeToByteArray())))
+            feed(Input.Response(effect.id, Outcome.Response(status, text.encodeToByteArray())))
         }
         when {
             effect.target is Target.Worker -> {
                 if (effect.path == "/do") direct.add(body)
-                feed(Input.Reply(effect.id, directOutcome))
+                feed(Input.Response(effect.id, directOutcome))
             }
             effect.target is Target.Peer -> {
                 val answer = peer(effect.path, effect.body)
-                val outcome = if (answer == null) Outcome.Unsent else Outcome.Response(200, answer)
-                feed(Input.Reply(effect.id, outcome))
+                val outcome = if (answer == null) Outcome.NotSent else Outcome.Response(200, answer)
+                feed(Input.Response(effect.id, outcome))
             }
-            effect.target !is Target.State -> {
+            effect.target !is Target.KeyValueStore -> {
                 if (effect.target is Target.Cloud) cloud.add("${effect.path} $body")
-                feed(Input.Reply(effect.id, Outcome.Unsent))
+                feed(Input.Response(effect.id, Outcome.NotSent))
             }
             refuse(effect.path) -> reply(503, "{}")
             else -> {
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -59,7 +59,8 @@
     /** The task has its image. */
     fun join(task: GangTask, spec: JobSpec) {
         if (spec.id !in lengths) {
-            lengths[spec.id] = clock.between(1.seconds, maxOf(1.seconds, (spec.estimateS * 1.5).seconds))
+            lengths[spec.id] =
+                clock.between(1.seconds, maxOf(1.seconds, (spec.estimateS * 1.5).seconds))
         }
         attempts
             .getOrPut(task.job to task.attempt) { Attempt(spec, task.attempt) }
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -205,7 +205,12 @@
         val sentAt = clock.now
         lastSentAt = sentAt
         val sentIn = incarnation
-        nextAt = sentAt + clock.between((deployment.reportS * 0.75).seconds, (deployment.reportS * 1.25).seconds)
+        nextAt =
+            sentAt +
+                clock.between(
+                    (deployment.reportS * 0.75).seconds,
+                    (deployment.reportS * 1.25).seconds,
+                )
         var over = false
         fun end(next: Boolean) {
             over = true
@@ -223,7 +228,8 @@
                 200 -> {
                     end(next = false)
                     if (wanders) node = (node + 1) % nodes.size
-                    if (sentIn == incarnation) take(Json.parseToJsonElement(body).jsonObject, sentAt)
+                    if (sentIn == incarnation)
+                        take(Json.parseToJsonElement(body).jsonObject, sentAt)
                 }
                 421 -> {
                     val steward =
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -19,10 +19,15 @@
         listOf(
             { simulation.crash(someNode(), clock.between(100.milliseconds, 8.seconds)) },
             {
-                simulation.leader()?.let { simulation.crash(it, clock.between(200.milliseconds, 3.seconds)) }
+                simulation.leader()?.let {
+                    simulation.crash(it, clock.between(200.milliseconds, 3.seconds))
+                }
             },
             {
-                for (node in simulation.nodes) simulation.crash(node, clock.between(1.seconds, 8.seconds))
+                for (node in simulation.nodes) simulation.crash(
+                    node,
+                    clock.between(1.seconds, 8.seconds),
+                )
             },
             {
                 for ((i, node) in members().withIndex()) {
@@ -70,7 +75,9 @@
      */
     val networkFaults: List<() -> Unit> =
         listOf(
-            { for (worker in someWorkers(3)) deaf(worker.id, clock.between(5.seconds, 60.seconds)) },
+            {
+                for (worker in someWorkers(3)) deaf(worker.id, clock.between(5.seconds, 60.seconds))
+            },
             {
                 for (worker in someWorkers(2)) for (node in simulation.nodes) apart(node, worker.id)
             },
@@ -114,7 +121,11 @@
     val partitionFaults: List<() -> Unit> =
         listOf(
             { simulation.freeze(someNode(), clock.between(1.seconds, 30.seconds)) },
-            { simulation.leader()?.let { simulation.freeze(it, clock.between(1.seconds, 30.seconds)) } },
+            {
+                simulation.leader()?.let {
+                    simulation.freeze(it, clock.between(1.seconds, 30.seconds))
+                }
+            },
             {
                 // A zone cut off with a controller in it.
                 val length = clock.between(5.seconds, 47.seconds)
@@ -133,7 +144,9 @@
         listOf(
             {
                 simulation.state.lateWrites = 0.3
-                clock.after(clock.between(5.seconds, 25.seconds)) { simulation.state.lateWrites = 0.0 }
+                clock.after(clock.between(5.seconds, 25.seconds)) {
+                    simulation.state.lateWrites = 0.0
+                }
             },
             {
                 simulation.network.lateReports = 0.3
@@ -141,7 +154,9 @@
                     simulation.network.lateReports = 0.0
                 }
             },
-            { for (worker in someWorkers(4)) mute(worker.id, clock.between(5.seconds, 50.seconds)) },
+            {
+                for (worker in someWorkers(4)) mute(worker.id, clock.between(5.seconds, 50.seconds))
+            },
             { deafZone(clock.between(5.seconds, 40.seconds)) },
             { simulation.cancelNow(1 + clock.random.nextInt(6), Micros.ZERO) },
             { simulation.cancelNow(6, clock.between(2.seconds, 30.seconds)) },
@@ -153,14 +168,18 @@
             {
                 // The leader is cut off, and jobs are cancelled through the next one.
                 simulation.leader()?.let { alone(it, clock.between(8.seconds, 50.seconds)) }
-                clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancelNow(6, Micros.ZERO) }
+                clock.after(clock.between(1.seconds, 12.seconds)) {
+                    simulation.cancelNow(6, Micros.ZERO)
+                }
             },
             { gap(clock.between(5.seconds, 40.seconds)) },
             { gap(clock.between(40.seconds, 70.seconds)) },
             {
                 // A leader ends while it does not hear some of its machines.
                 for (worker in someWorkers(4)) mute(worker.id, clock.between(5.seconds, 40.seconds))
-                simulation.leader()?.let { simulation.crash(it, clock.between(100.milliseconds, 6.seconds)) }
+                simulation.leader()?.let {
+                    simulation.crash(it, clock.between(100.milliseconds, 6.seconds))
+                }
             },
         )
 
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -85,7 +85,8 @@
                 // Nothing that is sent later arrives before it.
                 simulation.lateOrders[machine] = late
                 day.clock.after(12.milliseconds) {
-                    if (seed % 2 == 0L) day.deaf(machine, 60.seconds) else day.mute(machine, 60.seconds)
+                    if (seed % 2 == 0L) day.deaf(machine, 60.seconds)
+                    else day.mute(machine, 60.seconds)
                 }
                 day.clock.after(3.seconds) { day.roomOutside("") }
                 if (undeleted) day.keepMachines(late + 4.seconds)
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -132,7 +132,9 @@
         val network = day.simulation.network
         val nodes = day.simulation.nodes
         if (how % 4 != 1)
-            day.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) { worker.hanging = false }
+            day.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) {
+                worker.hanging = false
+            }
         when (how % 4) {
             0 -> day.simulation.cloud.kill(worker)
             3 -> for (node in nodes) network.part(node, worker.id)
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -201,7 +201,9 @@
             assertEquals(2, cut.size)
             for (worker in cut) simulation.network.cut(worker.id)
             simulation.crashLeader(3.seconds)
-            clock.after(clock.between(100.milliseconds, 6.seconds)) { simulation.cancel(running.id) }
+            clock.after(clock.between(100.milliseconds, 6.seconds)) {
+                simulation.cancel(running.id)
+            }
             clock.after(clock.between(8.seconds, 34.seconds)) {
                 for (worker in cut) simulation.network.mend(worker.id)
             }
@@ -240,7 +242,13 @@
         return """{"piece":"job-000001/0","try":$attempt,"status":"$status"$why}"""
     }
 
-    private fun body(machine: String, incarnation: Int, tick: Int, token: Long, tasks: String = "") =
+    private fun body(
+        machine: String,
+        incarnation: Int,
+        tick: Int,
+        token: Long,
+        tasks: String = "",
+    ) =
         ("""{"box":"$machine","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a",""" +
                 """"loaners":false,"shift":$incarnation,"tick":$tick,"baton":$token,""" +
                 """"pieces":[$tasks]}""")
@@ -313,7 +321,10 @@
             val token = ManualWorker(harness, "i-000099").token()
             harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
             harness.report("i-000001", incarnation, tick, token, tasks)
-            assertFalse("job-000001/0" in harness.startsElsewhere(token), "$incarnation $tick $tasks")
+            assertFalse(
+                "job-000001/0" in harness.startsElsewhere(token),
+                "$incarnation $tick $tasks",
+            )
             val answer = harness.report("i-000001", 2, 20, token, piece("running", attempt = 2))
             assertFalse("halt" in answer, "$incarnation $tick $tasks")
         }
@@ -334,7 +345,8 @@
                 val reports = if (sign == null) listOf(old) else emptyList()
                 val signs = if (sign == null) emptyList() else listOf(old.number, sign)
                 val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports, signs)
-                val answer = harness.call("POST", "/relay", ForwardingCodec.encode(batch), Port.PEER)
+                val answer =
+                    harness.call("POST", "/relay", ForwardingCodec.encode(batch), Port.PEER)
                 assertEquals(200, answer?.first)
             }
             assertFalse("job-000001/0" in harness.startsElsewhere(token), "session $incarnation")
--- a/src/test/kotlin/wardmux/sim/LeaderChurn.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChurn.kt
@@ -21,7 +21,9 @@
         changeLeaders()
         repeatedly(2.seconds, 7.seconds) { cutOffSome() }
         repeatedly(4.seconds, 15.seconds) { refuse(null, clock.between(1.seconds, 8.seconds)) }
-        repeatedly(3.seconds, 10.seconds) { refuse(someNode(), clock.between(2.seconds, 10.seconds)) }
+        repeatedly(3.seconds, 10.seconds) {
+            refuse(someNode(), clock.between(2.seconds, 10.seconds))
+        }
         repeatedly(3.seconds, 12.seconds) { simulation.crash(someNode(), shortly()) }
         clock.after(length) { end() }
     }
@@ -43,7 +45,10 @@
     private fun changeLeaders() =
         repeatedly(3.seconds, 8.seconds) {
             if (clock.chance(ALL_END)) {
-                for (node in simulation.nodes) simulation.crash(node, clock.between(1.seconds, 4.seconds))
+                for (node in simulation.nodes) simulation.crash(
+                    node,
+                    clock.between(1.seconds, 4.seconds),
+                )
             } else {
                 simulation.leader()?.let { simulation.crash(it, shortly()) }
             }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -139,7 +139,8 @@
         simulation.submit(never)
         val gang = wideGang(simulation, tasks = 60, cpus = 0.5)
         val service =
-            wideGang(simulation, tasks = 60, cpus = 0.1).copy(shape = JobKind.SERVICE, estimateS = 0.0)
+            wideGang(simulation, tasks = 60, cpus = 0.1)
+                .copy(shape = JobKind.SERVICE, estimateS = 0.0)
         simulation.submit(gang)
         simulation.submit(service)
         val others = ArrayList<JobSpec>()
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -109,7 +109,9 @@
             }
         }
         val late = List(3) { day.array(it, 12) }
-        for ((i, job) in late.withIndex()) day.at((33 + 9 * i).seconds) { day.simulation.submit(job) }
+        for ((i, job) in late.withIndex()) day.at((33 + 9 * i).seconds) {
+            day.simulation.submit(job)
+        }
         day.simulation.run(200.seconds)
         day.done(*late.toTypedArray())
     }
@@ -218,7 +220,9 @@
                 day.part(a, b, length)
                 day.part(b, a, length)
             }
-            day.clock.after(day.clock.between(0.seconds, 9.seconds)) { day.simulation.cancel(jobs[2].id) }
+            day.clock.after(day.clock.between(0.seconds, 9.seconds)) {
+                day.simulation.cancel(jobs[2].id)
+            }
         }
         val late = List(3) { day.array(it, 10) }
         day.at(36.seconds) { for (job in late) day.simulation.submit(job) }
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -40,7 +40,9 @@
         fun begin() {
             clock.after(4.seconds) { submit(6) }
             simulation.run(30.seconds)
-            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(1.seconds)
+            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(
+                1.seconds
+            )
             // Nothing of what was done to get there is under way any more.
             runFor(clock.between(5.seconds, 6.seconds))
             for (job in jobs) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
@@ -262,13 +264,19 @@
         Meeting(way).run {
             begin()
             val tokens = HashSet<Long>()
-            clock.every(50.milliseconds) { simulation.state.version("leader")?.let { tokens.add(it) } }
+            clock.every(50.milliseconds) {
+                simulation.state.version("leader")?.let { tokens.add(it) }
+            }
             val begun = clock.now
             clock.after(40.seconds) { outage(null, 20.seconds) }
-            for (job in jobs.take(4)) clock.after(clock.between(1.seconds, 110.seconds)) { cancel(job) }
+            for (job in jobs.take(4)) clock.after(clock.between(1.seconds, 110.seconds)) {
+                cancel(job)
+            }
             while (clock.now < begun + 120.seconds) {
                 // In the outage the key stays, while whoever would lead next comes and goes.
-                simulation.leader()?.let { simulation.crash(it, clock.between(200.milliseconds, 5.seconds)) }
+                simulation.leader()?.let {
+                    simulation.crash(it, clock.between(200.milliseconds, 5.seconds))
+                }
                 runFor(clock.between(5.seconds, 7.seconds))
             }
             assertTrue(tokens.size > 10, "${tokens.size} leaders")
@@ -310,7 +318,8 @@
             cancel(jobs[2])
             runFor(clock.between(5.milliseconds, 300.milliseconds))
             val back =
-                if (quick) clock.between(20.milliseconds, 900.milliseconds) else clock.between(1.seconds, 12.seconds)
+                if (quick) clock.between(20.milliseconds, 900.milliseconds)
+                else clock.between(1.seconds, 12.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
                 if (node == first) back else 40.seconds,
--- a/src/test/kotlin/wardmux/sim/Rules.kt
+++ b/src/test/kotlin/wardmux/sim/Rules.kt
@@ -184,7 +184,10 @@
         val cancelled = toldCancelledAt[job] ?: return
         ordersAfterCancel++
         if (now - cancelled > HEARD_WITHIN) {
-            breaks("started_cancelled", "$order, ${(now - cancelled).inSeconds} s after it was told")
+            breaks(
+                "started_cancelled",
+                "$order, ${(now - cancelled).inSeconds} s after it was told",
+            )
         }
     }
 
--- a/src/test/kotlin/wardmux/sim/SimulatedClock.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedClock.kt
@@ -110,7 +110,8 @@
             from in cut -> held.getOrPut(from) { ArrayList() }.add(action)
             to in cut -> held.getOrPut(to) { ArrayList() }.add(action)
             clock.chance(loss) -> Unit
-            clock.chance(late) -> clock.after(clock.between(2_000.milliseconds, 40_000.milliseconds), action)
+            clock.chance(late) ->
+                clock.after(clock.between(2_000.milliseconds, 40_000.milliseconds), action)
             else -> clock.after(delay() + (slow[to] ?: Micros.ZERO), action)
         }
     }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -138,7 +138,11 @@
         private val troubles: List<() -> Unit> =
             listOf(
                 { crash(someNode(), clock.between(200.milliseconds, 6.seconds)) },
-                { simulation.leader()?.let { crash(it, clock.between(200.milliseconds, 3.seconds)) } },
+                {
+                    simulation.leader()?.let {
+                        crash(it, clock.between(200.milliseconds, 3.seconds))
+                    }
+                },
                 { for (node in simulation.nodes) crash(node, clock.between(1.seconds, 4.seconds)) },
                 { outage(null, clock.between(2.seconds, 20.seconds)) },
                 { simulation.leader()?.let { outage(it, clock.between(4.seconds, 30.seconds)) } },
--- a/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
@@ -20,7 +20,7 @@
             context.at(context.now + 100.milliseconds, context.wall)
             ask()
             store.sendDue()
-            for (effect in context.take()) if (effect is Effect.Send) sent.add(effect.path)
+            for (effect in context.take()) if (effect is Effect.SendRequest) sent.add(effect.path)
         }
 
     @Test
@@ -38,7 +38,9 @@
         var refused = 0
         pass(4) {
             repeat(5) { store.get("j/job-000001", RequestPriority.LEADER) {} }
-            store.get("j/job-000002", RequestPriority.READ) { if (it is StoreResult.Refused) refused++ }
+            store.get("j/job-000002", RequestPriority.READ) {
+                if (it is StoreResult.Refused) refused++
+            }
         }
         // All but those of the last 1.2 s.
         assertTrue(refused >= 25, "$refused of 40 were refused")
