--- /dev/null
+++ b/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
@@ -0,0 +1,114 @@
+package wardmux.app
+
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertFalse
+import kotlin.test.assertNotNull
+import kotlin.test.assertNull
+import kotlin.test.assertTrue
+import kotlinx.serialization.json.Json
+import kotlinx.serialization.json.jsonObject
+import kotlinx.serialization.json.jsonPrimitive
+import wardmux.forwarding.ForwardingCodec
+import wardmux.forwarding.HeartbeatBatchResponse
+import wardmux.model.TaskAttempt
+
+/**
+ * What this version writes of [FormatAdditions] is byte for byte what is in the samples, which are
+ * never made anew; and the answers to relays in them, with the cancelled tasks that are to be
+ * halted, are read.
+ */
+class FormatAdditionsTest {
+    private val samples = FormatSamples(FormatSamples.ADDITIONS)
+
+    @Test
+    fun `what is stored is the same byte for byte, under the same keys`() {
+        val now = FormatAdditions.stored()
+        assertEquals(samples.stored.keys, now.keys)
+        for ((key, value) in samples.stored) {
+            val written = now.getValue(key)
+            if (FormatSamples.isPacked(key)) {
+                // How well it is packed may depend on the Java version.
+                val sample = FormatTree.unpacked(value).toHexString()
+                assertEquals(sample, FormatTree.unpacked(written).toHexString(), key)
+            } else {
+                assertEquals(value.toString(), written.toString(), key)
+            }
+        }
+    }
+
+    @Test
+    fun `messages between controllers are the same byte for byte`() {
+        val now = FormatAdditions.messages().mapValues { it.value.toHexString() }
+        assertEquals(samples.messages.mapValues { it.value.toHexString() }, now)
+    }
+
+    @Test
+    fun `what operators send and are answered is the same byte for byte`() {
+        val operators = Json.parseToJsonElement(samples.text("operators")).jsonObject
+        val samples = operators.mapValues { it.value.jsonPrimitive.content }
+        assertEquals(samples, FormatAdditions.operators())
+    }
+
+    /** As it was sent, and as a later version might send it; each is written again alike. */
+    private fun eachAnswer(name: String, check: (HeartbeatBatchResponse) -> Unit) {
+        val bytes = samples.messages.getValue(name)
+        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
+        for (sent in listOf(bytes, more)) {
+            val answer = assertNotNull(ForwardingCodec.answer(sent), name)
+            check(answer)
+            assertEquals(bytes.toHexString(), ForwardingCodec.encode(answer).toHexString(), name)
+        }
+    }
+
+    private fun assertHalting(answer: HeartbeatBatchResponse?) {
+        assertNotNull(answer)
+        assertEquals(listOf("n3-1", 41L, 4_711L), listOf(answer.boot, answer.number, answer.token))
+        assertEquals(55_500_000, answer.clock)
+        assertEquals(5_280_000, answer.grant)
+        assertTrue(answer.renews)
+        assertEquals(listOf("job-000412", "job-000414"), answer.cancelledJobs)
+        val halts = answer.mustHalt.orEmpty().map { it.machine to it.tasks }
+        val first = listOf(TaskAttempt("job-000412/16", 1), TaskAttempt("job-000412/17", 2))
+        assertEquals(listOf("i-000001" to first, "i-000002" to emptyList()), halts)
+    }
+
+    private fun assertNothingToHalt(answer: HeartbeatBatchResponse?) {
+        assertNotNull(answer)
+        assertEquals(listOf("n3-1", 42L, 4_711L), listOf(answer.boot, answer.number, answer.token))
+        assertEquals(55_600_000, answer.clock)
+        assertTrue(answer.renews)
+        assertEquals(emptyList(), answer.cancelledJobs)
+        assertEquals(emptyList(), answer.mustHalt)
+    }
+
+    @Test
+    fun `cancelled jobs and the tasks to be halted are read`() {
+        eachAnswer("halting answer") { assertHalting(it) }
+        eachAnswer("nothing to halt") { assertNothingToHalt(it) }
+    }
+
+    @Test
+    fun `they are read by way of the state service, where no lease may be renewed without them`() {
+        val value = samples.stored.getValue("a/relays")
+        val more = FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
+        for (stored in listOf(value, more)) {
+            val answers = assertNotNull(ForwardingCodec.answers(stored)).byMember
+            assertEquals(setOf("n1", "n3", "n4"), answers.keys)
+            assertNothingToHalt(answers["n1"])
+            assertHalting(answers["n3"])
+            val withoutMail = assertNotNull(answers["n4"])
+            assertEquals(41, withoutMail.number)
+            assertFalse(withoutMail.renews)
+            assertEquals(emptyList(), withoutMail.cancelledJobs)
+            assertEquals(emptyList(), withoutMail.mustHalt)
+        }
+    }
+
+    /** A leader of an earlier version names none, which is not the same as that there are none. */
+    @Test
+    fun `an answer of an earlier version names no tasks to be halted`() {
+        val earlier = FormatSamples(FormatSamples.PRODUCTION).messages.getValue("answer")
+        assertNull(assertNotNull(ForwardingCodec.answer(earlier)).mustHalt)
+    }
+}
--- a/src/test/kotlin/wardmux/app/FormatSamples.kt
+++ b/src/test/kotlin/wardmux/app/FormatSamples.kt
@@ -7,8 +7,8 @@
 import kotlinx.serialization.json.jsonPrimitive
 
 /**
- * What one version of wardmux, named by its commit, wrote of [FormatContents] when it was run. The
- * files are fixed: they are never made anew with a later version.
+ * What one version of wardmux, named by its commit, wrote of [FormatContents] or [FormatAdditions]
+ * when it was run. The files are fixed: they are never made anew with a later version.
  */
 class FormatSamples(private val version: String) {
     /** By key of the state service. */
@@ -33,6 +33,9 @@
         /** The landing after it, which machines may run as well. */
         const val LAST_LANDING = "b524460"
 
+        /** The version whose samples hold [FormatAdditions] instead. */
+        const val ADDITIONS = "ab20a17"
+
         /** Batches and answers that go by way of the state service are packed there. */
         fun isPacked(key: String) = key.startsWith("r/") || key.startsWith("a/")
     }
--- /dev/null
+++ b/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
@@ -0,0 +1,285 @@
+package wardmux.app
+
+import kotlin.test.Test
+import kotlin.test.assertContentEquals
+import kotlin.test.assertEquals
+import kotlin.test.assertFailsWith
+import kotlin.test.assertNotNull
+import kotlin.test.assertNull
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.KSerializer
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.json.Json
+import kotlinx.serialization.json.JsonElement
+import kotlinx.serialization.json.jsonObject
+import kotlinx.serialization.json.jsonPrimitive
+import wardmux.drain.BudgetStatus
+import wardmux.drain.DeadlineAction
+import wardmux.drain.DrainCheck
+import wardmux.drain.DrainError
+import wardmux.drain.DrainList
+import wardmux.drain.DrainRecord
+import wardmux.drain.DrainRequest
+import wardmux.drain.DrainSelector
+import wardmux.drain.DrainState
+import wardmux.drain.DrainStatus
+import wardmux.drain.DrainStep
+import wardmux.drain.ForwardedAnswer
+import wardmux.drain.ForwardedRequest
+import wardmux.drain.PauseReason
+import wardmux.drain.Source
+import wardmux.drain.StepOrder
+import wardmux.drain.StepPhase
+import wardmux.drain.operatorJson
+import wardmux.serialization.CborFormat
+import wardmux.serialization.lenientJson
+
+/**
+ * Drains outlive the version that began them, and controllers of two versions pass operators'
+ * requests on to each other. The samples are read here; that they are written alike is seen in
+ * [FormatAdditionsTest].
+ */
+class OperatorFormatTest {
+    private val samples = FormatSamples(FormatSamples.ADDITIONS)
+    private val operators: Map<String, String> =
+        Json.parseToJsonElement(samples.text("operators")).jsonObject.mapValues {
+            it.value.jsonPrimitive.content
+        }
+
+    /** As it was written, and as a later version might write it; each is written again alike. */
+    private fun eachDrain(id: String, check: (DrainRecord) -> Unit) {
+        val value = samples.stored.getValue("d/$id")
+        for (stored in listOf(value, FormatTree.withMore(value))) {
+            val record = drain(stored)
+            check(record)
+            assertEquals(value.toString(), record.toJson().toString(), id)
+        }
+    }
+
+    private fun drain(stored: JsonElement): DrainRecord =
+        lenientJson.decodeFromJsonElement(DrainRecord.serializer(), stored)
+
+    private fun <T : Any> eachMessage(
+        name: String,
+        serializer: KSerializer<T>,
+        check: (T) -> Unit,
+    ) {
+        val bytes = samples.messages.getValue(name)
+        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
+        for (sent in listOf(bytes, more)) {
+            val message = assertNotNull(CborFormat.decode(serializer, sent), name)
+            check(message)
+            assertContentEquals(bytes, CborFormat.encode(serializer, message), name)
+        }
+    }
+
+    private fun <T> ofOperators(name: String, serializer: KSerializer<T>): T {
+        val text = operators.getValue(name)
+        return operatorJson.decodeFromString(serializer, text).also {
+            assertEquals(text, operatorJson.encodeToString(serializer, it), name)
+        }
+    }
+
+    private fun assertSelects(select: DrainSelector) {
+        assertEquals(listOf("i-000001", "i-000003"), select.machines)
+        assertEquals(listOf("rackmid", "plain"), select.types)
+        assertEquals(listOf("east"), select.zones)
+        assertEquals(true, select.spot)
+        assertEquals("2026-09-01T06:30:00+02:00", select.olderThan)
+    }
+
+    private fun assertWhole(request: DrainRequest) {
+        assertEquals("rack-7", request.id)
+        assertSelects(request.select)
+        assertEquals(StepOrder.BY_ZONE, request.order)
+        assertEquals(2, request.stepSize)
+        assertEquals(45.5, request.graceS)
+        assertEquals("2026-09-30T22:00:00+02:00", request.deadline)
+        assertEquals(DeadlineAction.CONTINUE, request.atDeadline)
+    }
+
+    private fun assertWhole(step: DrainStep?) {
+        assertNotNull(step)
+        assertEquals(3, step.number)
+        assertEquals(StepPhase.EMPTYING, step.phase)
+        assertEquals(listOf("i-000003", "i-000001"), step.machines)
+        assertEquals(listOf("job-000413/0", "job-000413/2"), step.moved)
+        assertEquals(1_790_000_000_000_002, step.beganAt)
+        assertEquals(1_790_000_000_000_003, step.emptyingSince)
+    }
+
+    private fun assertWhole(record: DrainRecord) {
+        assertWhole(record.request)
+        assertEquals(DrainState.PAUSED, record.state)
+        assertEquals(4_711, record.token)
+        assertEquals(1_790_000_000_000_001, record.startedAt)
+        assertEquals(1_790_000_000_000_004, record.changedAt)
+        assertEquals("i-000042", record.newest)
+        assertEquals(PauseReason.LOSS, record.reason)
+        assertEquals("team web: 3 of 4", record.note)
+        assertWhole(record.step)
+        assertEquals(5, record.stepsDone)
+        assertEquals(6, record.returned)
+        assertEquals(7, record.moved)
+        assertEquals(1_790_000_000_000_008, record.stepEndedAt)
+        assertEquals(9_000_000, record.lastStep)
+    }
+
+    private fun assertPlain(request: DrainRequest) {
+        assertEquals("done", request.id)
+        val all = DrainSelector(emptyList(), emptyList(), emptyList(), null, null)
+        assertEquals(all, request.select)
+        assertEquals(StepOrder.FEWEST_STEPS, request.order)
+        assertEquals(4, request.stepSize)
+        assertEquals(60.0, request.graceS)
+        assertNull(request.deadline)
+        assertEquals(DeadlineAction.PAUSE, request.atDeadline)
+    }
+
+    private fun assertPlain(record: DrainRecord) {
+        assertPlain(record.request)
+        assertEquals(DrainState.DONE, record.state)
+        assertEquals(1, record.token)
+        assertEquals(2, record.startedAt)
+        assertEquals(3, record.changedAt)
+        assertEquals("i-000004", record.newest)
+        assertNull(record.reason)
+        assertEquals("", record.note)
+        assertNull(record.step)
+        assertEquals(listOf(0, 0, 0), listOf(record.stepsDone, record.returned, record.moved))
+        assertEquals(listOf(0L, 0L), listOf(record.stepEndedAt, record.lastStep))
+    }
+
+    @Test
+    fun `a drain is read, with and without its optional fields`() {
+        eachDrain("rack-7") { assertWhole(it) }
+        eachDrain("done") { assertPlain(it) }
+    }
+
+    @Test
+    fun `a drain is read in each state and order`() {
+        eachDrain("planned") { assertEquals(DrainState.PLANNED, it.state) }
+        eachDrain("preparing") { assertEquals(DrainState.RUNNING, it.state) }
+        eachDrain("by-loss") { assertEquals(DrainState.PAUSED, it.state) }
+        eachDrain("done") { assertEquals(DrainState.DONE, it.state) }
+        eachDrain("cancelled") { assertEquals(DrainState.CANCELLED, it.state) }
+        eachDrain("failed") { assertEquals(DrainState.FAILED, it.state) }
+        eachDrain("planned") { assertEquals(StepOrder.FEWEST_STEPS, it.request.order) }
+        eachDrain("emptiest-first") { assertEquals(StepOrder.EMPTIEST_FIRST, it.request.order) }
+        eachDrain("rack-7") { assertEquals(StepOrder.BY_ZONE, it.request.order) }
+    }
+
+    @Test
+    fun `a drain is read in each phase of its step and paused for each reason`() {
+        eachDrain("preparing") { assertEquals(StepPhase.PREPARING, it.step?.phase) }
+        eachDrain("emptying") { assertEquals(StepPhase.EMPTYING, it.step?.phase) }
+        eachDrain("settling") { assertEquals(StepPhase.SETTLING, it.step?.phase) }
+        eachDrain("by-operator") { assertEquals(PauseReason.OPERATOR, it.reason) }
+        eachDrain("by-deadline") { assertEquals(PauseReason.DEADLINE, it.reason) }
+        eachDrain("by-loss") { assertEquals(PauseReason.LOSS, it.reason) }
+        eachDrain("by-budget") { assertEquals(PauseReason.BUDGET, it.reason) }
+    }
+
+    @Test
+    fun `the names of all values of the enumerations`() {
+        assertNames(Source.serializer(), "leader", "store")
+        assertNames(DeadlineAction.serializer(), "pause", "continue")
+        assertNames(StepOrder.serializer(), "fewest_steps", "emptiest_first", "by_zone")
+        val states = arrayOf("planned", "running", "paused", "done", "cancelled", "failed")
+        assertNames(DrainState.serializer(), *states)
+        assertNames(PauseReason.serializer(), "operator", "deadline", "loss", "budget")
+        assertNames(StepPhase.serializer(), "preparing", "emptying", "settling")
+    }
+
+    @OptIn(ExperimentalSerializationApi::class)
+    private fun assertNames(serializer: KSerializer<*>, vararg names: String) {
+        val descriptor = serializer.descriptor
+        val found = List(descriptor.elementsCount) { descriptor.getElementName(it) }
+        assertEquals(names.toList(), found)
+    }
+
+    @Test
+    fun `what is passed on to the leader is read, and its answer`() {
+        eachMessage("forwarded request", ForwardedRequest.serializer()) {
+            assertEquals("POST", it.method)
+            assertEquals("/drains/rack-7/pause", it.path)
+            assertContentEquals(byteArrayOf(123, 0, 127, -128, -1, 125), it.body)
+        }
+        eachMessage("forwarded answer", ForwardedAnswer.serializer()) {
+            assertEquals(503, it.status)
+            assertEquals("""{"error":"später"}""", it.body)
+            assertEquals(2, it.retryAfterS)
+        }
+        eachMessage("plain forwarded answer", ForwardedAnswer.serializer()) {
+            assertEquals(200, it.status)
+            assertEquals("{}", it.body)
+            assertNull(it.retryAfterS)
+        }
+    }
+
+    @Test
+    fun `an operator's request is read, but not with a field that is unknown`() {
+        assertWhole(ofOperators("request", DrainRequest.serializer()))
+        val more = FormatTree.withMore(Json.parseToJsonElement(operators.getValue("request")))
+        assertFailsWith<SerializationException> {
+            operatorJson.decodeFromJsonElement(DrainRequest.serializer(), more)
+        }
+    }
+
+    @Test
+    fun `errors are read`() {
+        val error = ofOperators("error", DrainError.serializer())
+        assertEquals("no such drain: rack-8", error.error)
+        assertNull(error.state)
+        val over = ofOperators("error of a drain that is over", DrainError.serializer())
+        assertEquals("rack-7 is over", over.error)
+        assertEquals(DrainState.CANCELLED, over.state)
+    }
+
+    private fun assertWeb(budget: BudgetStatus) {
+        assertEquals("web", budget.team)
+        assertEquals(4, budget.limit)
+        assertEquals(3, budget.disrupted)
+        assertEquals(2, budget.leastReplicas)
+    }
+
+    private fun assertStored(status: DrainStatus) {
+        assertPlain(status.record)
+        assertEquals(Source.STORE, status.source)
+        assertEquals(0.0, status.ageS)
+        assertEquals("", status.waitsFor)
+        assertNull(status.remaining)
+        assertEquals(emptyList(), status.budgets)
+    }
+
+    @Test
+    fun `the status of a drain is read, from the leader and as it is stored`() {
+        val status = ofOperators("status", DrainStatus.serializer())
+        assertWhole(status.record)
+        assertEquals(Source.LEADER, status.source)
+        assertEquals(0.25, status.ageS)
+        assertEquals("the budget of web", status.waitsFor)
+        assertEquals(11, status.remaining)
+        assertWeb(status.budgets.single())
+        assertStored(ofOperators("stored status", DrainStatus.serializer()))
+    }
+
+    @Test
+    fun `the list of drains is read`() {
+        val list = ofOperators("list", DrainList.serializer())
+        assertStored(list.drains.single())
+        assertEquals(listOf("rack-9"), list.unreadable)
+    }
+
+    @Test
+    fun `what a drain would do is read`() {
+        val check = ofOperators("check", DrainCheck.serializer())
+        assertEquals(3, check.machines)
+        assertEquals(listOf(listOf("i-000001", "i-000003"), listOf("i-000002")), check.steps)
+        assertEquals(17, check.tasksToMove)
+        assertWeb(check.budgets.single())
+        assertEquals("no room for job-000413", check.stoppedBy)
+        val plain = ofOperators("plain check", DrainCheck.serializer())
+        assertEquals(DrainCheck(0, emptyList(), 0, emptyList(), null), plain)
+    }
+}
