--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -44,7 +44,7 @@
 
     private fun isThere(job: Job) =
         cluster.machines.values.any {
-            !it.decommissioned &&
+            !it.isDecommissioned &&
                 it.preemptionNoticeAt == null &&
                 (it.maintenance == Maintenance.NONE || it.maintenance == Maintenance.LEAVING) &&
                 eligibility.suits(job, it.type, it.zone, it.spot) &&
@@ -96,6 +96,6 @@
     private fun comingTo(spec: JobSpec, zone: String) =
         orders.count { it.zone == zone && (spec.spot || !it.spot) } +
             cluster.machines.values.count {
-                it.zone == zone && !it.isUp && !it.decommissioned && eligibility.allowed(spec, it)
+                it.zone == zone && !it.isUp && !it.isDecommissioned && eligibility.allowed(spec, it)
             }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -60,7 +60,7 @@
 
     /** Moves replicas off machines that are being emptied; a few at a time. */
     fun moveReplicas() {
-        val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.decommissioned }
+        val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.isDecommissioned }
         // Operators' drains move tasks within budgets, which this must not use up.
         if (isScalingIn.isEmpty() || cluster.hasDrains) return
         val moving =
@@ -83,7 +83,7 @@
     private fun isMovable(placement: Placement) =
         placement.job.spec.shape == JobKind.SERVICE &&
             placement.status == TaskStatus.RUNNING &&
-            placement.committed &&
+            placement.isCommitted &&
             !placement.isStopping &&
             !placement.job.hasEnded &&
             // One of a service at a time: the others go on.
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -109,7 +109,7 @@
 
     private fun deleteDecommissioned() {
         if (context.now < deleteAt || !cloud.ready()) return
-        val due = cluster.machines.values.filter { it.deleting }.take(MOST_DELETED)
+        val due = cluster.machines.values.filter { it.isDeletionDue }.take(MOST_DELETED)
         if (due.isEmpty()) return
         deleteAt = context.now + DELETE_TIME
         cloud.delete(due.map { it.id.value }) { result ->
@@ -139,7 +139,7 @@
         for (job in planner.shortOfRoom()) jobs.rentFor(job, pools.pools.flatMap { it.types })
         val backlogs = demand.backlogs(pools)
         val ordinaryInUse = demand.ordinaryInUse(pools)
-        val machines = cluster.machines.values.filter { !it.decommissioned }
+        val machines = cluster.machines.values.filter { !it.isDecommissioned }
         for (pool in pools.pools) {
             val own = machines.filter { pool.holds(it.type) }
             decide(pool, own, backlogs[pool] ?: Backlog(), ordinaryInUse[pool] ?: 0.0)
@@ -228,7 +228,7 @@
         var left = surplus + 1 - SURPLUS
         if (left < 1) return
         val gangs = planner.shortOfRoom().filter { it.spec.isGang && !it.isFailing }
-        val idle = own.filter { it.isUp && it.isEmpty && !it.decommissioned && it.spot == spot }
+        val idle = own.filter { it.isUp && it.isEmpty && !it.isDecommissioned && it.spot == spot }
         for (machine in idle.sortedByDescending { pool.dearness(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !idleForLong(pool, machine)) continue
             // One that a gang waits for more of: it would be rented again at once, and go again.
--- a/src/main/kotlin/wardmux/drain/Disruptions.kt
+++ b/src/main/kotlin/wardmux/drain/Disruptions.kt
@@ -81,8 +81,8 @@
 
     private fun isSound(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        return machine.confirmed &&
-            !machine.decommissioned &&
+        return machine.hasAdoptedToken &&
+            !machine.isDecommissioned &&
             machine.preemptionNoticeAt == null &&
             context.now - lastHeartbeatAt < heardWithin
     }
@@ -92,7 +92,7 @@
      * earlier leader recorded may have been.
      */
     private fun wasUp(placement: Placement) =
-        placement.restored ||
+        placement.isRestored ||
             placement.attempt > 1 ||
             placement.runningSince != null ||
             placement.attemptKey in stopsSent
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -21,7 +21,7 @@
     fun targets(request: DrainRequest, newest: String): List<Machine> {
         val before = request.select.olderThan?.let { momentOf(it) }
         return cluster.machines.values.filter { machine ->
-            !machine.decommissioned &&
+            !machine.isDecommissioned &&
                 selects(request.select, machine) &&
                 (machine.id.value <= newest || machine.id.value in request.select.machines) &&
                 (before == null || machine.rentedBefore?.let { it <= before } == true)
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -109,7 +109,7 @@
     private fun isBooting(job: Job) =
         cluster.machines.values.any {
             !it.isUp &&
-                !it.decommissioned &&
+                !it.isDecommissioned &&
                 environment.eligibility.suits(job, it.type, it.zone, it.spot)
         }
 
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -86,7 +86,7 @@
 
     private fun couldTake(machine: Machine, job: Job): Boolean {
         val spec = job.spec
-        return !machine.decommissioned &&
+        return !machine.isDecommissioned &&
             machine.type.allowedFor(spec) &&
             (spec.spot || !machine.spot) &&
             (spec.zone == null || spec.zone == machine.zone)
@@ -157,7 +157,7 @@
         val machines = present(step)
         for (machine in machines) if (isEmpty(machine)) decommission(machine, DRAINED)
         if (machines.isEmpty()) return settling(record, step)
-        val open = machines.filter { !it.decommissioned }
+        val open = machines.filter { !it.isDecommissioned }
         if (open.isEmpty()) return Decision.Wait("${machines.size} machines are being returned")
         reasonToYield(open)?.let {
             return Decision.Wait(it)
@@ -177,7 +177,7 @@
             context.wall.value - step.emptyingSince >= record.request.graceS.seconds.value
         val candidates =
             open
-                .filter { it.confirmed }
+                .filter { it.hasAdoptedToken }
                 .flatMap { it.placements.values }
                 .filter { isStoppable(it) && (it.isReplica || graceOver) && it.name !in step.moved }
         val choice = chooser.choose(candidates)
@@ -211,7 +211,7 @@
     /** Stops what the record names, as far as the budgets still have room at this moment. */
     fun stopIntended(step: DrainStep) {
         for (machine in present(step)) {
-            if (machine.decommissioned || !machine.confirmed) continue
+            if (machine.isDecommissioned || !machine.hasAdoptedToken) continue
             for (placement in machine.placements.values.toList()) {
                 if (placement.name !in step.moved || !isStoppable(placement)) continue
                 stop(placement)
@@ -275,7 +275,7 @@
             context.now - machine.idleSince > ENDS_RECORDED
 
     private fun isStoppable(placement: Placement) =
-        placement.committed &&
+        placement.isCommitted &&
             placement.status != null &&
             !placement.isStopping &&
             !placement.job.hasEnded
--- a/src/main/kotlin/wardmux/fleet/Fleet.kt
+++ b/src/main/kotlin/wardmux/fleet/Fleet.kt
@@ -18,6 +18,7 @@
 import wardmux.model.MachineTypes
 import wardmux.model.Micros
 import wardmux.model.Placement
+import wardmux.model.TaskEndCause
 import wardmux.model.TaskId
 import wardmux.model.TaskStatus
 import wardmux.model.seconds
@@ -93,14 +94,14 @@
         when (val decision = renewals.decide(report, knowledge)) {
             is RenewalDecision.Withhold -> {
                 if (machine != null) askForProof(machine, decision)
-                context.answerBytes(call, HttpStatus.OK, decision.answer)
+                context.answerBytes(call, HttpStatus.OK, decision.response)
             }
             is RenewalDecision.Renew -> {
                 machine?.renewedAt = context.now
                 val orders =
                     if (machine != null && heard) orders(machine, report, starts = true)
                     else emptyList()
-                context.answerBytes(call, HttpStatus.OK, decision.renewal.answer(orders))
+                context.answerBytes(call, HttpStatus.OK, decision.renewal.response(orders))
             }
         }
     }
@@ -121,9 +122,9 @@
         if (decision is RenewalDecision.Withhold) {
             askForProof(machine, decision)
             // Relays withhold it by themselves; those of an earlier version are to refuse it.
-            if (decision.reason == WithholdingReason.UNPROVEN) return null
+            if (decision.reason == WithholdingReason.ABSENCE_UNVERIFIED) return null
         }
-        val halts = (decision as? RenewalDecision.Renew)?.renewal?.halts.orEmpty()
+        val halts = (decision as? RenewalDecision.Renew)?.renewal?.requiredStops.orEmpty()
         // While what is stored is being read, perhaps for long, cancellations are known already.
         return if (heard && knowledge.isLoaded) orders(machine, report, starts = false) else halts
     }
@@ -133,9 +134,10 @@
      * whether it is there, and makes the machine take this token, so that no earlier start counts.
      */
     private fun askForProof(machine: Machine, decision: RenewalDecision.Withhold) {
-        if (decision.reason != WithholdingReason.UNPROVEN || machine.isCommandInFlight) return
+        if (decision.reason != WithholdingReason.ABSENCE_UNVERIFIED || machine.isCommandInFlight)
+            return
         for (placement in machine.placements.values) {
-            if (placement.job.isCancelled) placement.stopSent = false
+            if (placement.job.isCancelled) placement.isStopSent = false
         }
         cluster.machinesWithCommands.add(machine)
     }
@@ -153,8 +155,8 @@
 
     /** True for one that is not answered: its lease is to end if its deletion takes long. */
     private fun isGivenUp(machine: Machine, report: WorkerHeartbeat): Boolean {
-        if (machine.decommissioned && isNewer(machine, report)) note(machine, report, context.now)
-        return machine.decommissioned
+        if (machine.isDecommissioned && isNewer(machine, report)) note(machine, report, context.now)
+        return machine.isDecommissioned
     }
 
     /** False if it shows nothing: late, a copy, or overtaken by a direct order's answer. */
@@ -211,14 +213,14 @@
         machine.incarnation = report.incarnation
         machine.tick = report.tick
         if (report.token == token.value) {
-            if (!machine.confirmed) {
+            if (!machine.hasAdoptedToken) {
                 log.info("{} is up", machine.id)
                 // Until it took this token, an earlier leader may have renewed its lease.
                 machine.incarnationSince = context.now
                 cluster.machinesWithCommands.add(machine)
                 cluster.changed()
             }
-            machine.confirmed = true
+            machine.hasAdoptedToken = true
             machine.hasOnlyStaleHeartbeats = false
             // Under an older token it may be a copy from before this leader's time.
             machine.lastHeartbeatAt = maxOf(machine.lastHeartbeatAt ?: at, at)
@@ -226,10 +228,10 @@
         } else if (machine.firstStaleHeartbeatAt == null) {
             machine.firstStaleHeartbeatAt = context.now
         }
-        if (report.recallS != null && machine.preemptionNoticeAt == null) {
+        if (report.preemptedInS != null && machine.preemptionNoticeAt == null) {
             machine.preemptionNoticeAt = context.now
-            machine.preemptedAt = context.now + report.recallS.seconds
-            log.info("{} is taken back in {} s", machine.id, report.recallS)
+            machine.preemptedAt = context.now + report.preemptedInS.seconds
+            log.info("{} is taken back in {} s", machine.id, report.preemptedInS)
         }
     }
 
@@ -268,9 +270,9 @@
         if (report.token != token.value) return
         val absent =
             machine.placements.values.filter {
-                val leaving = it.isStopping || it.job.hasEnded || it.restored
+                val leaving = it.isStopping || it.job.hasEnded || it.isRestored
                 leaving &&
-                    it.committed &&
+                    it.isCommitted &&
                     it.lastSeenTick != report.tick &&
                     it.taskAttempt !in machine.unconfirmedStarts
             }
@@ -304,27 +306,29 @@
     ) {
         val job = placement.job
         // A copy from before this leader's time frees nothing; what is done stays done.
-        if (reported.cause != "done" && report.token != token.value) return
+        if (reported.cause != TaskEndCause.DONE && report.token != token.value) return
         // The others wait or run for nothing.
-        if (reported.cause != "done" && !job.allTasksDone) cluster.breakAttempt(job)
+        if (reported.cause != TaskEndCause.DONE && !job.allTasksDone) cluster.breakAttempt(job)
         when (reported.cause) {
-            "done" -> {
+            TaskEndCause.DONE -> {
                 failures.completed(machine, job)
                 cluster.complete(placement)
             }
-            "error" -> {
+            TaskEndCause.ERROR -> {
                 cluster.release(placement, "failed")
                 failures.failed(machine, job)
             }
-            "stopped" -> cluster.release(placement, "stopped")
+            TaskEndCause.STOPPED -> cluster.release(placement, "stopped")
             // Another task of its gang is gone or was not there in time; nothing is at fault here.
-            "peers",
-            "alone" -> cluster.release(placement, "its gang is not whole")
-            else -> {
-                log.info("{} was refused by {}: {}", placement.task, machine.id, reported.cause)
+            TaskEndCause.GANG_PEER_ENDED,
+            TaskEndCause.GANG_INCOMPLETE -> cluster.release(placement, "its gang is not whole")
+            TaskEndCause.TASK_UNKNOWN,
+            TaskEndCause.REFUSED -> {
+                log.info("{} was refused by {}: {}", placement.task, machine.id, reported.causeName)
                 cluster.release(placement, "refused")
                 machine.pausedUntil = context.now + REFUSED_PAUSE
-                if (reported.cause == "unknown") job.backoffUntil = context.wall + UNKNOWN_PAUSE
+                if (reported.cause == TaskEndCause.TASK_UNKNOWN)
+                    job.backoffUntil = context.wall + UNKNOWN_PAUSE
             }
         }
     }
@@ -332,7 +336,8 @@
     /** The result is kept on the machine, so a completed task counts wherever it is found. */
     private fun endedUnplaced(task: TaskId, reported: ReportedTask) {
         val job = cluster.jobs[task.job] ?: return
-        if (reported.cause != "done" || job.hasEnded || job.isTaskDone(task.index)) return
+        if (reported.cause != TaskEndCause.DONE || job.hasEnded || job.isTaskDone(task.index))
+            return
         if (task.index !in 0 until job.spec.tasks) return
         if (job.placements.containsKey(task.index)) return
         cluster.complete(job, task.index)
@@ -355,30 +360,30 @@
             }
             val placement = machine.placed(reported)
             if (placement == null || placement.job.hasEnded) {
-                orders.add(WorkerCommand.halt(reported.task, reported.attempt, 0.0))
+                orders.add(WorkerCommand.stop(reported.task, reported.attempt, 0.0))
             } else if (placement.isStopping && reported.status != TaskStatus.SAVING) {
                 val within = placement.gracePeriod ?: Micros.ZERO
-                orders.add(WorkerCommand.halt(reported.task, reported.attempt, within.inSeconds))
+                orders.add(WorkerCommand.stop(reported.task, reported.attempt, within.inSeconds))
             }
         }
         if (!starts || !leaseIsValid()) return orders
         for (placement in machine.placements.values) {
             if (orders.size >= MAX_ORDERS) break
             if (placement.lastSeenTick == report.tick || !startable(machine, placement)) continue
-            orders.add(WorkerCommand.start(placement))
+            orders.add(WorkerCommand.start(placement.name, placement.attempt))
             started(placement)
         }
         return orders
     }
 
     private fun started(placement: Placement) {
-        placement.startSent = true
+        placement.isStartSent = true
         if (placement.startedAt == null) placement.startedAt = context.now
     }
 
     private fun startable(machine: Machine, placement: Placement) =
-        placement.committed &&
-            !placement.restored &&
+        placement.isCommitted &&
+            !placement.isRestored &&
             placement.incarnation == machine.incarnation &&
             !placement.isStopping &&
             !placement.job.hasEnded &&
@@ -392,7 +397,7 @@
     fun releaseUnsent(machine: Machine) {
         val unsent =
             machine.placements.values.filter {
-                it.committed && !it.restored && it.startedAt == null && !it.startSent
+                it.isCommitted && !it.isRestored && it.startedAt == null && !it.isStartSent
             }
         for (placement in unsent) cluster.release(placement, "its start can't be sent")
     }
@@ -425,8 +430,8 @@
             // hold up the commands to all others.
             val pausing = context.now - machine.connectionFailedAt < UNCONNECTED_PAUSE
             if (machine.isCommandInFlight || pausing) continue
-            val known = machine.confirmed || machine.holdsCancelled
-            val reachable = known && !machine.decommissioned && machine.endpoint.isNotEmpty()
+            val known = machine.hasAdoptedToken || machine.holdsCancelled
+            val reachable = known && !machine.isDecommissioned && machine.endpoint.isNotEmpty()
             if (!reachable || machine.hasUnansweredStart) {
                 looked.remove()
                 continue
@@ -445,18 +450,20 @@
             if (isHaltDue(machine, placement)) {
                 val within = if (placement.job.hasEnded) Micros.ZERO else placement.gracePeriod
                 val inSeconds = (within ?: Micros.ZERO).inSeconds
-                orders.add(WorkerCommand.halt(placement.name, placement.attempt, inSeconds))
-                placement.stopSent = true
-            } else if (!placement.startSent && startable(machine, placement) && leaseIsValid()) {
+                orders.add(WorkerCommand.stop(placement.name, placement.attempt, inSeconds))
+                placement.isStopSent = true
+            } else if (!placement.isStartSent && startable(machine, placement) && leaseIsValid()) {
                 if (starts.size < MAX_DIRECT) starts.add(placement) else waits = true
-            } else if (!placement.committed || !placement.startSent && !placement.job.mayStart) {
+            } else if (
+                !placement.isCommitted || !placement.isStartSent && !placement.job.mayStart
+            ) {
                 waits = true
             }
         }
         for (placement in starts) {
             started(placement)
             machine.unconfirmedStarts.add(placement.taskAttempt)
-            orders.add(WorkerCommand.start(placement))
+            orders.add(WorkerCommand.start(placement.name, placement.attempt))
         }
         if (orders.isNotEmpty()) direct(machine, orders, starts)
         return waits
@@ -464,9 +471,9 @@
 
     /** Also one of a cancelled job that a machine which never took this token does not show. */
     private fun isHaltDue(machine: Machine, placement: Placement): Boolean {
-        if (placement.stopSent) return false
+        if (placement.isStopSent) return false
         val leaving = placement.isStopping || placement.job.hasEnded
-        val unproven = placement.job.isCancelled && !machine.confirmed
+        val unproven = placement.job.isCancelled && !machine.hasAdoptedToken
         return leaving && (placement.status != null || unproven)
     }
 
@@ -484,17 +491,18 @@
             directOpen--
             if (outcome is Outcome.Response) unreached.clear()
             else unreached.putIfAbsent(machine, context.now)
-            if (starts.any { it.stopSent } || !machine.isEmpty)
+            if (starts.any { it.isStopSent } || !machine.isEmpty)
                 cluster.machinesWithCommands.add(machine)
             when (outcome) {
                 is Outcome.Response -> {
-                    if (outcome.status != 200) for (placement in starts) placement.startSent = false
+                    if (outcome.status != 200)
+                        for (placement in starts) placement.isStartSent = false
                     settled(machine, incarnation, starts)
                     if (outcome.status == 200 || outcome.status == 409) takeDirect(machine, outcome)
                 }
                 is Outcome.NotSent -> {
                     machine.connectionFailedAt = context.now
-                    for (placement in starts) placement.startSent = false
+                    for (placement in starts) placement.isStartSent = false
                     settled(machine, incarnation, starts)
                 }
                 is Outcome.NoResponse ->
@@ -517,7 +525,7 @@
                 unreached.values.any { context.now - it > UNREACHED_FOR } &&
                 unreached.count { (machine, at) -> machine.heardSince(at) } >= ENOUGH_UNREACHED
 
-    private fun Machine.heardSince(at: Micros) = !decommissioned && (lastHeartbeatAt ?: at) > at
+    private fun Machine.heardSince(at: Micros) = !isDecommissioned && (lastHeartbeatAt ?: at) > at
 
     private fun settled(machine: Machine, incarnation: Long, starts: List<Placement>) {
         if (machine.incarnation != incarnation) return
@@ -536,7 +544,7 @@
     /** A completed task is recorded before the only other place that knows of it forgets. */
     private fun mayForget(machine: Machine, reported: ReportedTask): Boolean {
         if (reported.taskAttempt in machine.unconfirmedStarts) return false
-        if (reported.cause != "done")
+        if (reported.cause != TaskEndCause.DONE)
             return machine.mayForget(reported.taskAttempt, context.now, keepEnded)
         val task = TaskId.parse(reported.task) ?: return true
         val job = cluster.jobs[task.job] ?: return true
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -145,7 +145,7 @@
     private fun isLoose(machine: Machine, placement: Placement) =
         placement.taskAttempt in machine.unconfirmedStarts
 
-    private fun up() = cluster.machines.values.filter { it.isUp && !it.decommissioned }
+    private fun up() = cluster.machines.values.filter { it.isUp && !it.isDecommissioned }
 
     /**
      * A machine with placements that never reported under this leader's token: an earlier leader
@@ -157,12 +157,12 @@
         val patience = workers.leaseS.seconds + lostAfter
         for (machine in cluster.machines.values) {
             val since = machine.firstStaleHeartbeatAt ?: continue
-            if (machine.isUp || machine.decommissioned || context.now - since < patience) continue
+            if (machine.isUp || machine.isDecommissioned || context.now - since < patience) continue
             decommission(machine, "never took this leader's token")
         }
         val unheard =
             cluster.machines.values.filter {
-                !it.isUp && !it.decommissioned && it.placements.isNotEmpty()
+                !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
             }
         val unknown = cluster.unheardOf().toList()
         // How long ago the cancellation was is not known, so these get one report's time.
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -137,7 +137,7 @@
     ): HeartbeatBatchResponse {
         val shed = relayer.shed
         relayer.shed = 0
-        val mustHalt = knowledge.tasksToHalt()
+        val mustHalt = knowledge.tasksToStop()
         // Too many to name: then nothing may be renewed before some are proven gone.
         val tooMany = mustHalt.sumOf { it.tasks.size } > MOST_NAMED_TASKS
         return HeartbeatBatchResponse(
@@ -216,7 +216,7 @@
 
     private fun decide(loaded: Boolean) {
         if (alone) return
-        val known = cluster.machines.values.count { !it.decommissioned }
+        val known = cluster.machines.values.count { !it.isDecommissioned }
         val reports = known / workers.reportS
         val many =
             reports > operators.reportsPerCore * limits.cpu ||
@@ -268,7 +268,7 @@
     private fun machinesByMember(): Map<String, Int> {
         val counts = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
-            if (machine.isUp && !machine.decommissioned)
+            if (machine.isUp && !machine.isDecommissioned)
                 counts.merge(machine.forwardedBy ?: member, 1, Int::plus)
         }
         return counts
--- a/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -20,12 +20,12 @@
 
     override val usableUntil: Micros = if (answer.renews) grantedUntil else Micros.LONG_AGO
 
-    override val cancellationsLearned: Long
+    override val cancellationCount: Long
         get() = cancellations.learned
 
     override fun isCancelled(job: JobId): Boolean = job in cancellations
 
-    override fun mustHalt(machine: MachineId): List<TaskAttempt> = mustHalt[machine].orEmpty()
+    override fun tasksToStop(machine: MachineId): List<TaskAttempt> = mustHalt[machine].orEmpty()
 
     /** Whether something on [machine] has to be halted. */
     fun names(machine: MachineId): Boolean = machine in mustHalt
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -148,11 +148,12 @@
         val renewed = decision is RenewalDecision.Renew
         if (pending.add(machine, report, body, token, renewed)) urgent = true
         when (decision) {
-            is RenewalDecision.Withhold -> context.answerBytes(call, HttpStatus.OK, decision.answer)
+            is RenewalDecision.Withhold ->
+                context.answerBytes(call, HttpStatus.OK, decision.response)
             is RenewalDecision.Renew -> {
                 val mail = machine.mail?.takeIf { it.incarnation == report.incarnation }
                 machine.mail = null
-                val answer = decision.renewal.answer(mail?.orders.orEmpty())
+                val answer = decision.renewal.response(mail?.orders.orEmpty())
                 context.answerBytes(call, HttpStatus.OK, answer)
             }
         }
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -337,8 +337,7 @@
         pools.observeNow(cluster.jobs.values)
         watchFrom = state.openJobs.revision
         watchAt = context.now
-        knowledge.isLoaded = true
-        knowledge.hasRead = true
+        knowledge.markLoaded()
         log.info(
             "token {} has read {} jobs with {} placements, {} cancelled ones among them, " +
                 "as of {} s ago",
@@ -365,9 +364,9 @@
     private fun markDecommissioned(id: MachineId) {
         val label = types.types?.firstOrNull()?.label ?: return
         val machine = fleet.machine(id, label, "", false) ?: return
-        machine.decommissioned = true
+        machine.isDecommissioned = true
         machine.decommissionReason = "decommissioned earlier"
-        machine.deleting = true
+        machine.isDeletionDue = true
     }
 
     private fun loadPage(item: ScannedKey<StoredPage>) {
@@ -434,7 +433,7 @@
     override fun fenced() = leadership.fenced()
 
     override fun lost() {
-        knowledge.isLoaded = false
+        knowledge.markStale()
         watchGeneration++
         storedState.abandon()
         watchAt = null
@@ -464,13 +463,13 @@
     }
 
     override fun decommissioned(machine: Machine) {
-        machine.deleting = true
+        machine.isDeletionDue = true
     }
 
     private fun decommission(machine: Machine, why: String) {
-        if (machine.decommissioned) return
+        if (machine.isDecommissioned) return
         log.info("{} is given up: {}; {} tasks there", machine.id, why, machine.placements.size)
-        machine.decommissioned = true
+        machine.isDecommissioned = true
         machine.decommissionReason = why
         placementStore.decommission(machine)
     }
--- a/src/main/kotlin/wardmux/lease/CancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationView.kt
@@ -8,30 +8,30 @@
 import wardmux.model.Micros
 import wardmux.model.TaskAttempt
 
-/** Tasks of cancelled jobs that may be on [machine]: whoever renews its lease halts them all. */
+/** Tasks of cancelled jobs that may be on [machine]: whoever renews its lease stops them all. */
 @Serializable
 class CancelledTasks(
     @SerialName("machine") val machine: String,
     @SerialName("tasks") val tasks: List<TaskAttempt>,
 )
 
-/** What a controller knows of cancelled tasks when it answers a machine's report. */
+/** The cancellations that a controller knows of when it answers a worker's heartbeat. */
 interface CancellationView {
-    /** The token under which it may be used. */
+    /** The fencing token under which leases are renewed by this view. */
     val token: FencingToken
 
-    /** From then on it is too old to renew a lease with. */
+    /** The time, exclusive, up to which the view is recent enough to renew a lease. */
     val usableUntil: Micros
 
-    /** Counts the cancellations that were learned: while it stays, none has been added. */
-    val cancellationsLearned: Long
+    /** The number of cancellations learned so far; as long as it stays, none has been added. */
+    val cancellationCount: Long
 
     /** Whether a user may have been told that [job] is cancelled. */
     fun isCancelled(job: JobId): Boolean
 
     /**
-     * Attempts of cancelled jobs that may be on [machine] and have so little time left that its
-     * lease is renewed only by an answer that halts them all.
+     * Attempts of cancelled jobs that may be on [machine] and are so near their deadline that its
+     * lease is renewed only by a response that stops them all.
      */
-    fun mustHalt(machine: MachineId): List<TaskAttempt>
+    fun tasksToStop(machine: MachineId): List<TaskAttempt>
 }
--- a/src/main/kotlin/wardmux/lease/CheckedHeartbeats.kt
+++ b/src/main/kotlin/wardmux/lease/CheckedHeartbeats.kt
@@ -4,32 +4,32 @@
 import wardmux.worker.WorkerHeartbeat
 
 /**
- * Machines whose reported tasks were found free of cancelled jobs. Most reports differ from the one
- * before by their tick alone and share its list of tasks: these are not looked through again.
+ * Remembers machines that were found to run no task of a cancelled job. Most heartbeats differ from
+ * the previous one by their tick alone and share its list of tasks: these are not checked again.
  */
 class CheckedHeartbeats {
-    /** [tasks] were held against so many cancellations. */
-    private class Check(val tasks: List<ReportedTask>, val cancellations: Long)
+    /** [tasks] were checked when [cancellationCount] cancellations were known. */
+    private class Check(val tasks: List<ReportedTask>, val cancellationCount: Long)
 
     private val checks = HashMap<String, Check>()
 
-    /** Whether nothing in [report] was cancelled when so many [cancellations] were known. */
-    fun isFree(report: WorkerHeartbeat, cancellations: Long): Boolean {
-        val check = checks[report.machine] ?: return false
-        return check.tasks === report.tasks && check.cancellations == cancellations
+    /** Whether the tasks in [heartbeat] were checked against the same cancellations before. */
+    fun isKnownFree(heartbeat: WorkerHeartbeat, cancellationCount: Long): Boolean {
+        val check = checks[heartbeat.machine] ?: return false
+        return check.tasks === heartbeat.tasks && check.cancellationCount == cancellationCount
     }
 
-    /** Nothing in [report] is cancelled; so many [cancellations] are known. */
-    fun foundFree(report: WorkerHeartbeat, cancellations: Long) {
-        if (checks.size >= MOST_MACHINES) checks.clear()
-        checks[report.machine] = Check(report.tasks, cancellations)
+    /** No task in [heartbeat] is among the cancellations known so far. */
+    fun recordFree(heartbeat: WorkerHeartbeat, cancellationCount: Long) {
+        if (checks.size >= MAX_MACHINES) checks.clear()
+        checks[heartbeat.machine] = Check(heartbeat.tasks, cancellationCount)
     }
 
-    /** Another leader knows other cancellations. */
+    /** Forgets all checks, as another leader knows other cancellations. */
     fun clear() = checks.clear()
 
     private companion object {
-        /** Far more than there are; machines that are gone are not told apart. */
-        const val MOST_MACHINES = 20_000
+        /** Far more machines than a cluster has; entries of deleted machines are not removed. */
+        const val MAX_MACHINES = 20_000
     }
 }
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -14,13 +14,14 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * What the leader knows of cancelled tasks: the records of where each task may be, and the
+ * The leader's view of cancelled tasks: the records of where each task may be, and the
  * cancellations that users were told of.
  *
- * A leader that does not know what was cancelled can't take it down, so what it knows is usable for
- * a time that counts from when the question that told it was sent: its own lease says nothing of
- * it, and a watch that is open may be one that the service has stopped serving. One that has not
- * read yet renews only if reading takes so long that all work would be lost otherwise.
+ * A leader that does not know of a cancellation can't stop its tasks, so the view expires a fixed
+ * time after the request was sent that last confirmed it. The leader's own lease does not extend
+ * it, and neither does an open watch, which the key-value store may have stopped serving. A leader
+ * that has not loaded the stored state yet renews leases only once loading takes so long that all
+ * work would be lost otherwise.
  */
 class LeaderCancellationView(
     private val context: CoreContext,
@@ -32,20 +33,32 @@
     private val renewableFor = CancellationDeadline(workers).renewableFor
     private val electedAt = context.now
 
-    /** What is stored has been read at least once. */
-    var hasRead = false
+    /** The stored state has been loaded at least once. */
+    private var wasLoaded = false
 
-    /** What is stored is known; false also while it is read again. */
+    /** Whether the stored state is known; false also while it is loaded again. */
     var isLoaded = false
+        private set
+
+    /** The stored state has been loaded. */
+    fun markLoaded() {
+        isLoaded = true
+        wasLoaded = true
+    }
+
+    /** The stored state is not known any more and has to be loaded again. */
+    fun markStale() {
+        isLoaded = false
+    }
 
     override val usableUntil: Micros
         get() {
-            val early = context.now - electedAt <= workers.leaseS.seconds * LATE_READING_SHARE
-            if (!hasRead && early) return Micros.LONG_AGO
+            val early = context.now - electedAt <= workers.leaseS.seconds * MAX_LOAD_LEASE_SHARE
+            if (!wasLoaded && early) return Micros.LONG_AGO
             return cancellations.informedAt + renewableFor
         }
 
-    override val cancellationsLearned: Long
+    override val cancellationCount: Long
         get() = cancellations.learned + cluster.cancelled
 
     override fun isCancelled(job: JobId): Boolean {
@@ -54,22 +67,22 @@
         return known.isCancelled
     }
 
-    override fun mustHalt(machine: MachineId): List<TaskAttempt> {
+    override fun tasksToStop(machine: MachineId): List<TaskAttempt> {
         var attempts: ArrayList<TaskAttempt>? = null
         for (placement in cluster.placementsOn(machine)) {
             if (!isUrgent(placement)) continue
             attempts = (attempts ?: ArrayList()).also { it.add(placement.taskAttempt) }
         }
         if (!isLoaded) {
-            val unconfirmedStarts = looseCancelled(machine)
-            if (unconfirmedStarts.isNotEmpty())
-                attempts = (attempts ?: ArrayList()).also { it.addAll(unconfirmedStarts) }
+            val unconfirmed = cancelledUnconfirmedStarts(machine)
+            if (unconfirmed.isNotEmpty())
+                attempts = (attempts ?: ArrayList()).also { it.addAll(unconfirmed) }
         }
         return attempts ?: emptyList()
     }
 
-    /** While what is stored is read again, starts under way are all that is known of a machine. */
-    private fun looseCancelled(machine: MachineId): List<TaskAttempt> =
+    /** While the stored state is loaded again, only unconfirmed starts are known of a machine. */
+    private fun cancelledUnconfirmedStarts(machine: MachineId): List<TaskAttempt> =
         cluster.machines[machine]?.unconfirmedStarts.orEmpty().filter { attempt ->
             TaskId.parse(attempt.task)?.let { isCancelled(it.job) } == true
         }
@@ -80,8 +93,8 @@
             placement.mayBeStarted &&
             context.now - placement.job.cancelledSince > renewableFor
 
-    /** What a relay has to halt, by machine, for as long as its next grant runs. */
-    fun tasksToHalt(): List<CancelledTasks> {
+    /** The tasks that a forwarder has to stop while its next grant runs, by machine. */
+    fun tasksToStop(): List<CancelledTasks> {
         val byMachine = LinkedHashMap<MachineId, ArrayList<TaskAttempt>>()
         for (job in cluster.jobs.values) {
             if (!job.isCancelled) continue
@@ -92,16 +105,17 @@
         }
         if (!isLoaded) {
             for (machine in cluster.machines.values) {
-                val unconfirmedStarts = looseCancelled(machine.id)
-                if (unconfirmedStarts.isNotEmpty())
-                    byMachine.getOrPut(machine.id) { ArrayList() }.addAll(unconfirmedStarts)
+                val unconfirmed = cancelledUnconfirmedStarts(machine.id)
+                if (unconfirmed.isNotEmpty())
+                    byMachine.getOrPut(machine.id) { ArrayList() }.addAll(unconfirmed)
             }
         }
         return byMachine.map { (machine, tasks) -> CancelledTasks(machine.value, tasks) }
     }
 
     /**
-     * Cancelled jobs of which something may be on a machine; all that are known until it is read.
+     * Cancelled jobs of which something may be on a machine; while the stored state is not loaded,
+     * all cancelled jobs that are known.
      */
     fun cancelledJobs(): List<String> {
         if (!isLoaded) return cancellations.all().map { it.value }
@@ -111,6 +125,7 @@
     }
 
     private companion object {
-        const val LATE_READING_SHARE = 0.5
+        /** A first load that takes longer than this share of a worker's lease is late. */
+        const val MAX_LOAD_LEASE_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -11,170 +11,131 @@
 import wardmux.worker.WorkerCommand
 import wardmux.worker.WorkerHeartbeat
 
-/** Why the answer to a report does not renew the lease. */
-enum class WithholdingReason {
-    /** Users may have been told of cancellations that are not known here. */
-    UNINFORMED,
-
-    /** A cancelled task may be on the machine that its report does not show. */
-    UNPROVEN,
-}
-
-/** Whether the answer to one report renews the lease of its machine. */
-sealed interface RenewalDecision {
-    /** It does, by the right of [renewal]. */
-    class Renew(val renewal: LeaseRenewal) : RenewalDecision
-
-    /** It does not: the worker drops the answer and stays with this controller. */
-    class Withhold(val reason: WithholdingReason) : RenewalDecision {
-        /** The answer, under no leader's token. */
-        val answer: ByteArray
-            get() = WorkerHeartbeatResponse.DROPPED
-    }
-}
-
-/**
- * The right to renew the lease of the one machine whose report it was made for, with the answer to
- * that report. Only [LeaseRenewals] makes it.
- */
-class LeaseRenewal
-internal constructor(
-    val token: FencingToken,
-    /** What the answer has to carry: without these halts it must not go out. */
-    val halts: List<WorkerCommand>,
-    private val plainAnswer: ByteArray,
-) {
-    /** The answer that renews the lease, with [orders] besides the halts. */
-    fun answer(orders: List<WorkerCommand>): ByteArray {
-        if (halts.isEmpty() && orders.isEmpty()) return plainAnswer
-        val halted = halts.mapTo(HashSet()) { it.taskAttempt }
-        val others = orders.filter { it.verb != WorkerCommand.HALT || it.taskAttempt !in halted }
-        return WorkerHeartbeatResponse.renewing(this, halts + others).encode()
-    }
-}
-
 /**
- * Decides for every answer to a report, of a leader or of a relay, whether it renews the lease.
+ * Decides for each response to a heartbeat, of a leader or of a forwarder, whether it renews the
+ * lease.
  *
- * An answer either rests on knowledge, recent enough and about this very machine, that nothing
- * cancelled is on it, or carries the halts itself. The report lists what is on the machine, so
- * whatever it shows of a cancelled job is halted by the same answer. What it does not show may
- * still be started by a command under way: then the lease has to run out in time.
+ * A response that renews either rests on a recent enough view of the cancellations by which nothing
+ * cancelled is on this machine, or carries the stops itself. The heartbeat lists what is on the
+ * machine, so the same response stops each task of a cancelled job in it. A task that it does not
+ * list may still be started by a command in flight: then the lease has to run out in time.
  */
 class LeaseRenewals(private val context: CoreContext, private val counters: RenewalCounters) {
     private val log = logger<LeaseRenewals>()
 
-    /** The answer without orders under [plainToken], which most reports get. */
-    private var plainAnswer = ByteArray(0)
-    private var plainToken: FencingToken? = null
+    /** The response without commands under [cachedToken], which most heartbeats get. */
+    private var cachedResponse = ByteArray(0)
+    private var cachedToken: FencingToken? = null
 
-    /** Machines whose lease was withheld last, so that each change is logged once. */
-    private val withheld = HashSet<String>()
-    private var uninformed = false
+    /** Machines whose lease was not renewed last time, so that each change is logged once. */
+    private val withheldMachines = HashSet<String>()
+    private var isOutdated = false
     private val checked = CheckedHeartbeats()
 
-    /** Whether [report] may be answered by a renewal, to the best of what is known. */
-    fun decide(report: WorkerHeartbeat, knowledge: CancellationView): RenewalDecision {
-        if (context.now >= knowledge.usableUntil) return withholdUninformed(knowledge)
-        if (uninformed) logInformed(knowledge)
-        val mustHalt = knowledge.mustHalt(MachineId(report.machine))
-        val shown = mustHalt.count { report.shows(it) }
-        if (shown < mustHalt.size) return withholdUnproven(report, mustHalt, knowledge)
-        if (withheld.remove(report.machine)) {
-            log.info("renewal=resumed machine={} token={}", report.machine, knowledge.token)
+    /** Whether the response to [heartbeat] may renew the lease, by what [cancellations] knows. */
+    fun decide(heartbeat: WorkerHeartbeat, cancellations: CancellationView): RenewalDecision {
+        if (context.now >= cancellations.usableUntil) return withholdOutdated(cancellations)
+        if (isOutdated) logUpToDate(cancellations)
+        val tasksToStop = cancellations.tasksToStop(MachineId(heartbeat.machine))
+        val listed = tasksToStop.count { heartbeat.lists(it) }
+        if (listed < tasksToStop.size) {
+            return withholdUnverified(heartbeat, tasksToStop, cancellations)
         }
-        val plainAnswer = plainAnswer(knowledge.token)
-        val halts = halts(report, mustHalt, knowledge)
-        counters.renewed(halts.size)
-        if (mustHalt.isNotEmpty()) logHalts(report, halts, knowledge)
-        return RenewalDecision.Renew(LeaseRenewal(knowledge.token, halts, plainAnswer))
+        if (withheldMachines.remove(heartbeat.machine)) {
+            log.info("renewal=resumed machine={} token={}", heartbeat.machine, cancellations.token)
+        }
+        val responseWithoutCommands = responseWithoutCommands(cancellations.token)
+        val stops = requiredStops(heartbeat, tasksToStop, cancellations)
+        counters.renewed(stops.size)
+        if (tasksToStop.isNotEmpty()) logStops(heartbeat, stops, cancellations)
+        return RenewalDecision.Renew(
+            LeaseRenewal(cancellations.token, stops, responseWithoutCommands)
+        )
     }
 
-    private fun halts(
-        report: WorkerHeartbeat,
-        mustHalt: List<TaskAttempt>,
-        knowledge: CancellationView,
+    private fun requiredStops(
+        heartbeat: WorkerHeartbeat,
+        tasksToStop: List<TaskAttempt>,
+        cancellations: CancellationView,
     ): List<WorkerCommand> {
-        val learned = knowledge.cancellationsLearned
-        if (mustHalt.isEmpty() && checked.isFree(report, learned)) return emptyList()
-        var halts: ArrayList<WorkerCommand>? = null
-        for (task in report.tasks) {
-            if (task.status == TaskStatus.ENDED || !isCancelled(task, mustHalt, knowledge)) continue
-            val order = WorkerCommand.halt(task.task, task.attempt, 0.0)
-            halts = (halts ?: ArrayList()).also { it.add(order) }
+        val count = cancellations.cancellationCount
+        if (tasksToStop.isEmpty() && checked.isKnownFree(heartbeat, count)) return emptyList()
+        var stops: ArrayList<WorkerCommand>? = null
+        for (task in heartbeat.tasks) {
+            if (task.status == TaskStatus.ENDED) continue
+            if (!isCancelled(task, tasksToStop, cancellations)) continue
+            val stop = WorkerCommand.stop(task.task, task.attempt, gracePeriodS = 0.0)
+            stops = (stops ?: ArrayList()).also { it.add(stop) }
         }
-        if (halts != null) return halts
-        checked.foundFree(report, learned)
+        if (stops != null) return stops
+        checked.recordFree(heartbeat, count)
         return emptyList()
     }
 
     private fun isCancelled(
         task: ReportedTask,
-        mustHalt: List<TaskAttempt>,
-        knowledge: CancellationView,
+        tasksToStop: List<TaskAttempt>,
+        cancellations: CancellationView,
     ): Boolean {
-        if (mustHalt.any { it.task == task.task && it.attempt == task.attempt }) return true
+        if (tasksToStop.any { it.task == task.task && it.attempt == task.attempt }) return true
         val id = TaskId.parse(task.task) ?: return false
-        return knowledge.isCancelled(id.job)
+        return cancellations.isCancelled(id.job)
     }
 
-    private fun plainAnswer(token: FencingToken): ByteArray {
-        if (plainToken != token) {
-            plainToken = token
-            plainAnswer = WorkerHeartbeatResponse.plain(token)
+    private fun responseWithoutCommands(token: FencingToken): ByteArray {
+        if (cachedToken != token) {
+            cachedToken = token
+            cachedResponse = WorkerHeartbeatResponse.withoutCommands(token)
             // Another leader: what it withholds is logged anew.
-            withheld.clear()
+            withheldMachines.clear()
             checked.clear()
         }
-        return plainAnswer
+        return cachedResponse
     }
 
-    private fun withholdUninformed(knowledge: CancellationView): RenewalDecision {
-        counters.withheld(WithholdingReason.UNINFORMED)
-        if (!uninformed) {
-            uninformed = true
-            log.info(
-                "renewal=withheld reason=uninformed token={}: cancellations may not be known",
-                knowledge.token,
-            )
+    private fun withholdOutdated(cancellations: CancellationView): RenewalDecision {
+        counters.withheld(WithholdingReason.CANCELLATIONS_OUTDATED)
+        if (!isOutdated) {
+            isOutdated = true
+            log.info("renewal=withheld reason=cancellations-outdated token={}", cancellations.token)
         }
-        return RenewalDecision.Withhold(WithholdingReason.UNINFORMED)
+        return RenewalDecision.Withhold(WithholdingReason.CANCELLATIONS_OUTDATED)
     }
 
-    private fun logInformed(knowledge: CancellationView) {
-        uninformed = false
-        log.info("renewal=resumed token={}: cancellations are known", knowledge.token)
+    private fun logUpToDate(cancellations: CancellationView) {
+        isOutdated = false
+        log.info("renewal=resumed reason=cancellations-current token={}", cancellations.token)
     }
 
-    private fun withholdUnproven(
-        report: WorkerHeartbeat,
-        mustHalt: List<TaskAttempt>,
-        knowledge: CancellationView,
+    private fun withholdUnverified(
+        heartbeat: WorkerHeartbeat,
+        tasksToStop: List<TaskAttempt>,
+        cancellations: CancellationView,
     ): RenewalDecision {
-        counters.withheld(WithholdingReason.UNPROVEN)
-        if (withheld.add(report.machine)) {
+        counters.withheld(WithholdingReason.ABSENCE_UNVERIFIED)
+        if (withheldMachines.add(heartbeat.machine)) {
             log.info(
-                "renewal=withheld reason=unproven machine={} token={} tasks={}",
-                report.machine,
-                knowledge.token,
-                mustHalt.filterNot { report.shows(it) }.map { it.task },
+                "renewal=withheld reason=absence-unverified machine={} token={} tasks={}",
+                heartbeat.machine,
+                cancellations.token,
+                tasksToStop.filterNot { heartbeat.lists(it) }.map { it.task },
             )
         }
-        return RenewalDecision.Withhold(WithholdingReason.UNPROVEN)
+        return RenewalDecision.Withhold(WithholdingReason.ABSENCE_UNVERIFIED)
     }
 
-    private fun logHalts(
-        report: WorkerHeartbeat,
-        halts: List<WorkerCommand>,
-        knowledge: CancellationView,
+    private fun logStops(
+        heartbeat: WorkerHeartbeat,
+        stops: List<WorkerCommand>,
+        cancellations: CancellationView,
     ) {
-        if (halts.isEmpty()) return
+        if (stops.isEmpty()) return
         log.info(
-            "renewal=granted machine={} token={} halts={} jobs={}",
-            report.machine,
-            knowledge.token,
-            halts.size,
-            halts.mapTo(LinkedHashSet()) { it.task.substringBefore('/') },
+            "renewal=granted machine={} token={} stops={} jobs={}",
+            heartbeat.machine,
+            cancellations.token,
+            stops.size,
+            stops.mapTo(LinkedHashSet()) { it.task.substringBefore('/') },
         )
     }
 }
--- a/src/main/kotlin/wardmux/lease/RenewalCounters.kt
+++ b/src/main/kotlin/wardmux/lease/RenewalCounters.kt
@@ -7,44 +7,45 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Counts what answers to reports did to leases, and logs the counts once in a while. */
+/** Counts renewed and withheld leases, and logs the counts periodically. */
 class RenewalCounters(private val context: CoreContext) {
     private val log = logger<RenewalCounters>()
     private val metrics = MetricRegistry()
-    private val renewed: Counter = metrics.counter("renewals")
-    private val halts: Counter = metrics.counter("halts")
-    private val uninformed: Counter = metrics.counter("withheld.uninformed")
-    private val unproven: Counter = metrics.counter("withheld.unproven")
-    private var tellAt = Micros.LONG_AGO
+    private val renewals: Counter = metrics.counter("renewals")
+    private val stops: Counter = metrics.counter("stops")
+    private val outdated: Counter = metrics.counter("withheld.cancellations-outdated")
+    private val unverified: Counter = metrics.counter("withheld.absence-unverified")
+    private var nextLogAt = Micros.LONG_AGO
 
-    /** An answer renewed a lease and carried so many halts of cancelled tasks. */
-    fun renewed(haltedTasks: Int) {
-        renewed.inc()
-        if (haltedTasks > 0) halts.inc(haltedTasks.toLong())
+    /** A response renewed a lease and stopped [stoppedTasks] tasks of cancelled jobs. */
+    fun renewed(stoppedTasks: Int) {
+        renewals.inc()
+        if (stoppedTasks > 0) stops.inc(stoppedTasks.toLong())
     }
 
-    /** An answer did not renew a lease. */
+    /** A response did not renew a lease. */
     fun withheld(reason: WithholdingReason) =
         when (reason) {
-            WithholdingReason.UNINFORMED -> uninformed.inc()
-            WithholdingReason.UNPROVEN -> unproven.inc()
+            WithholdingReason.CANCELLATIONS_OUTDATED -> outdated.inc()
+            WithholdingReason.ABSENCE_UNVERIFIED -> unverified.inc()
         }
 
-    /** Logs the counts since the process began, once a minute. */
+    /** Logs the counts since the start of the process, once a minute. */
     fun tick() {
-        if (context.now < tellAt) return
-        tellAt = context.now + PERIOD
-        if (renewed.count + uninformed.count + unproven.count == 0L) return
+        if (context.now < nextLogAt) return
+        nextLogAt = context.now + LOG_PERIOD
+        if (renewals.count + outdated.count + unverified.count == 0L) return
         log.info(
-            "renewals={} halts={} withheld_uninformed={} withheld_unproven={}",
-            renewed.count,
-            halts.count,
-            uninformed.count,
-            unproven.count,
+            "renewals={} stops={} withheld_cancellations_outdated={} " +
+                "withheld_absence_unverified={}",
+            renewals.count,
+            stops.count,
+            outdated.count,
+            unverified.count,
         )
     }
 
     private companion object {
-        val PERIOD = 60.seconds
+        val LOG_PERIOD = 60.seconds
     }
 }
--- a/src/main/kotlin/wardmux/lease/WorkerHeartbeatResponse.kt
+++ b/src/main/kotlin/wardmux/lease/WorkerHeartbeatResponse.kt
@@ -6,27 +6,28 @@
 import wardmux.serialization.lenientJson
 import wardmux.worker.WorkerCommand
 
-/**
- * The answer to a report. One under a leader's token renews the lease, so it needs the right to.
- */
+/** The response to a heartbeat. Under a leader's token it renews the lease: see [LeaseRenewal]. */
 @Serializable
 class WorkerHeartbeatResponse
 private constructor(
     @SerialName("baton") private val token: Long,
-    @SerialName("orders") private val orders: List<WorkerCommand>,
+    @SerialName("orders") private val commands: List<WorkerCommand>,
 ) {
+    /** The body of the response. */
     fun encode(): ByteArray = lenientJson.encodeToString(serializer(), this).encodeToByteArray()
 
     companion object {
-        /** Renews the lease and carries [orders], among them the halts of [renewal]. */
-        fun renewing(renewal: LeaseRenewal, orders: List<WorkerCommand>) =
-            WorkerHeartbeatResponse(renewal.token.value, orders)
+        /**
+         * Renews the lease and carries [commands], among them the stops that [renewal] requires.
+         */
+        fun renewing(renewal: LeaseRenewal, commands: List<WorkerCommand>) =
+            WorkerHeartbeatResponse(renewal.token.value, commands)
 
-        /** What a renewal without any order says; kept by [LeaseRenewals] for all of them. */
-        fun plain(token: FencingToken): ByteArray =
+        /** The body of a renewal without commands, which [LeaseRenewals] keeps for all of them. */
+        internal fun withoutCommands(token: FencingToken): ByteArray =
             WorkerHeartbeatResponse(token.value, emptyList()).encode()
 
-        /** Under no leader's token: the worker drops it, and stays with this controller. */
-        val DROPPED = WorkerHeartbeatResponse(0, emptyList()).encode()
+        /** Under no leader's token: the worker ignores it and stays with this controller. */
+        val IGNORED = WorkerHeartbeatResponse(0, emptyList()).encode()
     }
 }
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -147,7 +147,7 @@
             !spec.isGang ||
                 (gang?.broken == false &&
                     placements.size == spec.tasks &&
-                    placements.values.all { it.committed })
+                    placements.values.all { it.isCommitted })
 
     val allTasksDone: Boolean
         get() = done.cardinality() == spec.tasks
@@ -211,8 +211,8 @@
 
     /** Its record is written. */
     fun commit(placement: Placement) {
-        if (placement.committed) return
-        placement.committed = true
+        if (placement.isCommitted) return
+        placement.isCommitted = true
         val task = placement.task.index
         if (placements.get(task) === placement) planned.addTo(task / pageSize, -1)
     }
@@ -222,7 +222,7 @@
         val task = placement.task.index
         if (placements.get(task) !== placement) return
         placements.remove(task)
-        if (!placement.committed) planned.addTo(task / pageSize, -1)
+        if (!placement.isCommitted) planned.addTo(task / pageSize, -1)
         touch(task, wall)
         if (!done.get(task)) requeued.enqueue(task)
     }
@@ -288,7 +288,7 @@
         var over = jsonBytes(whole.data) - mostBytes
         if (over <= 0) return whole
         val leftOut = BitSet()
-        val nothingOut = placementsOf(page).none { it.committed }
+        val nothingOut = placementsOf(page).none { it.isCommitted }
         val single =
             runs
                 .filter { it.first == it.last && !placements.containsKey(it.first) }
@@ -373,8 +373,8 @@
             requeued.enqueue(stored.tried[i])
         }
         return placed.onEach { placement ->
-            placement.committed = true
-            placement.restored = true
+            placement.isCommitted = true
+            placement.isRestored = true
             placements.put(placement.task.index, placement)
             attempts.put(placement.task.index, placement.attempt)
             // How far it came is not known, so nothing of it is replaced.
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -94,12 +94,12 @@
     }
 
     /** It has reported under this leader's token, so no earlier leader can order it about. */
-    var confirmed = false
+    var hasAdoptedToken = false
     var preemptionNoticeAt: Micros? = null
 
     /** When the cloud takes it, as its notice says. */
     var preemptedAt = Micros.NEVER
-    var decommissioned = false
+    var isDecommissioned = false
 
     /** It gets no new tasks, so that it can be returned once it is empty. */
     var isScalingIn = false
@@ -120,7 +120,7 @@
     }
 
     var decommissionReason = ""
-    var deleting = false
+    var isDeletionDue = false
 
     var idleSince = Micros.ZERO
     var pausedUntil = Micros.LONG_AGO
--- a/src/main/kotlin/wardmux/model/Placement.kt
+++ b/src/main/kotlin/wardmux/model/Placement.kt
@@ -18,13 +18,13 @@
         get() = TaskAttempt(name, attempt)
 
     /** Written, so the start may go out. */
-    var committed = false
+    var isCommitted = false
 
     /**
      * Read from a record. It may have been released since that was written, and its room and cap
      * given to others, so it is never started again: it is found on its machine or given up.
      */
-    var restored = false
+    var isRestored = false
 
     /** What the machine last reported of it, or null. */
     var status: TaskStatus? = null
@@ -34,20 +34,20 @@
     var lastSeenTick = -1L
 
     /** A start went out in this term; reports show whether it has to go out again. */
-    var startSent = false
+    var isStartSent = false
 
     /** When a start first went out in this term, by whichever way. */
     var startedAt: Micros? = null
 
     /** The halt in force went out directly. */
-    var stopSent = false
+    var isStopSent = false
 
     /** It is being stopped: how long it may take to save. */
     var gracePeriod: Micros? = null
 
     /** A start of it may be on its way or was carried out, by this leader or by an earlier one. */
     val mayBeStarted: Boolean
-        get() = restored || startedAt != null
+        get() = isRestored || startedAt != null
 
     val isStopping: Boolean
         get() = gracePeriod != null
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -177,7 +177,7 @@
         for (placement in job.placements.values) {
             if (placement.gracePeriod == Micros.ZERO) continue
             placement.gracePeriod = Micros.ZERO
-            placement.stopSent = false
+            placement.isStopSent = false
             machines[placement.machine]?.let { machinesWithCommands.add(it) }
         }
     }
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -23,8 +23,8 @@
     fun usable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
         val quiet = (workers.reportS * operators.quietReports).seconds
-        return machine.confirmed &&
-            !machine.decommissioned &&
+        return machine.hasAdoptedToken &&
+            !machine.isDecommissioned &&
             !machine.isScalingIn &&
             machine.maintenance != Maintenance.CORDONED &&
             !machine.hasUnansweredStart &&
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -215,7 +215,7 @@
                 } else {
                     // No start goes out without its record.
                     for (placement in job.placementsOf(page)) {
-                        if (!placement.committed) cluster.undo(placement)
+                        if (!placement.isCommitted) cluster.undo(placement)
                     }
                 }
             }
@@ -299,7 +299,7 @@
         tooLargeUntil.remove(key)
         draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
         draft.put(key, content.data)
-        val planned = job.placementsOf(page).filter { !it.committed }
+        val planned = job.placementsOf(page).filter { !it.isCommitted }
         draft.pages.add(WrittenPage(job, page, content.done, planned, removed = false))
         job.clean(page)
         return true
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -50,7 +50,7 @@
             for (placement in machine.placements.values) {
                 val other = placement.job.spec.urgency
                 if (placement.isStopping) leaving.add(placement)
-                else if (!usable || !placement.committed || placement.status == null) continue
+                else if (!usable || !placement.isCommitted || placement.status == null) continue
                 else if (other > highest || (callBack && other == highest)) stoppable.add(placement)
             }
         }
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -34,7 +34,7 @@
 
     private fun halt(victim: Placement, within: Micros) {
         victim.gracePeriod = within
-        victim.stopSent = false
+        victim.isStopSent = false
         cluster.machines[victim.machine]?.let { cluster.machinesWithCommands.add(it) }
     }
 
--- a/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
@@ -4,62 +4,79 @@
 import java.util.Arrays
 
 /**
- * Reads workers' reports. Most say what the machine's last one said, but for the tick: these are
- * told by comparing bytes, and cost no parsing. Their [WorkerHeartbeat.tasks] is the very list of
- * the last.
+ * Reads workers' heartbeats. Most equal the machine's previous one but for the tick: these are
+ * recognized by comparing bytes and are not parsed. Their [WorkerHeartbeat.tasks] is the same list
+ * object as that of the previous heartbeat.
  */
 class WorkerHeartbeatReader(
-    /** What the reports that are kept may take together. */
-    private val mostBytes: Long = Long.MAX_VALUE
+    /** The most bytes that all cached heartbeats may take together. */
+    private val maxCachedBytes: Long = Long.MAX_VALUE
 ) {
-    private class Last(
+    private class CachedHeartbeat(
         val body: ByteArray,
-        /** Where the digits of the tick begin and end. */
-        val from: Int,
-        val to: Int,
-        val report: WorkerHeartbeat,
+        /** Index of the tick's first digit. */
+        val tickStart: Int,
+        /** Index after the tick's last digit. */
+        val tickEnd: Int,
+        val heartbeat: WorkerHeartbeat,
     )
 
-    private val lasts = Object2ObjectLinkedOpenHashMap<String, Last>()
+    /** By machine, the least recently read one first. */
+    private val cache = Object2ObjectLinkedOpenHashMap<String, CachedHeartbeat>()
 
-    private var keptBytes = 0L
+    private var cachedBytes = 0L
 
-    /** How many reports had to be parsed: what reading costs. */
-    var parsed = 0L
+    /** How many heartbeats had to be parsed. */
+    var parsedCount = 0L
         private set
 
-    /** Null if it is no report. */
+    /** The heartbeat in [body], or null if there is none. */
     fun read(body: ByteArray): WorkerHeartbeat? {
-        val name = textAfter(body, BOX)
-        val from = numberAfter(body, TICK)
-        if (name == null || from < 0) return parse(body)
-        val to = digitsEnd(body, from)
-        val last = lasts.getAndMoveToLast(name)
-        if (last != null && isSame(body, from, to, last)) {
-            val tick = number(body, from, to)
-            if (tick != null) return last.report.copy(tick = tick)
+        val machine = textAfter(body, MACHINE_FIELD)
+        val tickStart = numberAfter(body, TICK_FIELD)
+        if (machine == null || tickStart < 0) return parse(body)
+        val tickEnd = digitsEnd(body, tickStart)
+        val previous = cache.getAndMoveToLast(machine)
+        if (previous != null && equalsButTick(body, tickStart, tickEnd, previous)) {
+            val tick = number(body, tickStart, tickEnd)
+            if (tick != null) return previous.heartbeat.copy(tick = tick)
         }
-        val report = parse(body) ?: return null
-        val asRead = report.machine == name && report.tick == number(body, from, to)
-        if (asRead && body.size <= MOST_KEPT_BYTES) keep(name, Last(body, from, to, report))
-        return report
+        val heartbeat = parse(body) ?: return null
+        val fieldsMatch =
+            heartbeat.machine == machine && heartbeat.tick == number(body, tickStart, tickEnd)
+        if (fieldsMatch && body.size <= MAX_CACHED_BODY_BYTES) {
+            cache(machine, CachedHeartbeat(body, tickStart, tickEnd, heartbeat))
+        }
+        return heartbeat
     }
 
-    private fun keep(name: String, last: Last) {
-        val before = lasts.putAndMoveToLast(name, last)
-        keptBytes += last.body.size - (before?.body?.size ?: 0)
-        while (keptBytes > mostBytes) keptBytes -= lasts.removeFirst().body.size
+    private fun cache(machine: String, entry: CachedHeartbeat) {
+        val replaced = cache.putAndMoveToLast(machine, entry)
+        cachedBytes += entry.body.size - (replaced?.body?.size ?: 0)
+        while (cachedBytes > maxCachedBytes) cachedBytes -= cache.removeFirst().body.size
     }
 
     private fun parse(body: ByteArray): WorkerHeartbeat? {
-        parsed++
+        parsedCount++
         return WorkerHeartbeat.parse(body)
     }
 
-    private fun isSame(body: ByteArray, from: Int, to: Int, last: Last) =
-        from == last.from &&
-            Arrays.equals(body, 0, from, last.body, 0, last.from) &&
-            Arrays.equals(body, to, body.size, last.body, last.to, last.body.size)
+    private fun equalsButTick(
+        body: ByteArray,
+        tickStart: Int,
+        tickEnd: Int,
+        previous: CachedHeartbeat,
+    ) =
+        tickStart == previous.tickStart &&
+            Arrays.equals(body, 0, tickStart, previous.body, 0, tickStart) &&
+            Arrays.equals(
+                body,
+                tickEnd,
+                body.size,
+                previous.body,
+                previous.tickEnd,
+                previous.body.size,
+            )
 
     private fun number(body: ByteArray, from: Int, to: Int): Long? =
         String(body, from, to - from, Charsets.ISO_8859_1).toLongOrNull()
@@ -70,7 +87,7 @@
         return at
     }
 
-    /** Where the number begins that follows the first [field], or -1. */
+    /** Index of the number that follows the first [field], or -1. */
     private fun numberAfter(body: ByteArray, field: ByteArray): Int {
         val at = valueAfter(body, field)
         return if (at in body.indices && body[at] in ZERO..NINE) at else -1
@@ -102,13 +119,13 @@
     }
 
     private companion object {
-        val BOX = "\"box\"".encodeToByteArray()
-        val TICK = "\"tick\"".encodeToByteArray()
+        val MACHINE_FIELD = "\"box\"".encodeToByteArray()
+        val TICK_FIELD = "\"tick\"".encodeToByteArray()
         const val QUOTE = '"'.code.toByte()
         const val SPACE = ' '.code.toByte()
         const val COLON = ':'.code.toByte()
         const val ZERO = '0'.code.toByte()
         const val NINE = '9'.code.toByte()
-        const val MOST_KEPT_BYTES = 8 * 1024
+        const val MAX_CACHED_BODY_BYTES = 8 * 1024
     }
 }
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -280,8 +280,13 @@
 
     val ORDERS =
         listOf(
-            WorkerCommand(verb = "halt", task = "job-000412/16", attempt = 1, withinS = 4.5),
-            WorkerCommand(verb = "forget", task = "job-000412/17", attempt = 2),
+            WorkerCommand(
+                typeName = "halt",
+                task = "job-000412/16",
+                attempt = 1,
+                gracePeriodS = 4.5,
+            ),
+            WorkerCommand(typeName = "forget", task = "job-000412/17", attempt = 2),
         )
 
     fun answer() =
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -245,7 +245,7 @@
                 assertEquals(placement.incarnation, found.incarnation, "session of $task")
                 assertEquals(placement.zone, found.zone, "zone of $task")
                 assertEquals(placement.charge, found.charge, "charge of $task")
-                assertTrue(found.restored && found.committed)
+                assertTrue(found.isRestored && found.isCommitted)
             }
             assertEquals(9_000_000_000, read.getValue(23).incarnation)
             assertEquals(MachineId("i-000003"), read.getValue(23).machine)
--- a/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
@@ -56,19 +56,19 @@
     fun `a machine that is silent, unconfirmed, recalled or given up has lost all`() {
         allLostBy { lastHeartbeatAt = 93.seconds }
         assertEquals(0, lost { machine.lastHeartbeatAt = 100.seconds })
-        allLostBy { confirmed = false }
-        assertEquals(0, lost { machine.confirmed = true })
+        allLostBy { hasAdoptedToken = false }
+        assertEquals(0, lost { machine.hasAdoptedToken = true })
         allLostBy { preemptionNoticeAt = 99.seconds }
         assertEquals(0, lost { machine.preemptionNoticeAt = null })
-        allLostBy { decommissioned = true }
+        allLostBy { isDecommissioned = true }
     }
 
     @Test
     fun `a first start that does not run yet was never up, one in doubt may have been`() {
         first.runningSince = null
         assertEquals(0, lost { first.status = TaskStatus.FETCHING })
-        assertEquals(1, lost { first.restored = true })
-        first.restored = false
+        assertEquals(1, lost { first.isRestored = true })
+        first.isRestored = false
         assertEquals(1, lost { first.runningSince = 50.seconds })
     }
 
@@ -91,7 +91,7 @@
 
     @Test
     fun `jobs that are over count for nothing`() {
-        machine.confirmed = false
+        machine.hasAdoptedToken = false
         assertEquals(0, lost { job.phase = JobPhase.CANCELLED })
     }
 
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -79,7 +79,7 @@
         }
         assertEquals(1, starts("job-000001/0"))
         // Unanswered, it may still be carried out: it goes no second way.
-        assertTrue(mail.flatMap { it.orders }.none { it.verb == "start" })
+        assertTrue(mail.flatMap { it.orders }.none { it.typeName == "start" })
     }
 
     @Test
@@ -91,7 +91,7 @@
         batch(listOf(report(ended)))
         harness.run(2.seconds)
         val answer = batch(signs = listOf(number, ++tick))!!
-        assertEquals("forget", answer.mail.single().orders.single().verb)
+        assertEquals("forget", answer.mail.single().orders.single().typeName)
     }
 
     @Test
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -102,7 +102,7 @@
     @Test
     fun `a new leader's token drops the old grant and all that was left for machines`() {
         val halt =
-            UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
+            UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)))
         answer = { grant(mail = listOf(halt)) }
         lead()
         machine.handleHeartbeat(token)
@@ -116,9 +116,9 @@
     @Test
     fun `what the leader left for a machine goes with the next answer, of the same session only`() {
         val halt =
-            UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
+            UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)))
         val other =
-            UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.halt("job-000001/1", 1, 0.0)))
+            UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.stop("job-000001/1", 1, 0.0)))
         lead()
         val second = ManualWorker(harness, "i-000002")
         machine.handleHeartbeat(token)
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -145,7 +145,7 @@
         assertEquals(listOf(job.id), batch(token).cancelledJobs)
         val shown = batch(token, report(token, 5, running))
         assertEquals(listOf(theTask), named(shown))
-        assertEquals("halt", shown.mail.single().orders.single().verb)
+        assertEquals("halt", shown.mail.single().orders.single().typeName)
         batch(token, report(token, 6, ""))
         assertEquals(emptyList(), named(batch(token)))
         assertTrue(batch(token).renews)
--- a/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -130,7 +130,7 @@
                 UndeliveredCommands(
                     "i-000001",
                     1,
-                    listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)),
+                    listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)),
                 )
             )
         harness.run(1.1.seconds)
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -38,7 +38,7 @@
     /** One that is up and may be used. */
     fun machine(number: Int, type: MachineType, zone: String = "a", spot: Boolean = true): Machine {
         val machine = Machine(MachineId("i-%06d".format(number)), type, zone, spot)
-        machine.confirmed = true
+        machine.hasAdoptedToken = true
         machine.lastHeartbeatAt = context.now
         machine.renewedAt = context.now
         cluster.add(machine)
@@ -58,7 +58,7 @@
     /** The task runs on the machine, and is recorded there. */
     fun run(job: Job, task: Int, machine: Machine) {
         val placement = placement(job, task, machine)
-        placement.committed = true
+        placement.isCommitted = true
         placement.status = TaskStatus.RUNNING
         job.place(placement, context.wall)
         cluster.restore(placement, machine)
--- a/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
+++ b/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
@@ -36,7 +36,7 @@
                 assertEquals(WorkerHeartbeatReader().reader(text), read(text))
             }
         }
-        assertEquals(machines + changes, reader.parsed)
+        assertEquals(machines + changes, reader.parsedCount)
     }
 
     private fun WorkerHeartbeatReader.reader(text: String) = read(text.encodeToByteArray())
@@ -48,7 +48,7 @@
         assertEquals(16, second.tick)
         assertSame(first.tasks, second.tasks)
         assertNotEquals(first.token, read(body(1, 17, token = 8))!!.token)
-        assertEquals(2, reader.parsed)
+        assertEquals(2, reader.parsedCount)
         for (bad in
             listOf("", "[]", "{", """{"box":"i-000001","tick":}""", "{\"tick\":5,\"box\":")) {
             assertNull(read(bad))
