--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -102,7 +102,7 @@
         val zones = HashMap(eligibility.zonesOf(replica.job))
         zones.merge(replica.zone, -1, Int::plus)
         return eligibility.mayGoTo(machine.zone, spec, zones) &&
-            machine.imageWait(spec.image, spec.imageGb, context.now).value == 0L
+            machine.images.waitTime(spec.image, spec.imageGb, context.now).value == 0L
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -3,7 +3,7 @@
 import wardmux.config.CloudLimits
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
-import wardmux.fleet.Fleet
+import wardmux.fleet.MachineRegistry
 import wardmux.logging.logger
 import wardmux.model.Machine
 import wardmux.model.MachineId
@@ -21,7 +21,7 @@
     private val cloud: CloudClient,
     private val pools: MachinePools,
     private val cluster: ClusterState,
-    private val fleet: Fleet,
+    private val registry: MachineRegistry,
     private val planner: Planner,
     private val operators: OperatorSettings,
     private val deployment: CloudLimits,
@@ -85,9 +85,10 @@
     /** True if the machine was not known. */
     private fun take(entry: ListedMachine): Boolean {
         val id = MachineId(entry.id)
-        if (id in fleet.gone) return false
+        if (registry.isDeleted(id)) return false
         val known = cluster.machines[id]
-        val machine = known ?: fleet.machine(id, entry.type, entry.zone, entry.spot) ?: return false
+        val machine =
+            known ?: registry.findOrAdd(id, entry.type, entry.zone, entry.spot) ?: return false
         machine.hasOnlyStaleHeartbeats = false
         machine.listed(context.wall, entry.heldS.seconds)
         if (known == null) log.debug("{} is listed as {} and was not known", id, entry.status)
@@ -122,7 +123,7 @@
         log.info("{} is deleted: {}", machine.id, machine.decommissionReason)
         cluster.clear(machine, "deleted")
         cluster.machines.remove(machine.id)
-        fleet.gone.add(machine.id)
+        registry.markDeleted(machine.id)
         expiringDecommissions.addLast(ExpiringRecord(context.now + RECORD_KEPT, machine))
     }
 
--- a/src/main/kotlin/wardmux/cloud/RentalOrders.kt
+++ b/src/main/kotlin/wardmux/cloud/RentalOrders.kt
@@ -3,7 +3,7 @@
 import wardmux.config.CloudLimits
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
-import wardmux.fleet.Fleet
+import wardmux.fleet.MachineRegistry
 import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.MachineId
@@ -22,7 +22,7 @@
     private val context: CoreContext,
     private val cloud: CloudClient,
     private val cluster: ClusterState,
-    private val fleet: Fleet,
+    private val registry: MachineRegistry,
     private val operators: OperatorSettings,
     private val token: FencingToken,
     deployment: CloudLimits,
@@ -115,7 +115,7 @@
     private fun rented(request: Pending, machines: List<String>) {
         val order = request.order
         log.info("rented {} of {}: {}", machines.size, order.count, request.kind)
-        for (id in machines) fleet.machine(MachineId(id), order.type, order.zone, order.spot)
+        for (id in machines) registry.findOrAdd(MachineId(id), order.type, order.zone, order.spot)
         if (machines.size < order.count) pause(request.kind)
     }
 
--- /dev/null
+++ b/src/main/kotlin/wardmux/fleet/DirectCommandSender.kt
@@ -0,0 +1,165 @@
+package wardmux.fleet
+
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
+import wardmux.election.LeaderElection
+import wardmux.logging.logger
+import wardmux.model.FencingToken
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.worker.DirectCommands
+import wardmux.worker.WorkerCommand
+
+/**
+ * Sends new commands to the machines themselves, rather than in the response to their next
+ * heartbeat. Without a response it stays open whether a command is carried out: see
+ * [Machine.unconfirmedStarts].
+ */
+class DirectCommandSender(
+    private val context: CoreContext,
+    private val cluster: ClusterState,
+    private val client: WorkerClient,
+    private val reachability: CommandReachability,
+    private val leadership: LeaderElection,
+    private val token: FencingToken,
+) {
+    private val log = logger<DirectCommandSender>()
+
+    /** Sends all commands that are due, as far as the bound on open requests allows. */
+    fun sendDue() {
+        val machines = cluster.machinesWithCommands.iterator()
+        while (machines.hasNext() && client.hasCapacity) {
+            val machine = machines.next()
+            // One request at a time. A machine to which there was no connection is not tried again
+            // at once either: where a whole zone is cut off, such attempts would hold up the
+            // commands to all others.
+            val pausing = context.now - machine.connectionFailedAt < CONNECTION_RETRY_PAUSE
+            if (machine.isCommandInFlight || pausing) continue
+            val known = machine.hasAdoptedToken || machine.holdsCancelled
+            val reachable = known && !machine.isDecommissioned && machine.endpoint.isNotEmpty()
+            if (!reachable || machine.hasUnansweredStart) {
+                machines.remove()
+                continue
+            }
+            val hasMore = sendDue(machine)
+            if (!hasMore && !machine.isCommandInFlight) machines.remove()
+        }
+    }
+
+    /**
+     * Stops the tasks of cancelled jobs on [machine] once more, unless a command to it is in
+     * flight. This needs no lease renewal, tells whether they are there, and makes the machine
+     * adopt this leader's token, so that no earlier start is carried out any more.
+     */
+    fun resendStopsOfCancelled(machine: Machine) {
+        if (machine.isCommandInFlight) return
+        for (placement in machine.placements.values) {
+            if (placement.job.isCancelled) placement.isStopSent = false
+        }
+        cluster.machinesWithCommands.add(machine)
+    }
+
+    /** True if some commands for the machine can't be sent yet. */
+    private fun sendDue(machine: Machine): Boolean {
+        val starts = ArrayList<Placement>()
+        val commands = ArrayList<WorkerCommand>()
+        var hasMore = false
+        for (placement in machine.placements.values) {
+            if (isStopDue(machine, placement)) {
+                commands.add(stop(placement))
+                placement.isStopSent = true
+            } else if (isStartDue(machine, placement)) {
+                if (starts.size < MAX_STARTS) starts.add(placement) else hasMore = true
+            } else if (!placement.isCommitted || isWaitingForGang(placement)) {
+                hasMore = true
+            }
+        }
+        for (placement in starts) {
+            placement.markStartSent(context.now)
+            machine.unconfirmedStarts.add(placement.taskAttempt)
+            commands.add(WorkerCommand.start(placement.name, placement.attempt))
+        }
+        if (commands.isNotEmpty()) send(machine, commands, starts)
+        return hasMore
+    }
+
+    private fun stop(placement: Placement): WorkerCommand {
+        val gracePeriod = if (placement.job.hasEnded) Micros.ZERO else placement.gracePeriod
+        val inSeconds = (gracePeriod ?: Micros.ZERO).inSeconds
+        return WorkerCommand.stop(placement.name, placement.attempt, inSeconds)
+    }
+
+    /**
+     * Also that of a cancelled task which a machine that never adopted this token does not list.
+     */
+    private fun isStopDue(machine: Machine, placement: Placement): Boolean {
+        if (placement.isStopSent) return false
+        val toBeGone = placement.isStopping || placement.job.hasEnded
+        val unverified = placement.job.isCancelled && !machine.hasAdoptedToken
+        return toBeGone && (placement.status != null || unverified)
+    }
+
+    private fun isStartDue(machine: Machine, placement: Placement) =
+        !placement.isStartSent && placement.mayStartOn(machine) && leadership.leaseIsValid
+
+    private fun isWaitingForGang(placement: Placement) =
+        !placement.isStartSent && !placement.job.mayStart
+
+    private fun send(machine: Machine, commands: List<WorkerCommand>, starts: List<Placement>) {
+        machine.recordCommandSent(context.now)
+        val incarnation = machine.incarnation
+        val body = DirectCommands(token.value, incarnation, commands)
+        client.sendCommands(machine, body) { outcome ->
+            machine.recordCommandOutcome()
+            if (outcome is Outcome.Response) reachability.recordResponse()
+            else reachability.recordNoResponse(machine)
+            if (starts.any { it.isStopSent } || !machine.isEmpty)
+                cluster.machinesWithCommands.add(machine)
+            when (outcome) {
+                is Outcome.Response -> handleResponse(machine, incarnation, starts, outcome)
+                is Outcome.NotSent -> {
+                    machine.connectionFailedAt = context.now
+                    for (placement in starts) placement.isStartSent = false
+                    confirm(machine, incarnation, starts)
+                }
+                is Outcome.NoResponse -> handleNoResponse(machine, incarnation, starts)
+            }
+        }
+    }
+
+    private fun handleResponse(
+        machine: Machine,
+        incarnation: Long,
+        starts: List<Placement>,
+        response: Outcome.Response,
+    ) {
+        val accepted = response.status == HttpStatus.OK
+        if (!accepted) for (placement in starts) placement.isStartSent = false
+        confirm(machine, incarnation, starts)
+        // Also a worker that refuses the commands, for their token or incarnation, sends its state.
+        if (accepted || response.status == HttpStatus.CONFLICT) client.accept(machine, response)
+    }
+
+    private fun handleNoResponse(machine: Machine, incarnation: Long, starts: List<Placement>) {
+        if (machine.incarnation != incarnation || starts.isEmpty()) return
+        log.info("{} did not answer {} starts", machine.id, starts.size)
+        machine.recordUnansweredStart(context.now)
+    }
+
+    /** The starts were carried out or never will be. */
+    private fun confirm(machine: Machine, incarnation: Long, starts: List<Placement>) {
+        if (machine.incarnation != incarnation) return
+        for (placement in starts) machine.unconfirmedStarts.remove(placement.taskAttempt)
+    }
+
+    private companion object {
+        val CONNECTION_RETRY_PAUSE = 2.seconds
+
+        /** In one request. */
+        const val MAX_STARTS = 300
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -0,0 +1,94 @@
+package wardmux.fleet
+
+import wardmux.core.CoreContext
+import wardmux.lease.LeaderCancellationView
+import wardmux.logging.logger
+import wardmux.model.Machine
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.worker.WorkerHeartbeat
+
+/** Brings the leader's state of a machine in line with the machine's heartbeats. */
+class HeartbeatReconciler(
+    private val context: CoreContext,
+    private val cluster: ClusterState,
+    private val tasks: TaskReconciler,
+    private val cancellations: LeaderCancellationView,
+) {
+    private val log = logger<HeartbeatReconciler>()
+    private val token = cancellations.token.value
+
+    /**
+     * Takes in [heartbeat], which [forwarder] sent on, or which came to the leader itself. False if
+     * it says nothing new: late, a copy, or overtaken by the response to a direct command.
+     */
+    fun accept(
+        machine: Machine,
+        heartbeat: WorkerHeartbeat,
+        forwarder: String?,
+        sentAt: Micros,
+    ): Boolean {
+        if (!isNewer(machine, heartbeat)) return false
+        record(machine, heartbeat, sentAt)
+        machine.forwardedBy = forwarder
+        if (!cancellations.isLoaded) return true
+        tasks.reconcile(machine, heartbeat)
+        tasks.releaseAbsent(machine, heartbeat)
+        return true
+    }
+
+    /**
+     * Takes in the heartbeat in the response to a direct command. A task that it lacks may still be
+     * on the machine: see [TaskReconciler.releaseAbsent].
+     */
+    fun acceptDirectResponse(machine: Machine, heartbeat: WorkerHeartbeat) {
+        if (MachineId(heartbeat.machine) != machine.id || !isNewer(machine, heartbeat)) return
+        record(machine, heartbeat, context.now)
+        if (cancellations.isLoaded) tasks.reconcile(machine, heartbeat)
+    }
+
+    /** Records what [heartbeat] says of the machine, but not what it says of its tasks. */
+    fun recordOnly(machine: Machine, heartbeat: WorkerHeartbeat) {
+        if (isNewer(machine, heartbeat)) record(machine, heartbeat, context.now)
+    }
+
+    private fun isNewer(machine: Machine, heartbeat: WorkerHeartbeat) =
+        heartbeat.incarnation > machine.incarnation ||
+            (heartbeat.incarnation == machine.incarnation && heartbeat.tick > machine.tick)
+
+    private fun record(machine: Machine, heartbeat: WorkerHeartbeat, sentAt: Micros) {
+        if (heartbeat.incarnation > machine.incarnation) startIncarnation(machine, heartbeat)
+        machine.endpoint = heartbeat.endpoint
+        machine.tick = heartbeat.tick
+        if (heartbeat.token == token) {
+            if (!machine.hasAdoptedToken) adoptToken(machine)
+            machine.recordSignOfLife(sentAt)
+        } else if (machine.firstStaleHeartbeatAt == null) {
+            // Under an older token it may be a copy from before this leader's time.
+            machine.firstStaleHeartbeatAt = context.now
+        }
+        val preemptedInS = heartbeat.preemptedInS
+        if (preemptedInS != null && machine.preemptionNoticeAt == null) {
+            machine.recordPreemptionNotice(context.now, context.now + preemptedInS.seconds)
+            log.info("{} is preempted by the provider in {} s", machine.id, preemptedInS)
+        }
+    }
+
+    /** A new incarnation of a worker begins without tasks; the images on the machine stay. */
+    private fun startIncarnation(machine: Machine, heartbeat: WorkerHeartbeat) {
+        for (placement in machine.placements.values.toList()) {
+            if (placement.incarnation < heartbeat.incarnation)
+                cluster.release(placement, "the worker's incarnation ended")
+        }
+        machine.startIncarnation(heartbeat.incarnation, context.now)
+    }
+
+    private fun adoptToken(machine: Machine) {
+        log.info("{} is up", machine.id)
+        machine.adoptToken(context.now)
+        cluster.machinesWithCommands.add(machine)
+        cluster.changed()
+    }
+}
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -1,230 +1,161 @@
 package wardmux.fleet
 
-import wardmux.config.OperatorSettings
-import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.logging.logger
-import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Machine
-import wardmux.model.MachineId
-import wardmux.model.MachineTypes
 import wardmux.model.Micros
 import wardmux.model.Placement
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.scheduling.ClusterState
 
-/** Which machines are given up, because they fell silent or because orders do not reach them. */
+/** Decommissions machines that fell silent or that commands do not reach. */
 class MachineHealthMonitor(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val fleet: Fleet,
-    private val types: MachineTypes,
-    private val workers: WorkerTiming,
-    private val operators: OperatorSettings,
-    private val loaded: () -> Boolean,
-    /** The latest that a relay may have renewed a lease, of which the first is known. */
-    private val renewedAtLatest: (Micros, Micros) -> Micros,
-    private val decommission: (Machine, String) -> Unit,
+    private val timeouts: HeartbeatTimeouts,
+    private val leases: LeaseExpiry,
+    private val prober: MachineProber,
+    private val unconfirmedMachines: UnconfirmedMachineMonitor,
+    private val decommissioner: MachineDecommissioner,
 ) {
     private val log = logger<MachineHealthMonitor>()
-    private val electedAt = context.now
-    private val lostAfter = (workers.reportS * operators.lostReports).seconds
-    private val askAfter = (workers.reportS * OVERDUE_REPORTS).seconds
-    private val unreachableAfter =
-        maxOf((workers.reportS * UNREACHABLE_REPORTS).seconds, UNREACHABLE_LEAST)
-    private val leaseOver =
-        workers.leaseS.seconds * (1 + MAX_CLOCK_DRIFT) + operators.leaseMarginS.seconds
-    private var watchAt = Micros.LONG_AGO
-
-    /** Since when workers could be heard: all that is stored has been read. */
-    private var watchedSince: Micros? = null
-
-    /** Machines that may have to be given up, by what speaks against them. */
+    private var nextCheckAt = Micros.LONG_AGO
+
+    /** Since when workers could reach this leader: the stored state was loaded. */
+    private var reachableSince: Micros? = null
+
+    /** Machines that may have to be decommissioned, by the reason for it. */
     private class Suspects {
         val silent = ArrayList<Machine>()
         val unreachable = ArrayList<Machine>()
-        val deaf = ArrayList<Machine>()
+        val startsNotListed = ArrayList<Machine>()
     }
 
-    /** Notices machines that fell silent, or that orders do not reach. */
-    fun watch() {
-        if (context.now < watchAt) return
-        watchAt = context.now + WATCH_PERIOD
-        if (watchedSince == null) watchedSince = context.now
-        val up = up()
+    /** Checks all machines, if that is due. To be called only while the stored state is loaded. */
+    fun check() {
+        if (context.now < nextCheckAt) return
+        nextCheckAt = context.now + CHECK_PERIOD
+        val since = reachableSince ?: context.now.also { reachableSince = it }
+        val up = upMachines()
         val suspects = Suspects()
-        for (machine in up) watch(machine, suspects)
-        // Then it is this controller that is cut off, and no machine is given up for it.
-        if (nobodyHeard(up)) return
-        giveUp(suspects, up.size)
-        watchUnheard()
+        for (machine in up) check(machine, suspects)
+        // Then it is this controller that is cut off, and no machine is decommissioned for it.
+        if (allAreSilent(up)) return
+        decommission(suspects, up.size)
+        unconfirmedMachines.check(since)
     }
 
-    private fun watch(machine: Machine, suspects: Suspects) {
+    private fun check(machine: Machine, suspects: Suspects) {
         val silence = context.now - (machine.lastHeartbeatAt ?: return)
-        if (!machine.isEmpty && isLeaseOver(machine)) expireLease(machine, silence)
-        if (machine.hasUnansweredStart && machine.forwardedBy != null) fleet.releaseUnsent(machine)
-        // Past its notice and quiet: taken. Deleting it proves that, sooner than waiting does.
-        val taken = context.now > machine.preemptedAt + TAKEN_MARGIN && silence > TAKEN_MARGIN
-        if (taken) decommission(machine, "taken back")
-        if (silence > askAfter) probe(machine)
+        if (!machine.isEmpty && leases.isOver(machine)) expireLease(machine, silence)
+        if (machine.hasUnansweredStart && machine.forwardedBy != null) releaseUnsentStarts(machine)
+        // Past the time in its notice, and silent: deleting it proves that it is preempted, sooner
+        // than waiting for the end of its lease does.
+        val preempted =
+            context.now > machine.preemptedAt + PREEMPTION_MARGIN && silence > PREEMPTION_MARGIN
+        if (preempted) decommissioner.decommission(machine, DecommissionReason.PREEMPTED)
+        if (silence > timeouts.overdue) prober.probe(machine)
         when {
-            silence > lostAfter -> suspects.silent.add(machine)
-            silence > unreachableAfter && machine.probeFailed -> suspects.unreachable.add(machine)
-            // Nothing new goes there, so that what went unanswered can do no harm.
+            silence > timeouts.lost -> suspects.silent.add(machine)
+            silence > timeouts.unreachable && machine.hasProbeFailed ->
+                suspects.unreachable.add(machine)
+            // Nothing new is started there, so the unanswered start can do no harm.
             machine.hasUnansweredStart && machine.isEmpty ->
-                decommission(machine, "orders unanswered")
-            isDeaf(machine) -> suspects.deaf.add(machine)
+                decommissioner.decommission(machine, DecommissionReason.START_UNANSWERED)
+            lacksStart(machine) -> suspects.startsNotListed.add(machine)
         }
     }
 
     private fun expireLease(machine: Machine, silence: Micros) {
         log.info("the lease of {} is over", machine.id)
-        // Should it hang, what was cancelled goes when it is deleted. A later leader would not know
-        // of it any more.
-        if (silence > leaseOver && machine.holdsCancelled) decommission(machine, "lease over")
+        // If the machine hangs, cancelled tasks end when it is deleted. A later leader would not
+        // know of them any more.
+        if (silence > leases.maxLeaseDuration && machine.holdsCancelled) {
+            decommissioner.decommission(machine, DecommissionReason.LEASE_EXPIRED)
+        }
         cluster.clear(machine, "lease over")
     }
 
-    /** Many at once: more likely the network than the machines. Their leases decide. */
-    private fun giveUp(suspects: Suspects, up: Int) {
-        val many = maxOf(FEW, up / MANY_PART)
+    /**
+     * Direct starts are not sent to a machine any more once one went unanswered, and the responses
+     * of forwarders hold none. Placements recorded there since, whose start only this leader could
+     * have sent and did not, would wait for as long as the machine lives.
+     */
+    private fun releaseUnsentStarts(machine: Machine) {
+        val unsent =
+            machine.placements.values.filter {
+                it.isCommitted && !it.isRestored && it.startedAt == null && !it.isStartSent
+            }
+        for (placement in unsent) cluster.release(placement, "its start can't be sent")
+    }
+
+    /** Many at once: more likely the network than the machines. Then their leases decide. */
+    private fun decommission(suspects: Suspects, up: Int) {
+        val many = maxOf(MIN_MANY, up / MANY_DIVISOR)
         for (machine in suspects.silent) {
             val silence = context.now - (machine.lastHeartbeatAt ?: continue)
-            if (suspects.silent.size <= many || silence > leaseOver + leaseOver)
-                decommission(machine, "silent")
+            val duration = leases.maxLeaseDuration
+            if (suspects.silent.size <= many || silence > duration + duration)
+                decommissioner.decommission(machine, DecommissionReason.SILENT)
         }
-        if (suspects.unreachable.size <= maxOf(FEW, up / UNREACHABLE_PART)) {
+        if (suspects.unreachable.size <= maxOf(MIN_MANY, up / UNREACHABLE_MANY_DIVISOR)) {
             for (machine in suspects.unreachable) {
-                decommission(machine, "silent and not to be reached")
+                decommissioner.decommission(machine, DecommissionReason.SILENT_AND_UNREACHABLE)
             }
         }
-        if (suspects.deaf.size <= many) {
-            for (machine in suspects.deaf) decommission(machine, "orders do not reach it")
+        if (suspects.startsNotListed.size <= many) {
+            for (machine in suspects.startsNotListed) {
+                decommissioner.decommission(machine, DecommissionReason.STARTS_NOT_REPORTED)
+            }
         }
     }
 
     /**
-     * It has taken this leader's token, so nobody but this leader and its relays can have renewed
-     * its lease.
+     * Its heartbeats arrive, but still lack a start that was sent long ago. The start may still be
+     * in flight, so only the machine's deletion frees the task, its room and its quota. If the
+     * stored state was loaded again since, only the unconfirmed starts tell that it was sent.
      */
-    private fun isLeaseOver(machine: Machine): Boolean {
-        val from = machine.leaseFrom
-        if (context.now - from <= leaseOver) return false
-        return context.now - renewedAtLatest(from, leaseOver) > leaseOver
-    }
-
-    /**
-     * Asks a machine whose report is overdue. An answer is a sign of life like a report; that none
-     * comes is a second reason to give it up, and so it is given up sooner.
-     */
-    private fun probe(machine: Machine) {
-        if (context.now < machine.probeAt || machine.endpoint.isEmpty()) return
-        if (!fleet.mayAsk) return
-        machine.probeAt = context.now + PROBE_PAUSE
-        fleet.ask(machine, PROBE_TIME) { machine.probeFailed = true }
-    }
-
-    /**
-     * Its reports arrive, but go on lacking a start that was sent long ago. The start may still be
-     * under way, so only the machine's deletion frees the task, its room and its cap. That it was
-     * sent is not known any more if what is stored was read again since; what is loose tells it.
-     */
-    private fun isDeaf(machine: Machine): Boolean {
+    private fun lacksStart(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        val patience = maxOf((workers.reportS * UNSHOWN_REPORTS).seconds, UNSHOWN_LEAST)
         return machine.placements.values.any {
             if (it.status != null) return@any false
-            val startedAt =
-                it.startedAt ?: machine.startUnansweredSince.takeIf { _ -> isLoose(machine, it) }
-            startedAt != null && lastHeartbeatAt - startedAt > patience
+            val startedAt = it.startedAt ?: unansweredSince(machine, it)
+            startedAt != null && lastHeartbeatAt - startedAt > timeouts.startListed
         }
     }
 
-    private fun isLoose(machine: Machine, placement: Placement) =
-        placement.taskAttempt in machine.unconfirmedStarts
-
-    private fun up() = cluster.machines.values.filter { it.isUp && !it.isDecommissioned }
-
-    /**
-     * A machine with placements that never reported under this leader's token: an earlier leader
-     * may keep its lease alive, so only its deletion proves anything. One of which no more is known
-     * than a report under an older token may be gone for long.
-     */
-    private fun watchUnheard() {
-        if (!loaded()) return
-        val patience = workers.leaseS.seconds + lostAfter
-        for (machine in cluster.machines.values) {
-            val since = machine.firstStaleHeartbeatAt ?: continue
-            if (machine.isUp || machine.isDecommissioned || context.now - since < patience) continue
-            decommission(machine, "never took this leader's token")
-        }
-        val unheard =
-            cluster.machines.values.filter {
-                !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
-            }
-        val unknown = cluster.unheardOf().toList()
-        // How long ago the cancellation was is not known, so these get one report's time.
-        val since = watchedSince ?: context.now
-        if (context.now - since >= REPORT_TIME + askAfter) {
-            for (machine in unheard) {
-                if (machine.holdsCancelled) decommission(machine, "cancelled tasks, never reported")
-            }
-            for (id in unknown) if (cluster.holdsCancelled(id)) decommissionUnknown(id)
-        }
-        // Where most machines have found this leader, it is not for it that the rest are silent.
-        // Not before a lease is over: one that is back by then is worth more than its tasks' time.
-        val up = cluster.machines.values.count { it.isUp }
-        val few = (unheard.size + unknown.size) * 2 <= up
-        val due = if (few) maxOf(workers.leaseS.seconds, lostAfter) + REPORT_TIME else patience
-        if (context.now - electedAt < due) return
-        for (machine in unheard) decommission(machine, "never reported to this leader")
-        for (id in unknown) decommissionUnknown(id)
-    }
+    private fun unansweredSince(machine: Machine, placement: Placement): Micros? =
+        machine.startUnansweredSince.takeIf { placement.taskAttempt in machine.unconfirmedStarts }
 
-    /** One that only records tell of. */
-    private fun decommissionUnknown(id: MachineId) {
-        val type = types.types?.firstOrNull() ?: return
-        val machine = fleet.machine(id, type.label, "", false) ?: return
-        decommission(machine, "never reported to this leader")
-    }
+    private fun upMachines() = cluster.machines.values.filter { it.isUp && !it.isDecommissioned }
 
-    /** So many machines do not fall silent within one report of each other. */
-    private fun nobodyHeard(up: List<Machine>): Boolean {
-        if (up.size < ENOUGH) return false
+    /** So many machines do not fall silent within one heartbeat of each other. */
+    private fun allAreSilent(up: List<Machine>): Boolean {
+        if (up.size < MIN_MACHINES) return false
         val last = up.maxOf { it.lastHeartbeatAt ?: Micros.LONG_AGO }
-        return context.now - last > maxOf(askAfter, NOBODY_LEAST)
+        return context.now - last > maxOf(timeouts.overdue, MIN_ALL_SILENT)
     }
 
-    /** Most of the machines that were heard fell silent: perhaps they hear other controllers. */
-    fun isLeftAlone(): Boolean {
-        val up = up()
-        if (nobodyHeard(up)) return true
-        val quiet = (workers.reportS * operators.quietReports).seconds
-        val silent = up.count { context.now - (it.lastHeartbeatAt ?: context.now) > quiet }
-        return up.size >= ENOUGH && silent * 2 > up.size
+    /** Whether most machines fell silent: perhaps they are talking to other controllers. */
+    fun areMostSilent(): Boolean {
+        val up = upMachines()
+        if (allAreSilent(up)) return true
+        val silent = up.count { context.now - (it.lastHeartbeatAt ?: context.now) > timeouts.quiet }
+        return up.size >= MIN_MACHINES && silent * 2 > up.size
     }
 
     private companion object {
-        val TAKEN_MARGIN = 1.seconds
-        val WATCH_PERIOD = 400.milliseconds
-        /** Reports that may lack a start before the machine counts as deaf. */
-        const val UNSHOWN_REPORTS = 2.5
-        val UNSHOWN_LEAST = 8.seconds
-        const val FEW = 2
-        /** A report comes after at most one and a quarter of its usual time. */
-        const val OVERDUE_REPORTS = 1.5
-        const val UNREACHABLE_REPORTS = 2.0
-        const val UNREACHABLE_PART = 5
-        /** Short hangs and cuts pass by themselves. */
-        val UNREACHABLE_LEAST = 8.seconds
-        val PROBE_TIME = 3.seconds
-        val PROBE_PAUSE = 5.seconds
-        const val ENOUGH = 4
-        val NOBODY_LEAST = 6.seconds
-        /** What a worker waits for an answer, and until it tries the next controller. */
-        val REPORT_TIME = 5.seconds
-        const val MANY_PART = 3
+        val CHECK_PERIOD = 400.milliseconds
+        val PREEMPTION_MARGIN = 1.seconds
+
+        /** Up to so many, or to one in so many, are decommissioned at once. */
+        const val MIN_MANY = 2
+        const val MANY_DIVISOR = 3
+        const val UNREACHABLE_MANY_DIVISOR = 5
+
+        /** With fewer machines it is not told whether this controller is cut off. */
+        const val MIN_MACHINES = 4
+        val MIN_ALL_SILENT = 6.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -0,0 +1,140 @@
+package wardmux.fleet
+
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.FencingToken
+import wardmux.model.JobSpec
+import wardmux.model.Machine
+import wardmux.model.Placement
+import wardmux.model.TaskEndCause
+import wardmux.model.TaskId
+import wardmux.model.TaskStatus
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.scheduling.TaskEvictor
+import wardmux.worker.ReportedTask
+import wardmux.worker.WorkerHeartbeat
+
+/** Brings placements in line with the tasks that a machine's heartbeat lists. */
+class TaskReconciler(
+    private val context: CoreContext,
+    private val cluster: ClusterState,
+    private val evictor: TaskEvictor,
+    private val failures: TaskFailures,
+    private val token: FencingToken,
+) {
+    private val log = logger<TaskReconciler>()
+
+    /** Takes in the status of each task in [heartbeat], and finds those without a record. */
+    fun reconcile(machine: Machine, heartbeat: WorkerHeartbeat) {
+        var orphans: ArrayList<JobSpec>? = null
+        for (reported in heartbeat.tasks) {
+            val placement = machine.placementOf(reported.task, reported.attempt)
+            if (placement != null) {
+                placement.lastSeenTick = heartbeat.tick
+                if (reported.status == TaskStatus.ENDED) {
+                    handleEnd(machine, placement, reported, heartbeat)
+                } else handleProgress(machine, placement, reported.status)
+                continue
+            }
+            val task = TaskId.parse(reported.task) ?: continue
+            if (reported.status == TaskStatus.ENDED) {
+                handleEndWithoutPlacement(task, reported)
+            } else {
+                val job = cluster.jobs[task.job] ?: continue
+                orphans = (orphans ?: ArrayList()).also { it.add(job.spec) }
+            }
+        }
+        cluster.setOrphans(machine, orphans ?: emptyList())
+    }
+
+    /**
+     * Releases the tasks to be stopped that [heartbeat] does not list. Under its token only this
+     * leader commands the machine, and in its responses to one heartbeat at a time: what a later
+     * heartbeat lacks is not on the machine, and no command for it is in flight. This holds only
+     * for heartbeats that the worker sends by itself; the response to a direct command may have
+     * overtaken the response to a heartbeat.
+     */
+    fun releaseAbsent(machine: Machine, heartbeat: WorkerHeartbeat) {
+        if (heartbeat.token != token.value) return
+        val absent =
+            machine.placements.values.filter {
+                val toBeGone = it.isStopping || it.job.hasEnded || it.isRestored
+                toBeGone &&
+                    it.isCommitted &&
+                    it.lastSeenTick != heartbeat.tick &&
+                    it.taskAttempt !in machine.unconfirmedStarts
+            }
+        for (placement in absent) cluster.release(placement, "not on the machine")
+    }
+
+    private fun handleProgress(machine: Machine, placement: Placement, status: TaskStatus) {
+        if (status == TaskStatus.RUNNING && placement.runningSince == null) {
+            placement.runningSince = context.now
+            placement.job.gang?.ran = true
+            log.debug("{} runs on {}", placement.task, machine.id)
+        }
+        placement.status = status
+        failures.observeRunning(machine, placement)
+        val spec = placement.job.spec
+        if (status != TaskStatus.FETCHING)
+            machine.images.markReady(spec.image, spec.imageGb, context.now)
+        if (machine.preemptionNoticeAt != null && !placement.isStopping && spec.savable) {
+            evictor.stop(placement, "its machine is preempted by the provider")
+        }
+    }
+
+    private fun handleEnd(
+        machine: Machine,
+        placement: Placement,
+        reported: ReportedTask,
+        heartbeat: WorkerHeartbeat,
+    ) {
+        val job = placement.job
+        val cause = reported.cause
+        // A copy from before this leader's time frees nothing; what is done stays done.
+        if (cause != TaskEndCause.DONE && heartbeat.token != token.value) return
+        // The other tasks of its gang wait or run for nothing.
+        if (cause != TaskEndCause.DONE && !job.allTasksDone) cluster.breakAttempt(job)
+        when (cause) {
+            TaskEndCause.DONE -> {
+                failures.recordCompletion(machine, job)
+                cluster.complete(placement)
+            }
+            TaskEndCause.ERROR -> {
+                cluster.release(placement, "failed")
+                failures.recordFailure(machine, job)
+            }
+            TaskEndCause.STOPPED -> cluster.release(placement, "stopped")
+            TaskEndCause.GANG_PEER_ENDED,
+            TaskEndCause.GANG_INCOMPLETE -> cluster.release(placement, "its gang is incomplete")
+            TaskEndCause.TASK_UNKNOWN,
+            TaskEndCause.REFUSED -> handleRefusal(machine, placement, reported)
+        }
+    }
+
+    private fun handleRefusal(machine: Machine, placement: Placement, reported: ReportedTask) {
+        log.info("{} was refused by {}: {}", placement.task, machine.id, reported.causeName)
+        cluster.release(placement, "refused")
+        machine.pausedUntil = context.now + REFUSED_PAUSE
+        if (reported.cause == TaskEndCause.TASK_UNKNOWN) {
+            placement.job.backoffUntil = context.wall + TASK_UNKNOWN_BACKOFF
+        }
+    }
+
+    /** The result is kept on the machine, so a completed task counts wherever it is found. */
+    private fun handleEndWithoutPlacement(task: TaskId, reported: ReportedTask) {
+        val job = cluster.jobs[task.job] ?: return
+        if (reported.cause != TaskEndCause.DONE) return
+        if (job.hasEnded || job.isTaskDone(task.index)) return
+        if (task.index !in 0 until job.spec.tasks) return
+        if (job.placements.containsKey(task.index)) return
+        cluster.complete(job, task.index)
+        cluster.changed()
+    }
+
+    private companion object {
+        val REFUSED_PAUSE = 1.seconds
+        val TASK_UNKNOWN_BACKOFF = 3.seconds
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
@@ -0,0 +1,80 @@
+package wardmux.fleet
+
+import wardmux.config.WorkerTiming
+import wardmux.core.CoreContext
+import wardmux.lease.LeaderCancellationView
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+
+/**
+ * Decommissions machines with placements that never sent a heartbeat under this leader's token. An
+ * earlier leader may keep their leases alive, so only their deletion proves that nothing runs.
+ */
+class UnconfirmedMachineMonitor(
+    private val context: CoreContext,
+    private val cluster: ClusterState,
+    private val registry: MachineRegistry,
+    private val decommissioner: MachineDecommissioner,
+    private val cancellations: LeaderCancellationView,
+    private val timeouts: HeartbeatTimeouts,
+    private val workers: WorkerTiming,
+) {
+    private val electedAt = context.now
+
+    /** Decommissions what is due; workers could reach this leader since [reachableSince]. */
+    fun check(reachableSince: Micros) {
+        if (!cancellations.isLoaded) return
+        val patience = workers.leaseS.seconds + timeouts.lost
+        decommissionStale(patience)
+        val unconfirmed =
+            cluster.machines.values.filter {
+                !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
+            }
+        val unknown = cluster.unheardOf().toList()
+        // How long ago the cancellation was is not known, so these get one heartbeat's time.
+        if (context.now - reachableSince >= HEARTBEAT_TIME + timeouts.overdue) {
+            for (machine in unconfirmed) {
+                if (machine.holdsCancelled) {
+                    val reason = DecommissionReason.CANCELLED_TASKS_UNREPORTED
+                    decommissioner.decommission(machine, reason)
+                }
+            }
+            for (id in unknown) if (cluster.holdsCancelled(id)) decommissionUnknown(id)
+        }
+        // Where most machines have found this leader, the others are not silent because of it. But
+        // until a lease is over, one that comes back is worth more than its tasks' time.
+        val up = cluster.machines.values.count { it.isUp }
+        val isMinority = (unconfirmed.size + unknown.size) * 2 <= up
+        val due =
+            if (isMinority) maxOf(workers.leaseS.seconds, timeouts.lost) + HEARTBEAT_TIME
+            else patience
+        if (context.now - electedAt < due) return
+        for (machine in unconfirmed) {
+            decommissioner.decommission(machine, DecommissionReason.NEVER_REPORTED)
+        }
+        for (id in unknown) decommissionUnknown(id)
+    }
+
+    /** A machine known only by a heartbeat under an older token may have been deleted long ago. */
+    private fun decommissionStale(patience: Micros) {
+        for (machine in cluster.machines.values) {
+            val since = machine.firstStaleHeartbeatAt ?: continue
+            if (machine.isUp || machine.isDecommissioned) continue
+            if (context.now - since < patience) continue
+            decommissioner.decommission(machine, DecommissionReason.TOKEN_NEVER_ADOPTED)
+        }
+    }
+
+    /** One that is known only from records. */
+    private fun decommissionUnknown(id: MachineId) {
+        val machine = registry.findOrAddRecorded(id) ?: return
+        decommissioner.decommission(machine, DecommissionReason.NEVER_REPORTED)
+    }
+
+    private companion object {
+        /** How long a worker waits for a response, and until it tries the next controller. */
+        val HEARTBEAT_TIME = 5.seconds
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/fleet/WorkerClient.kt
@@ -0,0 +1,66 @@
+package wardmux.fleet
+
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.core.Outcome
+import wardmux.core.Target
+import wardmux.election.LeaderElection
+import wardmux.model.FencingToken
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.worker.DirectCommands
+import wardmux.worker.WorkerHeartbeat
+
+/** Requests to workers themselves, with a bound on how many are open at once. */
+class WorkerClient(
+    private val context: CoreContext,
+    private val cluster: ClusterState,
+    private val leadership: LeaderElection,
+    private val reconciler: HeartbeatReconciler,
+    private val maxOpenRequests: Int,
+) {
+    private var openRequests = 0
+
+    /** Whether one more request can be sent. */
+    val hasCapacity: Boolean
+        get() = openRequests < maxOpenRequests
+
+    /** Asks [machine] for its state and takes that in; [onFailure] runs if it does not answer. */
+    fun requestStatus(machine: Machine, timeout: Micros, onFailure: () -> Unit) {
+        openRequests++
+        val target = Target.Worker(machine.endpoint)
+        context.send(target, "GET", STATUS_PATH, ByteArray(0), timeout) { outcome ->
+            openRequests--
+            if (outcome is Outcome.Response && outcome.status == HttpStatus.OK) {
+                accept(machine, outcome)
+            } else onFailure()
+        }
+    }
+
+    /** Sends [commands] to [machine]; [then] gets the outcome. */
+    fun sendCommands(machine: Machine, commands: DirectCommands, then: (Outcome) -> Unit) {
+        openRequests++
+        val target = Target.Worker(machine.endpoint)
+        context.send(target, "POST", COMMAND_PATH, commands.encode(), COMMAND_TIMEOUT) { outcome ->
+            openRequests--
+            then(outcome)
+        }
+    }
+
+    /** Takes in the heartbeat in a worker's response. */
+    fun accept(machine: Machine, response: Outcome.Response) {
+        val heartbeat = WorkerHeartbeat.parse(response.body) ?: return
+        leadership.seen(FencingToken(heartbeat.token))
+        // Deleted meanwhile.
+        if (cluster.machines[machine.id] !== machine) return
+        reconciler.acceptDirectResponse(machine, heartbeat)
+    }
+
+    private companion object {
+        const val STATUS_PATH = "/status"
+        const val COMMAND_PATH = "/do"
+        val COMMAND_TIMEOUT = 4.seconds
+    }
+}
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -5,7 +5,7 @@
 import wardmux.config.ProcessLimits
 import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
-import wardmux.fleet.Fleet
+import wardmux.fleet.HeartbeatHandler
 import wardmux.lease.ForwardingGrant
 import wardmux.lease.LeaderCancellationView
 import wardmux.logging.logger
@@ -25,7 +25,7 @@
 class ForwardingCoordinator(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val fleet: Fleet,
+    private val heartbeats: HeartbeatHandler,
     private val reader: WorkerHeartbeatReader,
     private val member: String,
     private val token: FencingToken,
@@ -152,7 +152,7 @@
             refuse = answers.refuse,
             shed = shed,
             shedTo = relayer.shedTo,
-            sendOn = fleet.sendsOn,
+            sendOn = heartbeats.isRedirecting,
             renews = context.now < knowledge.usableUntil && !tooMany,
             cancelledJobs = knowledge.cancelledJobs(),
             mustHalt = if (tooMany) emptyList() else mustHalt,
@@ -176,7 +176,7 @@
         sentAt: Micros,
         answers: MachineAnswers,
     ) {
-        val orders = fleet.relayed(report, relayer.member, sentAt)
+        val orders = heartbeats.handleForwarded(report, relayer.member, sentAt)
         if (orders == null) {
             answers.refuse.add(report.machine)
             relayer.numbers.remove(report.machine)?.let { relayer.reports.remove(it) }
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -5,7 +5,7 @@
 import wardmux.core.HttpStatus
 import wardmux.election.LeaderElection
 import wardmux.election.Role
-import wardmux.fleet.Fleet
+import wardmux.fleet.WorkerRedirects
 import wardmux.lease.LeaseRenewals
 import wardmux.lease.RenewalDecision
 import wardmux.logging.logger
@@ -170,7 +170,7 @@
                 val redirect = Redirect(target).encode()
                 context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, redirect)
             }
-            redirects && context.now - machine.redirectedAt >= Fleet.sendOnPause(workers) -> {
+            redirects && context.now - machine.redirectedAt >= WorkerRedirects.pause(workers) -> {
                 machine.redirectedAt = context.now
                 context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
             }
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -13,8 +13,22 @@
 import wardmux.drain.LeaderDrains
 import wardmux.election.LeaderElection
 import wardmux.election.Role
-import wardmux.fleet.Fleet
+import wardmux.fleet.CommandReachability
+import wardmux.fleet.DirectCommandSender
+import wardmux.fleet.HeartbeatCommands
+import wardmux.fleet.HeartbeatHandler
+import wardmux.fleet.HeartbeatReconciler
+import wardmux.fleet.HeartbeatTimeouts
+import wardmux.fleet.LeaseExpiry
+import wardmux.fleet.MachineDecommissioner
 import wardmux.fleet.MachineHealthMonitor
+import wardmux.fleet.MachineProber
+import wardmux.fleet.MachineRegistry
+import wardmux.fleet.TaskFailures
+import wardmux.fleet.TaskReconciler
+import wardmux.fleet.UnconfirmedMachineMonitor
+import wardmux.fleet.WorkerClient
+import wardmux.fleet.WorkerRedirects
 import wardmux.forwarding.ForwardingCoordinator
 import wardmux.forwarding.HeartbeatBatch
 import wardmux.forwarding.HeartbeatBatchResponse
@@ -92,29 +106,48 @@
     private val preemption = Preemption(context, cluster, planner, stopper, operators)
     private val placementStore =
         PlacementStore(context, store, cluster, role, operators.writePeriodS.seconds, this)
-    private val fleet =
-        Fleet(
+    private val registry = MachineRegistry(context, cluster, types)
+    private val decommissioner = MachineDecommissioner(placementStore)
+    private val reconciler =
+        HeartbeatReconciler(
             context,
             cluster,
-            stopper,
-            types,
-            deployment.workers,
-            operators,
-            role.token,
-            { leadership.leaseIsValid },
-            { leadership.leaseUncertainSince },
-            renewals,
+            TaskReconciler(
+                context,
+                cluster,
+                stopper,
+                TaskFailures(context, decommissioner),
+                role.token,
+            ),
             knowledge,
-            ::decommission,
-            leadership::seen,
-            ::sendAway,
+        )
+    private val workerClient =
+        WorkerClient(
+            context,
+            cluster,
+            leadership,
+            reconciler,
             deployment.limits.sockets.directCommands,
         )
+    private val reachability = CommandReachability(context)
+    private val directCommands =
+        DirectCommandSender(context, cluster, workerClient, reachability, leadership, role.token)
+    private val heartbeats =
+        HeartbeatHandler(
+            context,
+            registry,
+            reconciler,
+            HeartbeatCommands(context, cluster, leadership, knowledge, deployment.workers),
+            directCommands,
+            renewals,
+            knowledge,
+            WorkerRedirects(context, leadership, deployment.workers, ::sendAway),
+        )
     private val relays =
         ForwardingCoordinator(
             context,
             cluster,
-            fleet,
+            heartbeats,
             reader,
             platform.member,
             role.token,
@@ -125,17 +158,24 @@
             knowledge,
         )
     private val storeRelay = StoredBatchServer(context, store, role, ::take)
+    private val timeouts = HeartbeatTimeouts(deployment.workers, operators)
     private val health =
         MachineHealthMonitor(
             context,
             cluster,
-            fleet,
-            types,
-            deployment.workers,
-            operators,
-            { loaded },
-            relays::renewedAtLatest,
-            ::decommission,
+            timeouts,
+            LeaseExpiry(context, deployment.workers, operators, relays::renewedAtLatest),
+            MachineProber(context, workerClient),
+            UnconfirmedMachineMonitor(
+                context,
+                cluster,
+                registry,
+                decommissioner,
+                knowledge,
+                timeouts,
+                deployment.workers,
+            ),
+            decommissioner,
         )
     private val provisioner =
         Provisioner(
@@ -143,14 +183,14 @@
             cloud,
             pools,
             cluster,
-            fleet,
+            registry,
             planner,
             operators,
             deployment.cloud,
             CapacityDemand(context, cluster, deployment.objectives) { store.maxValueBytes },
             rentalOrders(cloud),
             MachineDrainer(context, cluster, planner.eligibility, stopper),
-            ::decommission,
+            decommissioner::decommission,
             placementStore::dropDecommissionRecord,
         )
     /** Drains that operators asked for; null where these are switched off. */
@@ -191,7 +231,7 @@
             operators,
             { types.types.orEmpty() },
             { loaded && !over && leadership.leaseIsValid },
-            ::decommission,
+            decommissioner::decommission,
             leadership::fenced,
         )
 
@@ -200,7 +240,7 @@
             context,
             cloud,
             cluster,
-            fleet,
+            registry,
             operators,
             role.token,
             deployment.cloud,
@@ -219,7 +259,7 @@
     private fun sendAway(): String? = relays.sendAway()
 
     fun handleHeartbeat(call: Long, report: WorkerHeartbeat) {
-        fleet.handleHeartbeat(call, report)
+        heartbeats.handle(call, report)
         planIfChanged()
     }
 
@@ -240,7 +280,7 @@
         if (job.isDone || job.hasEnded || job.allTasksDone) return
         log.info("{} is cancelled; {} tasks are out", job.id, job.placements.size)
         cluster.cancel(job, cancellations.toldSince(id))
-        fleet.sendDirect()
+        directCommands.sendDue()
     }
 
     fun tick() {
@@ -251,7 +291,7 @@
         loadAt?.let { if (context.now >= it && types.types != null) load() }
         if (!loaded) return
         watchAt?.let { if (context.now >= it) watch() }
-        health.watch()
+        health.check()
         if (canHandOver && context.now >= nextCutOffCheckAt) {
             nextCutOffCheckAt = context.now + CUT_OFF_CHECK_PERIOD
             reasonToAbdicate()?.let {
@@ -263,10 +303,10 @@
         if (leadership.leaseIsValid && context.now >= nextPreemptionAt) {
             nextPreemptionAt = context.now + PREEMPTION_PERIOD
             preemption.preempt()
-            fleet.sendDirect()
+            directCommands.sendDue()
         }
         dropSettledJobs()
-        fleet.sendDirect()
+        directCommands.sendDue()
         planAndWrite()
     }
 
@@ -293,8 +333,8 @@
     private fun reasonToAbdicate(): String? =
         when {
             !hasSiblings() -> null
-            health.isLeftAlone() -> "most machines are silent"
-            fleet.reachesNone -> "orders reach no machine"
+            health.areMostSilent() -> "most machines are silent"
+            reachability.isCutOff -> "orders reach no machine"
             else -> null
         }
 
@@ -362,11 +402,9 @@
 
     /** Recorded by an earlier leader, which may not have come to delete it. */
     private fun markDecommissioned(id: MachineId) {
-        val label = types.types?.firstOrNull()?.label ?: return
-        val machine = fleet.machine(id, label, "", false) ?: return
-        machine.isDecommissioned = true
-        machine.decommissionReason = "decommissioned earlier"
-        machine.isDeletionDue = true
+        val machine = registry.findOrAddRecorded(id) ?: return
+        machine.decommission("decommissioned earlier")
+        machine.markDeletionDue()
     }
 
     private fun loadPage(item: ScannedKey<StoredPage>) {
@@ -428,7 +466,7 @@
 
     // What the placement store reports.
 
-    override fun written() = fleet.sendDirect()
+    override fun written() = directCommands.sendDue()
 
     override fun fenced() = leadership.fenced()
 
@@ -463,15 +501,7 @@
     }
 
     override fun decommissioned(machine: Machine) {
-        machine.isDeletionDue = true
-    }
-
-    private fun decommission(machine: Machine, why: String) {
-        if (machine.isDecommissioned) return
-        log.info("{} is given up: {}; {} tasks there", machine.id, why, machine.placements.size)
-        machine.isDecommissioned = true
-        machine.decommissionReason = why
-        placementStore.decommission(machine)
+        machine.markDeletionDue()
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -4,7 +4,7 @@
 enum class Maintenance {
     NONE,
 
-    /** It takes tasks, but its room is to be found elsewhere. */
+    /** It takes tasks, but room for them is to be found elsewhere. */
     LEAVING,
 
     /** It takes no tasks. */
@@ -16,101 +16,187 @@
 
 /** A machine as the leader knows it. */
 class Machine(val id: MachineId, val type: MachineType, val zone: String, val spot: Boolean) {
+
+    // Its worker and the heartbeats of it.
+
+    /** The newest incarnation of its worker that was reported. */
     var incarnation = 0L
-    var tick = -1L
+        private set
 
-    /** When its last report under this leader's token came that was no copy: a sign of life. */
-    var lastHeartbeatAt: Micros? = null
+    /** The newest heartbeat of [incarnation]. */
+    var tick = -1L
 
-    /** When a report of it was last answered; its lease may run from then. */
-    var renewedAt = Micros.LONG_AGO
+    /** Host and port at which it takes direct commands; empty before its first heartbeat. */
+    var endpoint = ""
 
-    /**
-     * When its present session was first heard of, or took this leader's token: a session's first
-     * lease runs unrenewed, and until then others may have renewed it.
-     */
-    var incarnationSince = Micros.LONG_AGO
+    /** It has sent a heartbeat under this leader's token, so no earlier leader can command it. */
+    var hasAdoptedToken = false
 
-    /** Its lease runs from here at the latest. */
-    val leaseFrom: Micros
-        get() = maxOf(renewedAt, incarnationSince)
+    /** When its last heartbeat under this leader's token was sent; null before the first. */
+    var lastHeartbeatAt: Micros? = null
 
-    /** When it was first heard of under an older token; perhaps by a copy of an old report. */
+    /** When it first sent a heartbeat under an older token; perhaps a copy of an old one. */
     var firstStaleHeartbeatAt: Micros? = null
 
-    /** Known from reports under an older token only: it may be gone for long. */
+    /** Known from heartbeats under an older token only: it may have been deleted long ago. */
     var hasOnlyStaleHeartbeats = false
 
-    /** The relay that its last report came through, or null if it came to the leader itself. */
+    /** The forwarder of its last heartbeat, or null if it came to the leader itself. */
     var forwardedBy: String? = null
 
-    /** When an unsure leader last sent it on to another controller. */
+    /** When the leader, uncertain of its lease, last redirected it to another controller. */
     var lastRedirectAt = Micros.LONG_AGO
 
-    /** Where it takes direct orders. */
-    var endpoint = ""
+    /** When it is probed next at the earliest. */
+    var nextProbeAt = Micros.LONG_AGO
 
-    /** A direct order is under way; one at a time. */
-    var isCommandInFlight = false
-    var commandSentAt = Micros.LONG_AGO
+    /** It answered no probe since its last heartbeat. */
+    var hasProbeFailed = false
+
+    /** It has sent a heartbeat under this leader's token. */
+    val isUp: Boolean
+        get() = lastHeartbeatAt != null
+
+    /** A new incarnation of its worker was reported, with nothing on the machine but images. */
+    fun startIncarnation(incarnation: Long, now: Micros) {
+        this.incarnation = incarnation
+        // Direct commands name the incarnation, so those for an earlier one are refused.
+        unconfirmedStarts.clear()
+        endedAttempts.clear()
+        startUnansweredSince = null
+        incarnationSince = now
+    }
+
+    /** Its first heartbeat under this leader's token came. */
+    fun adoptToken(now: Micros) {
+        hasAdoptedToken = true
+        // Until now an earlier leader may have renewed its lease.
+        incarnationSince = now
+    }
+
+    /** A heartbeat under this leader's token came that was sent at [sentAt]. */
+    fun recordSignOfLife(sentAt: Micros) {
+        hasOnlyStaleHeartbeats = false
+        lastHeartbeatAt = maxOf(lastHeartbeatAt ?: sentAt, sentAt)
+        hasProbeFailed = false
+    }
+
+    // Its lease.
+
+    /** When the response to a heartbeat last renewed, or may have renewed, its lease. */
+    var renewedAt = Micros.LONG_AGO
 
     /**
-     * Since when direct orders have gone unanswered in this session, so that they may be carried
-     * out at any time; or null.
+     * When its present incarnation was first reported, or adopted this leader's token: the first
+     * lease of an incarnation runs without a renewal, and until then others may have renewed it.
      */
-    var startUnansweredSince: Micros? = null
+    private var incarnationSince = Micros.LONG_AGO
 
-    val hasUnansweredStart: Boolean
-        get() = startUnansweredSince != null
+    /** When its present lease began, by what the leader itself knows. */
+    val leaseStart: Micros
+        get() = maxOf(renewedAt, incarnationSince)
+
+    // Direct commands.
+
+    /** A direct command is in flight; there is one at a time. */
+    var isCommandInFlight = false
+        private set
+
+    var commandSentAt = Micros.LONG_AGO
+        private set
 
     /** When a direct command last found no connection to it. */
     var connectionFailedAt = Micros.LONG_AGO
 
-    /** A direct command found no connection, and it has not been heard since. */
+    /** A direct command found no connection, and no heartbeat has come since. */
     val isUnreachable: Boolean
         get() = connectionFailedAt > (lastHeartbeatAt ?: Micros.LONG_AGO)
 
-    /** Its report is overdue, and asked for its state it did not answer; when it is asked next. */
-    var probeFailed = false
-    var probeAt = Micros.LONG_AGO
-
     /**
-     * Attempts whose direct start is under way or went unanswered. While that is so, their absence
-     * from a report proves nothing, and they are not forgotten: a start that is carried out after
-     * it would run the attempt once more.
+     * Attempts whose direct start is in flight or went unanswered. Until it is confirmed, their
+     * absence from a heartbeat proves nothing, and they are not forgotten: a start that is carried
+     * out afterwards would run the attempt once more.
      */
     val unconfirmedStarts = HashSet<TaskAttempt>()
 
-    /** Attempts that ended otherwise than done, the oldest first: when that was first reported. */
-    val endedSince = LinkedHashMap<TaskAttempt, Micros>()
+    /**
+     * Since when a direct start to this incarnation has gone unanswered, so that it may be carried
+     * out at any time; or null.
+     */
+    var startUnansweredSince: Micros? = null
+        private set
+
+    val hasUnansweredStart: Boolean
+        get() = startUnansweredSince != null
+
+    /** A direct command is sent. */
+    fun recordCommandSent(now: Micros) {
+        isCommandInFlight = true
+        commandSentAt = now
+    }
 
-    /** True for one that ended more than [kept] ago, or for the oldest of very many. */
-    fun mayForget(attempt: TaskAttempt, now: Micros, kept: Micros): Boolean {
-        val since = endedSince.getOrPut(attempt) { now }
-        val many = endedSince.size > MOST_ENDED && endedSince.keys.first() == attempt
-        if (!many && now - since <= kept) return false
-        endedSince.remove(attempt)
-        return true
+    /** The outcome of the direct command in flight is known. */
+    fun recordCommandOutcome() {
+        isCommandInFlight = false
     }
 
-    /** It has reported under this leader's token, so no earlier leader can order it about. */
-    var hasAdoptedToken = false
+    /** A direct start went unanswered. */
+    fun recordUnansweredStart(now: Micros) {
+        if (startUnansweredSince == null) startUnansweredSince = now
+    }
+
+    // Whether it is to be used.
+
+    /** When the provider gave notice that it preempts the machine, or null. */
     var preemptionNoticeAt: Micros? = null
 
-    /** When the cloud takes it, as its notice says. */
+    /** When the provider preempts it, as its notice says. */
     var preemptedAt = Micros.NEVER
+        private set
+
+    /** It is out of use for good. */
     var isDecommissioned = false
 
+    /** Why it was decommissioned. */
+    var decommissionReason = ""
+        private set
+
+    /** That it is decommissioned is recorded, so it may be deleted. */
+    var isDeletionDue = false
+        private set
+
     /** It gets no new tasks, so that it can be returned once it is empty. */
     var isScalingIn = false
 
     /** What a drain that operators asked for makes of it. */
     var maintenance = Maintenance.NONE
 
-    /**
-     * It was rented at this time of day or before, by the lists of the cloud; null until it is
-     * listed.
-     */
+    /** It gets no new tasks before then, because one failed or was refused. */
+    var pausedUntil = Micros.LONG_AGO
+
+    /** The tasks that failed here since one last completed, counted by job. */
+    val failures = HashMap<String, Int>()
+
+    /** The provider gave notice that it preempts the machine at [preemptedAt]. */
+    fun recordPreemptionNotice(now: Micros, preemptedAt: Micros) {
+        preemptionNoticeAt = now
+        this.preemptedAt = preemptedAt
+    }
+
+    /** Takes it out of use for good. */
+    fun decommission(reason: String) {
+        isDecommissioned = true
+        decommissionReason = reason
+    }
+
+    /** That it is decommissioned is recorded. */
+    fun markDeletionDue() {
+        isDeletionDue = true
+    }
+
+    // What the provider charges for.
+
+    /** It was rented at this time of day or before; null until the provider has listed it. */
     var rentedBefore: Micros? = null
         private set
 
@@ -119,38 +205,26 @@
         rentedBefore = minOf(rentedBefore ?: Micros.NEVER, wall - age)
     }
 
-    var decommissionReason = ""
-    var isDeletionDue = false
+    // Its tasks.
 
-    var idleSince = Micros.ZERO
-    var pausedUntil = Micros.LONG_AGO
+    /** The images on it. */
+    val images = ImageCache(type)
 
-    /** Jobs whose tasks failed here since one last completed, with how many did. */
-    val failures = HashMap<String, Int>()
+    private val resources = MachineResources(type)
+    private val endedAttempts = EndedAttempts()
 
-    /** By the task's name, as in reports. */
+    /** By the task's name, as in heartbeats. */
     val placements = LinkedHashMap<String, Placement>()
 
-    /** Reported without a record: they take room until they are gone. */
+    /** Reported tasks without a record: they take room until they are gone. */
     var orphans = emptyList<JobSpec>()
         set(value) {
             field = value
-            orphanCpus = value.sumOf { it.cpus }
-            orphanGpus = value.sumOf { it.gpus }
-            orphanMemory = value.sumOf { it.memoryGb }
+            resources.setOrphans(value)
         }
 
-    private var orphanCpus = 0.0
-    private var orphanGpus = 0.0
-    private var orphanMemory = 0.0
-
-    private val images = LinkedHashMap<String, Image>()
-    private var usedCpus = 0.0
-    private var usedGpus = 0.0
-    private var usedMemory = 0.0
-
-    val isUp: Boolean
-        get() = lastHeartbeatAt != null
+    /** Since when it has been empty, if it is. */
+    var idleSince = Micros.ZERO
 
     val isEmpty: Boolean
         get() = placements.isEmpty() && orphans.isEmpty()
@@ -159,125 +233,52 @@
     val holdsCancelled: Boolean
         get() = placements.values.any { it.job.isCancelled }
 
-    /** The larger of the booked shares of CPU, GPU and memory. */
+    /** The largest of the shares of CPU, memory and GPU that placements reserve. */
     val load: Double
-        get() =
-            maxOf(
-                usedCpus / type.cpus,
-                usedMemory / type.memoryGb,
-                if (type.gpus > 0) usedGpus / type.gpus else 0.0,
-            )
-
-    /** CPUs that replicas of services hold. */
-    var serviceCpus = 0.0
-        private set
+        get() = resources.load
+
+    /** CPUs that replicas of services reserve. */
+    val serviceCpus: Double
+        get() = resources.serviceCpus
 
     val freeCpus: Double
-        get() = type.cpus - usedCpus - orphanCpus
+        get() = resources.freeCpus
 
     val freeGpus: Double
-        get() = type.gpus - usedGpus - orphanGpus
+        get() = resources.freeGpus
 
     val freeMemoryGb: Double
-        get() = type.memoryGb - usedMemory - orphanMemory
+        get() = resources.freeMemoryGb
 
-    fun fits(spec: JobSpec): Boolean {
-        val slack = MachineType.EPSILON
-        return spec.cpus <= freeCpus + slack &&
-            spec.gpus <= freeGpus + slack &&
-            spec.memoryGb <= freeMemoryGb + slack
-    }
+    /** Whether it has room for one more task like this. */
+    fun fits(spec: JobSpec): Boolean = resources.fits(spec)
 
-    /** How many tasks like this it has room for now. */
-    fun roomFor(spec: JobSpec): Int {
-        val slack = MachineType.EPSILON
-        val byCpu = if (spec.cpus > 0) (freeCpus + slack) / spec.cpus else Double.MAX_VALUE
-        val byGpu = if (spec.gpus > 0) (freeGpus + slack) / spec.gpus else Double.MAX_VALUE
-        val byMemory =
-            if (spec.memoryGb > 0) (freeMemoryGb + slack) / spec.memoryGb else Double.MAX_VALUE
-        return minOf(byCpu, byGpu, byMemory).coerceIn(0.0, 10_000.0).toInt()
-    }
+    /** How many more tasks like this it has room for. */
+    fun roomFor(spec: JobSpec): Int = resources.roomFor(spec)
+
+    /** The placement of this attempt here, or null. */
+    fun placementOf(task: String, attempt: Int): Placement? =
+        placements[task]?.takeIf { it.attempt == attempt }
 
+    /** Whether a task here runs or will run with [image]. */
+    fun needsImage(image: String): Boolean = placements.values.any { it.job.spec.image == image }
+
+    /** A task is placed here. */
     fun add(placement: Placement) {
         placements[placement.name] = placement
-        book(placement.job.spec, 1)
+        resources.reserve(placement.job.spec)
     }
 
+    /** A task is not here any more. */
     fun remove(placement: Placement, now: Micros) {
         if (placements[placement.name] !== placement) return
         placements.remove(placement.name)
-        book(placement.job.spec, -1)
+        resources.free(placement.job.spec)
+        if (placements.isEmpty()) resources.clear()
         if (isEmpty) idleSince = now
     }
 
-    private fun book(spec: JobSpec, sign: Int) {
-        usedCpus += sign * spec.cpus
-        usedGpus += sign * spec.gpus
-        usedMemory += sign * spec.memoryGb
-        if (spec.shape == JobKind.SERVICE) serviceCpus += sign * spec.cpus
-        if (placements.isEmpty()) {
-            serviceCpus = 0.0
-            usedCpus = 0.0
-            usedGpus = 0.0
-            usedMemory = 0.0
-        }
-    }
-
-    /**
-     * How long until an image is there. Fetches share the machine's rate, so one that starts now is
-     * taken to come after those that are under way.
-     */
-    fun imageWait(image: String, gb: Double, now: Micros): Micros {
-        val readyAt = images[image]?.readyAt ?: return fetchEnd(now) - now + fetchTime(gb)
-        return maxOf(readyAt - now, Micros.ZERO)
-    }
-
-    /** The most recently used images stay as long as the cache holds them. */
-    fun useImage(image: String, gb: Double, now: Micros) {
-        val known = images.remove(image)
-        images[image] = known ?: Image(gb, fetchEnd(now) + fetchTime(gb))
-        var total = images.values.sumOf { it.gb }
-        val oldest = images.entries.iterator()
-        while (total > type.cacheGb && images.size > 1 && oldest.hasNext()) {
-            total -= oldest.next().value.gb
-            oldest.remove()
-        }
-        fetchesOver = lastFetch()
-    }
-
-    fun needs(image: String) = placements.values.any { it.job.spec.image == image }
-
-    /** A task with this image runs. */
-    fun imageReady(image: String, gb: Double, now: Micros) {
-        // Known already, as in most reports.
-        if ((images[image]?.readyAt ?: Micros.NEVER) <= now) return
-        useImage(image, gb, now)
-        val fetched = images[image] ?: return
-        if (fetched.readyAt <= now) return
-        fetched.readyAt = now
-        fetchesOver = lastFetch()
-    }
-
-    /** No task waits for the image any more, so its fetch is given up. */
-    fun fetchGivenUp(image: String, now: Micros) {
-        val fetched = images[image] ?: return
-        if (fetched.readyAt <= now) return
-        images.remove(image)
-        fetchesOver = lastFetch()
-    }
-
-    /** When the fetches that are known of are over; kept, since each choice of a machine asks. */
-    private var fetchesOver = Micros.LONG_AGO
-
-    private fun lastFetch() = images.values.maxOfOrNull { it.readyAt } ?: Micros.LONG_AGO
-
-    private fun fetchEnd(now: Micros): Micros = maxOf(fetchesOver, now)
-
-    private fun fetchTime(gb: Double) = (gb / type.fetchGbPerS).seconds
-
-    private class Image(val gb: Double, var readyAt: Micros)
-
-    private companion object {
-        const val MOST_ENDED = 64
-    }
+    /** See [EndedAttempts.mayForget]. */
+    fun mayForget(attempt: TaskAttempt, now: Micros, keptFor: Micros): Boolean =
+        endedAttempts.mayForget(attempt, now, keptFor)
 }
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -91,7 +91,7 @@
             )
         job.place(placement, context.wall)
         restore(placement, machine)
-        machine.useImage(job.spec.image, job.spec.imageGb, context.now)
+        machine.images.use(job.spec.image, job.spec.imageGb, context.now)
         return placement
     }
 
@@ -195,8 +195,8 @@
         val machine = machines[placement.machine]
         if (machine != null) machine.remove(placement, context.now) else forgetUnplaced(placement)
         val image = placement.job.spec.image
-        if (placement.runningSince == null && machine?.needs(image) == false) {
-            machine.fetchGivenUp(image, context.now)
+        if (placement.runningSince == null && machine?.needsImage(image) == false) {
+            machine.images.cancelFetch(image, context.now)
         }
         book(placement.job.spec, -1)
     }
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -77,7 +77,7 @@
      * no end goes where most like it is, since only that keeps other machines from coming free.
      */
     fun score(spec: JobSpec, machine: Machine): Double {
-        val fetch = machine.imageWait(spec.image, spec.imageGb, context.now)
+        val fetch = machine.images.waitTime(spec.image, spec.imageGb, context.now)
         return fetch.inSeconds * FETCH_WEIGHT +
             (pools.dearness(machine.type, machine.spot) - 1) * DEAR_WEIGHT +
             leftOver(spec, machine) / machine.type.cpus
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -61,7 +61,7 @@
 
     /** Of estimates that differ by less than this, neither is known to be the sooner. */
     private fun imageWait(spec: JobSpec, machine: Machine): Micros {
-        val wait = machine.imageWait(spec.image, spec.imageGb, context.now)
+        val wait = machine.images.waitTime(spec.image, spec.imageGb, context.now)
         val steps = (wait.value + IMAGE_WAIT_STEP.value - 1) / IMAGE_WAIT_STEP.value
         return Micros(steps * IMAGE_WAIT_STEP.value)
     }
--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
@@ -39,7 +39,11 @@
     private fun ordinary(number: Int) = harness.machine(number, type, spot = false)
 
     private fun haveImage(vararg machines: Machine) {
-        for (machine in machines) machine.imageReady(service.image, service.imageGb, 50.seconds)
+        for (machine in machines) machine.images.markReady(
+            service.image,
+            service.imageGb,
+            50.seconds,
+        )
     }
 
     private fun adjust(surplus: Double) {
--- a/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -17,7 +17,7 @@
     private fun Machine.occupy(cpus: Double) = harness.occupy(this, cpus)
 
     private fun Machine.hold(spec: JobSpec) =
-        imageReady(spec.image, spec.imageGb, harness.context.now)
+        images.markReady(spec.image, spec.imageGb, harness.context.now)
 
     private fun placesOf(job: Job): Set<MachineId> {
         harness.planner.plan(Admission(7))
@@ -39,7 +39,7 @@
         holds.occupy(cpus = 2.0)
         // The eighth task would wait behind another image.
         val late = harness.machine(2, type, zone = "a")
-        late.useImage("another", 10 * spec.imageGb, harness.context.now)
+        late.images.use("another", 10 * spec.imageGb, harness.context.now)
         val soon = harness.machine(3, type, zone = "b")
         val job = harness.job(spec)
         assertEquals(setOf(soon.id), placesOf(job))
