--- a/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
@@ -34,18 +34,7 @@
             return context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
         }
         val machine = registry.findOrAdd(heartbeat)
-        if (machine != null) {
-            if (isDecommissioned(machine, heartbeat)) {
-                return context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
-            }
-            if (redirects.redirectIfDue(machine)) {
-                return context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
-            }
-            redirects.rebalancingTarget()?.let { target ->
-                val redirect = Redirect(target).encode()
-                return context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, redirect)
-            }
-        }
+        if (machine != null && turnAway(call, machine, heartbeat)) return
         // Accepted whether or not the lease is renewed: what it says, a new incarnation above all,
         // holds in any case, and may be the evidence that lets the lease be renewed.
         val accepted = machine != null && reconciler.accept(machine, heartbeat, null, context.now)
@@ -65,6 +54,21 @@
         }
     }
 
+    /** Answers the heartbeat of a machine that is decommissioned or redirected; false otherwise. */
+    private fun turnAway(call: Long, machine: Machine, heartbeat: WorkerHeartbeat): Boolean {
+        if (isDecommissioned(machine, heartbeat)) {
+            context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
+            return true
+        }
+        if (redirects.redirectIfDue(machine)) {
+            context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
+            return true
+        }
+        val target = redirects.rebalancingTarget() ?: return false
+        context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, Redirect(target).encode())
+        return true
+    }
+
     /**
      * Takes in [heartbeat], which [forwarder] has answered at [sentAt], and returns what the
      * machine is to be told, or null if the forwarder is to refuse its heartbeats. Starts are sent
--- a/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -60,15 +60,11 @@
 
     private fun record(machine: Machine, heartbeat: WorkerHeartbeat, sentAt: Micros) {
         if (heartbeat.incarnation > machine.incarnation) startIncarnation(machine, heartbeat)
-        machine.endpoint = heartbeat.endpoint
-        machine.tick = heartbeat.tick
+        machine.recordHeartbeat(heartbeat.endpoint, heartbeat.tick)
         if (heartbeat.token == token) {
             if (!machine.hasAdoptedToken) adoptToken(machine)
             machine.recordSignOfLife(sentAt)
-        } else if (machine.firstStaleHeartbeatAt == null) {
-            // Under an older token it may be a copy from before this leader's time.
-            machine.firstStaleHeartbeatAt = context.now
-        }
+        } else machine.recordStaleHeartbeat(context.now)
         val preemptedInS = heartbeat.preemptedInS
         if (preemptedInS != null && machine.preemptionNoticeAt == null) {
             machine.recordPreemptionNotice(context.now, context.now + preemptedInS.seconds)
--- a/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
@@ -3,6 +3,7 @@
 import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
 import wardmux.lease.LeaderCancellationView
+import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.seconds
@@ -22,12 +23,12 @@
     private val workers: WorkerTiming,
 ) {
     private val electedAt = context.now
+    private val patienceWithMany = workers.leaseS.seconds + timeouts.lost
 
     /** Decommissions what is due; workers could reach this leader since [reachableSince]. */
     fun check(reachableSince: Micros) {
         if (!cancellations.isLoaded) return
-        val patience = workers.leaseS.seconds + timeouts.lost
-        decommissionStale(patience)
+        decommissionStale()
         val unconfirmed =
             cluster.machines.values.filter {
                 !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
@@ -35,34 +36,40 @@
         val unknown = cluster.unheardOf().toList()
         // How long ago the cancellation was is not known, so these get one heartbeat's time.
         if (context.now - reachableSince >= HEARTBEAT_TIME + timeouts.overdue) {
-            for (machine in unconfirmed) {
-                if (machine.holdsCancelled) {
-                    val reason = DecommissionReason.CANCELLED_TASKS_UNREPORTED
-                    decommissioner.decommission(machine, reason)
-                }
-            }
-            for (id in unknown) if (cluster.holdsCancelled(id)) decommissionUnknown(id)
+            decommissionCancelled(unconfirmed, unknown)
         }
-        // Where most machines have found this leader, the others are not silent because of it. But
-        // until a lease is over, one that comes back is worth more than its tasks' time.
-        val up = cluster.machines.values.count { it.isUp }
-        val isMinority = (unconfirmed.size + unknown.size) * 2 <= up
-        val due =
-            if (isMinority) maxOf(workers.leaseS.seconds, timeouts.lost) + HEARTBEAT_TIME
-            else patience
-        if (context.now - electedAt < due) return
+        if (context.now - electedAt < patience(unconfirmed.size + unknown.size)) return
         for (machine in unconfirmed) {
             decommissioner.decommission(machine, DecommissionReason.NEVER_REPORTED)
         }
         for (id in unknown) decommissionUnknown(id)
     }
 
+    private fun decommissionCancelled(unconfirmed: List<Machine>, unknown: List<MachineId>) {
+        for (machine in unconfirmed) {
+            if (!machine.holdsCancelled) continue
+            decommissioner.decommission(machine, DecommissionReason.CANCELLED_TASKS_UNREPORTED)
+        }
+        for (id in unknown) if (cluster.holdsCancelled(id)) decommissionUnknown(id)
+    }
+
+    /**
+     * How long after the election machines may be silent, if there are [silent] of them. Where most
+     * have found this leader, the others are not silent because of it. But until a lease is over, a
+     * machine that comes back is worth more than its tasks' time.
+     */
+    private fun patience(silent: Int): Micros {
+        val isMinority = silent * 2 <= cluster.machines.values.count { it.isUp }
+        return if (isMinority) maxOf(workers.leaseS.seconds, timeouts.lost) + HEARTBEAT_TIME
+        else patienceWithMany
+    }
+
     /** A machine known only by a heartbeat under an older token may have been deleted long ago. */
-    private fun decommissionStale(patience: Micros) {
+    private fun decommissionStale() {
         for (machine in cluster.machines.values) {
             val since = machine.firstStaleHeartbeatAt ?: continue
             if (machine.isUp || machine.isDecommissioned) continue
-            if (context.now - since < patience) continue
+            if (context.now - since < patienceWithMany) continue
             decommissioner.decommission(machine, DecommissionReason.TOKEN_NEVER_ADOPTED)
         }
     }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewal.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewal.kt
@@ -34,11 +34,13 @@
     val token: FencingToken,
     /** Stops that the response has to carry: without them it must not be sent. */
     val requiredStops: List<WorkerCommand>,
-    private val responseWithoutCommands: ByteArray,
+    /** The response without any commands, if [LeaseRenewals] has it at hand. */
+    private val cachedResponse: ByteArray?,
 ) {
     /** The response that renews the lease, with [commands] after the required stops. */
     fun response(commands: List<WorkerCommand>): ByteArray {
-        if (requiredStops.isEmpty() && commands.isEmpty()) return responseWithoutCommands
+        val isPlain = requiredStops.isEmpty() && commands.isEmpty()
+        if (isPlain && cachedResponse != null) return cachedResponse
         val stopped = requiredStops.mapTo(HashSet()) { it.taskAttempt }
         val others = commands.filter { !it.isStop || it.taskAttempt !in stopped }
         return WorkerHeartbeatResponse.renewing(this, requiredStops + others).encode()
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -85,7 +85,7 @@
     private fun responseWithoutCommands(token: FencingToken): ByteArray {
         if (cachedToken != token) {
             cachedToken = token
-            cachedResponse = WorkerHeartbeatResponse.withoutCommands(token)
+            cachedResponse = LeaseRenewal(token, emptyList(), null).response(emptyList())
             // Another leader: what it withholds is logged anew.
             withheldMachines.clear()
             checked.clear()
--- a/src/main/kotlin/wardmux/lease/WorkerHeartbeatResponse.kt
+++ b/src/main/kotlin/wardmux/lease/WorkerHeartbeatResponse.kt
@@ -2,7 +2,6 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import wardmux.model.FencingToken
 import wardmux.serialization.lenientJson
 import wardmux.worker.WorkerCommand
 
@@ -23,10 +22,6 @@
         fun renewing(renewal: LeaseRenewal, commands: List<WorkerCommand>) =
             WorkerHeartbeatResponse(renewal.token.value, commands)
 
-        /** The body of a renewal without commands, which [LeaseRenewals] keeps for all of them. */
-        internal fun withoutCommands(token: FencingToken): ByteArray =
-            WorkerHeartbeatResponse(token.value, emptyList()).encode()
-
         /** Under no leader's token: the worker ignores it and stays with this controller. */
         val IGNORED = WorkerHeartbeatResponse(0, emptyList()).encode()
     }
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -1,19 +1,5 @@
 package wardmux.model
 
-/** What a drain makes of a machine. */
-enum class Maintenance {
-    NONE,
-
-    /** It takes tasks, but room for them is to be found elsewhere. */
-    LEAVING,
-
-    /** It takes no tasks. */
-    CORDONED,
-
-    /** It takes urgent tasks only, since these wait for room. */
-    YIELDING,
-}
-
 /** A machine as the leader knows it. */
 class Machine(val id: MachineId, val type: MachineType, val zone: String, val spot: Boolean) {
 
@@ -25,9 +11,11 @@
 
     /** The newest heartbeat of [incarnation]. */
     var tick = -1L
+        private set
 
     /** Host and port at which it takes direct commands; empty before its first heartbeat. */
     var endpoint = ""
+        private set
 
     /** It has sent a heartbeat under this leader's token, so no earlier leader can command it. */
     var hasAdoptedToken = false
@@ -37,6 +25,7 @@
 
     /** When it first sent a heartbeat under an older token; perhaps a copy of an old one. */
     var firstStaleHeartbeatAt: Micros? = null
+        private set
 
     /** Known from heartbeats under an older token only: it may have been deleted long ago. */
     var hasOnlyStaleHeartbeats = false
@@ -74,6 +63,17 @@
         incarnationSince = now
     }
 
+    /** A heartbeat of the present incarnation came. */
+    fun recordHeartbeat(endpoint: String, tick: Long) {
+        this.endpoint = endpoint
+        this.tick = tick
+    }
+
+    /** A heartbeat under an older token came; perhaps a copy from before this leader's time. */
+    fun recordStaleHeartbeat(now: Micros) {
+        if (firstStaleHeartbeatAt == null) firstStaleHeartbeatAt = now
+    }
+
     /** A heartbeat under this leader's token came that was sent at [sentAt]. */
     fun recordSignOfLife(sentAt: Micros) {
         hasOnlyStaleHeartbeats = false
--- /dev/null
+++ b/src/main/kotlin/wardmux/model/Maintenance.kt
@@ -0,0 +1,15 @@
+package wardmux.model
+
+/** What a drain makes of a machine. */
+enum class Maintenance {
+    NONE,
+
+    /** It takes tasks, but room for them is to be found elsewhere. */
+    LEAVING,
+
+    /** It takes no tasks. */
+    CORDONED,
+
+    /** It takes urgent tasks only, since these wait for room. */
+    YIELDING,
+}
