--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -60,7 +60,7 @@
 
     /** Moves replicas off machines that are being emptied; a few at a time. */
     fun moveReplicas() {
-        val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.decommissioned }
+        val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.isDecommissioned }
         // Operators' drains move tasks within budgets, which this must not use up.
         if (isScalingIn.isEmpty() || cluster.hasDrains) return
         val moving =
@@ -83,7 +83,7 @@
     private fun isMovable(placement: Placement) =
         placement.job.spec.shape == JobKind.SERVICE &&
             placement.status == TaskStatus.RUNNING &&
-            placement.committed &&
+            placement.isCommitted &&
             !placement.isStopping &&
             !placement.job.hasEnded &&
             // One of a service at a time: the others go on.
@@ -102,7 +102,7 @@
         val zones = HashMap(eligibility.zonesOf(replica.job))
         zones.merge(replica.zone, -1, Int::plus)
         return eligibility.mayGoTo(machine.zone, spec, zones) &&
-            machine.imageWait(spec.image, spec.imageGb, context.now).value == 0L
+            machine.images.waitTime(spec.image, spec.imageGb, context.now).value == 0L
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -3,7 +3,7 @@
 import wardmux.config.CloudLimits
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
-import wardmux.fleet.Fleet
+import wardmux.fleet.MachineRegistry
 import wardmux.logging.logger
 import wardmux.model.Machine
 import wardmux.model.MachineId
@@ -21,7 +21,7 @@
     private val cloud: CloudClient,
     private val pools: MachinePools,
     private val cluster: ClusterState,
-    private val fleet: Fleet,
+    private val registry: MachineRegistry,
     private val planner: Planner,
     private val operators: OperatorSettings,
     private val deployment: CloudLimits,
@@ -85,9 +85,10 @@
     /** True if the machine was not known. */
     private fun take(entry: ListedMachine): Boolean {
         val id = MachineId(entry.id)
-        if (id in fleet.gone) return false
+        if (registry.isDeleted(id)) return false
         val known = cluster.machines[id]
-        val machine = known ?: fleet.machine(id, entry.type, entry.zone, entry.spot) ?: return false
+        val machine =
+            known ?: registry.findOrAdd(id, entry.type, entry.zone, entry.spot) ?: return false
         machine.hasOnlyStaleHeartbeats = false
         machine.listed(context.wall, entry.heldS.seconds)
         if (known == null) log.debug("{} is listed as {} and was not known", id, entry.status)
@@ -109,7 +110,7 @@
 
     private fun deleteDecommissioned() {
         if (context.now < deleteAt || !cloud.ready()) return
-        val due = cluster.machines.values.filter { it.deleting }.take(MOST_DELETED)
+        val due = cluster.machines.values.filter { it.isDeletionDue }.take(MOST_DELETED)
         if (due.isEmpty()) return
         deleteAt = context.now + DELETE_TIME
         cloud.delete(due.map { it.id.value }) { result ->
@@ -122,7 +123,7 @@
         log.info("{} is deleted: {}", machine.id, machine.decommissionReason)
         cluster.clear(machine, "deleted")
         cluster.machines.remove(machine.id)
-        fleet.gone.add(machine.id)
+        registry.markDeleted(machine.id)
         expiringDecommissions.addLast(ExpiringRecord(context.now + RECORD_KEPT, machine))
     }
 
@@ -139,7 +140,7 @@
         for (job in planner.shortOfRoom()) jobs.rentFor(job, pools.pools.flatMap { it.types })
         val backlogs = demand.backlogs(pools)
         val ordinaryInUse = demand.ordinaryInUse(pools)
-        val machines = cluster.machines.values.filter { !it.decommissioned }
+        val machines = cluster.machines.values.filter { !it.isDecommissioned }
         for (pool in pools.pools) {
             val own = machines.filter { pool.holds(it.type) }
             decide(pool, own, backlogs[pool] ?: Backlog(), ordinaryInUse[pool] ?: 0.0)
@@ -228,7 +229,7 @@
         var left = surplus + 1 - SURPLUS
         if (left < 1) return
         val gangs = planner.shortOfRoom().filter { it.spec.isGang && !it.isFailing }
-        val idle = own.filter { it.isUp && it.isEmpty && !it.decommissioned && it.spot == spot }
+        val idle = own.filter { it.isUp && it.isEmpty && !it.isDecommissioned && it.spot == spot }
         for (machine in idle.sortedByDescending { pool.dearness(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !idleForLong(pool, machine)) continue
             // One that a gang waits for more of: it would be rented again at once, and go again.
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -5,7 +5,7 @@
 import wardmux.config.ProcessLimits
 import wardmux.config.WorkerTiming
 import wardmux.core.CoreContext
-import wardmux.fleet.Fleet
+import wardmux.fleet.HeartbeatHandler
 import wardmux.lease.ForwardingGrant
 import wardmux.lease.LeaderCancellationView
 import wardmux.logging.logger
@@ -25,7 +25,7 @@
 class ForwardingCoordinator(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val fleet: Fleet,
+    private val heartbeats: HeartbeatHandler,
     private val reader: WorkerHeartbeatReader,
     private val member: String,
     private val token: FencingToken,
@@ -137,7 +137,7 @@
     ): HeartbeatBatchResponse {
         val shed = relayer.shed
         relayer.shed = 0
-        val mustHalt = knowledge.tasksToHalt()
+        val mustHalt = knowledge.tasksToStop()
         // Too many to name: then nothing may be renewed before some are proven gone.
         val tooMany = mustHalt.sumOf { it.tasks.size } > MOST_NAMED_TASKS
         return HeartbeatBatchResponse(
@@ -152,7 +152,7 @@
             refuse = answers.refuse,
             shed = shed,
             shedTo = relayer.shedTo,
-            sendOn = fleet.sendsOn,
+            sendOn = heartbeats.isRedirecting,
             renews = context.now < knowledge.usableUntil && !tooMany,
             cancelledJobs = knowledge.cancelledJobs(),
             mustHalt = if (tooMany) emptyList() else mustHalt,
@@ -176,7 +176,7 @@
         sentAt: Micros,
         answers: MachineAnswers,
     ) {
-        val orders = fleet.relayed(report, relayer.member, sentAt)
+        val orders = heartbeats.handleForwarded(report, relayer.member, sentAt)
         if (orders == null) {
             answers.refuse.add(report.machine)
             relayer.numbers.remove(report.machine)?.let { relayer.reports.remove(it) }
@@ -216,7 +216,7 @@
 
     private fun decide(loaded: Boolean) {
         if (alone) return
-        val known = cluster.machines.values.count { !it.decommissioned }
+        val known = cluster.machines.values.count { !it.isDecommissioned }
         val reports = known / workers.reportS
         val many =
             reports > operators.reportsPerCore * limits.cpu ||
@@ -268,7 +268,7 @@
     private fun machinesByMember(): Map<String, Int> {
         val counts = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
-            if (machine.isUp && !machine.decommissioned)
+            if (machine.isUp && !machine.isDecommissioned)
                 counts.merge(machine.forwardedBy ?: member, 1, Int::plus)
         }
         return counts
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -5,7 +5,7 @@
 import wardmux.core.HttpStatus
 import wardmux.election.LeaderElection
 import wardmux.election.Role
-import wardmux.fleet.Fleet
+import wardmux.fleet.WorkerRedirects
 import wardmux.lease.LeaseRenewals
 import wardmux.lease.RenewalDecision
 import wardmux.logging.logger
@@ -148,11 +148,12 @@
         val renewed = decision is RenewalDecision.Renew
         if (pending.add(machine, report, body, token, renewed)) urgent = true
         when (decision) {
-            is RenewalDecision.Withhold -> context.answerBytes(call, HttpStatus.OK, decision.answer)
+            is RenewalDecision.Withhold ->
+                context.answerBytes(call, HttpStatus.OK, decision.response)
             is RenewalDecision.Renew -> {
                 val mail = machine.mail?.takeIf { it.incarnation == report.incarnation }
                 machine.mail = null
-                val answer = decision.renewal.answer(mail?.orders.orEmpty())
+                val answer = decision.renewal.response(mail?.orders.orEmpty())
                 context.answerBytes(call, HttpStatus.OK, answer)
             }
         }
@@ -169,7 +170,7 @@
                 val redirect = Redirect(target).encode()
                 context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, redirect)
             }
-            redirects && context.now - machine.redirectedAt >= Fleet.sendOnPause(workers) -> {
+            redirects && context.now - machine.redirectedAt >= WorkerRedirects.pause(workers) -> {
                 machine.redirectedAt = context.now
                 context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
             }
