--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -1,11 +1,8 @@
 package wardmux.app
 
 import java.net.URLDecoder
-import wardmux.cloud.CloudClient
-import wardmux.cloud.MachineTypeCatalog
 import wardmux.config.OperatorSettings
 import wardmux.config.PlatformConfig
-import wardmux.core.CoreContext
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
@@ -19,20 +16,17 @@
 import wardmux.http.ApiPaths
 import wardmux.jobs.Intake
 import wardmux.jobs.SubmissionReader
+import wardmux.leader.ControllerServices
 import wardmux.leader.LeaderTerm
-import wardmux.lease.LeaseRenewals
-import wardmux.lease.RenewalCounters
 import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.JobId
+import wardmux.model.JobState
 import wardmux.model.Micros
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.peers.PeerHeartbeats
-import wardmux.store.KeyValueStore
 import wardmux.worker.Redirect
-import wardmux.worker.WorkerHeartbeatReader
 
 /**
  * One controller as a state machine: takes inputs with their time, returns what to send and answer.
@@ -44,25 +38,13 @@
     boot: String,
 ) {
     private val log = logger<Controller>()
-    private val context = CoreContext()
-    private val store = KeyValueStore(context, platform.deployment.state, platform.deployment.nodes)
-    private val cloud = CloudClient(context, platform.deployment.cloud.rps)
-    private val types = MachineTypeCatalog(context, store, cloud)
-    private val peerNames = platform.peers.map { it.member }
-    private val cancellations =
-        Cancellations(
-            context,
-            store,
-            boot,
-            peerNames,
-            Cancellations.horizon(platform.deployment.workers.cancelS.seconds),
-        ) {
-            term?.cancelled(it)
-        }
-    private val renewalCounters = RenewalCounters(context)
-    private val renewals = LeaseRenewals(context, renewalCounters)
-    private val peerHeartbeats = PeerHeartbeats(context, platform.member, peerNames, cancellations)
-    private val reader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
+    private val services = ControllerServices(platform, operators, boot) { term?.jobCancelled(it) }
+    private val context = services.context
+    private val store = services.store
+    private val types = services.types
+    private val cancellations = services.cancellations
+    private val renewals = services.renewals
+    private val peerHeartbeats = services.peerHeartbeats
     private val intake =
         Intake(
             context,
@@ -111,22 +93,7 @@
         }
 
     private fun begin(role: Role.Leader) {
-        term =
-            LeaderTerm(
-                context,
-                store,
-                leadership,
-                role,
-                types,
-                cloud,
-                platform,
-                operators,
-                reader,
-                intake::learnFinal,
-                cancellations,
-                renewals,
-                peerHeartbeats::hearsOthers,
-            )
+        term = LeaderTerm(services, leadership, role) { intake.learnFinal(it, JobState.DONE) }
     }
 
     private fun end() {
@@ -159,7 +126,7 @@
         types.tick(leading = term != null)
         term?.tick()
         relay.tick()
-        renewalCounters.tick()
+        services.renewalCounters.tick()
         val role = leadership.role as? Role.Leader
         val wantsRelays = term?.wantsRelays == true
         peerHeartbeats.tick(role?.token, wantsRelays, store.answeredAt) {
@@ -219,7 +186,7 @@
 
     private fun handleHeartbeat(call: Input.Request) {
         val report =
-            reader.read(call.body)
+            services.reader.read(call.body)
                 ?: return context.answer(
                     call.id,
                     HttpStatus.BAD_REQUEST,
@@ -265,7 +232,7 @@
         if (batch == null || !peerHeartbeats.knows(batch.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
         leadership.seen(FencingToken(batch.token))
-        val answer = term?.take(batch) ?: return context.answer(call.id, HttpStatus.CONFLICT)
+        val answer = term?.handleBatch(batch) ?: return context.answer(call.id, HttpStatus.CONFLICT)
         context.answerBytes(call.id, HttpStatus.OK, ForwardingCodec.encode(answer))
     }
 
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -21,7 +21,6 @@
 
 /** Reads submissions strictly: a missing, mistyped, negative or non-finite field is malformed. */
 object SubmissionReader {
-    const val MAX_TASKS = 100_000
     private val idForm = Regex("job-[0-9]{1,18}")
     private val plainNumber = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
 
@@ -120,7 +119,8 @@
 
     private fun count(json: JsonObject, field: String): Int {
         val number = amount(json, field)
-        if (number != Math.rint(number) || number < 1 || number > MAX_TASKS) throw Wrong(field)
+        if (number != Math.rint(number) || number < 1 || number > JobSpec.MAX_TASKS)
+            throw Wrong(field)
         return number.toInt()
     }
 
--- /dev/null
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -0,0 +1,184 @@
+package wardmux.leader
+
+import wardmux.cloud.CapacityDemand
+import wardmux.cloud.CloudClient
+import wardmux.cloud.MachineDrainer
+import wardmux.cloud.Provisioner
+import wardmux.cloud.RentalOrders
+import wardmux.drain.DrainEnvironment
+import wardmux.drain.LeaderDrains
+import wardmux.election.LeaderElection
+import wardmux.election.Role
+import wardmux.fleet.Fleet
+import wardmux.fleet.MachineHealthMonitor
+import wardmux.forwarding.ForwardingCoordinator
+import wardmux.forwarding.StoredBatchServer
+import wardmux.lease.LeaderCancellationView
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+import wardmux.scheduling.FairQueue
+import wardmux.scheduling.MachinePools
+import wardmux.scheduling.PlacementStore
+import wardmux.scheduling.Planner
+import wardmux.scheduling.Preemption
+import wardmux.scheduling.TaskEvictor
+
+/**
+ * Builds the parts of one leader term and connects them; the parts themselves do the work. A part
+ * that needs one that is built later reaches it through this class.
+ */
+class LeaderComponents(
+    services: ControllerServices,
+    private val leadership: LeaderElection,
+    val role: Role.Leader,
+    completionListener: JobCompletionListener,
+) {
+    private val context = services.context
+    private val store = services.store
+    private val types = services.types
+    private val cloud = services.cloud
+    private val platform = services.platform
+    private val operators = services.operators
+    private val reader = services.reader
+    private val cancellations = services.cancellations
+    private val renewals = services.renewals
+    private val deployment = platform.deployment
+
+    val queue =
+        FairQueue(
+            deployment.teams.associate { it.name to it.cpus },
+            operators.halfLifeS.seconds,
+            operators.normS,
+        )
+    val cluster = ClusterState(context, deployment.teams, queue)
+    private val knowledge =
+        LeaderCancellationView(context, cluster, cancellations, role.token, deployment.workers)
+    val status = TermStatus(leadership, knowledge)
+    val pools = MachinePools(context) { types.types.orEmpty() }
+    val planner =
+        Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools) {
+            types.types.orEmpty()
+        }
+    private val stopper = TaskEvictor(cluster, deployment.workers)
+    val preemption = Preemption(context, cluster, planner, stopper, operators)
+    private val writeListener =
+        PlacementWriteListener(services, leadership, this, completionListener)
+    val placementStore =
+        PlacementStore(context, store, cluster, role, operators.writePeriodS.seconds, writeListener)
+    val planningLoop = PlanningLoop(context, cluster, planner, placementStore, status)
+    private val decommissioner = MachineDecommissioner(placementStore)
+    val fleet =
+        Fleet(
+            context,
+            cluster,
+            stopper,
+            types,
+            deployment.workers,
+            operators,
+            role.token,
+            { leadership.leaseIsValid },
+            { leadership.leaseUncertainSince },
+            renewals,
+            knowledge,
+            ::decommission,
+            leadership::seen,
+            ::sendAway,
+            deployment.limits.sockets.directCommands,
+        )
+    val relays =
+        ForwardingCoordinator(
+            context,
+            cluster,
+            fleet,
+            reader,
+            platform.member,
+            role.token,
+            deployment.workers,
+            deployment.limits,
+            operators,
+            platform.peers.isNotEmpty(),
+            knowledge,
+        )
+    val batchHandler = HeartbeatBatchHandler(role.token, relays, planningLoop)
+    val storeRelay = StoredBatchServer(context, store, role, batchHandler::handle)
+    val health =
+        MachineHealthMonitor(
+            context,
+            cluster,
+            fleet,
+            types,
+            deployment.workers,
+            operators,
+            { loaded },
+            relays::renewedAtLatest,
+            ::decommission,
+        )
+    val provisioner =
+        Provisioner(
+            context,
+            cloud,
+            pools,
+            cluster,
+            fleet,
+            planner,
+            operators,
+            deployment.cloud,
+            CapacityDemand(context, cluster, deployment.objectives) { store.maxValueBytes },
+            rentalOrders(cloud),
+            MachineDrainer(context, cluster, planner.eligibility, stopper),
+            ::decommission,
+            placementStore::dropDecommissionRecord,
+        )
+    /** Drains that operators asked for; null where these are switched off. */
+    val drains: LeaderDrains? =
+        operators.drain?.let { LeaderDrains(context, drainEnvironment(), it) }
+    val jobs = JobRegistry(cluster, Job.pageSize(store.layoutBytes))
+    val cancellationHandler = JobCancellationHandler(cluster, fleet, cancellations)
+    val abdicationCheck = AbdicationCheck(services, leadership, fleet, health)
+    val openJobWatcher = OpenJobWatcher(services, this)
+    val loader = StoredStateLoader(services, this)
+    private val loaded: Boolean
+        get() = status.isLoaded
+
+    private fun drainEnvironment() =
+        DrainEnvironment(
+            store,
+            role,
+            cluster,
+            planner.eligibility,
+            stopper,
+            provisioner,
+            deployment,
+            operators,
+            { types.types.orEmpty() },
+            { status.mayDecide },
+            ::decommission,
+            leadership::fenced,
+        )
+
+    private fun rentalOrders(cloud: CloudClient) =
+        RentalOrders(
+            context,
+            cloud,
+            cluster,
+            fleet,
+            operators,
+            role.token,
+            deployment.cloud,
+            deployment.zones,
+        )
+
+    /** Treats what is stored as unknown until it is loaded again. */
+    fun reload() {
+        status.unloaded()
+        openJobWatcher.stop()
+        loader.reload()
+    }
+
+    private fun sendAway(): String? = relays.sendAway()
+
+    private fun decommission(machine: Machine, reason: String) =
+        decommissioner.decommission(machine, reason)
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
@@ -0,0 +1,50 @@
+package wardmux.leader
+
+import wardmux.election.LeaderElection
+import wardmux.logging.logger
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.Machine
+import wardmux.scheduling.PlacementStore
+
+/** Is told of jobs whose completion was recorded. */
+fun interface JobCompletionListener {
+    /** All tasks of [job] are done, and its record says so. */
+    fun jobCompleted(job: JobId)
+}
+
+/** Acts on the results of the leader's writes. */
+class PlacementWriteListener(
+    private val services: ControllerServices,
+    private val leadership: LeaderElection,
+    private val components: LeaderComponents,
+    private val completionListener: JobCompletionListener,
+) : PlacementStore.Listener {
+    private val log = logger<PlacementWriteListener>()
+
+    override fun written() = components.fleet.sendDirect()
+
+    override fun fenced() = leadership.fenced()
+
+    override fun lost() = components.reload()
+
+    override fun finished(job: Job) {
+        val turnaround = services.context.wall - job.acceptedAt
+        log.info(
+            "{} is done: {} {} tasks for {} took {} s, deadline: {} s",
+            job.id,
+            job.spec.tasks,
+            job.spec.jobClass,
+            job.spec.team,
+            turnaround.inSeconds.toInt(),
+            job.spec.deadlineS ?: "no",
+        )
+        completionListener.jobCompleted(job.id)
+    }
+
+    override fun changed(job: Job) = components.cancellationHandler.recordChanged(job)
+
+    override fun decommissioned(machine: Machine) {
+        machine.deleting = true
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -0,0 +1,124 @@
+package wardmux.leader
+
+import wardmux.core.CoreContext
+import wardmux.fleet.Fleet
+import wardmux.logging.logger
+import wardmux.model.Job
+import wardmux.model.JobId
+import wardmux.model.KeyVersion
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.milliseconds
+import wardmux.records.JobRecord
+import wardmux.records.StoredPage
+import wardmux.scheduling.PlacementStore
+import wardmux.store.ScannedKey
+
+/**
+ * Loads what is stored into the cluster's state: when a term begins, and again when the leader can
+ * no longer be sure of what is stored.
+ */
+class StoredStateLoader(
+    private val services: ControllerServices,
+    private val components: LeaderComponents,
+) {
+    private val log = logger<StoredStateLoader>()
+    private val context: CoreContext = services.context
+    private val types = services.types
+    private val cancellations = services.cancellations
+    private val cluster = components.cluster
+    private val fleet: Fleet = components.fleet
+    private val reader = StoredStateReader(services.store)
+
+    /** When to load; null while a load is under way or nothing is to be loaded. */
+    private var loadAt: Micros? = Micros.LONG_AGO
+
+    /** Starts a load that is due, once the machine types are known. */
+    fun tick() {
+        loadAt?.let { if (context.now >= it && types.types != null) load() }
+    }
+
+    /** Abandons a load under way, and loads everything again at the next tick. */
+    fun reload() {
+        reader.abandon()
+        loadAt = context.now
+    }
+
+    /** Abandons a load under way: the term has ended. */
+    fun end() = reader.abandon()
+
+    private fun load() {
+        loadAt = null
+        val sentAt = context.now
+        // Also what an earlier load that failed half-way has added: a job that was cancelled since
+        // would stay, and its tasks with it.
+        cluster.forgetJobs()
+        reader.read { result ->
+            when (result) {
+                is StoredStateResult.Complete -> apply(result.state, sentAt)
+                is StoredStateResult.Failed -> loadAt = context.now + RETRY_PERIOD
+            }
+        }
+    }
+
+    private fun apply(state: StoredState, sentAt: Micros) {
+        state.tags?.let { components.queue.load(it.data) }
+        components.placementStore.tagsVersion = state.tags?.version ?: 0
+        for (item in state.openJobs.items) {
+            components.jobs.add(item.data ?: continue, KeyVersion(item.version))
+        }
+        for (item in state.cancelledJobs) addCancelledJob(item)
+        cancellations.shown(sentAt)
+        for (item in state.pages) addPage(item)
+        for (item in state.decommissionedMachines) {
+            markDecommissioned(MachineId(item.key.removePrefix(PlacementStore.MACHINES)))
+        }
+        components.pools.observeNow(cluster.jobs.values)
+        components.openJobWatcher.start(state.openJobs.revision)
+        components.status.loaded()
+        log.info(
+            "loaded with fencing token {}: {} jobs ({} of them cancelled) with {} placements, " +
+                "as stored {} s ago",
+            components.role.token,
+            cluster.jobs.size,
+            cluster.jobs.values.count { it.isCancelled },
+            cluster.jobs.values.sumOf { it.placements.size },
+            (context.now - sentAt).inSeconds,
+        )
+    }
+
+    private fun addCancelledJob(item: ScannedKey<JobRecord>) {
+        val id = JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
+        cancellations.learnStored(id)
+        // It was cancelled after the open jobs were read: the watch of these will show that.
+        if (id in cluster.jobs) return
+        // The time of the cancellation is not stored: unless this process knows it, the earliest
+        // possible one is assumed.
+        components.jobs.add(item.data ?: return, KeyVersion(item.version))?.let {
+            cluster.cancel(it, cancellations.toldSince(id))
+        }
+    }
+
+    /** Recorded by an earlier leader, which may have ended before it deleted the machine. */
+    private fun markDecommissioned(id: MachineId) {
+        val label = types.types?.firstOrNull()?.label ?: return
+        val machine = fleet.machine(id, label, "", false) ?: return
+        machine.decommissioned = true
+        machine.decommissionReason = "decommissioned earlier"
+        machine.deleting = true
+    }
+
+    private fun addPage(item: ScannedKey<StoredPage>) {
+        val id = JobId(item.key.removePrefix(Job.PAGES).substringBefore('/'))
+        val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
+        val job = components.jobs.getOrAddCompleted(id)
+        val placed = job.load(page, item.version, item.data)
+        // Nothing of a done job is on a machine; its pages are only to be removed.
+        if (job.isDone) return job.placements.clear()
+        for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
+    }
+
+    private companion object {
+        val RETRY_PERIOD = 300.milliseconds
+    }
+}
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -13,7 +13,7 @@
 import wardmux.store.ScannedKey
 import wardmux.store.StoreResult
 
-/** All that the state service holds for a leader, as one reading found it. */
+/** All that the key-value store holds for a leader, as one reading found it. */
 class StoredState(
     /** Tags and usage of all teams; null if no leader has written them yet. */
     val tags: KeyValue?,
@@ -24,11 +24,20 @@
     val cancelledJobs: List<ScannedKey<JobRecord>>,
 )
 
+/** What came of a reading. */
+sealed interface StoredStateResult {
+    /** All that is stored, in [state]. */
+    class Complete(val state: StoredState) : StoredStateResult
+
+    /** A request failed; nothing is known. */
+    data object Failed : StoredStateResult
+}
+
 /**
  * Reads what a leader needs before it decides anything, one request after the other. The order
  * matters:
  * - the tags come first, because every leader write replaces them and is conditional on their
- *   stamp: a write that is applied from then on makes this leader's next write fail;
+ *   version: a write that is applied from then on makes this leader's next write fail;
  * - the cancelled jobs come last, after the open ones: a job that left the open ones meanwhile is
  *   either among the cancelled ones, or done.
  */
@@ -36,21 +45,21 @@
     private var current: Reading? = null
 
     /**
-     * Starts a reading and abandons the one before. [then] gets null if a request failed, and is
-     * not called at all for a reading that was abandoned.
+     * Starts a reading and abandons the one before. [then] gets its result, and is not called at
+     * all for a reading that was abandoned.
      */
-    fun read(then: (StoredState?) -> Unit) {
+    fun read(then: (StoredStateResult) -> Unit) {
         val reading = Reading(then)
         current = reading
         reading.readTags()
     }
 
-    /** Answers that are still to come are dropped. */
+    /** Ignores the responses that are still to come. */
     fun abandon() {
         current = null
     }
 
-    private inner class Reading(private val then: (StoredState?) -> Unit) {
+    private inner class Reading(private val then: (StoredStateResult) -> Unit) {
         private var tags: KeyValue? = null
         private lateinit var openJobs: KeyValueStore.Scan<JobRecord>
         private lateinit var pages: List<ScannedKey<StoredPage>>
@@ -65,7 +74,7 @@
                         readOpenJobs()
                     }
                     is StoreResult.Absent -> readOpenJobs()
-                    else -> finish(null)
+                    else -> finish(StoredStateResult.Failed)
                 }
             }
         }
@@ -93,7 +102,11 @@
 
         private fun readCancelledJobs() {
             scan(JobRecord.CANCELLED_PREFIX, JobRecord.serializer()) { found ->
-                finish(StoredState(tags, openJobs, pages, decommissionedMachines, found.items))
+                finish(
+                    StoredStateResult.Complete(
+                        StoredState(tags, openJobs, pages, decommissionedMachines, found.items)
+                    )
+                )
             }
         }
 
@@ -104,13 +117,13 @@
         ) {
             store.scan(prefix, values) { found ->
                 if (current !== this) return@scan
-                if (found == null) finish(null) else next(found)
+                if (found == null) finish(StoredStateResult.Failed) else next(found)
             }
         }
 
-        private fun finish(state: StoredState?) {
+        private fun finish(result: StoredStateResult) {
             current = null
-            then(state)
+            then(result)
         }
     }
 }
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -42,4 +42,9 @@
     /** At most this many tasks may be in one zone. */
     val zoneLimit: Int
         get() = if (spread) (tasks + 1) / 2 else tasks
+
+    companion object {
+        /** The most tasks that one job may have. */
+        const val MAX_TASKS = 100_000
+    }
 }
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -16,7 +16,7 @@
     @Test
     fun `the fullest page of the largest job fits a value, on small and large limits`() {
         val read = SubmissionReader.read(submission()) as Submission.Good
-        val spec = read.spec.copy(tasks = SubmissionReader.MAX_TASKS)
+        val spec = read.spec.copy(tasks = JobSpec.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
             val size = Job.pageSize(limit)
             val job = Job(spec, KeyVersion(1), Micros.ZERO, size)
