--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -60,8 +60,8 @@
             context,
             store,
             platform.member,
-            boot = boot,
-            life = operators.leaderLeaseS.seconds,
+            processIncarnation = boot,
+            leaseDuration = operators.leaderLeaseS.seconds,
             listener =
                 object : LeaderElection.Listener {
                     override fun elected(role: Role.Leader) = begin(role)
@@ -89,7 +89,7 @@
     /** The operators' interface; null where drains are switched off. */
     private val drainApi =
         operators.drain?.let {
-            DrainApi(context, store, { term?.drains?.desk }, leadership::leaderToName)
+            DrainApi(context, store, { term?.drains?.desk }, leadership::knownLeader)
         }
 
     private fun begin(role: Role.Leader) {
@@ -192,7 +192,7 @@
                     HttpStatus.BAD_REQUEST,
                     """{"error":"not a report"}""",
                 )
-        leadership.seen(FencingToken(report.token))
+        leadership.observeToken(FencingToken(report.token))
         val current = term
         if (current != null) return current.handleHeartbeat(call.id, report)
         if (!relay.handleHeartbeat(call.id, report, call.body)) sendToLeader(call.id)
@@ -200,7 +200,7 @@
 
     private fun sendToLeader(call: Long) {
         val leader =
-            leadership.leaderToName ?: return context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
+            leadership.knownLeader ?: return context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
         context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, Redirect(leader).encode())
     }
 
@@ -223,7 +223,7 @@
         if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
         val told = peerHeartbeats.received(heartbeat)
-        heartbeat.token?.let { leadership.heard(heartbeat.member, FencingToken(it)) }
+        heartbeat.token?.let { leadership.observeLeader(heartbeat.member, FencingToken(it)) }
         context.answerBytes(call.id, HttpStatus.OK, PeerHeartbeatCodec.encode(told))
     }
 
@@ -231,7 +231,7 @@
         val batch = ForwardingCodec.batch(call.body)
         if (batch == null || !peerHeartbeats.knows(batch.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
-        leadership.seen(FencingToken(batch.token))
+        leadership.observeToken(FencingToken(batch.token))
         val answer = term?.handleBatch(batch) ?: return context.answer(call.id, HttpStatus.CONFLICT)
         context.answerBytes(call.id, HttpStatus.OK, ForwardingCodec.encode(answer))
     }
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -1,12 +1,10 @@
 package wardmux.election
 
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
+import kotlinx.serialization.json.JsonElement
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.KeyVersion
-import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.model.seconds
@@ -14,286 +12,224 @@
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
 import wardmux.store.StoreResult
-import wardmux.store.VersionCondition
-import wardmux.store.WriteOperation
-
-/** What the `leader` key says. [boot] tells the incarnations of one member apart. */
-@Serializable
-data class LeaderRecord(
-    @SerialName("member") val member: String,
-    @SerialName("boot") val boot: String,
-)
-
-/** What a controller is to the others. */
-sealed interface Role {
-    /** [leader] is the last known, or null. */
-    data class Follower(val leader: String?, val token: FencingToken?) : Role
-
-    data class Leader(val token: FencingToken, val lease: Long) : Role {
-        /** Every write of the leader holds only while its key is as it was written. */
-        val condition: VersionCondition
-            get() = VersionCondition(LeaderElection.KEY, token.value)
-    }
-}
 
 /**
- * Leadership is a key bound to a lease of the state service. The token is the revision of the write
- * that took it, so a later leader's token is larger.
+ * Elects one controller as the leader: the one whose record is in the leader key, which is bound to
+ * a lease of the key-value store. The fencing token is the revision of the write that took the key,
+ * so a later leader's token is larger.
+ *
+ * A follower watches the key and campaigns once it is absent. A leader keeps its lease renewed
+ * until it expires, is resigned, or a newer token is observed.
  */
 class LeaderElection(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val member: String,
-    /** Never the same for two processes, whatever the operators' seed. */
-    private val boot: String,
-    private val life: Micros,
+    /** Differs between any two processes, also those of one member. */
+    private val processIncarnation: String,
+    private val leaseDuration: Micros,
     private val listener: Listener,
 ) {
+    /** Is told when this controller begins and ceases to lead. */
     interface Listener {
+        /** This controller leads with the token of [role]. */
         fun elected(role: Role.Leader)
 
+        /** This controller no longer leads. */
         fun deposed()
     }
 
     private val log = logger<LeaderElection>()
+    private val lease = LeaderLease(context, store, leaseDuration, ::leaseExpired)
+    private val campaign =
+        LeaderCampaign(context, store, LeaderRecord(member, processIncarnation), leaseDuration)
+
+    /** What this controller is now. */
     var role: Role = Role.Follower(null, null)
         private set
 
-    private var leaseValidUntil = Micros.LONG_AGO
-
-    /** The lease that this process was last given; any other is a former process's. */
-    private var granted: Long? = null
-
-    /** When what a follower knows of the leader was last borne out. */
-    private var informedAt = Micros.LONG_AGO
-    private var renewAt = Micros.ZERO
-    private var renewing = false
+    /** When what a follower knows of the leader was last confirmed. */
+    private var leaderConfirmedAt = Micros.LONG_AGO
 
     /** When to read the key again; null while a request or watch is under way. */
-    private var lookAt: Micros? = Micros.LONG_AGO
+    private var readAt: Micros? = Micros.LONG_AGO
 
-    /** True while this controller surely holds its lease. */
+    /** This controller leads, and surely holds its lease. */
     val leaseIsValid: Boolean
-        get() = role is Role.Leader && context.now < leaseValidUntil
+        get() = lease.isValid
 
-    /** Since when a leader has not been sure, or null if it is, or if this is no leader. */
+    /** Since when a leader's lease may have ended; null if it surely runs, or for a follower. */
     val leaseUncertainSince: Micros?
-        get() = if (role is Role.Leader && !leaseIsValid) maxOf(leaseValidUntil, tookAt) else null
-
-    private var tookAt = Micros.LONG_AGO
+        get() = lease.uncertainSince
 
-    /** Whom to send workers to, if that is known and was so lately. */
-    val leaderToName: String?
+    /** The other controller that leads, for redirects; null if that was not confirmed lately. */
+    val knownLeader: String?
         get() =
             (role as? Role.Follower)?.leader?.takeIf {
-                it != member && context.now - informedAt < STALE
+                it != member && context.now - leaderConfirmedAt < MAX_CONFIRMATION_AGE
             }
 
+    /** Reads the key and renews the lease when these are due. */
     fun tick() {
-        val due = lookAt
-        if (due != null && context.now >= due) look()
-        val leader = role as? Role.Leader ?: return
-        if (!renewing && context.now >= renewAt) renew(leader)
+        val due = readAt
+        if (due != null && context.now >= due) readKey()
+        lease.tick()
     }
 
-    /** A token larger than this controller's own shows that another one leads. */
-    fun seen(token: FencingToken) {
+    /** Steps down if [token], seen in any message, is newer than this leader's own. */
+    fun observeToken(token: FencingToken) {
         val leader = role as? Role.Leader ?: return
         if (token > leader.token) {
-            log.info("token {} is over: {} was seen", leader.token, token)
-            depose(null, token)
-            lookAgain(Micros.ZERO)
+            log.info("stepping down with fencing token {}: observed {}", leader.token, token)
+            stepDown(token, Micros.ZERO)
         }
     }
 
-    /** Told by a sibling that leads; only a hint for whom to name to workers. */
-    fun heard(leader: String, token: FencingToken) {
-        seen(token)
+    /**
+     * Notes that a peer says it is the [leader] with [token]. The key decides who leads; this only
+     * tells sooner whom workers are to be redirected to.
+     */
+    fun observeLeader(leader: String, token: FencingToken) {
+        observeToken(token)
         val follower = role as? Role.Follower ?: return
-        if (follower.token == token) informedAt = context.now
+        if (follower.token == token) leaderConfirmedAt = context.now
         if (follower.token == null || token > follower.token) {
             role = Role.Follower(leader, token)
-            informedAt = context.now
+            leaderConfirmedAt = context.now
         }
     }
 
-    private fun lookAgain(pause: Micros) {
-        lookAt = context.now + pause
+    /**
+     * Gives up leadership for another controller to take: this one has its lease, but does not
+     * reach the workers. It campaigns again only after others have had the time to.
+     */
+    fun resign(reason: String) {
+        val leader = role as? Role.Leader ?: return
+        log.info("resigning with fencing token {}: {}", leader.token, reason)
+        stepDown(leader.token, leaseDuration + leaseDuration)
+        store.end(leader.lease.value) {}
+    }
+
+    /** Steps down after a write was refused because the leader key is not as it was written. */
+    fun fenced() {
+        val leader = role as? Role.Leader ?: return
+        log.info("stepping down with fencing token {}: the leader key has changed", leader.token)
+        stepDown(leader.token, Micros.ZERO)
+    }
+
+    private fun leaseExpired(leader: Role.Leader) {
+        log.info("stepping down with fencing token {}: the lease has expired", leader.token)
+        stepDown(leader.token, Micros.ZERO)
     }
 
-    private fun look() {
-        lookAt = null
+    /** Becomes a follower that knows no leader, and reads the key again after [pause]. */
+    private fun stepDown(token: FencingToken, pause: Micros) {
+        role = Role.Follower(null, token)
+        lease.release()
+        campaign.forgetLease()
+        store.lead(false)
+        listener.deposed()
+        readAfter(pause)
+    }
+
+    private fun readAfter(pause: Micros) {
+        readAt = context.now + pause
+    }
+
+    private fun readKey() {
+        readAt = null
         store.get(KEY, RequestPriority.LEASE) { result ->
             when (result) {
-                is StoreResult.Ok ->
-                    found(result.value.data, KeyVersion(result.value.version), result.value.permit)
-                is StoreResult.Absent -> stand()
-                else -> lookAgain(RETRY)
+                is StoreResult.Ok -> {
+                    val lease = result.value.permit?.let { LeaseId(it) }
+                    keyFound(result.value.data, KeyVersion(result.value.version), lease)
+                }
+                is StoreResult.Absent -> runCampaign()
+                else -> readAfter(RETRY_PERIOD)
             }
         }
     }
 
-    private fun found(
-        data: kotlinx.serialization.json.JsonElement,
-        version: KeyVersion,
-        lease: Long?,
-    ) {
+    private fun keyFound(data: JsonElement, version: KeyVersion, keyLease: LeaseId?) {
+        val token = FencingToken(version.value)
         val record =
             try {
                 lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), data)
             } catch (e: IllegalArgumentException) {
-                // Nobody to name; its lease's end removes it.
-                log.error("the leader's record can't be read: {}", e.message)
-                return lookAgain(RETRY)
+                // Nobody can be named; the key is removed when its lease ends.
+                log.error("the leader record can't be read: {}", e.message)
+                return readAfter(RETRY_PERIOD)
             }
         when {
-            record.member != member -> follow(record.member, FencingToken(version.value))
-            record.boot == boot && lease != null && lease == granted -> {
-                // Our own write whose response was lost.
-                take(Role.Leader(FencingToken(version.value), lease), context.now)
-                // How old the lease is isn't known, so it is renewed before anything starts.
-                leaseValidUntil = Micros.LONG_AGO
-                renewAt = context.now
+            record.member != member -> follow(record.member, token)
+            keyLease == null -> readAfter(RETRY_PERIOD)
+            record.processIncarnation == processIncarnation && campaign.isOwn(keyLease) -> {
+                // This process wrote it and the response was lost. The age of the lease is not
+                // known, so it is renewed before anything rests on it.
+                lead(Role.Leader(token, keyLease), context.now)
+                lease.renewBeforeUse()
             }
-            lease != null -> {
-                log.info("ending the lease of this member's former process")
-                // Those that were up meanwhile are warm, and lead sooner than this fresh process.
-                store.end(lease) { lookAgain(HEAD_START) }
+            else -> {
+                log.info("revoking the lease of a former process of this member")
+                // Followers that were up meanwhile know the cluster, and lead sooner than this
+                // fresh process: they go first.
+                store.end(keyLease.value) { readAfter(HEAD_START) }
             }
-            else -> lookAgain(RETRY)
         }
     }
 
-    private fun stand() {
-        val askedAt = context.now
-        store.grant(life) { granted ->
-            if (granted !is StoreResult.Ok) {
-                lookAgain(RETRY)
-                return@grant
-            }
-            val lease = granted.value
-            this.granted = lease
-            val record = LeaderRecord(member, boot)
-            val change =
-                WriteOperation(
-                    put = KEY,
-                    data = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record),
-                    permit = lease,
-                )
-            store.multi(listOf(VersionCondition(KEY, 0)), listOf(change), RequestPriority.LEASE) {
-                written ->
-                when (written) {
-                    is StoreResult.Ok ->
-                        take(Role.Leader(FencingToken(written.value), lease), askedAt)
-                    is StoreResult.Conflict -> {
-                        store.end(lease) {}
-                        lookAgain(Micros.ZERO)
-                    }
-                    else -> lookAgain(RETRY)
-                }
+    private fun runCampaign() {
+        campaign.run { result ->
+            when (result) {
+                is CampaignResult.Won -> lead(result.leader, result.sentAt)
+                is CampaignResult.Lost -> readAfter(Micros.ZERO)
+                is CampaignResult.Failed -> readAfter(RETRY_PERIOD)
             }
         }
     }
 
-    private fun take(leader: Role.Leader, since: Micros) {
-        lookAt = null
+    private fun lead(leader: Role.Leader, sentAt: Micros) {
+        readAt = null
         role = leader
-        tookAt = context.now
-        leaseValidUntil = until(since)
-        renewAt = since + life * RENEW_PART
-        renewing = false
+        lease.acquire(leader, sentAt)
         store.lead(true)
-        log.info("{} leads with token {}", member, leader.token)
+        log.info("{} leads with fencing token {}", member, leader.token)
         listener.elected(leader)
     }
 
     private fun follow(leader: String, token: FencingToken) {
-        if (role != Role.Follower(leader, token))
-            log.info("following {} with token {}", leader, token)
-        role = Role.Follower(leader, token)
-        informedAt = context.now
-        watch(token.value)
+        val follower = Role.Follower(leader, token)
+        if (role != follower) log.info("following {} with fencing token {}", leader, token)
+        role = follower
+        leaderConfirmedAt = context.now
+        watchKey(token.value)
     }
 
-    private fun watch(from: Long) {
-        // Before users' questions: behind many of them a follower would not learn who leads.
-        store.watch(KEY, from, WATCH_TIME, RequestPriority.LEASE) { result ->
+    private fun watchKey(revision: Long) {
+        // Ahead of users' reads: behind many of these a follower would not learn who leads.
+        store.watch(KEY, revision, WATCH_TIMEOUT, RequestPriority.LEASE) { result ->
             if (role is Role.Leader) return@watch
             when (result) {
                 is StoreResult.Ok ->
                     if (result.value.events.isEmpty()) {
-                        informedAt = context.now
-                        watch(maxOf(from, result.value.revision))
+                        leaderConfirmedAt = context.now
+                        watchKey(maxOf(revision, result.value.revision))
                     } else {
-                        lookAgain(Micros.ZERO)
+                        readAfter(Micros.ZERO)
                     }
-                else -> lookAgain(RETRY)
-            }
-        }
-    }
-
-    private fun renew(leader: Role.Leader) {
-        renewing = true
-        val sentAt = context.now
-        store.renew(leader.lease) { result ->
-            if (role != leader) return@renew
-            renewing = false
-            when (result) {
-                is StoreResult.Ok -> {
-                    leaseValidUntil = until(sentAt)
-                    renewAt = sentAt + life * RENEW_PART
-                }
-                is StoreResult.Absent -> {
-                    log.info("the lease of token {} is over", leader.token)
-                    depose(null, leader.token)
-                    lookAgain(Micros.ZERO)
-                }
-                else -> renewAt = context.now + RETRY
+                else -> readAfter(RETRY_PERIOD)
             }
         }
     }
 
-    private fun depose(leader: String?, token: FencingToken?) {
-        role = Role.Follower(leader, token)
-        leaseValidUntil = Micros.LONG_AGO
-        // Should the key still stand, it is not taken again: one token must not lead twice.
-        granted = null
-        store.lead(false)
-        listener.deposed()
-    }
-
-    /**
-     * Given up for another controller to take: this one is sure of its lease, but does not hear its
-     * workers. It stands again only when others have had time to.
-     */
-    fun abdicate(why: String) {
-        val leader = role as? Role.Leader ?: return
-        log.info("token {} is given up: {}", leader.token, why)
-        depose(null, leader.token)
-        store.end(leader.lease) {}
-        lookAgain(life + life)
-    }
-
-    /** A write was refused because the leader key isn't as it was written. */
-    fun fenced() {
-        val leader = role as? Role.Leader ?: return
-        log.info("fenced: token {} is over", leader.token)
-        depose(null, leader.token)
-        lookAgain(Micros.ZERO)
-    }
-
-    /** Counted from before the request was sent, with the clocks' drift and a margin. */
-    private fun until(sentAt: Micros) = sentAt + life * (1 - MAX_CLOCK_DRIFT) - MARGIN
-
     companion object {
+        /** The leader key. */
         const val KEY = "leader"
-        private const val RENEW_PART = 0.3
-        private val MARGIN = 100.milliseconds
-        private val RETRY = 300.milliseconds
+        private val RETRY_PERIOD = 300.milliseconds
         private val HEAD_START = 500.milliseconds
-        private val WATCH_TIME = 8.seconds
+        private val WATCH_TIMEOUT = 8.seconds
 
-        /** Longer than a watch that tells of no change. */
-        private val STALE = 12.seconds
+        /** Longer than a watch that shows no change. */
+        private val MAX_CONFIRMATION_AGE = 12.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/election/Role.kt
@@ -0,0 +1,20 @@
+package wardmux.election
+
+import wardmux.model.FencingToken
+import wardmux.store.VersionCondition
+
+/** The id of a lease that the key-value store granted; no two leases have the same. */
+@JvmInline value class LeaseId(val value: Long)
+
+/** The part that a controller has among its peers. */
+sealed interface Role {
+    /** Another controller leads: the last known [leader] with its [token], or null if unknown. */
+    data class Follower(val leader: String?, val token: FencingToken?) : Role
+
+    /** This controller leads with [token]; its key is bound to [lease]. */
+    data class Leader(val token: FencingToken, val lease: LeaseId) : Role {
+        /** The condition of each write of the leader: its key is as it was written. */
+        val condition: VersionCondition
+            get() = VersionCondition(LeaderElection.KEY, token.value)
+    }
+}
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -83,7 +83,7 @@
             renewals,
             knowledge,
             ::decommission,
-            leadership::seen,
+            leadership::observeToken,
             ::sendAway,
             deployment.limits.sockets.directCommands,
         )
@@ -136,7 +136,7 @@
         operators.drain?.let { LeaderDrains(context, drainEnvironment(), it) }
     val jobs = JobRegistry(cluster, Job.pageSize(store.layoutBytes))
     val cancellationHandler = JobCancellationHandler(cluster, fleet, cancellations)
-    val abdicationCheck = AbdicationCheck(services, leadership, fleet, health)
+    val resignationCheck = ResignationCheck(services, leadership, fleet, health)
     val openJobWatcher = OpenJobWatcher(services, this)
     val loader = StoredStateLoader(services, this)
     private val loaded: Boolean
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -67,7 +67,7 @@
         if (!status.isLoaded) return
         components.openJobWatcher.tick()
         components.health.watch()
-        if (components.abdicationCheck.abdicateIfCutOff()) return
+        if (components.resignationCheck.resignIfCutOff()) return
         components.provisioner.tick(leadership.leaseIsValid)
         drains?.tick()
         preemptIfDue()
--- a/src/main/kotlin/wardmux/leader/AbdicationCheck.kt
+++ b/src/main/kotlin/wardmux/leader/ResignationCheck.kt
@@ -10,7 +10,7 @@
  * Decides whether another controller is better placed to lead: this one has its lease, but does not
  * reach the workers.
  */
-class AbdicationCheck(
+class ResignationCheck(
     services: ControllerServices,
     private val leadership: LeaderElection,
     private val fleet: Fleet,
@@ -24,11 +24,11 @@
     private var nextCheckAt = context.now + services.operators.leaderLeaseS.seconds
 
     /** Gives up leadership if it should go to another controller; true if it did. */
-    fun abdicateIfCutOff(): Boolean {
+    fun resignIfCutOff(): Boolean {
         if (!canHandOver || context.now < nextCheckAt) return false
         nextCheckAt = context.now + CHECK_PERIOD
-        val reason = abdicationReason() ?: return false
-        leadership.abdicate(reason)
+        val reason = resignationReason() ?: return false
+        leadership.resign(reason)
         return true
     }
 
@@ -39,7 +39,7 @@
     private val canHandOver: Boolean
         get() = leadership.leaseIsValid && store.troubledSince == null
 
-    private fun abdicationReason(): String? =
+    private fun resignationReason(): String? =
         when {
             !peerHeartbeats.hearsOthers() -> null
             health.isLeftAlone() -> "most machines are silent"
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -41,7 +41,7 @@
  * samples; the tests write it with the present version and compare.
  */
 object FormatContents {
-    val LEADER = LeaderRecord(member = "n2", boot = "n2-5f3a")
+    val LEADER = LeaderRecord(member = "n2", processIncarnation = "n2-5f3a")
 
     val TYPES =
         listOf(
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -155,7 +155,7 @@
         eachStored(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             assertEquals("n2", record.member)
-            assertEquals("n2-5f3a", record.boot)
+            assertEquals("n2-5f3a", record.processIncarnation)
         }
 
     @Test
