--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -1,6 +1,5 @@
 package wardmux.app
 
-import java.net.URLDecoder
 import wardmux.config.OperatorSettings
 import wardmux.config.PlatformConfig
 import wardmux.core.Effect
@@ -8,74 +7,50 @@
 import wardmux.core.Input
 import wardmux.core.Port
 import wardmux.drain.DrainApi
-import wardmux.election.LeaderElection
-import wardmux.election.Role
-import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.HeartbeatForwarder
 import wardmux.forwarding.StoredBatchClient
-import wardmux.http.ApiPaths
-import wardmux.jobs.Intake
-import wardmux.jobs.SubmissionReader
+import wardmux.jobs.JobApi
 import wardmux.leader.ControllerServices
-import wardmux.leader.LeaderTerm
-import wardmux.logging.logger
-import wardmux.model.FencingToken
 import wardmux.model.JobId
-import wardmux.model.JobState
+import wardmux.model.JobProgress
 import wardmux.model.Micros
-import wardmux.model.seconds
-import wardmux.peers.PeerHeartbeatCodec
-import wardmux.peers.PeerHeartbeats
-import wardmux.worker.Redirect
 
 /**
  * One controller as a state machine: takes inputs with their time, returns what to send and answer.
+ * [processIncarnation] differs between any two processes, also those of one member.
  */
 class Controller(
-    private val platform: PlatformConfig,
-    private val operators: OperatorSettings,
-    /** Tells this process from every other, a former one of the same member above all. */
-    boot: String,
+    platform: PlatformConfig,
+    operators: OperatorSettings,
+    processIncarnation: String,
 ) {
-    private val log = logger<Controller>()
-    private val services = ControllerServices(platform, operators, boot) { term?.jobCancelled(it) }
+    private val services: ControllerServices =
+        ControllerServices(platform, operators, processIncarnation) {
+            currentTerm.term?.jobCancelled(it)
+        }
     private val context = services.context
     private val store = services.store
-    private val types = services.types
     private val cancellations = services.cancellations
     private val renewals = services.renewals
     private val peerHeartbeats = services.peerHeartbeats
-    private val intake =
-        Intake(
+    private val jobs =
+        JobApi(
             context,
             store,
-            types,
+            services.types,
             platform.deployment.teams,
-            cancellations::confirmed,
+            cancellations,
             ::progressOf,
         )
-    private var term: LeaderTerm? = null
-    private val leadership =
-        LeaderElection(
-            context,
-            store,
-            platform.member,
-            processIncarnation = boot,
-            leaseDuration = operators.leaderLeaseS.seconds,
-            listener =
-                object : LeaderElection.Listener {
-                    override fun elected(role: Role.Leader) = begin(role)
-
-                    override fun deposed() = end()
-                },
-        )
-
-    private val relay =
+    private val currentTerm: CurrentTerm = CurrentTerm(services, jobs)
+    private val leadership = currentTerm.election
+    private val redirects = WorkerRedirects(context, leadership)
+    private val forwarder =
         HeartbeatForwarder(
             context,
             leadership,
             platform.member,
-            boot,
+            processIncarnation,
             platform.deployment.workers,
             cancellations,
             renewals,
@@ -83,32 +58,23 @@
             platform.peers.size,
             platform.deployment.limits.sockets.workers,
             peerHeartbeats::wantsRelays,
-            ::sendToLeader,
+            redirects::redirect,
         )
 
     /** The operators' interface; null where drains are switched off. */
     private val drainApi =
         operators.drain?.let {
-            DrainApi(context, store, { term?.drains?.desk }, leadership::knownLeader)
+            DrainApi(context, store, { currentTerm.term?.drains?.desk }, leadership::knownLeader)
         }
-
-    private fun begin(role: Role.Leader) {
-        term = LeaderTerm(services, leadership, role) { intake.learnFinal(it, JobState.DONE) }
-    }
-
-    private fun end() {
-        term?.end()
-        term = null
-    }
-
-    private fun progressOf(id: JobId) = term?.progressOf(id) ?: peerHeartbeats.progressOf(id.value)
+    private val publicApi = PublicApi(services, currentTerm, forwarder, redirects, jobs)
+    private val peerApi = PeerApi(services, currentTerm, drainApi)
 
     /** Handles one input that came at the given steady and wall time. */
     fun handle(now: Micros, wall: Micros, input: Input): List<Effect> {
         context.at(now, wall)
         when (input) {
             is Input.Tick -> tick()
-            is Input.Request -> call(input)
+            is Input.Request -> handleRequest(input)
             is Input.Response -> context.settle(input)
             is Input.Solved -> context.settle(input)
         }
@@ -122,124 +88,28 @@
     private fun tick() {
         leadership.tick()
         cancellations.tick()
-        intake.tick()
-        types.tick(leading = term != null)
-        term?.tick()
-        relay.tick()
+        jobs.tick()
+        services.types.tick(leading = currentTerm.term != null)
+        currentTerm.term?.tick()
+        forwarder.tick()
         services.renewalCounters.tick()
-        val role = leadership.role as? Role.Leader
-        val wantsRelays = term?.wantsRelays == true
-        peerHeartbeats.tick(role?.token, wantsRelays, store.answeredAt) {
-            term?.progress().orEmpty()
+        val wantsRelays = currentTerm.term?.wantsRelays == true
+        peerHeartbeats.tick(currentTerm.token, wantsRelays, store.answeredAt) {
+            currentTerm.term?.progress().orEmpty()
         }
     }
 
-    private fun call(call: Input.Request) {
-        val path = call.path.substringBefore('?')
-        if (call.port == Port.PEER) return peerCall(call, path)
-        if (call.port == Port.OPERATOR) return operatorCall(call)
-        val parts = path.removePrefix("/").split('/')
-        when {
-            path == ApiPaths.READY -> only("GET", call) { ready(call.id) }
-            path == ApiPaths.REPORT -> only("POST", call) { handleHeartbeat(call) }
-            path == ApiPaths.SUBMISSIONS -> only("POST", call) { intake.submit(call.id, call.body) }
-            parts.size == 2 && "/${parts[0]}" == ApiPaths.SUBMISSIONS ->
-                only("GET", call) { known(call, parts[1]) { intake.poll(call.id, it) } }
-            parts.size == ABORT_PARTS &&
-                "/${parts[0]}" == ApiPaths.SUBMISSIONS &&
-                parts[2] == ApiPaths.ABORT ->
-                only("POST", call) { known(call, parts[1]) { intake.abort(call.id, it) } }
-            else -> context.answer(call.id, HttpStatus.NOT_FOUND, """{"error":"no such path"}""")
-        }
-    }
-
-    private fun only(method: String, call: Input.Request, handle: () -> Unit) {
-        if (call.method == method) handle()
-        else context.answer(call.id, HttpStatus.METHOD_NOT_ALLOWED, """{"error":"use $method"}""")
-    }
-
-    /** An id that is not of the given form was never accepted. */
-    private fun known(call: Input.Request, text: String, handle: (JobId) -> Unit) {
-        val id =
-            try {
-                URLDecoder.decode(text, Charsets.UTF_8)
-            } catch (e: IllegalArgumentException) {
-                text
-            }
-        if (SubmissionReader.isId(id)) handle(JobId(id))
-        else context.answer(call.id, HttpStatus.NOT_FOUND, """{"error":"unknown job"}""")
-    }
-
-    /**
-     * Ready once jobs can be decided on. In an outage users are told when to come back; but where
-     * it is this controller alone that the state service doesn't answer, the others serve them.
-     */
-    private fun ready(call: Long) {
-        val troubled = store.troubledSince
-        val alone =
-            troubled != null &&
-                context.now - troubled > ALONE_AFTER &&
-                peerHeartbeats.othersFareBetter()
-        if (types.types != null && !alone) context.answer(call, HttpStatus.OK, """{"ready":true}""")
-        else context.answer(call, HttpStatus.SERVICE_UNAVAILABLE, """{"ready":false}""", 1)
-    }
-
-    private fun handleHeartbeat(call: Input.Request) {
-        val report =
-            services.reader.read(call.body)
-                ?: return context.answer(
-                    call.id,
-                    HttpStatus.BAD_REQUEST,
-                    """{"error":"not a report"}""",
-                )
-        leadership.observeToken(FencingToken(report.token))
-        val current = term
-        if (current != null) return current.handleHeartbeat(call.id, report)
-        if (!relay.handleHeartbeat(call.id, report, call.body)) sendToLeader(call.id)
-    }
-
-    private fun sendToLeader(call: Long) {
-        val leader =
-            leadership.knownLeader ?: return context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
-        context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, Redirect(leader).encode())
-    }
-
-    private fun operatorCall(call: Input.Request) {
-        val api = drainApi ?: return context.answer(call.id, HttpStatus.NOT_FOUND)
-        api.call(call)
-    }
-
-    private fun peerCall(call: Input.Request, path: String) {
-        when {
-            path == PeerHeartbeats.PATH -> heartbeat(call)
-            path == ForwardingCodec.PATH -> batch(call)
-            path == DrainApi.PEER_PATH && drainApi != null -> drainApi.forwarded(call)
-            else -> context.answer(call.id, HttpStatus.NOT_FOUND)
+    private fun handleRequest(request: Input.Request) {
+        val path = request.path.substringBefore('?')
+        when (request.port) {
+            Port.API -> publicApi.handle(request, path)
+            Port.PEER -> peerApi.handle(request, path)
+            Port.OPERATOR ->
+                if (drainApi != null) drainApi.call(request)
+                else context.answer(request.id, HttpStatus.NOT_FOUND)
         }
     }
 
-    private fun heartbeat(call: Input.Request) {
-        val heartbeat = PeerHeartbeatCodec.decode(call.body)
-        if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
-            return context.answer(call.id, HttpStatus.BAD_REQUEST)
-        val told = peerHeartbeats.received(heartbeat)
-        heartbeat.token?.let { leadership.observeLeader(heartbeat.member, FencingToken(it)) }
-        context.answerBytes(call.id, HttpStatus.OK, PeerHeartbeatCodec.encode(told))
-    }
-
-    private fun batch(call: Input.Request) {
-        val batch = ForwardingCodec.batch(call.body)
-        if (batch == null || !peerHeartbeats.knows(batch.member))
-            return context.answer(call.id, HttpStatus.BAD_REQUEST)
-        leadership.observeToken(FencingToken(batch.token))
-        val answer = term?.handleBatch(batch) ?: return context.answer(call.id, HttpStatus.CONFLICT)
-        context.answerBytes(call.id, HttpStatus.OK, ForwardingCodec.encode(answer))
-    }
-
-    private companion object {
-        val ALONE_AFTER = 3.seconds
-
-        /** "submissions", the id and "abort". */
-        const val ABORT_PARTS = 3
-    }
+    private fun progressOf(job: JobId): JobProgress? =
+        currentTerm.term?.progressOf(job) ?: peerHeartbeats.progressOf(job.value)
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/app/PeerApi.kt
@@ -0,0 +1,53 @@
+package wardmux.app
+
+import wardmux.core.HttpStatus
+import wardmux.core.Input
+import wardmux.drain.DrainApi
+import wardmux.forwarding.ForwardingCodec
+import wardmux.leader.ControllerServices
+import wardmux.model.FencingToken
+import wardmux.peers.PeerHeartbeatCodec
+import wardmux.peers.PeerHeartbeats
+
+/** The API for the other controllers. */
+class PeerApi(
+    services: ControllerServices,
+    private val currentTerm: CurrentTerm,
+    /** Null where drains are switched off. */
+    private val drainApi: DrainApi?,
+) {
+    private val context = services.context
+    private val peerHeartbeats = services.peerHeartbeats
+
+    /** Answers [request], whose [path] is without its query. */
+    fun handle(request: Input.Request, path: String) {
+        when {
+            path == PeerHeartbeats.PATH -> handleHeartbeat(request)
+            path == ForwardingCodec.PATH -> handleBatch(request)
+            path == DrainApi.PEER_PATH && drainApi != null -> drainApi.forwarded(request)
+            else -> context.answer(request.id, HttpStatus.NOT_FOUND)
+        }
+    }
+
+    private fun handleHeartbeat(request: Input.Request) {
+        val heartbeat = PeerHeartbeatCodec.decode(request.body)
+        if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
+            return context.answer(request.id, HttpStatus.BAD_REQUEST)
+        val update = peerHeartbeats.received(heartbeat)
+        heartbeat.token?.let {
+            currentTerm.election.observeLeader(heartbeat.member, FencingToken(it))
+        }
+        context.answerBytes(request.id, HttpStatus.OK, PeerHeartbeatCodec.encode(update))
+    }
+
+    private fun handleBatch(request: Input.Request) {
+        val batch = ForwardingCodec.batch(request.body)
+        if (batch == null || !peerHeartbeats.knows(batch.member))
+            return context.answer(request.id, HttpStatus.BAD_REQUEST)
+        currentTerm.election.observeToken(FencingToken(batch.token))
+        val response =
+            currentTerm.term?.handleBatch(batch)
+                ?: return context.answer(request.id, HttpStatus.CONFLICT)
+        context.answerBytes(request.id, HttpStatus.OK, ForwardingCodec.encode(response))
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -0,0 +1,81 @@
+package wardmux.app
+
+import wardmux.core.HttpStatus
+import wardmux.core.Input
+import wardmux.forwarding.HeartbeatForwarder
+import wardmux.http.ApiPaths
+import wardmux.jobs.JobApi
+import wardmux.leader.ControllerServices
+import wardmux.model.FencingToken
+import wardmux.model.seconds
+
+/** The API for users and workers. */
+class PublicApi(
+    private val services: ControllerServices,
+    private val currentTerm: CurrentTerm,
+    private val forwarder: HeartbeatForwarder,
+    private val redirects: WorkerRedirects,
+    jobs: JobApi,
+) {
+    private val context = services.context
+    private val routes =
+        RouteTable(
+            context,
+            listOf(
+                Route.Fixed("GET", ApiPaths.READY) { answerReady(it.id) },
+                Route.Fixed("POST", ApiPaths.HEARTBEAT) { handleHeartbeat(it) },
+                Route.Fixed("POST", ApiPaths.SUBMISSIONS) { jobs.submit(it.id, it.body) },
+                Route.OfJob("GET", ApiPaths.JOB) { request, job -> jobs.status(request.id, job) },
+                Route.OfJob("POST", ApiPaths.CANCELLATION) { request, job ->
+                    jobs.cancel(request.id, job)
+                },
+            ),
+        )
+
+    /** Answers [request], whose [path] is without its query. */
+    fun handle(request: Input.Request, path: String) = routes.handle(request, path)
+
+    /**
+     * Ready once jobs can be decided on. In an outage users are told when to come back; but where
+     * the key-value store fails to answer this controller alone, the others serve them.
+     */
+    private fun answerReady(call: Long) {
+        if (services.types.types != null && !isCutOffAlone())
+            context.answer(call, HttpStatus.OK, """{"ready":true}""")
+        else
+            context.answer(
+                call,
+                HttpStatus.SERVICE_UNAVAILABLE,
+                """{"ready":false}""",
+                RETRY_AFTER_S,
+            )
+    }
+
+    private fun isCutOffAlone(): Boolean {
+        val troubledSince = services.store.troubledSince ?: return false
+        return context.now - troubledSince > MAX_TROUBLED_READY &&
+            services.peerHeartbeats.othersFareBetter()
+    }
+
+    private fun handleHeartbeat(request: Input.Request) {
+        val heartbeat =
+            services.reader.read(request.body)
+                ?: return context.answer(
+                    request.id,
+                    HttpStatus.BAD_REQUEST,
+                    """{"error":"not a report"}""",
+                )
+        currentTerm.election.observeToken(FencingToken(heartbeat.token))
+        val term = currentTerm.term
+        if (term != null) return term.handleHeartbeat(request.id, heartbeat)
+        val isTaken = forwarder.handleHeartbeat(request.id, heartbeat, request.body)
+        if (!isTaken) redirects.redirect(request.id)
+    }
+
+    private companion object {
+        const val RETRY_AFTER_S = 1
+
+        /** The key-value store may fail to answer this long before users are sent elsewhere. */
+        val MAX_TROUBLED_READY = 3.seconds
+    }
+}
--- a/src/main/kotlin/wardmux/core/HttpStatus.kt
+++ b/src/main/kotlin/wardmux/core/HttpStatus.kt
@@ -28,6 +28,9 @@
     /** Another controller answers this worker. */
     const val MISDIRECTED_REQUEST = 421
 
+    /** The request is well formed, but can never be carried out. */
+    const val UNPROCESSABLE_CONTENT = 422
+
     /** Refused for a rate limit. */
     const val TOO_MANY_REQUESTS = 429
 
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -151,7 +151,7 @@
 
         /** False if this is one worker more than there are to be. */
         private fun admits(path: String): Boolean {
-            if (worker || port != Port.API || path != ApiPaths.REPORT) return true
+            if (worker || port != Port.API || path != ApiPaths.HEARTBEAT) return true
             worker = true
             return ++workers <= maxWorkers
         }
--- /dev/null
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -0,0 +1,69 @@
+package wardmux.jobs
+
+import wardmux.core.HttpStatus
+import wardmux.logging.logger
+import wardmux.model.JobId
+import wardmux.model.JobState
+import wardmux.records.JobRecord
+import wardmux.store.KeyValue
+import wardmux.store.KeyValueStore
+import wardmux.store.RequestPriority
+import wardmux.store.StoreResult
+import wardmux.store.VersionCondition
+import wardmux.store.WriteOperation
+
+/** Cancels jobs for their users: records it, and answers after that. */
+class JobCancellation(
+    private val store: KeyValueStore,
+    private val finalStates: FinalJobStates,
+    private val responder: JobResponder,
+) {
+    private val log = logger<JobCancellation>()
+
+    /** Cancels [job] and answers [call]; a job that is over stays as it is. */
+    fun cancel(call: Long, job: JobId) = attempt(call, job, MAX_RETRIES)
+
+    private fun attempt(call: Long, job: JobId, retries: Int) {
+        if (responder.answerIfFinal(call, job)) return
+        store.get(JobRecord.key(job)) { result ->
+            when (result) {
+                is StoreResult.Ok -> {
+                    val record = JobRecord.of(result.value.data)
+                    if (record?.state == JobState.ACCEPTED)
+                        write(call, job, result.value, record, retries)
+                    else responder.answerRecord(call, job, result.value)
+                }
+                is StoreResult.Absent -> responder.answerUnknownJob(call)
+                else -> responder.answerUnavailable(call)
+            }
+        }
+    }
+
+    private fun write(call: Long, job: JobId, item: KeyValue, record: JobRecord, retries: Int) {
+        val cancelled = record.cancelled(store.maxValueBytes).toJson()
+        val changes =
+            listOf(
+                WriteOperation(put = JobRecord.key(job), data = cancelled),
+                WriteOperation(put = JobRecord.cancelledKey(job), data = cancelled),
+                WriteOperation(remove = JobRecord.openKey(job)),
+            )
+        val unchanged = listOf(VersionCondition(JobRecord.key(job), item.version))
+        store.multi(unchanged, changes, RequestPriority.USER_WRITE) { result ->
+            when {
+                result is StoreResult.Ok -> {
+                    log.info("{} is cancelled by its user", job)
+                    finalStates.record(job, JobState.CANCELLED)
+                    responder.answerState(call, HttpStatus.OK, job, JobState.CANCELLED)
+                }
+                // Changed meanwhile, or perhaps written: the record tells.
+                (result is StoreResult.Conflict || result is StoreResult.Indeterminate) &&
+                    retries > 0 -> attempt(call, job, retries - 1)
+                else -> responder.answerUnavailable(call)
+            }
+        }
+    }
+
+    private companion object {
+        const val MAX_RETRIES = 3
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/jobs/JobResponder.kt
@@ -0,0 +1,96 @@
+package wardmux.jobs
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.builtins.serializer
+import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
+import wardmux.model.JobId
+import wardmux.model.JobProgress
+import wardmux.model.JobState
+import wardmux.model.KeyVersion
+import wardmux.records.JobRecord
+import wardmux.serialization.lenientJson
+import wardmux.store.KeyValue
+
+/** Tells how far jobs are. */
+fun interface JobProgressSource {
+    /** How far [job] is; null if that is not known here. */
+    fun progressOf(job: JobId): JobProgress?
+}
+
+@Serializable
+private class JobStatusResponse(
+    @SerialName("name_id") val id: String,
+    @SerialName("status") val status: String,
+    @SerialName("done") val done: Int? = null,
+    @SerialName("running") val running: Int? = null,
+)
+
+/** Writes the answers to users' calls. */
+class JobResponder(
+    private val context: CoreContext,
+    private val finalStates: FinalJobStates,
+    private val openVersions: OpenJobVersions,
+    private val progress: JobProgressSource,
+) {
+    /** Answers [call] with the [state] of [job], and its progress if it is open. */
+    fun answerState(call: Long, status: Int, job: JobId, state: JobState) {
+        val jobProgress = progress.progressOf(job)
+        val running = jobProgress?.running ?: 0
+        val text =
+            when (state) {
+                JobState.DONE -> "done"
+                JobState.CANCELLED -> "cancelled"
+                JobState.ACCEPTED -> if (running > 0) "running" else "queued"
+            }
+        val response =
+            if (state == JobState.ACCEPTED)
+                JobStatusResponse(job.value, text, jobProgress?.done ?: 0, running)
+            else JobStatusResponse(job.value, text)
+        val body = lenientJson.encodeToString(JobStatusResponse.serializer(), response)
+        context.answer(call, status, body)
+    }
+
+    /** Answers [call] for a [job] that is open. */
+    fun answerOpen(call: Long, job: JobId) =
+        answerState(call, HttpStatus.OK, job, JobState.ACCEPTED)
+
+    /** Answers [call] if the job is known to be over; false if it is not. */
+    fun answerIfFinal(call: Long, job: JobId): Boolean {
+        val state = finalStates[job] ?: return false
+        answerState(call, HttpStatus.OK, job, state)
+        return true
+    }
+
+    /** Answers [call] with the state that the record of [job] holds, and remembers it. */
+    fun answerRecord(call: Long, job: JobId, item: KeyValue) {
+        val state = JobRecord.of(item.data)?.state ?: return answerUnavailable(call)
+        if (state == JobState.ACCEPTED) openVersions.record(job, KeyVersion(item.version))
+        finalStates.record(job, state)
+        answerState(call, HttpStatus.OK, job, state)
+    }
+
+    /** Answers [call], which is wrong in itself, with the [reason]. */
+    fun answerError(call: Long, status: Int, reason: String) {
+        val quoted = lenientJson.encodeToString(String.serializer(), reason)
+        context.answer(call, status, """{"error":$quoted}""")
+    }
+
+    /** Answers [call], whose job was never accepted. */
+    fun answerUnknownJob(call: Long) =
+        context.answer(call, HttpStatus.NOT_FOUND, """{"error":"unknown job"}""")
+
+    /** Answers [call], which can't be served now, at once, with when to come back. */
+    fun answerUnavailable(call: Long) =
+        context.answer(
+            call,
+            HttpStatus.SERVICE_UNAVAILABLE,
+            """{"error":"state service not available"}""",
+            RETRY_AFTER_S,
+        )
+
+    private companion object {
+        const val RETRY_AFTER_S = 1
+    }
+}
--- a/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
@@ -17,7 +17,7 @@
 class OddRequestsTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val id = JobId("job-000412")
-    private val spec = (SubmissionReader.read(submission()) as Submission.Good).spec
+    private val spec = (SubmissionReader.read(submission()) as Submission.WellFormed).spec
 
     private fun submit(vararg changes: Pair<String, JsonElement?>) =
         harness.call("POST", "/submissions", submission(*changes))!!
--- a/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -50,7 +50,7 @@
 
     @Test
     fun `a good submission is read whole`() {
-        val good = assertIs<Submission.Good>(SubmissionReader.read(submission()))
+        val good = assertIs<Submission.WellFormed>(SubmissionReader.read(submission()))
         assertEquals(16, good.spec.tasks)
         assertEquals(PriorityClass.HIGH, good.spec.urgency)
         assertNull(good.spec.types)
@@ -66,7 +66,7 @@
                 "due_s" to null,
                 "new" to JsonPrimitive(1),
             )
-        assertIs<Submission.Good>(SubmissionReader.read(body))
+        assertIs<Submission.WellFormed>(SubmissionReader.read(body))
     }
 
     @Test
@@ -125,7 +125,7 @@
         val kinds = List(400) { JsonPrimitive("kind-%03d".format(it)) }
         val twice = JsonArray(kinds + kinds)
         val good = { changes: Array<Pair<String, JsonElement?>> ->
-            assertIs<Submission.Good>(SubmissionReader.read(submission(*changes))).spec
+            assertIs<Submission.WellFormed>(SubmissionReader.read(submission(*changes))).spec
         }
         val named = good(arrayOf("bundle" to long, "jobclass" to long, "boxkinds" to twice))
         val useful = setOf("kind-007", "kind-200")
@@ -147,7 +147,7 @@
         val accented = { length: Int ->
             val text = JsonPrimitive("\u00e9".repeat(length))
             val read = SubmissionReader.read(submission("bundle" to text, "jobclass" to text))
-            assertIs<Submission.Good>(read).spec
+            assertIs<Submission.WellFormed>(read).spec
         }
         val unescaped = accented(200)
         assertTrue(JobRecord.takes(unescaped) > 2048)
@@ -157,7 +157,7 @@
 
     @Test
     fun `a larger one that was accepted before can still be cancelled`() {
-        val good = SubmissionReader.read(submission()) as Submission.Good
+        val good = SubmissionReader.read(submission()) as Submission.WellFormed
         val large = good.spec.copy(types = List(400) { "kind-$it" })
         val small = JobRecord(JobState.ACCEPTED, 1, large).cancelled(2048)
         assertTrue(small.toJson().toString().length < 2048)
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -15,7 +15,7 @@
 class JobPageTest {
     @Test
     fun `the fullest page of the largest job fits a value, on small and large limits`() {
-        val read = SubmissionReader.read(submission()) as Submission.Good
+        val read = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = read.spec.copy(tasks = JobSpec.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
             val size = Job.pageSize(limit)
@@ -33,7 +33,7 @@
 
     @Test
     fun `no more goes onto a page than a smaller value holds`() {
-        val read = SubmissionReader.read(submission()) as Submission.Good
+        val read = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = read.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
             for (perMachine in listOf(1, 3, 16)) {
@@ -69,7 +69,7 @@
      */
     @Test
     fun `a page of which every second task is done is written again, to its end`() {
-        val read = SubmissionReader.read(submission()) as Submission.Good
+        val read = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = read.spec.copy(tasks = 1280)
         val number = 4
         val tasks = 1024 until 1280
