--- a/src/main/kotlin/wardmux/app/ArchiveTrainingRun.kt
+++ b/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
@@ -3,13 +3,15 @@
 import wardmux.config.OperatorSettings
 import wardmux.config.SettingsFiles
 
-/** A short run of the daemon that loads the classes to be put into the class-data archive. */
-object ArchiveTrainingRun {
-    /** Starts a controller without any reachable service and gives it time to load its classes. */
+/**
+ * A short run of the daemon that loads the classes for the JVM's class-data sharing (CDS) archive.
+ */
+object CdsTrainingRun {
+    /** Runs a controller that reaches no service for as long as it takes to load its classes. */
     fun run() {
         val dir = kotlin.io.path.createTempDirectory("wardmux").toFile()
         val file = dir.resolve("settings.toml")
-        file.writeText(SAMPLE)
+        file.writeText(SAMPLE_SETTINGS)
         val platform = SettingsFiles.platform(file)
         dir.deleteRecursively()
         val daemon = Thread { Daemon(platform, OperatorSettings()).run() }
@@ -20,7 +22,7 @@
 
     private const val LOADING_MILLIS = 1_500L
 
-    internal val SAMPLE =
+    internal val SAMPLE_SETTINGS =
         """
         member = "wardbox-0"
         site = "a"
--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -37,7 +37,7 @@
         JobApi(
             context,
             store,
-            services.types,
+            services.machineTypes,
             platform.deployment.teams,
             cancellations,
             ::progressOf,
@@ -89,7 +89,7 @@
         leadership.tick()
         cancellations.tick()
         jobs.tick()
-        services.types.tick(leading = currentTerm.term != null)
+        services.machineTypes.tick(leading = currentTerm.term != null)
         currentTerm.term?.tick()
         forwarder.tick()
         services.renewalCounters.tick()
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -3,7 +3,6 @@
 import io.netty.channel.Channel
 import io.netty.channel.nio.NioEventLoopGroup
 import java.net.BindException
-import java.net.InetSocketAddress
 import java.util.UUID
 import java.util.concurrent.TimeUnit
 import wardmux.config.OperatorSettings
@@ -20,45 +19,43 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Binds the core to sockets and clocks; one event loop owns both. */
+/** Connects a [Controller] to sockets and clocks; one event loop runs both. */
 class Daemon(private val platform: PlatformConfig, private val operators: OperatorSettings) {
     private val log = logger<Daemon>()
     private val group = NioEventLoopGroup(1)
-    private val core = Controller(platform, operators, boot())
+    private val controller = Controller(platform, operators, newProcessIncarnation())
     private val sockets = platform.deployment.limits.sockets
     private val server =
-        HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) {
-            feed(Input.Request(it.id, it.port, it.method, it.path, it.body))
-        }
-    private val solver = PlanWorker()
+        HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) { handle(it) }
+    private val planWorker = PlanWorker()
     private val clients = HashMap<Target, HttpClient>()
-    private val workers =
-        object : LinkedHashMap<String, HttpClient>(16, 0.75f, true) {
-            override fun removeEldestEntry(eldest: Map.Entry<String, HttpClient>) =
-                size > sockets.workers
-        }
+    private val workerClients = WorkerClients(group, sockets.workers, MAX_RESPONSE_BYTES)
 
     init {
-        fun client(target: Target, text: String, connections: Int) {
-            val address = requireNotNull(SettingsFiles.address(text))
-            clients[target] = HttpClient(group, address, connections, MAX_RESPONSE_BYTES)
-        }
-        client(Target.KeyValueStore, platform.services.state, STATE_CONNECTIONS)
-        client(Target.Cloud, platform.services.cloud, CLOUD_CONNECTIONS)
+        addClient(Target.KeyValueStore, platform.services.state, STORE_CONNECTIONS)
+        addClient(Target.Cloud, platform.services.cloud, CLOUD_CONNECTIONS)
         for (peer in platform.peers) {
-            client(Target.Peer(peer.member), peer.address, SIBLING_CONNECTIONS)
+            addClient(Target.Peer(peer.member), peer.address, PEER_CONNECTIONS)
         }
     }
 
-    /** Listens on both addresses and blocks until the API socket is closed. */
+    private fun addClient(target: Target, address: String, maxConnections: Int) {
+        val socketAddress = requireNotNull(SettingsFiles.address(address))
+        clients[target] = HttpClient(group, socketAddress, maxConnections, MAX_RESPONSE_BYTES)
+    }
+
+    /**
+     * Listens for peers, users and operators, and blocks until the users' socket is closed. Throws
+     * [BindException] if the address for peers or users can't be listened on.
+     */
     fun run() {
         val loop = group.next()
         loop
             .submit {
                 loop.scheduleWithFixedDelay(
-                    { feed(Input.Tick) },
+                    { handle(Input.Tick) },
                     0,
-                    TICK.value,
+                    TICK_PERIOD.value,
                     TimeUnit.MICROSECONDS,
                 )
             }
@@ -70,13 +67,13 @@
     }
 
     /**
-     * Operators may come later: an address that can't be had now is no reason to serve nobody, so
-     * it is tried again once in a while. Blocks until [api] is closed.
+     * Users are served also where the operators' address can't be listened on: that is tried again
+     * now and then. Blocks until [api] is closed.
      */
     private fun listenForOperators(api: Channel) {
-        var bound = bindOperators(isRetry = false)
+        var isBound = bindOperators(isRetry = false)
         while (!api.closeFuture().await(OPERATORS_RETRY_S, TimeUnit.SECONDS)) {
-            if (!bound) bound = bindOperators(isRetry = true)
+            if (!isBound) isBound = bindOperators(isRetry = true)
         }
     }
 
@@ -97,24 +94,24 @@
      * Two processes may start at the same reading of a clock, or with the same random numbers; not
      * with all of these alike.
      */
-    private fun boot(): String {
+    private fun newProcessIncarnation(): String {
         val wall = System.currentTimeMillis()
         return "$wall-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
     }
 
-    private fun bind(text: String, port: Port) =
-        server.listen(requireNotNull(SettingsFiles.address(text)), port)
+    private fun bind(address: String, port: Port) =
+        server.listen(requireNotNull(SettingsFiles.address(address)), port)
 
-    private fun feed(input: Input) {
+    private fun handle(input: Input) {
         val effects =
             try {
-                val now = Micros(System.nanoTime() / 1_000)
-                val wall = Micros(System.currentTimeMillis() * 1_000)
-                core.handle(now, wall, input)
+                val now = Micros(System.nanoTime() / NANOS_PER_MICRO)
+                val wall = Micros(System.currentTimeMillis() * MICROS_PER_MILLI)
+                controller.handle(now, wall, input)
             } catch (e: Exception) {
-                // A mistake in handling one input must not take the controller down with all users.
+                // A fault in handling one input must not end the controller for all users.
                 log.error("input dropped", e)
-                core.pendingEffects()
+                controller.pendingEffects()
             }
         for (effect in effects) perform(effect)
     }
@@ -122,8 +119,8 @@
     private fun perform(effect: Effect) {
         when (effect) {
             is Effect.Solve ->
-                solver.solve(effect.problem, effect.limit) { plan ->
-                    group.next().execute { feed(Input.Solved(effect.id, plan)) }
+                planWorker.solve(effect.problem, effect.limit) { plan ->
+                    group.next().execute { handle(Input.Solved(effect.id, plan)) }
                 }
             is Effect.Respond ->
                 server.answer(effect.id, effect.status, effect.body, effect.retryAfterS)
@@ -134,31 +131,24 @@
                     effect.body,
                     effect.timeout,
                 ) { outcome ->
-                    feed(Input.Response(effect.id, outcome))
+                    handle(Input.Response(effect.id, outcome))
                 }
         }
     }
 
-    private fun clientFor(target: Target): HttpClient {
-        if (target !is Target.Worker) return clients.getValue(target)
-        return workers.getOrPut(target.address) {
-            val address = SettingsFiles.address(target.address) ?: NOWHERE
-            HttpClient(group, address, WORKER_CONNECTIONS, MAX_RESPONSE_BYTES, keep = false)
-        }
-    }
+    private fun clientFor(target: Target): HttpClient =
+        if (target is Target.Worker) workerClients.get(target.address) else clients.getValue(target)
 
     private companion object {
-        const val WORKER_CONNECTIONS = 1
-
-        /** Stands for an address that a worker reported and that is none: never connects. */
-        val NOWHERE = InetSocketAddress("0.0.0.0", 1)
-        val TICK = 100.milliseconds
+        val TICK_PERIOD = 100.milliseconds
         const val IDLE_SECONDS = 90L
         const val OPERATORS_RETRY_S = 30L
 
-        const val STATE_CONNECTIONS = 24
+        const val STORE_CONNECTIONS = 24
         const val CLOUD_CONNECTIONS = 4
-        const val SIBLING_CONNECTIONS = 2
+        const val PEER_CONNECTIONS = 2
         const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+        const val NANOS_PER_MICRO = 1_000
+        const val MICROS_PER_MILLI = 1_000
     }
 }
--- a/src/main/kotlin/wardmux/app/PublicApi.kt
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -40,7 +40,7 @@
      * the key-value store fails to answer this controller alone, the others serve them.
      */
     private fun answerReady(call: Long) {
-        if (services.types.types != null && !isCutOffAlone())
+        if (services.machineTypes.types != null && !isCutOffAlone())
             context.answer(call, HttpStatus.OK, """{"ready":true}""")
         else
             context.answer(
@@ -59,7 +59,7 @@
 
     private fun handleHeartbeat(request: Input.Request) {
         val heartbeat =
-            services.reader.read(request.body)
+            services.heartbeatReader.read(request.body)
                 ?: return context.answer(
                     request.id,
                     HttpStatus.BAD_REQUEST,
--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -16,14 +16,14 @@
 import wardmux.config.SettingsFiles
 import wardmux.drain.DrainCommand
 
-/** Root of the command line; an operator's toolbox finds its place beside `serve` and `check`. */
+/** The root of the command line. */
 @Command(
     name = "wardmux",
     description = ["A cluster scheduler: runs users' jobs on rented machines, fairly and once."],
     mixinStandardHelpOptions = true,
     versionProvider = Version::class,
     subcommands =
-        [ServeCommand::class, CheckCommand::class, DrainCommand::class, RehearseCommand::class],
+        [ServeCommand::class, CheckCommand::class, DrainCommand::class, CdsTrainingCommand::class],
 )
 class WardmuxCommand : Runnable {
     @Spec lateinit var spec: CommandSpec
@@ -38,6 +38,9 @@
         arrayOf("wardmux ${Version::class.java.`package`.implementationVersion ?: "(unpackaged)"}")
 }
 
+/** The platform's and the operators' settings. */
+data class Settings(val platform: PlatformConfig, val operators: OperatorSettings)
+
 /** The options that name the settings files. */
 class SettingsOptions {
     @Option(
@@ -55,15 +58,15 @@
     )
     var settings: File? = null
 
-    /** Both settings, checked; throws [InvalidSettingsException] if one is wrong. */
-    fun read(): Pair<PlatformConfig, OperatorSettings> {
+    /** Both settings; throws [InvalidSettingsException] if one is wrong. */
+    fun read(): Settings {
         val platform = SettingsFiles.platform(config)
         val operators = SettingsFiles.operators(settings)
         val teams = platform.deployment.teams.mapTo(HashSet()) { it.name }
         operators.drain?.unknownTeam(teams)?.let {
             throw InvalidSettingsException("${settings?.name}: $it")
         }
-        return platform to operators
+        return Settings(platform, operators)
     }
 }
 
@@ -115,12 +118,13 @@
 }
 
 /**
- * Runs at build time: what it touches goes into the class-data archive, which start-up then maps.
+ * Runs at build time: the classes that it loads go into the class-data sharing archive, which is
+ * mapped at start-up.
  */
 @Command(name = "rehearse", hidden = true)
-class RehearseCommand : Callable<Int> {
+class CdsTrainingCommand : Callable<Int> {
     override fun call(): Int {
-        ArchiveTrainingRun.run()
+        CdsTrainingRun.run()
         exitProcess(0)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/app/WorkerClients.kt
@@ -0,0 +1,37 @@
+package wardmux.app
+
+import io.netty.channel.EventLoopGroup
+import java.net.InetSocketAddress
+import wardmux.config.SettingsFiles
+import wardmux.http.HttpClient
+
+/**
+ * HTTP clients for workers by address: those of the [maxClients] addresses that were used last.
+ * Responses may have up to [maxResponseBytes].
+ */
+class WorkerClients(
+    private val group: EventLoopGroup,
+    private val maxClients: Int,
+    private val maxResponseBytes: Int,
+) {
+    private val clients =
+        object : LinkedHashMap<String, HttpClient>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
+            override fun removeEldestEntry(eldest: Map.Entry<String, HttpClient>) =
+                size > maxClients
+        }
+
+    /** The client for [address], as a worker reported it; if it is none, requests fail. */
+    fun get(address: String): HttpClient =
+        clients.getOrPut(address) {
+            val socketAddress = SettingsFiles.address(address) ?: UNREACHABLE
+            HttpClient(group, socketAddress, 1, maxResponseBytes, keepAlive = false)
+        }
+
+    private companion object {
+        const val INITIAL_CAPACITY = 16
+        const val LOAD_FACTOR = 0.75f
+
+        /** No connection to it ever comes about. */
+        val UNREACHABLE = InetSocketAddress("0.0.0.0", 1)
+    }
+}
--- a/src/main/kotlin/wardmux/drain/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/drain/OperatorClient.kt
@@ -27,7 +27,7 @@
 class OperatorClient(private val addresses: List<InetSocketAddress>, private val timeout: Micros) :
     AutoCloseable {
     private val group = NioEventLoopGroup(1)
-    private val clients = addresses.map { HttpClient(group, it, 1, MAX_BYTES, keep = false) }
+    private val clients = addresses.map { HttpClient(group, it, 1, MAX_BYTES, keepAlive = false) }
 
     /** Sends a request until it is answered otherwise than by 503, for as long as there is time. */
     fun ask(method: String, path: String, body: String): OperatorReply {
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -27,16 +27,17 @@
 import wardmux.model.Micros
 
 /**
- * Requests to one address, one at a time on each of a few kept connections. A request without a
- * response within its time is given up together with its connection.
+ * Sends HTTP requests to one address, one at a time on each of at most [maxConnections]
+ * connections. A request without a response within its timeout fails, and its connection is closed.
+ * Responses may have up to [maxResponseBytes]. With [keepAlive] false each request has a connection
+ * of its own, for addresses that are rarely asked.
  */
 class HttpClient(
     private val group: EventLoopGroup,
     private val address: InetSocketAddress,
     private val maxConnections: Int,
     private val maxResponseBytes: Int,
-    /** False: a connection of its own for each request, for addresses that are rarely asked. */
-    private val keep: Boolean = true,
+    private val keepAlive: Boolean = true,
 ) {
     /** A request that has no outcome yet. */
     private class PendingRequest(
@@ -66,7 +67,7 @@
             .group(group)
             .channel(NioSocketChannel::class.java)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .handler(
                 object : ChannelInitializer<SocketChannel>() {
                     override fun initChannel(channel: SocketChannel) {
@@ -128,7 +129,7 @@
                             pending.complete(Outcome.NotSent)
                             startQueued()
                         }
-                        pending.isCompleted -> if (keep) release(channel) else channel.close()
+                        pending.isCompleted -> if (keepAlive) release(channel) else channel.close()
                         else -> write(channel, pending)
                     }
                 }
@@ -150,7 +151,7 @@
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json")
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, pending.body.size)
         }
-        if (!keep) request.headers().set(HttpHeaderNames.CONNECTION, "close")
+        if (!keepAlive) request.headers().set(HttpHeaderNames.CONNECTION, "close")
         channel.writeAndFlush(request)
     }
 
@@ -170,7 +171,7 @@
                 val completed = pending
                 pending = null
                 completed?.channel = null
-                if (keep && HttpUtil.isKeepAlive(response)) release(context.channel())
+                if (keepAlive && HttpUtil.isKeepAlive(response)) release(context.channel())
                 else context.close()
                 completed?.complete(Outcome.Response(response.status().code(), body))
             } finally {
@@ -194,6 +195,6 @@
     }
 
     private companion object {
-        const val CONNECT_MILLIS = 1_000
+        const val CONNECT_TIMEOUT_MS = 1_000
     }
 }
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -26,47 +26,53 @@
 import java.util.concurrent.TimeUnit
 import org.agrona.collections.Long2ObjectHashMap
 import wardmux.core.HttpStatus
+import wardmux.core.Input
 import wardmux.core.Port
 import wardmux.logging.logger
 import wardmux.model.Micros
 
 /** The largest body that users and workers may send. */
 const val MAX_BODY_BYTES = 64 * 1024
-private const val MAX_PEER_BYTES = 1024 * 1024
+private const val MAX_PEER_BODY_BYTES = 1024 * 1024
 private const val ACCEPT_BACKLOG = 1024
-private const val MAX_REQUEST_LINE = 4096
-private const val MAX_HEADERS = 8192
-private const val MAX_CHUNK = 8192
+private const val MAX_REQUEST_LINE_BYTES = 4096
+private const val MAX_HEADER_BYTES = 8192
+private const val MAX_CHUNK_BYTES = 8192
 private const val NANOS_PER_MICRO = 1_000
+private const val RETRY_AFTER_S = 1
 
-/** A request as it came in; answered with [HttpServer.answer]. */
-class Arrival(
-    val id: Long,
-    val port: Port,
-    val method: String,
-    val path: String,
-    val body: ByteArray,
-)
+/** Handles the requests that a server receives. */
+fun interface HttpRequestHandler {
+    /** Handles [request], which is to be answered with [HttpServer.answer]. */
+    fun handle(request: Input.Request)
+}
 
-/** Netty's HTTP codec on NIO. Bounds how many connections are open and how long one may idle. */
+/**
+ * An HTTP server on one event loop. At most [maxConnections] may be open on the API's port, at most
+ * [maxWorkerConnections] of them by workers so that users always get through, and each may be idle
+ * for [idleSeconds].
+ */
 class HttpServer(
     private val group: EventLoopGroup,
     private val maxConnections: Int,
-    /** So many of them may be workers': users always get through. */
-    private val maxWorkers: Int,
+    private val maxWorkerConnections: Int,
     private val idleSeconds: Long,
-    private val onArrival: (Arrival) -> Unit,
+    private val handler: HttpRequestHandler,
 ) {
-    private class Pending(val channel: Channel, val keepAlive: Boolean, val since: Long)
+    private class PendingRequest(
+        val channel: Channel,
+        val keepAlive: Boolean,
+        val receivedNanos: Long,
+    )
 
     private val log = logger<HttpServer>()
-    private val pending = Long2ObjectHashMap<Pending>()
-    private val times = AnswerTimes("answers")
+    private val pending = Long2ObjectHashMap<PendingRequest>()
+    private val responseTimes = ResponseTimes()
     private var lastId = 0L
-    private var open = 0
-    private var workers = 0
+    private var openConnections = 0
+    private var workerConnections = 0
 
-    /** Accepts connections on [address]; requests come in under [port]. */
+    /** Accepts connections on [address]; their requests carry [port]. */
     fun listen(address: InetSocketAddress, port: Port): Channel =
         ServerBootstrap()
             .group(group)
@@ -80,8 +86,14 @@
                         channel
                             .pipeline()
                             .addLast(ReadTimeoutHandler(idleSeconds, TimeUnit.SECONDS))
-                            .addLast(HttpServerCodec(MAX_REQUEST_LINE, MAX_HEADERS, MAX_CHUNK))
-                            .addLast(Bodies(maxBody(port)))
+                            .addLast(
+                                HttpServerCodec(
+                                    MAX_REQUEST_LINE_BYTES,
+                                    MAX_HEADER_BYTES,
+                                    MAX_CHUNK_BYTES,
+                                )
+                            )
+                            .addLast(BodyAggregator(maxBodyBytes(port)))
                             .addLast(Connection(port))
                     }
                 }
@@ -90,16 +102,20 @@
             .sync()
             .channel()
 
-    /** What the controllers tell each other is not bound by PROTOCOL. */
-    private fun maxBody(port: Port) = if (port == Port.PEER) MAX_PEER_BYTES else MAX_BODY_BYTES
+    /** PROTOCOL does not bound what the controllers send each other. */
+    private fun maxBodyBytes(port: Port) =
+        if (port == Port.PEER) MAX_PEER_BODY_BYTES else MAX_BODY_BYTES
 
-    /** Answers a request once; without effect if its connection is gone. */
+    /**
+     * Answers the request [id], with a Retry-After header if [retryAfterS] is given, in seconds.
+     * Without effect if it was answered already or its connection is closed.
+     */
     fun answer(id: Long, status: Int, body: ByteArray, retryAfterS: Int?) {
-        val waiting = pending.remove(id) ?: return
+        val request = pending.remove(id) ?: return
         val now = System.nanoTime()
-        times.record(Micros((now - waiting.since) / NANOS_PER_MICRO))
-        times.tell(Micros(now / NANOS_PER_MICRO))
-        respond(waiting.channel, waiting.keepAlive, status, body, retryAfterS)
+        responseTimes.record(Micros((now - request.receivedNanos) / NANOS_PER_MICRO))
+        responseTimes.logIfDue(Micros(now / NANOS_PER_MICRO))
+        respond(request.channel, request.keepAlive, status, body, retryAfterS)
     }
 
     private fun respond(
@@ -125,35 +141,44 @@
         if (!keepAlive) sent.addListener(ChannelFutureListener.CLOSE)
     }
 
-    /** A body over the limit is malformed, like any other that PROTOCOL does not allow. */
-    private inner class Bodies(limit: Int) : HttpObjectAggregator(limit) {
+    /** A body that is too large is malformed, like any other that PROTOCOL does not allow. */
+    private inner class BodyAggregator(maxBytes: Int) : HttpObjectAggregator(maxBytes) {
         override fun handleOversizedMessage(context: ChannelHandlerContext, head: HttpMessage) =
             respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
     }
 
     private inner class Connection(private val port: Port) : ChannelInboundHandlerAdapter() {
-        private var current = 0L
-        private var worker = false
+        private var currentId = 0L
+        private var isWorker = false
 
         override fun channelActive(context: ChannelHandlerContext) {
-            open++
-            // Too many: an answer at once, so that the asker can go elsewhere.
-            if (port == Port.API && open > maxConnections) {
-                respond(context.channel(), false, HttpStatus.SERVICE_UNAVAILABLE, ByteArray(0), 1)
-            }
+            openConnections++
+            // Answered at once, so that the client can go to another controller.
+            if (port == Port.API && openConnections > maxConnections) respondUnavailable(context)
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
-            open--
-            if (worker) workers--
-            pending.remove(current)
+            openConnections--
+            if (isWorker) workerConnections--
+            pending.remove(currentId)
         }
 
-        /** False if this is one worker more than there are to be. */
+        private fun respondUnavailable(context: ChannelHandlerContext) =
+            respond(
+                context.channel(),
+                false,
+                HttpStatus.SERVICE_UNAVAILABLE,
+                ByteArray(0),
+                RETRY_AFTER_S,
+            )
+
+        /**
+         * Counts a connection as a worker's by its first heartbeat; false if it is one too many.
+         */
         private fun admits(path: String): Boolean {
-            if (worker || port != Port.API || path != ApiPaths.HEARTBEAT) return true
-            worker = true
-            return ++workers <= maxWorkers
+            if (isWorker || port != Port.API || path != ApiPaths.HEARTBEAT) return true
+            isWorker = true
+            return ++workerConnections <= maxWorkerConnections
         }
 
         override fun channelRead(context: ChannelHandlerContext, message: Any) {
@@ -163,28 +188,24 @@
                     respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
                     return
                 }
-                if (!admits(request.uri())) {
-                    respond(
-                        context.channel(),
-                        false,
-                        HttpStatus.SERVICE_UNAVAILABLE,
-                        ByteArray(0),
-                        1,
-                    )
-                    return
-                }
-                val body = ByteArray(request.content().readableBytes())
-                request.content().readBytes(body)
-                val id = ++lastId
-                current = id
-                pending[id] =
-                    Pending(context.channel(), HttpUtil.isKeepAlive(request), System.nanoTime())
-                onArrival(Arrival(id, port, request.method().name(), request.uri(), body))
+                if (admits(request.uri())) receive(context, request)
+                else respondUnavailable(context)
             } finally {
                 ReferenceCountUtil.release(message)
             }
         }
 
+        private fun receive(context: ChannelHandlerContext, request: FullHttpRequest) {
+            val body = ByteArray(request.content().readableBytes())
+            request.content().readBytes(body)
+            val id = ++lastId
+            currentId = id
+            pending[id] =
+                PendingRequest(context.channel(), HttpUtil.isKeepAlive(request), System.nanoTime())
+            val method = request.method().name()
+            handler.handle(Input.Request(id, port, method, request.uri(), body))
+        }
+
         @Deprecated("Netty's own marking")
         override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
             log.debug("connection closed: {}", cause.toString())
--- a/src/main/kotlin/wardmux/leader/ControllerServices.kt
+++ b/src/main/kotlin/wardmux/leader/ControllerServices.kt
@@ -34,7 +34,7 @@
     val context = CoreContext()
     val store = KeyValueStore(context, platform.deployment.state, platform.deployment.nodes)
     val cloud = CloudClient(context, platform.deployment.cloud.rps)
-    val types = MachineTypeCatalog(context, store, cloud)
+    val machineTypes = MachineTypeCatalog(context, store, cloud)
     private val peerNames = platform.peers.map { it.member }
     val cancellations =
         Cancellations(
@@ -49,5 +49,5 @@
     val renewalCounters = RenewalCounters(context)
     val renewals = LeaseRenewals(context, renewalCounters)
     val peerHeartbeats = PeerHeartbeats(context, platform.member, peerNames, cancellations)
-    val reader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
+    val heartbeatReader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
 }
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -37,11 +37,11 @@
 ) {
     private val context = services.context
     private val store = services.store
-    private val types = services.types
+    private val types = services.machineTypes
     private val cloud = services.cloud
     private val platform = services.platform
     private val operators = services.operators
-    private val reader = services.reader
+    private val reader = services.heartbeatReader
     private val cancellations = services.cancellations
     private val renewals = services.renewals
     private val deployment = platform.deployment
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -59,7 +59,7 @@
 
     /** Does what is due; to be called several times a second. */
     fun tick() {
-        cluster.reference = services.types.types?.maxByOrNull { it.cpus }
+        cluster.reference = services.machineTypes.types?.maxByOrNull { it.cpus }
         components.pools.observe(cluster.jobs.values)
         components.relays.tick(status.isLoaded)
         components.storeRelay.tick()
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -24,7 +24,7 @@
 ) {
     private val log = logger<StoredStateLoader>()
     private val context: CoreContext = services.context
-    private val types = services.types
+    private val types = services.machineTypes
     private val cancellations = services.cancellations
     private val cluster = components.cluster
     private val fleet: Fleet = components.fleet
--- a/src/test/kotlin/wardmux/app/DaemonTest.kt
+++ b/src/test/kotlin/wardmux/app/DaemonTest.kt
@@ -30,7 +30,7 @@
     @Test
     fun `users are served also where the operators' address can't be had`() {
         val file = File(directory, "settings.toml")
-        file.writeText(ArchiveTrainingRun.SAMPLE)
+        file.writeText(CdsTrainingRun.SAMPLE_SETTINGS)
         val api = freePort()
         val platform =
             SettingsFiles.platform(file)
--- a/src/test/kotlin/wardmux/config/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -8,7 +8,7 @@
 import kotlin.test.assertNotNull
 import kotlin.test.assertNull
 import org.junit.jupiter.api.io.TempDir
-import wardmux.app.ArchiveTrainingRun
+import wardmux.app.CdsTrainingRun
 
 class SettingsTest {
     @TempDir lateinit var dir: File
@@ -24,7 +24,7 @@
 
     @Test
     fun `the platform's file is read, unknown fields and all`() {
-        val settings = SettingsFiles.platform(file("later = 3\n" + ArchiveTrainingRun.SAMPLE))
+        val settings = SettingsFiles.platform(file("later = 3\n" + CdsTrainingRun.SAMPLE_SETTINGS))
         assertEquals("wardbox-0", settings.member)
         assertEquals(listOf("team-0", "team-1"), settings.deployment.teams.map { it.name })
         assertEquals(48, settings.deployment.state.txnOps)
@@ -33,9 +33,12 @@
 
     @Test
     fun `a missing field is named`() {
-        assertContains(refused(ArchiveTrainingRun.SAMPLE.replace("lease_s = 16.0", "")), "lease_s")
         assertContains(
-            refused(ArchiveTrainingRun.SAMPLE.replace(Regex("member = .*wardbox-0.*"), "")),
+            refused(CdsTrainingRun.SAMPLE_SETTINGS.replace("lease_s = 16.0", "")),
+            "lease_s",
+        )
+        assertContains(
+            refused(CdsTrainingRun.SAMPLE_SETTINGS.replace(Regex("member = .*wardbox-0.*"), "")),
             "member",
         )
     }
@@ -51,24 +54,24 @@
             )
         for ((good, bad) in wrong) {
             val field = good.substringBefore(' ')
-            assertContains(refused(ArchiveTrainingRun.SAMPLE.replace(good, bad)), field)
+            assertContains(refused(CdsTrainingRun.SAMPLE_SETTINGS.replace(good, bad)), field)
         }
-        assertContains(refused(ArchiveTrainingRun.SAMPLE.replace(":18080", "")), "api_addr")
+        assertContains(refused(CdsTrainingRun.SAMPLE_SETTINGS.replace(":18080", "")), "api_addr")
         assertContains(
-            refused(ArchiveTrainingRun.SAMPLE.replace("txn_ops = 48", "txn_ops = \"x\"")),
+            refused(CdsTrainingRun.SAMPLE_SETTINGS.replace("txn_ops = 48", "txn_ops = \"x\"")),
             "x",
         )
     }
 
     private val sampleWithNext =
-        ArchiveTrainingRun.SAMPLE.replace(
+        CdsTrainingRun.SAMPLE_SETTINGS.replace(
             "txn_ops = 48",
             "txn_ops = 48\n[facts.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4",
         )
 
     @Test
     fun `limits to come may be named, and the smaller of both are kept`() {
-        val without = SettingsFiles.platform(file(ArchiveTrainingRun.SAMPLE)).deployment.state
+        val without = SettingsFiles.platform(file(CdsTrainingRun.SAMPLE_SETTINGS)).deployment.state
         assertNull(without.next)
         assertEquals(without, without.lowest)
         val with = SettingsFiles.platform(file(sampleWithNext)).deployment.state
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackSite.kt
@@ -11,10 +11,10 @@
 import wardmux.config.StoreLimits
 import wardmux.config.TeamQuota
 import wardmux.config.WorkerTiming
+import wardmux.core.Input
 import wardmux.core.Outcome
 import wardmux.core.Port
 import wardmux.election.LeaderRecord
-import wardmux.http.Arrival
 import wardmux.http.HttpClient
 import wardmux.http.HttpServer
 import wardmux.model.JobSpec
@@ -98,9 +98,9 @@
     private fun client(port: Int) = HttpClient(group, InetSocketAddress(HOST, port), 1, MAX_BYTES)
 
     /** Listens on a thread of its own, and has what comes handled on the loop; gives the port. */
-    private fun serve(handle: (Arrival, (Int, String) -> Unit) -> Unit): Int {
+    private fun serve(handle: (Input.Request, (Int, String) -> Unit) -> Unit): Int {
         lateinit var server: HttpServer
-        val onArrival: (Arrival) -> Unit = { arrival ->
+        val onArrival: (Input.Request) -> Unit = { arrival ->
             loop.execute {
                 handle(arrival) { status, body ->
                     acceptors.next().execute {
@@ -137,7 +137,7 @@
         return worker
     }
 
-    private fun direct(worker: FakeWorker, arrival: Arrival): Pair<Int, String>? =
+    private fun direct(worker: FakeWorker, arrival: Input.Request): Pair<Int, String>? =
         when {
             !worker.alive || worker.hanging -> null
             arrival.path == "/status" -> 200 to worker.reportBody()
--- a/src/test/kotlin/wardmux/http/SocketTest.kt
+++ b/src/test/kotlin/wardmux/http/SocketTest.kt
@@ -8,6 +8,7 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.JsonPrimitive
+import wardmux.core.Input
 import wardmux.core.Port
 import wardmux.jobs.submission
 import wardmux.model.seconds
@@ -18,16 +19,16 @@
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val group = NioEventLoopGroup(1)
     private val server =
-        HttpServer(group, maxConnections = 3, maxWorkers = 2, idleSeconds = 60, ::answer)
+        HttpServer(group, maxConnections = 3, maxWorkerConnections = 2, idleSeconds = 60, ::answer)
     private val address =
         server
             .listen(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), Port.API)
             .localAddress() as InetSocketAddress
 
-    private fun answer(arrival: Arrival) {
+    private fun answer(request: Input.Request) {
         val (status, body) =
-            harness.call(arrival.method, arrival.path, arrival.body) ?: (500 to "no answer")
-        server.answer(arrival.id, status, body.encodeToByteArray(), null)
+            harness.call(request.method, request.path, request.body) ?: (500 to "no answer")
+        server.answer(request.id, status, body.encodeToByteArray(), null)
     }
 
     @AfterTest
