--- a/src/test/kotlin/wardmux/app/ReadyTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -10,7 +10,7 @@
 import wardmux.sim.ControllerHarness
 
 /** Which controllers users are sent to when the state service is in trouble, and for whom. */
-class ReadyTest {
+class ReadinessTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
 
     private fun ready() = harness.call("GET", "/ready")?.first
--- a/src/test/kotlin/wardmux/http/SocketTest.kt
+++ b/src/test/kotlin/wardmux/http/HttpServerTest.kt
@@ -15,7 +15,7 @@
 import wardmux.sim.ControllerHarness
 
 /** Bad input through a real socket: answered at once, and the connection stays usable if it can. */
-class SocketTest {
+class HttpServerTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val group = NioEventLoopGroup(1)
     private val server =
--- a/src/test/kotlin/wardmux/jobs/PollsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
@@ -6,7 +6,7 @@
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
-class PollsTest {
+class JobStatusReadsTest {
     private val harness = ControllerHarness()
 
     private fun id(number: Int) = "job-%06d".format(number)
--- a/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
@@ -14,7 +14,7 @@
 import wardmux.sim.ControllerHarness
 
 /** Requests that nobody needs and users send all the same. */
-class OddRequestsTest {
+class SubmissionAnswersTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val id = JobId("job-000412")
     private val spec = (SubmissionReader.read(submission()) as Submission.WellFormed).spec
--- a/src/test/kotlin/wardmux/leader/TakeOverTest.kt
+++ b/src/test/kotlin/wardmux/leader/FailoverTest.kt
@@ -18,7 +18,7 @@
 import wardmux.sim.plainJob
 
 /** What a new leader makes of what it finds; each test is a failure that was once found. */
-class TakeOverTest {
+class FailoverTest {
     private val harness = ControllerHarness()
 
     private fun spec(tasks: Int, oneZone: Boolean = false) = plainJob(tasks, oneZone = oneZone)
--- a/src/test/kotlin/wardmux/leader/LoneLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
@@ -17,7 +17,7 @@
 import wardmux.sim.plainJob
 
 /** A leader that has lost the state service, and one whose process has just been replaced. */
-class LoneLeaderTest {
+class IsolatedLeaderTest {
     private val harness = ControllerHarness()
     private val machine = ManualWorker(harness, "i-000001")
 
