--- a/src/test/kotlin/wardmux/app/DaemonTest.kt
+++ b/src/test/kotlin/wardmux/app/DaemonTest.kt
@@ -11,7 +11,7 @@
 import wardmux.config.OperatorSettings
 import wardmux.config.SettingsFiles
 
-/** The process around the core. */
+/** The process around the controller. */
 class DaemonTest {
     @TempDir lateinit var directory: File
 
@@ -28,7 +28,7 @@
         }
 
     @Test
-    fun `users are served also where the operators' address can't be had`() {
+    fun `users are served also where the operators' address can't be listened on`() {
         val file = File(directory, "settings.toml")
         file.writeText(CdsTrainingRun.SAMPLE_SETTINGS)
         val api = freePort()
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -9,18 +9,18 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 
-/** Which controllers users are sent to when the state service is in trouble, and for whom. */
+/** Which controllers are ready for users while the key-value store does not answer some or all. */
 class ReadinessTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
 
     private fun ready() = harness.call("GET", "/ready")?.first
 
-    /** Seconds in which the sibling says how long ago the state service answered it. */
-    private fun pass(inSeconds: Int, siblingsSilence: (Int) -> Long) =
+    /** Seconds in which the peer says how long ago the key-value store answered it. */
+    private fun pass(inSeconds: Int, peerSilenceS: (Int) -> Long) =
         repeat(inSeconds) {
             val heartbeat =
                 PeerHeartbeatCodec.encode(
-                    PeerHeartbeat("n1", stateSilence = siblingsSilence(it) * 1_000_000)
+                    PeerHeartbeat("n1", stateSilence = peerSilenceS(it) * 1_000_000)
                 )
             harness.call("POST", "/beat", heartbeat, Port.PEER)
             harness.call("GET", "/submissions/job-000001")
@@ -28,7 +28,7 @@
         }
 
     @Test
-    fun `a quiet follower, which asks the state service next to nothing, stays ready`() {
+    fun `an idle follower, which hardly asks the key-value store, stays ready`() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.run(2.seconds)
         repeat(20) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `in an outage for all, all stay ready`() {
+    fun `in an outage for all controllers, all stay ready`() {
         harness.run(2.seconds)
         harness.refuse = { true }
         pass(12) { it.toLong() }
@@ -47,7 +47,7 @@
     }
 
     @Test
-    fun `one that alone is refused is not ready until it is served again`() {
+    fun `a controller that alone is refused is not ready until it is served again`() {
         harness.run(2.seconds)
         harness.refuse = { true }
         pass(5) { 0 }
--- a/src/test/kotlin/wardmux/http/HttpServerTest.kt
+++ b/src/test/kotlin/wardmux/http/HttpServerTest.kt
@@ -14,7 +14,7 @@
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
-/** Bad input through a real socket: answered at once, and the connection stays usable if it can. */
+/** Bad requests through a real socket are answered at once, and the connection stays usable. */
 class HttpServerTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val group = NioEventLoopGroup(1)
@@ -60,7 +60,7 @@
     private fun connect() = Socket(address.address, address.port).also { it.soTimeout = 20_000 }
 
     @Test
-    fun `each bad request has its status and the connection goes on`() {
+    fun `each bad request has its status and the connection stays open`() {
         connect().use { socket ->
             assertEquals(400, socket.ask("POST", "/submissions", "{".encodeToByteArray()))
             assertEquals(400, socket.ask("POST", "/submissions", "[]".encodeToByteArray()))
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `what can never run is refused, and a known job never is`() {
+    fun `an infeasible job is refused, and a known job never is`() {
         connect().use { socket ->
             val unknownTeam = submission("owner" to JsonPrimitive("nobody"))
             assertEquals(422, socket.ask("POST", "/submissions", unknownTeam))
@@ -104,7 +104,7 @@
     }
 
     @Test
-    fun `what is not HTTP is malformed`() {
+    fun `a request that is not HTTP is malformed`() {
         connect().use { socket ->
             socket.getOutputStream().write("rubbish\r\n\r\n".encodeToByteArray())
             assertEquals(400, socket.status())
@@ -112,7 +112,7 @@
     }
 
     @Test
-    fun `a worker too many is sent elsewhere, and users still get through`() {
+    fun `a connection beyond the workers' limit gets 503, and users are still served`() {
         val workers = List(2) { connect().also { it.ask("POST", "/hello") } }
         connect().use { assertEquals(503, it.ask("POST", "/hello")) }
         connect().use { assertEquals(200, it.ask("GET", "/ready")) }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    fun `a connection too many is told so at once`() {
+    fun `a connection beyond the limit gets 503 at once`() {
         val open = List(3) { connect().also { assertEquals(200, it.ask("GET", "/ready")) } }
         connect().use { assertEquals(503, it.status()) }
         assertEquals(200, open.first().ask("GET", "/ready"))
--- a/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
@@ -3,63 +3,61 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
+import kotlinx.serialization.json.JsonPrimitive
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
+/** How many reads answer the status calls of users, and when they are answered. */
 class JobStatusReadsTest {
     private val harness = ControllerHarness()
 
     private fun id(number: Int) = "job-%06d".format(number)
 
     private fun submit(number: Int) {
-        val name = kotlinx.serialization.json.JsonPrimitive(id(number))
-        val owner = kotlinx.serialization.json.JsonPrimitive("team-0")
-        val few = kotlinx.serialization.json.JsonPrimitive(1)
-        val gpus = kotlinx.serialization.json.JsonPrimitive(0.0)
         val body =
             submission(
-                "name_id" to name,
-                "owner" to owner,
-                "pieces" to few,
-                "gpus" to gpus,
+                "name_id" to JsonPrimitive(id(number)),
+                "owner" to JsonPrimitive("team-0"),
+                "pieces" to JsonPrimitive(1),
+                "gpus" to JsonPrimitive(0.0),
                 "boxkinds" to null,
             )
         assertEquals(201, harness.call("POST", "/submissions", body)?.first)
     }
 
     @Test
-    fun `one request tells of many jobs, and none is passed over`() {
+    fun `one request shows the status of many jobs, and each call is answered`() {
         harness.run(2.seconds)
         for (number in 1..60) submit(number)
         harness.run(2.seconds)
         harness.hold = true
         harness.stateCalls.clear()
-        val asked =
+        val calls =
             (1..60).map {
                 harness.call("GET", "/submissions/${id(it)}")
                 harness.lastCall
             }
         harness.release()
-        for (call in asked) assertEquals(200, harness.answerTo(call)?.first)
+        for (call in calls) assertEquals(200, harness.answerTo(call)?.first)
         assertTrue(harness.stateCalls.size <= 5, "${harness.stateCalls}")
     }
 
     @Test
-    fun `a job that is over meanwhile, or was never there, is read`() {
+    fun `a job that was cancelled meanwhile, or never submitted, is read`() {
         harness.run(2.seconds)
         submit(1)
         harness.hold = true
         harness.call("GET", "/submissions/${id(1)}")
-        val later = harness.call("POST", "/submissions/${id(1)}/abort")
-        assertEquals(null, later)
+        val cancellation = harness.call("POST", "/submissions/${id(1)}/abort")
+        assertEquals(null, cancellation)
         harness.release()
-        val over = harness.call("GET", "/submissions/${id(1)}")
-        assertTrue("cancelled" in over?.second.orEmpty(), "$over")
+        val status = harness.call("GET", "/submissions/${id(1)}")
+        assertTrue("cancelled" in status?.second.orEmpty(), "$status")
         assertEquals(404, harness.call("GET", "/submissions/${id(2)}")?.first)
     }
 
     @Test
-    fun `what can't be read in time is answered at once, with when to come back`() {
+    fun `a call whose job can't be read in time is answered as unavailable`() {
         harness.run(2.seconds)
         submit(1)
         harness.hold = true
--- a/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
@@ -13,7 +13,7 @@
 import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 
-/** Requests that nobody needs and users send all the same. */
+/** Answers to repeated, infeasible, malformed and oversized submissions, and to cancellations. */
 class SubmissionAnswersTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val id = JobId("job-000412")
@@ -22,12 +22,12 @@
     private fun submit(vararg changes: Pair<String, JsonElement?>) =
         harness.call("POST", "/submissions", submission(*changes))!!
 
-    private fun abort() = harness.call("POST", "/submissions/${id.value}/abort")!!
+    private fun cancel() = harness.call("POST", "/submissions/${id.value}/abort")!!
 
     private fun stored(state: JobState) =
         harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
 
-    /** The same, of a job that can't run, and of one that lacks a field. */
+    /** Repeats: identical, of an infeasible job (twice), and without a field. */
     private val repeats =
         listOf(
             emptyArray(),
@@ -50,7 +50,7 @@
     fun `repeats and cancellations of a finished job get 200 with its state, from any process`() {
         for ((state, word) in listOf(JobState.DONE to "done", JobState.CANCELLED to "cancelled")) {
             for (repeat in repeats) {
-                // One that has never seen the job, so that nothing comes from memory.
+                // A process that has never seen the job, so that nothing comes from memory.
                 val harness = ControllerHarness().also { it.run(2.seconds) }
                 harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
                 val before = harness.stored(JobRecord.key(id))
@@ -71,8 +71,8 @@
     }
 
     @Test
-    fun `a job that nobody submitted can't be cancelled`() {
-        assertEquals(404, abort().first)
+    fun `a job that was never submitted can't be cancelled`() {
+        assertEquals(404, cancel().first)
         assertEquals(null, harness.stored(JobRecord.key(id)))
     }
 
@@ -85,8 +85,8 @@
     private val apart = "scatter" to JsonPrimitive(true)
 
     @Test
-    fun `a job that can never run gets 422, and nothing of it is kept`() {
-        val never =
+    fun `an infeasible job gets 422 and is not stored`() {
+        val infeasible =
             listOf<Array<Pair<String, JsonElement?>>>(
                 arrayOf("owner" to text("nobody")),
                 arrayOf("cores" to JsonPrimitive(17.0)),
@@ -95,16 +95,16 @@
                 arrayOf("ward" to text("z")),
                 arrayOf("boxkinds" to JsonArray(listOf(text("none")))),
                 arrayOf("boxkinds" to JsonArray(emptyList())),
-                // More than the team's limit of 64 CPUs.
+                // More than the team's quota limit of 64 CPUs.
                 arrayOf(service, "pieces" to JsonPrimitive(9)),
                 arrayOf(gang, "pieces" to JsonPrimitive(9)),
-                // All of it in one zone, and not more than half of it in any.
+                // All tasks in one zone, and not more than half of them in any.
                 arrayOf(service, three, together, apart),
                 arrayOf(gang, three, together, apart),
                 arrayOf(service, three, apart, "ward" to text("a")),
                 arrayOf(gang, three, apart, "ward" to text("a")),
             )
-        for (changes in never) {
+        for (changes in infeasible) {
             val (status, text) = submit(*changes)
             assertEquals(422, status, "${changes.toList()}: $text")
             assertEquals(null, harness.stored(JobRecord.key(id)))
@@ -112,25 +112,25 @@
     }
 
     @Test
-    fun `a job that can run is taken, however near to one that can't`() {
-        val can =
+    fun `a feasible job is accepted, however close to an infeasible one`() {
+        val feasible =
             listOf<Array<Pair<String, JsonElement?>>>(
                 arrayOf("cores" to JsonPrimitive(16.0), "mem_gb" to JsonPrimitive(64.0)),
                 arrayOf(service, "pieces" to JsonPrimitive(8)),
                 arrayOf(gang, three, apart),
                 arrayOf(service, "pieces" to JsonPrimitive(1), together, apart),
-                // An array may run one after the other.
+                // An array's tasks may run one after the other.
                 arrayOf(three, together, apart),
                 arrayOf(three, apart, "ward" to text("a")),
             )
-        for ((i, changes) in can.withIndex()) {
+        for ((i, changes) in feasible.withIndex()) {
             val (status, text) = submit("name_id" to text("job-00050$i"), *changes)
             assertEquals(201, status, "${changes.toList()}: $text")
         }
     }
 
     @Test
-    fun `a job that lacks a field gets 400, and nothing of it is kept`() {
+    fun `a submission that lacks a field gets 400 and is not stored`() {
         for (field in GOOD_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
             assertEquals(400, submit(field to null).first, field)
             assertEquals(null, harness.stored(JobRecord.key(id)), field)
@@ -143,23 +143,23 @@
         JsonArray(List(300) { text("kind-%03d".format(it)) } + List(300) { text("mid") })
 
     @Test
-    fun `a job is not refused for its size where its record fits what is of use of it`() {
-        for (told in listOf(null, lower)) {
-            val harness = ControllerHarness(told = told).also { it.run(2.seconds) }
-            if (told != null) harness.lower(told)
+    fun `a job whose record fits without useless machine types is not refused for its size`() {
+        for (announced in listOf(null, lower)) {
+            val harness = ControllerHarness(told = announced).also { it.run(2.seconds) }
+            if (announced != null) harness.lower(announced)
             val long = text("x".repeat(600))
             val body = submission("boxkinds" to manyKinds, "bundle" to long, "jobclass" to long)
             assertEquals(201, harness.call("POST", "/submissions", body)?.first)
             val kept = JobRecord.of(harness.stored(JobRecord.key(id))!!)?.spec
             assertEquals(600 to 600, kept?.let { it.image.length to it.jobClass.length })
             assertEquals(listOf("mid"), kept?.types)
-            val abort = harness.call("POST", "/submissions/${id.value}/abort")
-            assertEquals(200, abort?.first)
+            val cancelled = harness.call("POST", "/submissions/${id.value}/abort")
+            assertEquals(200, cancelled?.first)
         }
     }
 
     @Test
-    fun `one that no value can hold gets 422 and is asked for once, a known one its state`() {
+    fun `a record too large for a value gets 422 without a write, a known job its state`() {
         val harness = ControllerHarness(told = lower).also { it.run(2.seconds) }
         harness.lower(lower)
         val submit = { changes: Array<Pair<String, JsonElement?>> ->
--- a/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -49,7 +49,7 @@
         assertIs<Submission.Malformed>(SubmissionReader.read(body), body.decodeToString())
 
     @Test
-    fun `a good submission is read whole`() {
+    fun `all fields of a well-formed submission are read`() {
         val good = assertIs<Submission.WellFormed>(SubmissionReader.read(submission()))
         assertEquals(16, good.spec.tasks)
         assertEquals(PriorityClass.HIGH, good.spec.urgency)
@@ -70,7 +70,7 @@
     }
 
     @Test
-    fun `each required field is required`() {
+    fun `a submission without a required field is malformed`() {
         for (field in GOOD_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
             malformed(submission(field to null))
             malformed(submission(field to JsonNull))
@@ -112,7 +112,7 @@
     }
 
     @Test
-    fun `what is not an object is malformed without an id`() {
+    fun `a body that is no JSON object is malformed without an id`() {
         for (text in listOf("", "[]", "3", "{", "\"x\"", "null")) {
             assertNull(malformed(text.encodeToByteArray()).id)
         }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    fun `what is recorded fits a value, without types that are of no use`() {
+    fun `a record is fitted to a value by leaving out useless machine types`() {
         val long = JsonPrimitive("x".repeat(700))
         val kinds = List(400) { JsonPrimitive("kind-%03d".format(it)) }
         val twice = JsonArray(kinds + kinds)
@@ -133,7 +133,7 @@
         assertEquals(named.copy(types = listOf("kind-007", "kind-200")), kept)
         assertTrue(JobRecord.takes(kept!!) <= 2048)
         assertEquals(kept, JobRecord.fitting(named, useful, 16_384))
-        // As it was named where that is short, with types unknown so far.
+        // Unchanged where it is short, with types unknown so far.
         val short = good(arrayOf("boxkinds" to JsonArray(kinds.take(60))))
         assertEquals(short, JobRecord.fitting(short, useful, 2048))
         val beyond = good(arrayOf("bundle" to JsonPrimitive("x".repeat(2_000))))
@@ -142,8 +142,8 @@
     }
 
     @Test
-    fun `what a value holds only unescaped is tried, and what it never holds is not`() {
-        // Two bytes each as written, six if the service escapes them.
+    fun `a record that fits only unescaped is tried, and one that never fits is not`() {
+        // Two bytes each as written, six if the key-value store escapes them.
         val accented = { length: Int ->
             val text = JsonPrimitive("\u00e9".repeat(length))
             val read = SubmissionReader.read(submission("bundle" to text, "jobclass" to text))
@@ -156,7 +156,7 @@
     }
 
     @Test
-    fun `a larger one that was accepted before can still be cancelled`() {
+    fun `a job accepted under a larger limit can still be cancelled`() {
         val good = SubmissionReader.read(submission()) as Submission.WellFormed
         val large = good.spec.copy(types = List(400) { "kind-$it" })
         val small = JobRecord(JobState.ACCEPTED, 1, large).cancelled(2048)
--- a/src/test/kotlin/wardmux/leader/FailoverTest.kt
+++ b/src/test/kotlin/wardmux/leader/FailoverTest.kt
@@ -17,7 +17,7 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** What a new leader makes of what it finds; each test is a failure that was once found. */
+/** How a new leader treats what is stored; each test reproduces a fault that once occurred. */
 class FailoverTest {
     private val harness = ControllerHarness()
 
@@ -41,8 +41,8 @@
     ): String =
         ManualWorker(harness, machine, zone).also { it.tick = tick++ }.handleHeartbeat(token, tasks)
 
-    /** With time for orders to go out after each. */
-    private fun reportOften(times: Int, machine: String, zone: String, token: Long) =
+    /** With time for direct commands to go out after each. */
+    private fun handleHeartbeats(times: Int, machine: String, zone: String, token: Long) =
         repeat(times) {
             handleHeartbeat(machine, zone, token)
             harness.run(0.5.seconds)
@@ -51,11 +51,11 @@
     private fun token(): Long = ManualWorker(harness, "i-000099").also { it.tick = tick++ }.token()
 
     @Test
-    fun `a job cancelled between two readings of what is stored is taken down`() {
+    fun `a job cancelled between two loads of the stored state is stopped`() {
         val job = spec(1)
         harness.accept(job)
         placed("i-000001", "a")
-        // The first reading fails after it has read the job as accepted: at the cancelled ones.
+        // The first load fails after it has read the job as accepted: at the cancelled jobs.
         var refused = false
         harness.refuse = { path ->
             val first = path.startsWith("/keys?under=c/") && !refused
@@ -73,7 +73,7 @@
     }
 
     @Test
-    fun `a cancellation that a sibling tells while the new leader reads is not lost`() {
+    fun `a cancellation that a peer reports while the new leader loads is not lost`() {
         val harness = ControllerHarness(peers = listOf("n1"))
         val gang = plainJob(2).copy(shape = JobKind.GANG)
         harness.accept(gang)
@@ -81,7 +81,7 @@
             """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001","i-000002"],""" +
                 """"n":[1,0,1,0,1,0,1,0,1,1,1,0]}"""
         harness.write("t/job-000001/0", Json.parseToJsonElement(page))
-        // It has read the job as open, and waits for the pages.
+        // It has read the job as open, and waits for the task pages.
         harness.refuse = { path ->
             if (path.startsWith("/keys?under=t/")) harness.hold = true
             false
@@ -92,14 +92,14 @@
         harness.write(JobRecord.key(gang.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(gang.jobId), cancelled)
         harness.remove(JobRecord.openKey(gang.jobId))
-        var told = 0
+        var reported = 0
         harness.peer = { path, _ ->
-            val word = CancellationUpdate("b", 1_000_000_000, 0, listOf(gang.id))
-            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(word).also { told++ }
+            val update = CancellationUpdate("b", 1_000_000_000, 0, listOf(gang.id))
+            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(update).also { reported++ }
             else null
         }
         harness.run(1.2.seconds)
-        assertTrue(told > 0, "the sibling was not asked")
+        assertTrue(reported > 0, "the peer was not asked")
         harness.release()
         harness.run(3.seconds)
         val machine = ManualWorker(harness, "i-000001")
@@ -111,7 +111,7 @@
     }
 
     @Test
-    fun `pages of jobs that are done are read without a request for each, and removed`() {
+    fun `task pages of completed jobs are read without a request for each, and removed`() {
         val page = Json.parseToJsonElement("""{"d":[0,0]}""")
         repeat(300) { harness.write("t/job-%06d/0".format(it + 10), page) }
         val job = spec(1)
@@ -126,25 +126,25 @@
     }
 
     @Test
-    fun `a job that must stay in one zone stays there though its machine is still silent`() {
+    fun `a job bound to one zone stays there though its machine has sent no heartbeat yet`() {
         harness.accept(spec(2, oneZone = true))
         placed("i-000009", "b")
         harness.run(2.seconds)
         val token = token()
-        reportOften(6, "i-000001", "a", token)
+        handleHeartbeats(6, "i-000001", "a", token)
         assertFalse(harness.direct.any { "job-000001/1" in it }, "started in the other zone")
-        reportOften(4, "i-000002", "b", token)
+        handleHeartbeats(4, "i-000002", "b", token)
         val last = handleHeartbeat("i-000002", "b", token)
         assertContains(harness.direct.joinToString() + last, "job-000001/1")
     }
 
     @Test
-    fun `what a record places and its machine lacks is not started again but placed anew`() {
+    fun `a stored placement that its machine lacks is not started again but placed anew`() {
         harness.accept(spec(1))
         placed("i-000001", "a")
         harness.run(2.seconds)
         val token = token()
-        // Its room and cap may have gone to others after the record was written.
+        // Its capacity and quota may have gone to others after the record was written.
         val answers =
             List(4) { handleHeartbeat("i-000001", "a", token).also { harness.run(0.5.seconds) } }
         val sent = answers.joinToString() + harness.direct.joinToString()
@@ -153,7 +153,7 @@
     }
 
     @Test
-    fun `a worker that has seen a higher token is sent elsewhere, and the leader steps down`() {
+    fun `a worker that has seen a newer fencing token is redirected, and the leader steps down`() {
         harness.run(2.seconds)
         handleHeartbeat("i-000001", "a", 0)
         val body =
@@ -164,22 +164,22 @@
     }
 
     @Test
-    fun `a report under an older token frees no placement`() {
+    fun `a heartbeat with an older fencing token frees no placement`() {
         harness.accept(spec(1))
         placed("i-000001", "a")
         harness.run(2.seconds)
         val token = token()
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
         handleHeartbeat("i-000001", "a", token - 1, stopped)
-        reportOften(4, "i-000002", "a", token)
+        handleHeartbeats(4, "i-000002", "a", token)
         assertFalse(harness.direct.any { "job-000001/0" in it }, "it may be a copy")
         handleHeartbeat("i-000001", "a", token, stopped)
-        reportOften(4, "i-000002", "a", token)
+        handleHeartbeats(4, "i-000002", "a", token)
         assertContains(harness.direct.joinToString(), """"job-000001/0","try":2""")
     }
 
     @Test
-    fun `a late report gets no orders and proves nothing`() {
+    fun `a late heartbeat gets no commands and verifies nothing`() {
         harness.accept(spec(1))
         placed("i-000001", "a")
         harness.run(2.seconds)
--- a/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
@@ -16,13 +16,13 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** A leader that has lost the state service, and one whose process has just been replaced. */
+/** A leader that can't reach the key-value store or its workers, or whose process was replaced. */
 class IsolatedLeaderTest {
     private val harness = ControllerHarness()
     private val machine = ManualWorker(harness, "i-000001")
 
     @Test
-    fun `an unsure leader starts nothing, sends each worker on once, and renews who comes back`() {
+    fun `a leader unsure of its lease starts nothing and redirects each worker once`() {
         harness.run(2.seconds)
         val token = machine.token()
         machine.handleHeartbeat(token)
@@ -32,14 +32,14 @@
         assertEquals(1, statuses.count { it == 421 }, "$statuses")
         assertEquals(200, statuses.last())
         assertTrue(harness.direct.none { "start" in it })
-        // In a mere outage the worker comes back, and all goes on.
+        // After an outage the worker returns and is renewed.
         harness.refuse = { false }
         harness.run(5.seconds)
         assertEquals(200, machine.report(token)?.first)
     }
 
     @Test
-    fun `a worker that has met a successor ends the lone leader's term`() {
+    fun `a worker that has seen a newer fencing token ends the isolated leader's term`() {
         harness.run(2.seconds)
         val token = machine.token()
         harness.refuse = { true }
@@ -48,68 +48,59 @@
         assertNotEquals(200, machine.report(token)?.first)
     }
 
-    @Test
-    fun `a leader that most machines stopped reporting to lets a sibling lead`() {
-        val harness = ControllerHarness(peers = listOf("n1"))
-        harness.run(2.seconds)
-        val machines = List(6) { ManualWorker(harness, "i-00000$it") }
+    /** A leader with a peer and [count] machines, the first of which has asked for its token. */
+    private class LeaderWithPeer(count: Int, idPrefix: String) {
+        val harness = ControllerHarness(peers = listOf("n1")).also { it.run(2.seconds) }
+        val machines = List(count) { ManualWorker(harness, "$idPrefix$it") }
         val token = machines.first().token()
-        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
-        fun pass(heard: List<ManualWorker>, inSeconds: Int) =
+        private val peerHeartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
+
+        /** Seconds in which [senders] send heartbeats, and the peer does if [withPeer]. */
+        fun pass(inSeconds: Int, senders: List<ManualWorker>, withPeer: Boolean) =
             repeat(inSeconds) {
-                for (machine in heard) machine.report(token)
-                harness.call("POST", "/beat", heartbeat, Port.PEER)
+                for (machine in senders) machine.report(token)
+                if (withPeer) harness.call("POST", "/beat", peerHeartbeat, Port.PEER)
                 harness.run(1.seconds)
             }
-        pass(machines, 4)
-        pass(machines.take(4), 10)
-        assertTrue(harness.stored("leader") != null, "given up for two silent machines of six")
-        pass(machines.take(1), 8)
-        assertEquals(null, harness.stored("leader"))
     }
 
     @Test
-    fun `a leader that hears no machine at all gives up none of them, and its lease soon`() {
-        val harness = ControllerHarness(peers = listOf("n1"))
-        harness.run(2.seconds)
-        val machines = List(11) { ManualWorker(harness, "i-0000$it") }
-        val token = machines.first().token()
-        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
-        repeat(5) {
-            for (machine in machines) machine.report(token)
-            harness.run(1.seconds)
-        }
-        repeat(7) {
-            harness.call("POST", "/beat", heartbeat, Port.PEER)
-            harness.run(1.seconds)
-        }
-        assertEquals(null, harness.stored("leader"))
-        assertTrue(harness.cloud.none { "delete" in it }, "machines are given up for its own cut")
+    fun `a leader that most machines send no heartbeats resigns for a peer to lead`() {
+        val leader = LeaderWithPeer(6, "i-00000")
+        leader.pass(4, leader.machines, withPeer = true)
+        leader.pass(10, leader.machines.take(4), withPeer = true)
+        val record = leader.harness.stored("leader")
+        assertTrue(record != null, "resigned for two silent machines of six")
+        leader.pass(8, leader.machines.take(1), withPeer = true)
+        assertEquals(null, leader.harness.stored("leader"))
     }
 
     @Test
-    fun `a leader keeps its lease in an outage, in which nobody could take it`() {
-        val harness = ControllerHarness(peers = listOf("n1"))
-        harness.run(2.seconds)
-        val machines = List(11) { ManualWorker(harness, "i-0000$it") }
-        val token = machines.first().token()
-        val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
-        repeat(5) {
-            for (machine in machines) machine.report(token)
-            harness.run(1.seconds)
-        }
-        // None is heard for long enough to give the lease up, had the outage not begun.
-        harness.run(3.seconds)
-        harness.outage()
-        repeat(4) {
-            harness.call("POST", "/beat", heartbeat, Port.PEER)
-            harness.run(1.seconds)
-        }
-        assertContains(machines.first().handleHeartbeat(token), "\"baton\":$token")
+    fun `a leader without any heartbeat decommissions no machine, and soon resigns`() {
+        val leader = LeaderWithPeer(11, "i-0000")
+        leader.pass(5, leader.machines, withPeer = false)
+        leader.pass(7, emptyList(), withPeer = true)
+        assertEquals(null, leader.harness.stored("leader"))
+        assertTrue(
+            leader.harness.cloud.none { "delete" in it },
+            "machines deleted: the leader is cut off",
+        )
+    }
+
+    @Test
+    fun `a leader does not resign in an outage, in which nobody could take its lease`() {
+        val leader = LeaderWithPeer(11, "i-0000")
+        leader.pass(5, leader.machines, withPeer = false)
+        // No heartbeat for long enough that it would resign, had the outage not begun.
+        leader.harness.run(3.seconds)
+        leader.harness.outage()
+        leader.pass(4, emptyList(), withPeer = true)
+        val response = leader.machines.first().handleHeartbeat(leader.token)
+        assertContains(response, "\"baton\":${leader.token}")
     }
 
     @Test
-    fun `a former process's lease is never taken for the own, nor is a stranger's heartbeat heard`() {
+    fun `a former process's lease is not taken for its own, and an unknown peer is refused`() {
         harness.writeLeased(
             "leader",
             Json.parseToJsonElement("""{"member":"n0","boot":"former"}"""),
@@ -124,7 +115,7 @@
     }
 
     @Test
-    fun `stored values that can't be read are passed over`() {
+    fun `stored values that can't be read are skipped`() {
         for (key in listOf("q/job-000009", "t/job-000001/0", "t/job-000008/x", "tags", "m/")) {
             harness.write(key, Json.parseToJsonElement("""["no such thing"]"""))
         }
