--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -44,7 +44,7 @@
         )
     private val currentTerm: CurrentTerm = CurrentTerm(services, jobs)
     private val leadership = currentTerm.election
-    private val redirects = WorkerRedirects(context, leadership)
+    private val leaderRedirect = LeaderRedirect(context, leadership)
     private val forwarder =
         HeartbeatForwarder(
             context,
@@ -58,7 +58,7 @@
             platform.peers.size,
             platform.deployment.limits.sockets.workers,
             peerHeartbeats::wantsRelays,
-            redirects::redirect,
+            leaderRedirect::redirect,
         )
 
     /** The operators' interface; null where drains are switched off. */
@@ -66,7 +66,7 @@
         operators.drain?.let {
             DrainApi(context, store, { currentTerm.term?.drains?.desk }, leadership::knownLeader)
         }
-    private val publicApi = PublicApi(services, currentTerm, forwarder, redirects, jobs)
+    private val publicApi = PublicApi(services, currentTerm, forwarder, leaderRedirect, jobs)
     private val peerApi = PeerApi(services, currentTerm, drainApi)
 
     /** Handles one input that came at the given steady and wall time. */
@@ -93,8 +93,8 @@
         currentTerm.term?.tick()
         forwarder.tick()
         services.renewalCounters.tick()
-        val wantsRelays = currentTerm.term?.wantsRelays == true
-        peerHeartbeats.tick(currentTerm.token, wantsRelays, store.answeredAt) {
+        val forwardingEnabled = currentTerm.term?.forwardingEnabled == true
+        peerHeartbeats.tick(currentTerm.token, forwardingEnabled, store.answeredAt) {
             currentTerm.term?.progress().orEmpty()
         }
     }
--- a/src/main/kotlin/wardmux/app/WorkerRedirects.kt
+++ b/src/main/kotlin/wardmux/app/LeaderRedirect.kt
@@ -5,8 +5,8 @@
 import wardmux.election.LeaderElection
 import wardmux.worker.Redirect
 
-/** Redirects workers whose heartbeats this controller can't answer. */
-class WorkerRedirects(private val context: CoreContext, private val election: LeaderElection) {
+/** Redirects workers whose heartbeats a follower can't answer to the leader. */
+class LeaderRedirect(private val context: CoreContext, private val election: LeaderElection) {
     /** Answers [call] with the leader to go to, or with none if that is not known. */
     fun redirect(call: Long) {
         val leader =
--- a/src/main/kotlin/wardmux/app/PublicApi.kt
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -14,7 +14,7 @@
     private val services: ControllerServices,
     private val currentTerm: CurrentTerm,
     private val forwarder: HeartbeatForwarder,
-    private val redirects: WorkerRedirects,
+    private val leaderRedirect: LeaderRedirect,
     jobs: JobApi,
 ) {
     private val context = services.context
@@ -69,7 +69,7 @@
         val term = currentTerm.term
         if (term != null) return term.handleHeartbeat(request.id, heartbeat)
         val isTaken = forwarder.handleHeartbeat(request.id, heartbeat, request.body)
-        if (!isTaken) redirects.redirect(request.id)
+        if (!isTaken) leaderRedirect.redirect(request.id)
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/app/RouteTable.kt
+++ b/src/main/kotlin/wardmux/app/RouteTable.kt
@@ -5,9 +5,16 @@
 import wardmux.core.HttpStatus
 import wardmux.core.Input
 import wardmux.http.ApiPaths
+import wardmux.http.HttpRequestHandler
 import wardmux.jobs.SubmissionReader
 import wardmux.model.JobId
 
+/** Handles the requests for one job. */
+fun interface JobRequestHandler {
+    /** Handles [request], whose path names [job]. */
+    fun handle(request: Input.Request, job: JobId)
+}
+
 /** One path with the only method that it is called with. */
 sealed interface Route {
     val method: String
@@ -17,14 +24,14 @@
     class Fixed(
         override val method: String,
         override val path: String,
-        val handle: (Input.Request) -> Unit,
+        val handler: HttpRequestHandler,
     ) : Route
 
     /** A path with the id of a job at [ApiPaths.JOB_PARAMETER]. */
     class OfJob(
         override val method: String,
         override val path: String,
-        val handle: (Input.Request, JobId) -> Unit,
+        val handler: JobRequestHandler,
     ) : Route {
         private val pattern = segments(path)
 
@@ -55,7 +62,7 @@
     fun handle(request: Input.Request, path: String) {
         val fixed = fixedRoutes[path]
         if (fixed != null) {
-            if (checkMethod(request, fixed)) fixed.handle(request)
+            if (checkMethod(request, fixed)) fixed.handler.handle(request)
             return
         }
         val segments = Route.segments(path)
@@ -81,7 +88,7 @@
             } catch (e: IllegalArgumentException) {
                 encodedId
             }
-        if (SubmissionReader.isId(id)) route.handle(request, JobId(id))
+        if (SubmissionReader.isId(id)) route.handler.handle(request, JobId(id))
         else answerError(request, HttpStatus.NOT_FOUND, "unknown job")
     }
 
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -172,7 +172,7 @@
 
     /** Treats what is stored as unknown until it is loaded again. */
     fun reload() {
-        status.unloaded()
+        status.markStale()
         openJobWatcher.stop()
         loader.reload()
     }
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -33,8 +33,8 @@
     val drains: LeaderDrains?
         get() = components.drains
 
-    /** Other controllers are to forward the heartbeats of the workers that reach them. */
-    val wantsRelays: Boolean
+    /** Followers are to forward the heartbeats of the workers that reach them. */
+    val forwardingEnabled: Boolean
         get() = components.relays.wanted
 
     /** Ends the term for good; responses that are still to come are ignored. */
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -1,7 +1,5 @@
 package wardmux.leader
 
-import wardmux.core.CoreContext
-import wardmux.fleet.Fleet
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.JobId
@@ -23,11 +21,11 @@
     private val components: LeaderComponents,
 ) {
     private val log = logger<StoredStateLoader>()
-    private val context: CoreContext = services.context
+    private val context = services.context
     private val types = services.machineTypes
     private val cancellations = services.cancellations
     private val cluster = components.cluster
-    private val fleet: Fleet = components.fleet
+    private val fleet = components.fleet
     private val reader = StoredStateReader(services.store)
 
     /** When to load; null while a load is under way or nothing is to be loaded. */
@@ -75,7 +73,7 @@
         }
         components.pools.observeNow(cluster.jobs.values)
         components.openJobWatcher.start(state.openJobs.revision)
-        components.status.loaded()
+        components.status.markLoaded()
         log.info(
             "loaded with fencing token {}: {} jobs ({} of them cancelled) with {} placements, " +
                 "as stored {} s ago",
--- a/src/main/kotlin/wardmux/leader/TermStatus.kt
+++ b/src/main/kotlin/wardmux/leader/TermStatus.kt
@@ -21,13 +21,13 @@
         get() = isLoaded && !isEnded && leadership.leaseIsValid
 
     /** Marks the stored state as known. */
-    fun loaded() {
+    fun markLoaded() {
         cancellationView.isLoaded = true
         cancellationView.hasRead = true
     }
 
     /** Marks the stored state as unknown until it is loaded again. */
-    fun unloaded() {
+    fun markStale() {
         cancellationView.isLoaded = false
     }
 
