--- a/src/main/kotlin/wardmux/fleet/WorkerClient.kt
+++ b/src/main/kotlin/wardmux/fleet/WorkerClient.kt
@@ -52,7 +52,7 @@
     /** Takes in the heartbeat in a worker's response. */
     fun accept(machine: Machine, response: Outcome.Response) {
         val heartbeat = WorkerHeartbeat.parse(response.body) ?: return
-        leadership.seen(FencingToken(heartbeat.token))
+        leadership.observeToken(FencingToken(heartbeat.token))
         // Deleted meanwhile.
         if (cluster.machines[machine.id] !== machine) return
         reconciler.acceptDirectResponse(machine, heartbeat)
