--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -162,7 +162,7 @@
         renewalCounters.tick()
         val role = leadership.role as? Role.Leader
         val wantsRelays = term?.wantsRelays == true
-        peerHeartbeats.tick(role?.token, wantsRelays, store.answeredAt) {
+        peerHeartbeats.tick(role?.token, wantsRelays, store.lastAvailableAt) {
             term?.progress().orEmpty()
         }
     }
@@ -208,7 +208,7 @@
      * it is this controller alone that the state service doesn't answer, the others serve them.
      */
     private fun ready(call: Long) {
-        val troubled = store.troubledSince
+        val troubled = store.unavailableSince
         val alone =
             troubled != null &&
                 context.now - troubled > ALONE_AFTER &&
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -70,7 +70,7 @@
         // Too large to keep: whoever starts asks the cloud.
         if (jsonBytes(data) > store.maxValueBytes) return
         val change = WriteOperation(put = MachineTypeList.KEY, data = data)
-        store.multi(emptyList(), listOf(change), RequestPriority.LEADER) {}
+        store.compareAndSwap(emptyList(), listOf(change), RequestPriority.LEADER) {}
     }
 
     private fun again(pause: Micros) {
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -115,8 +115,8 @@
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, version))
         val change = WriteOperation(put = key, data = record.toJson())
-        store.multi(conditions, listOf(change), RequestPriority.LEADER) { result ->
-            if (mine != generation) return@multi then(record, DrainWrite.UNKNOWN)
+        store.compareAndSwap(conditions, listOf(change), RequestPriority.LEADER) { result ->
+            if (mine != generation) return@compareAndSwap then(record, DrainWrite.UNKNOWN)
             writing.remove(id)
             if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value)
             then(record, outcome(result))
@@ -130,9 +130,12 @@
         writing[id] = stored.record
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, stored.version))
-        store.multi(conditions, listOf(WriteOperation(remove = key)), RequestPriority.LEADER) {
-            result ->
-            if (mine != generation) return@multi
+        store.compareAndSwap(
+            conditions,
+            listOf(WriteOperation(remove = key)),
+            RequestPriority.LEADER,
+        ) { result ->
+            if (mine != generation) return@compareAndSwap
             writing.remove(id)
             if (outcome(result) == DrainWrite.WRITTEN) drains.remove(id)
         }
@@ -141,7 +144,7 @@
     private fun outcome(result: StoreResult<Long>): DrainWrite =
         when (result) {
             is StoreResult.Ok -> DrainWrite.WRITTEN
-            is StoreResult.Refused -> DrainWrite.REFUSED
+            is StoreResult.NotExecuted -> DrainWrite.REFUSED
             is StoreResult.Conflict -> {
                 if (LeaderElection.KEY in result.failed) fenced() else readAgain()
                 DrainWrite.UNKNOWN
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -127,7 +127,7 @@
             when (result) {
                 is StoreResult.Ok ->
                     found(result.value.data, KeyVersion(result.value.version), result.value.permit)
-                is StoreResult.Absent -> stand()
+                is StoreResult.NotFound -> stand()
                 else -> lookAgain(RETRY)
             }
         }
@@ -158,7 +158,7 @@
             lease != null -> {
                 log.info("ending the lease of this member's former process")
                 // Those that were up meanwhile are warm, and lead sooner than this fresh process.
-                store.end(lease) { lookAgain(HEAD_START) }
+                store.revokeLease(lease) { lookAgain(HEAD_START) }
             }
             else -> lookAgain(RETRY)
         }
@@ -166,10 +166,10 @@
 
     private fun stand() {
         val askedAt = context.now
-        store.grant(life) { granted ->
+        store.grantLease(life) { granted ->
             if (granted !is StoreResult.Ok) {
                 lookAgain(RETRY)
-                return@grant
+                return@grantLease
             }
             val lease = granted.value
             this.granted = lease
@@ -180,13 +180,16 @@
                     data = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record),
                     permit = lease,
                 )
-            store.multi(listOf(VersionCondition(KEY, 0)), listOf(change), RequestPriority.LEASE) {
-                written ->
+            store.compareAndSwap(
+                listOf(VersionCondition(KEY, 0)),
+                listOf(change),
+                RequestPriority.LEASE,
+            ) { written ->
                 when (written) {
                     is StoreResult.Ok ->
                         take(Role.Leader(FencingToken(written.value), lease), askedAt)
                     is StoreResult.Conflict -> {
-                        store.end(lease) {}
+                        store.revokeLease(lease) {}
                         lookAgain(Micros.ZERO)
                     }
                     else -> lookAgain(RETRY)
@@ -202,7 +205,7 @@
         leaseValidUntil = until(since)
         renewAt = since + life * RENEW_PART
         renewing = false
-        store.lead(true)
+        store.setLeading(true)
         log.info("{} leads with token {}", member, leader.token)
         listener.elected(leader)
     }
@@ -235,15 +238,15 @@
     private fun renew(leader: Role.Leader) {
         renewing = true
         val sentAt = context.now
-        store.renew(leader.lease) { result ->
-            if (role != leader) return@renew
+        store.renewLease(leader.lease) { result ->
+            if (role != leader) return@renewLease
             renewing = false
             when (result) {
                 is StoreResult.Ok -> {
                     leaseValidUntil = until(sentAt)
                     renewAt = sentAt + life * RENEW_PART
                 }
-                is StoreResult.Absent -> {
+                is StoreResult.NotFound -> {
                     log.info("the lease of token {} is over", leader.token)
                     depose(null, leader.token)
                     lookAgain(Micros.ZERO)
@@ -258,7 +261,7 @@
         leaseValidUntil = Micros.LONG_AGO
         // Should the key still stand, it is not taken again: one token must not lead twice.
         granted = null
-        store.lead(false)
+        store.setLeading(false)
         listener.deposed()
     }
 
@@ -270,7 +273,7 @@
         val leader = role as? Role.Leader ?: return
         log.info("token {} is given up: {}", leader.token, why)
         depose(null, leader.token)
-        store.end(leader.lease) {}
+        store.revokeLease(leader.lease) {}
         lookAgain(life + life)
     }
 
--- a/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
@@ -34,7 +34,7 @@
     fun ask(batch: HeartbeatBatch, packed: String, then: (HeartbeatBatchResponse?) -> Unit) {
         val until = context.now + ANSWER_TIMEOUT
         val change = WriteOperation(put = BATCHES + member, data = JsonPrimitive(packed))
-        store.multi(emptyList(), listOf(change), RequestPriority.LEASE) { written ->
+        store.compareAndSwap(emptyList(), listOf(change), RequestPriority.LEASE) { written ->
             if (written is StoreResult.Ok) await(batch, written.value, until, then) else then(null)
         }
     }
@@ -149,7 +149,7 @@
         writing = true
         writeAt = context.now + WRITE_PERIOD
         val change = WriteOperation(put = StoredBatchClient.ANSWERS, data = JsonPrimitive(packed))
-        store.multi(listOf(role.condition), listOf(change), RequestPriority.LEASE) {
+        store.compareAndSwap(listOf(role.condition), listOf(change), RequestPriority.LEASE) {
             writing = false
         }
     }
--- a/src/main/kotlin/wardmux/jobs/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -96,7 +96,7 @@
         store.get(JobRecord.key(id)) { result ->
             when (result) {
                 is StoreResult.Ok -> answerRecord(call, id, result.value)
-                is StoreResult.Absent -> unknown()
+                is StoreResult.NotFound -> unknown()
                 else -> later(call)
             }
         }
@@ -148,7 +148,7 @@
                 WriteOperation(put = JobRecord.openKey(id), data = record),
             )
         val absent = listOf(VersionCondition(JobRecord.key(id), 0))
-        store.multi(absent, changes, RequestPriority.USER_WRITE) { result ->
+        store.compareAndSwap(absent, changes, RequestPriority.USER_WRITE) { result ->
             when (result) {
                 is StoreResult.Ok -> {
                     polls.learn(id, KeyVersion(result.value))
@@ -206,7 +206,7 @@
                         cancel(call, id, result.value, record, tries)
                     else answerRecord(call, id, result.value)
                 }
-                is StoreResult.Absent -> context.answer(call, 404, """{"error":"unknown job"}""")
+                is StoreResult.NotFound -> context.answer(call, 404, """{"error":"unknown job"}""")
                 else -> later(call)
             }
         }
@@ -221,7 +221,7 @@
                 WriteOperation(remove = JobRecord.openKey(id)),
             )
         val unchanged = listOf(VersionCondition(JobRecord.key(id), item.version))
-        store.multi(unchanged, changes, RequestPriority.USER_WRITE) { result ->
+        store.compareAndSwap(unchanged, changes, RequestPriority.USER_WRITE) { result ->
             when {
                 result is StoreResult.Ok -> {
                     log.info("{} cancelled by its user", id)
--- a/src/main/kotlin/wardmux/jobs/Polls.kt
+++ b/src/main/kotlin/wardmux/jobs/Polls.kt
@@ -115,7 +115,7 @@
             conditions.add(VersionCondition(JobRecord.key(job), open.getLong(job.value)))
         }
         comparing++
-        store.multi(conditions, emptyList(), RequestPriority.READ) { result ->
+        store.compareAndSwap(conditions, emptyList(), RequestPriority.READ) { result ->
             comparing--
             val changed = (result as? StoreResult.Conflict)?.failed.orEmpty().toSet()
             val told = result is StoreResult.Ok || changed.isNotEmpty()
@@ -140,7 +140,7 @@
             val seen =
                 when (result) {
                     is StoreResult.Ok -> Seen.Record(result.value)
-                    is StoreResult.Absent -> Seen.Absent
+                    is StoreResult.NotFound -> Seen.Absent
                     else -> Seen.Nothing
                 }
             tell(job, questions, seen)
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -72,7 +72,7 @@
 ) : PlacementStore.Listener {
     private val log = logger<LeaderTerm>()
     private val deployment = platform.deployment
-    private val pageSize = Job.pageSize(store.layoutBytes)
+    private val pageSize = Job.pageSize(store.pageLayoutBytes)
 
     private val queue =
         FairQueue(
@@ -287,7 +287,7 @@
      * workers without a leader until it is over, and their leases run out.
      */
     private val canHandOver: Boolean
-        get() = leadership.leaseIsValid && store.troubledSince == null
+        get() = leadership.leaseIsValid && store.unavailableSince == null
 
     /** Why another controller may be better placed to lead, or null. */
     private fun reasonToAbdicate(): String? =
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -64,7 +64,7 @@
                         tags = result.value
                         readOpenJobs()
                     }
-                    is StoreResult.Absent -> readOpenJobs()
+                    is StoreResult.NotFound -> readOpenJobs()
                     else -> finish(null)
                 }
             }
--- a/src/main/kotlin/wardmux/model/Units.kt
+++ b/src/main/kotlin/wardmux/model/Identifiers.kt
@@ -1,45 +1,5 @@
 package wardmux.model
 
-import kotlin.math.roundToLong
-
-/** A duration or a point on a steady clock, in whole microseconds. */
-@JvmInline
-value class Micros(val value: Long) : Comparable<Micros> {
-    /** The point that is [other] later, or the sum of two durations. */
-    operator fun plus(other: Micros) = Micros(value + other.value)
-
-    /** The time between two points, or the point that is [other] earlier. */
-    operator fun minus(other: Micros) = Micros(value - other.value)
-
-    /** This duration scaled by [factor], rounded to whole microseconds. */
-    operator fun times(factor: Double) = Micros((value * factor).roundToLong())
-
-    override fun compareTo(other: Micros) = value.compareTo(other.value)
-
-    val inSeconds: Double
-        get() = value / 1e6
-
-    override fun toString() = "${value}us"
-
-    companion object {
-        val ZERO = Micros(0)
-        val NEVER = Micros(Long.MAX_VALUE / 4)
-        val LONG_AGO = Micros(-(Long.MAX_VALUE / 4))
-    }
-}
-
-/** The most by which two steady clocks differ in rate, as a share of the elapsed time. */
-const val MAX_CLOCK_DRIFT = 0.001
-
-val Int.milliseconds: Micros
-    get() = Micros(this * 1_000L)
-
-val Int.seconds: Micros
-    get() = Micros(this * 1_000_000L)
-
-val Double.seconds: Micros
-    get() = Micros((this * 1e6).roundToLong())
-
 /** The id of a job, as its user gave it. */
 @JvmInline
 value class JobId(val value: String) {
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -132,7 +132,7 @@
         private var bytes = 0
 
         fun room(changesNeeded: Int, conditionsNeeded: Int) =
-            changes.size + changesNeeded < store.maxChanges &&
+            changes.size + changesNeeded < store.maxOperations &&
                 conditions.size + conditionsNeeded < store.maxConditions &&
                 bytes < MAX_BYTES
 
@@ -177,12 +177,12 @@
     fun admission(): Admission {
         // One change is kept for the tags.
         // Where a transaction holds few, ends never take all that a start needs.
-        val ends = minOf(finishing().take(2).count() * 2, store.maxChanges - 2)
+        val ends = minOf(finishing().take(2).count() * 2, store.maxOperations - 2)
         // A lost machine keeps its tasks from running elsewhere until its record is written: where
         // many are lost at once, as with a zone, these must not wait behind all that can be placed.
-        val mostLost = maxOf(1, store.maxChanges / DECOMMISSIONS_PART)
+        val mostLost = maxOf(1, store.maxOperations / DECOMMISSIONS_PART)
         val others = minOf(decommissioning.size, mostLost) + ends
-        return Admission(maxOf(1, store.maxChanges - 1 - others), store.maxValueBytes)
+        return Admission(maxOf(1, store.maxOperations - 1 - others), store.maxValueBytes)
     }
 
     private fun finishing() =
@@ -201,7 +201,9 @@
         draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
         draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
         inFlight = true
-        store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { settle(draft, it) }
+        store.compareAndSwap(draft.conditions, draft.changes, RequestPriority.LEADER) {
+            settle(draft, it)
+        }
         nextAt = context.now + period
     }
 
@@ -262,7 +264,7 @@
             val pages = job.storedPages()
             for (page in pages) {
                 // Nobody waits for it, so it never takes what a start or an end needs.
-                if (!draft.room(1, 1) || draft.changes.size >= store.writesToSpare) return
+                if (!draft.room(1, 1) || draft.changes.size >= store.spareWrites) return
                 val key = Job.pageKey(job.id, page)
                 tooLargeUntil.remove(key)
                 draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
@@ -270,7 +272,7 @@
                 draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
             }
             if (job.isDone || job.unlisted || pages.isNotEmpty()) continue
-            if (!draft.room(1, 0) || draft.changes.size >= store.writesToSpare) return
+            if (!draft.room(1, 0) || draft.changes.size >= store.spareWrites) return
             draft.changes.add(WriteOperation(remove = JobRecord.cancelledKey(job.id)))
             draft.unlisting.add(job)
         }
@@ -310,12 +312,12 @@
         when (result) {
             is StoreResult.Ok -> committed(draft, result.value)
             is StoreResult.Conflict -> conflict(draft, result.failed)
-            is StoreResult.Refused -> {
+            is StoreResult.NotExecuted -> {
                 takeBack(draft)
                 nextAt = context.now + REFUSED_PAUSE
             }
             is StoreResult.Invalid,
-            is StoreResult.Absent -> {
+            is StoreResult.NotFound -> {
                 log.error(
                     "a write was found invalid: {}",
                     draft.changes.map { it.put ?: it.remove },
--- a/src/main/kotlin/wardmux/store/KeyValueStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -27,15 +27,15 @@
     private val queue = RequestQueue(context, limiter)
 
     /** When the service last carried something out for this controller. */
-    var answeredAt = Micros.LONG_AGO
+    var lastAvailableAt = Micros.LONG_AGO
         private set
 
     /** Since when all that was asked went unanswered, or null: a quiet controller asks nothing. */
-    var troubledSince: Micros? = null
+    var unavailableSince: Micros? = null
         private set
 
     /** The most changes that one transaction may hold. */
-    val maxChanges: Int
+    val maxOperations: Int
         get() = deployment.txnOps
 
     /** The most conditions that one transaction may hold. */
@@ -46,20 +46,20 @@
      * What the layout of stored pages is made for: it stays as the version before has it, which
      * reads and writes the same keys, whatever the limits to come.
      */
-    val layoutBytes: Int = (limits.valueKb * BYTES_PER_KB).toInt()
+    val pageLayoutBytes: Int = (limits.valueKb * BYTES_PER_KB).toInt()
 
     /** The largest value that may be written. */
     val maxValueBytes: Int
         get() = (deployment.valueKb * BYTES_PER_KB).toInt()
 
     /** The leader writes for all, so most changes are its; most requests are users' questions. */
-    fun lead(leading: Boolean) {
+    fun setLeading(leading: Boolean) {
         limiter.leading = leading
     }
 
     /** Changes that this controller could make now and still have half of its burst left. */
-    val writesToSpare: Int
-        get() = limiter.writesToSpare
+    val spareWrites: Int
+        get() = limiter.spareWrites
 
     /** Reads one key. */
     fun get(
@@ -72,8 +72,8 @@
                 HttpStatus.OK ->
                     StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
                 HttpStatus.NOT_FOUND ->
-                    StoreResult.Absent(
-                        lenientJson.decodeFromString(AbsentWire.serializer(), text).revision
+                    StoreResult.NotFound(
+                        lenientJson.decodeFromString(KeyNotFoundWire.serializer(), text).revision
                     )
                 else -> failure(status)
             }
@@ -101,14 +101,14 @@
         priority: RequestPriority,
         from: String?,
         found: MutableList<ScannedKey<T>>,
-        firstEpoch: Long,
+        firstRevision: Long,
         then: (Scan<T>?) -> Unit,
     ) {
         val path = "/keys?under=$prefix&limit=1000" + if (from == null) "" else "&from=$from"
-        val answer: (StoreResult<PageWire<T>>) -> Unit = { result ->
+        val answer: (StoreResult<KeyPageWire<T>>) -> Unit = { result ->
             if (result is StoreResult.Ok) {
                 val page = result.value
-                val revision = if (from == null) page.revision else firstEpoch
+                val revision = if (from == null) page.revision else firstRevision
                 found.addAll(page.items)
                 if (page.truncated && page.items.isNotEmpty()) {
                     val last = page.items.last().key
@@ -125,17 +125,18 @@
         }
     }
 
-    private fun <T : Any> page(text: String, values: KSerializer<T>): PageWire<T> =
+    private fun <T : Any> page(text: String, values: KSerializer<T>): KeyPageWire<T> =
         try {
-            lenientJson.decodeFromString(PageWire.serializer(values), text)
+            lenientJson.decodeFromString(KeyPageWire.serializer(values), text)
         } catch (e: IllegalArgumentException) {
             log.error("a value can't be read: {}", e.message?.lineSequence()?.first())
             readable(text, values)
         }
 
     /** Value by value: one that can't be read must not keep the others from being read. */
-    private fun <T : Any> readable(text: String, values: KSerializer<T>): PageWire<T> {
-        val page = lenientJson.decodeFromString(PageWire.serializer(JsonElement.serializer()), text)
+    private fun <T : Any> readable(text: String, values: KSerializer<T>): KeyPageWire<T> {
+        val page =
+            lenientJson.decodeFromString(KeyPageWire.serializer(JsonElement.serializer()), text)
         val items =
             page.items.map { item ->
                 val value =
@@ -146,18 +147,18 @@
                     }
                 ScannedKey(item.key, value, item.version)
             }
-        return PageWire(items, page.truncated, page.revision)
+        return KeyPageWire(items, page.truncated, page.revision)
     }
 
     /** Gives the revision of the changes. */
-    fun multi(
+    fun compareAndSwap(
         conditions: List<VersionCondition>,
         changes: List<WriteOperation>,
         priority: RequestPriority,
         then: (StoreResult<Long>) -> Unit,
     ) {
-        val wire = MultiWire(conditions, changes.ifEmpty { null })
-        val body = lenientJson.encodeToString(MultiWire.serializer(), wire)
+        val wire = TransactionWire(conditions, changes.ifEmpty { null })
+        val body = lenientJson.encodeToString(TransactionWire.serializer(), wire)
         val timeout = if (changes.isEmpty()) READ_TIMEOUT else WRITE_TIMEOUT
         submit(priority, changes.size, "POST", "/multi", body, timeout, then) { status, text ->
             when (status) {
@@ -175,32 +176,36 @@
     }
 
     /** Asks for a lease of the given length; gives its number. */
-    fun grant(life: Micros, then: (StoreResult<Long>) -> Unit) {
-        val body = lenientJson.encodeToString(LifeWire.serializer(), LifeWire(life.value / 1_000))
+    fun grantLease(duration: Micros, then: (StoreResult<Long>) -> Unit) {
+        val body =
+            lenientJson.encodeToString(
+                LeaseRequestWire.serializer(),
+                LeaseRequestWire(duration.value / 1_000),
+            )
         submit(RequestPriority.LEASE, 0, "POST", "/leases", body, LEASE_TIMEOUT, then) {
             status,
             text ->
             if (status == HttpStatus.OK)
-                StoreResult.Ok(lenientJson.decodeFromString(PermitWire.serializer(), text).permit)
+                StoreResult.Ok(lenientJson.decodeFromString(LeaseWire.serializer(), text).permit)
             else failure(status)
         }
     }
 
     /** Extends a lease by its length. */
-    fun renew(lease: Long, then: (StoreResult<Unit>) -> Unit) {
+    fun renewLease(lease: Long, then: (StoreResult<Unit>) -> Unit) {
         submit(RequestPriority.LEASE, 0, "POST", "/leases/$lease/renew", "", LEASE_TIMEOUT, then) {
             s,
             _ ->
             when (s) {
                 HttpStatus.OK -> StoreResult.Ok(Unit)
-                HttpStatus.NOT_FOUND -> StoreResult.Absent(0)
+                HttpStatus.NOT_FOUND -> StoreResult.NotFound(0)
                 else -> failure(s)
             }
         }
     }
 
     /** Ends a lease; keys bound to it are removed. */
-    fun end(lease: Long, then: (StoreResult<Unit>) -> Unit) {
+    fun revokeLease(lease: Long, then: (StoreResult<Unit>) -> Unit) {
         submit(RequestPriority.LEASE, 0, "DELETE", "/leases/$lease", "", LEASE_TIMEOUT, then) { s, _
             ->
             if (s in HttpStatus.SUCCESS || s == HttpStatus.NOT_FOUND) StoreResult.Ok(Unit)
@@ -231,7 +236,7 @@
     private fun failure(status: Int): StoreResult<Nothing> =
         when (status) {
             HttpStatus.TOO_MANY_REQUESTS,
-            HttpStatus.SERVICE_UNAVAILABLE -> StoreResult.Refused
+            HttpStatus.SERVICE_UNAVAILABLE -> StoreResult.NotExecuted
             HttpStatus.BAD_REQUEST -> StoreResult.Invalid
             else -> StoreResult.Indeterminate
         }
@@ -260,16 +265,16 @@
                 }
             }
         }
-        request = QueuedRequest(writes, deadline, send, refuse = { then(StoreResult.Refused) })
+        request = QueuedRequest(writes, deadline, send, refuse = { then(StoreResult.NotExecuted) })
         queue.add(priority, request)
     }
 
     private fun recordAvailability(outcome: Outcome) {
         if (outcome is Outcome.Response && outcome.status != HttpStatus.SERVICE_UNAVAILABLE) {
-            answeredAt = context.now
-            troubledSince = null
-        } else if (troubledSince == null) {
-            troubledSince = context.now
+            lastAvailableAt = context.now
+            unavailableSince = null
+        } else if (unavailableSince == null) {
+            unavailableSince = context.now
         }
     }
 
@@ -281,7 +286,7 @@
         read: (Int, String) -> StoreResult<T>,
     ): StoreResult<T> =
         when (outcome) {
-            is Outcome.NotSent -> StoreResult.Refused
+            is Outcome.NotSent -> StoreResult.NotExecuted
             is Outcome.NoResponse -> StoreResult.Indeterminate
             is Outcome.Response ->
                 try {
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -24,7 +24,7 @@
         get() = requestTokens >= 1
 
     /** Changes that this controller could make now and still have half of its burst left. */
-    val writesToSpare: Int
+    val spareWrites: Int
         get() = (writeTokens - writeBurst() / 2).toInt()
 
     /** So many changes may be sent now. */
--- a/src/main/kotlin/wardmux/store/StoreMessages.kt
+++ b/src/main/kotlin/wardmux/store/StoreMessages.kt
@@ -14,7 +14,7 @@
 )
 
 /** The answer for a key that does not exist. */
-@Serializable internal class AbsentWire(@SerialName("epoch") val revision: Long = 0)
+@Serializable internal class KeyNotFoundWire(@SerialName("epoch") val revision: Long = 0)
 
 /** One of many keys that were read together; without [data] it can't be read. */
 @Serializable
@@ -29,7 +29,7 @@
 
 /** One page of the keys under a prefix. */
 @Serializable
-internal class PageWire<T : Any>(
+internal class KeyPageWire<T : Any>(
     @SerialName("items") val items: List<ScannedKey<T>>,
     @SerialName("truncated") val truncated: Boolean = false,
     @SerialName("epoch") val revision: Long = 0,
@@ -53,7 +53,7 @@
 
 /** A transaction. */
 @Serializable
-internal class MultiWire(
+internal class TransactionWire(
     @SerialName("if") val conditions: List<VersionCondition>,
     /** Null: the transaction only compares. */
     @SerialName("then") val then: List<WriteOperation>?,
@@ -67,10 +67,10 @@
 internal class ConflictWire(@SerialName("failed") val failed: List<String> = emptyList())
 
 /** Asks for a lease. */
-@Serializable internal class LifeWire(@SerialName("life_ms") val lifeMs: Long)
+@Serializable internal class LeaseRequestWire(@SerialName("life_ms") val lifeMs: Long)
 
 /** The answer that grants a lease. */
-@Serializable internal class PermitWire(@SerialName("permit") val permit: Long)
+@Serializable internal class LeaseWire(@SerialName("permit") val permit: Long)
 
 /** One change that a watch has seen: a put (with [data]) or a removal. */
 @Serializable
@@ -94,13 +94,13 @@
     data class Ok<T>(val value: T) : StoreResult<T>
 
     /** The key or lease is not there; [revision] is the revision at which it was not. */
-    data class Absent(val revision: Long) : StoreResult<Nothing>
+    data class NotFound(val revision: Long) : StoreResult<Nothing>
 
     /** A condition of the transaction did not hold: the keys that [failed]. */
     data class Conflict(val failed: List<String>) : StoreResult<Nothing>
 
     /** Surely not executed: refused by the service, or given up before it was sent. */
-    data object Refused : StoreResult<Nothing>
+    data object NotExecuted : StoreResult<Nothing>
 
     /** May have been executed, or may still be. */
     data object Indeterminate : StoreResult<Nothing>
--- a/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
@@ -39,7 +39,7 @@
         pass(4) {
             repeat(5) { store.get("j/job-000001", RequestPriority.LEADER) {} }
             store.get("j/job-000002", RequestPriority.READ) {
-                if (it is StoreResult.Refused) refused++
+                if (it is StoreResult.NotExecuted) refused++
             }
         }
         // All but those of the last 1.2 s.
