--- a/src/main/kotlin/wardmux/core/HttpStatus.kt
+++ b/src/main/kotlin/wardmux/core/HttpStatus.kt
@@ -4,10 +4,10 @@
  * The HTTP status codes that the protocols between users, workers, controllers and services use.
  */
 object HttpStatus {
-    /** Carried out. */
+    /** The request succeeded. */
     const val OK = 200
 
-    /** Carried out, and something new came of it. */
+    /** The request succeeded and created something. */
     const val CREATED = 201
 
     /** The request is malformed. */
@@ -22,16 +22,16 @@
     /** A condition of the request does not hold. */
     const val CONFLICT = 409
 
-    /** The revision to go on from is no longer kept. */
+    /** The store no longer keeps the revision that a watch was to start from. */
     const val GONE = 410
 
-    /** Another controller answers this worker. */
+    /** The worker is to send its heartbeats to another controller. */
     const val MISDIRECTED_REQUEST = 421
 
-    /** Refused for a rate limit. */
+    /** Rejected for a rate limit. */
     const val TOO_MANY_REQUESTS = 429
 
-    /** Refused for now. */
+    /** Rejected for now; may be sent again. */
     const val SERVICE_UNAVAILABLE = 503
 
     /** All statuses that mean success. */
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -4,7 +4,9 @@
 import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.logging.logger
+import wardmux.model.KeyVersion
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
@@ -13,7 +15,7 @@
 import wardmux.store.WriteOperation
 
 /** A drain as this leader last read or wrote it. */
-class StoredDrain(val record: DrainRecord, val version: Long)
+class StoredDrain(val record: DrainRecord, val version: KeyVersion)
 
 /** What became of a write of a drain. */
 enum class DrainWrite {
@@ -111,14 +113,14 @@
         val id = record.request.id
         val mine = generation
         writing[id] = record
-        val version = drains[id]?.version ?: 0
+        val version = drains[id]?.version ?: KeyVersion.ABSENT
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, version))
         val change = WriteOperation(put = key, data = record.toJson())
         store.compareAndSwap(conditions, listOf(change), RequestPriority.LEADER) { result ->
             if (mine != generation) return@compareAndSwap then(record, DrainWrite.UNKNOWN)
             writing.remove(id)
-            if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value)
+            if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value.keyVersion)
             then(record, outcome(result))
         }
     }
@@ -141,7 +143,7 @@
         }
     }
 
-    private fun outcome(result: StoreResult<Long>): DrainWrite =
+    private fun outcome(result: StoreResult<Revision>): DrainWrite =
         when (result) {
             is StoreResult.Ok -> DrainWrite.WRITTEN
             is StoreResult.NotExecuted -> DrainWrite.REFUSED
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -6,8 +6,10 @@
 import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.KeyVersion
+import wardmux.model.LeaseId
 import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
@@ -29,10 +31,10 @@
     /** [leader] is the last known, or null. */
     data class Follower(val leader: String?, val token: FencingToken?) : Role
 
-    data class Leader(val token: FencingToken, val lease: Long) : Role {
+    data class Leader(val token: FencingToken, val lease: LeaseId) : Role {
         /** Every write of the leader holds only while its key is as it was written. */
         val condition: VersionCondition
-            get() = VersionCondition(LeaderElection.KEY, token.value)
+            get() = VersionCondition(LeaderElection.KEY, KeyVersion(token.value))
     }
 }
 
@@ -62,7 +64,7 @@
     private var leaseValidUntil = Micros.LONG_AGO
 
     /** The lease that this process was last given; any other is a former process's. */
-    private var granted: Long? = null
+    private var granted: LeaseId? = null
 
     /** When what a follower knows of the leader was last borne out. */
     private var informedAt = Micros.LONG_AGO
@@ -126,7 +128,7 @@
         store.get(KEY, RequestPriority.LEASE) { result ->
             when (result) {
                 is StoreResult.Ok ->
-                    found(result.value.data, KeyVersion(result.value.version), result.value.permit)
+                    found(result.value.data, result.value.version, result.value.lease)
                 is StoreResult.NotFound -> stand()
                 else -> lookAgain(RETRY)
             }
@@ -136,7 +138,7 @@
     private fun found(
         data: kotlinx.serialization.json.JsonElement,
         version: KeyVersion,
-        lease: Long?,
+        lease: LeaseId?,
     ) {
         val record =
             try {
@@ -178,16 +180,16 @@
                 WriteOperation(
                     put = KEY,
                     data = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record),
-                    permit = lease,
+                    lease = lease,
                 )
             store.compareAndSwap(
-                listOf(VersionCondition(KEY, 0)),
+                listOf(VersionCondition(KEY, KeyVersion.ABSENT)),
                 listOf(change),
                 RequestPriority.LEASE,
             ) { written ->
                 when (written) {
                     is StoreResult.Ok ->
-                        take(Role.Leader(FencingToken(written.value), lease), askedAt)
+                        take(Role.Leader(FencingToken(written.value.value), lease), askedAt)
                     is StoreResult.Conflict -> {
                         store.revokeLease(lease) {}
                         lookAgain(Micros.ZERO)
@@ -215,10 +217,10 @@
             log.info("following {} with token {}", leader, token)
         role = Role.Follower(leader, token)
         informedAt = context.now
-        watch(token.value)
+        watch(Revision(token.value))
     }
 
-    private fun watch(from: Long) {
+    private fun watch(from: Revision) {
         // Before users' questions: behind many of them a follower would not learn who leads.
         store.watch(KEY, from, WATCH_TIME, RequestPriority.LEASE) { result ->
             if (role is Role.Leader) return@watch
--- a/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
@@ -7,6 +7,7 @@
 import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.store.KeyValueStore
@@ -41,7 +42,7 @@
 
     private fun await(
         batch: HeartbeatBatch,
-        from: Long,
+        from: Revision,
         until: Micros,
         then: (HeartbeatBatchResponse?) -> Unit,
     ) {
@@ -79,7 +80,7 @@
     private val take: (HeartbeatBatch) -> HeartbeatBatchResponse?,
 ) {
     private val log = logger<StoredBatchServer>()
-    private var watchFrom = role.token.value
+    private var watchFrom = Revision(role.token.value)
     private var watchAt: Micros? = Micros.LONG_AGO
     private val answers = LinkedHashMap<String, HeartbeatBatchResponse>()
     private var writing = false
@@ -113,7 +114,8 @@
                     watchAt = context.now
                 }
                 // Too old to go on from: whoever waits for an answer asks again.
-                is StoreResult.Invalid -> rescan()
+                is StoreResult.InvalidRequest,
+                is StoreResult.Compacted -> rescan()
                 else -> watchAt = context.now + RETRY
             }
         }
--- a/src/main/kotlin/wardmux/jobs/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -147,11 +147,11 @@
                 WriteOperation(put = JobRecord.key(id), data = record),
                 WriteOperation(put = JobRecord.openKey(id), data = record),
             )
-        val absent = listOf(VersionCondition(JobRecord.key(id), 0))
+        val absent = listOf(VersionCondition(JobRecord.key(id), KeyVersion.ABSENT))
         store.compareAndSwap(absent, changes, RequestPriority.USER_WRITE) { result ->
             when (result) {
                 is StoreResult.Ok -> {
-                    polls.learn(id, KeyVersion(result.value))
+                    polls.learn(id, result.value.keyVersion)
                     log.info(
                         "{} accepted: {} {} tasks of {} CPUs for {}",
                         id,
@@ -166,7 +166,7 @@
                 // Perhaps written: read before anything is said.
                 is StoreResult.Indeterminate -> settle(call, id) { later(call) }
                 // Found too large by how the service counts; it is not asked that again.
-                is StoreResult.Invalid ->
+                is StoreResult.InvalidRequest ->
                     if (JobRecord.takes(spec) > mostRecordBytes) refuse(call, id, 422, TOO_LARGE)
                     else later(call)
                 else -> later(call)
@@ -238,7 +238,7 @@
 
     private fun answerRecord(call: Long, id: JobId, item: KeyValue) {
         val state = JobRecord.of(item.data)?.state ?: return later(call)
-        if (state == JobState.ACCEPTED) polls.learn(id, KeyVersion(item.version))
+        if (state == JobState.ACCEPTED) polls.learn(id, item.version)
         learnFinal(id, state)
         answerState(call, 200, id, state)
     }
--- a/src/main/kotlin/wardmux/jobs/Polls.kt
+++ b/src/main/kotlin/wardmux/jobs/Polls.kt
@@ -112,7 +112,9 @@
             if (!open.containsKey(job.value)) continue
             jobs.remove()
             asked[job] = questions
-            conditions.add(VersionCondition(JobRecord.key(job), open.getLong(job.value)))
+            conditions.add(
+                VersionCondition(JobRecord.key(job), KeyVersion(open.getLong(job.value)))
+            )
         }
         comparing++
         store.compareAndSwap(conditions, emptyList(), RequestPriority.READ) { result ->
@@ -163,7 +165,7 @@
             for (item in found?.items.orEmpty()) {
                 val job = JobId(item.key.removePrefix(JobRecord.OPEN_PREFIX))
                 listed.add(job)
-                learn(job, KeyVersion(item.version))
+                learn(job, item.version)
             }
             for ((job, questions) in asked) {
                 when {
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -30,6 +30,7 @@
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.peers.Cancellations
@@ -171,7 +172,7 @@
     private var watchGeneration = 0
     private var loadAt: Micros? = Micros.LONG_AGO
     private var watchAt: Micros? = null
-    private var watchFrom = 0L
+    private var watchFrom = Revision.ZERO
     private var nextPreemptionAt = Micros.LONG_AGO
 
     /** What had changed when the last plan was made, and when the next is made whatever has not. */
@@ -326,8 +327,8 @@
 
     private fun load(state: StoredState, askedAt: Micros) {
         state.tags?.let { queue.load(it.data) }
-        placementStore.tagsVersion = state.tags?.version ?: 0
-        for (item in state.openJobs.items) addJob(item.data ?: continue, KeyVersion(item.version))
+        placementStore.tagsVersion = state.tags?.version?.value ?: 0
+        for (item in state.openJobs.items) addJob(item.data ?: continue, item.version)
         for (item in state.cancelledJobs) loadCancelled(item)
         cancellations.shown(askedAt)
         for (item in state.pages) loadPage(item)
@@ -356,7 +357,7 @@
         // One that was cancelled since the open ones were read: the watch tells that.
         if (id in cluster.jobs) return
         // When its user was told is not stored: unless this process knows, as long ago as can be.
-        addJob(item.data ?: return, KeyVersion(item.version))?.let {
+        addJob(item.data ?: return, item.version)?.let {
             cluster.cancel(it, cancellations.toldSince(id))
         }
     }
@@ -375,7 +376,7 @@
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         // Nothing of a done job is on a machine; its pages are only to be removed.
         val job = cluster.jobs.getOrPut(id) { CompletedJobs.of(id, pageSize) }
-        val placed = job.load(page, item.version, item.data)
+        val placed = job.load(page, item.version.value, item.data)
         if (job.isDone) return job.placements.clear()
         for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
     }
@@ -405,7 +406,8 @@
                     planAndWrite()
                 }
                 // Too old to go on from.
-                is StoreResult.Invalid -> lost()
+                is StoreResult.InvalidRequest,
+                is StoreResult.Compacted -> lost()
                 else -> watchAt = context.now + WATCH_RETRY
             }
         }
@@ -415,7 +417,7 @@
         val put = event.put
         val removed = event.remove
         if (put != null && event.data != null) {
-            JobRecord.of(event.data)?.let { addJob(it, KeyVersion(event.version)) }
+            JobRecord.of(event.data)?.let { addJob(it, event.version) }
         } else if (removed != null) {
             // Of a job that is done it was this leader that removed it.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -10,6 +10,7 @@
 import wardmux.store.KeyValue
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
+import wardmux.store.ScanResult
 import wardmux.store.ScannedKey
 import wardmux.store.StoreResult
 
@@ -18,7 +19,7 @@
     /** Tags and usage of all teams; null if no leader has written them yet. */
     val tags: KeyValue?,
     /** Jobs that were open, with the revision from which changes to them are watched. */
-    val openJobs: KeyValueStore.Scan<JobRecord>,
+    val openJobs: ScanResult<JobRecord>,
     val pages: List<ScannedKey<StoredPage>>,
     val decommissionedMachines: List<ScannedKey<JsonElement>>,
     val cancelledJobs: List<ScannedKey<JobRecord>>,
@@ -52,7 +53,7 @@
 
     private inner class Reading(private val then: (StoredState?) -> Unit) {
         private var tags: KeyValue? = null
-        private lateinit var openJobs: KeyValueStore.Scan<JobRecord>
+        private lateinit var openJobs: ScanResult<JobRecord>
         private lateinit var pages: List<ScannedKey<StoredPage>>
         private lateinit var decommissionedMachines: List<ScannedKey<JsonElement>>
 
@@ -100,7 +101,7 @@
         private fun <T : Any> scan(
             prefix: String,
             values: KSerializer<T>,
-            next: (KeyValueStore.Scan<T>) -> Unit,
+            next: (ScanResult<T>) -> Unit,
         ) {
             store.scan(prefix, values) { found ->
                 if (current !== this) return@scan
--- a/src/main/kotlin/wardmux/model/Identifiers.kt
+++ b/src/main/kotlin/wardmux/model/Identifiers.kt
@@ -1,5 +1,7 @@
 package wardmux.model
 
+import kotlinx.serialization.Serializable
+
 /** The id of a job, as its user gave it. */
 @JvmInline
 value class JobId(val value: String) {
@@ -27,7 +29,10 @@
     override fun toString() = value
 }
 
-/** Identifies who is entitled to give orders; the revision of the write that took leadership. */
+/**
+ * Identifies one leadership, and with it who may command workers: the revision of the write that
+ * took the leader key. A later leader's token is larger.
+ */
 @JvmInline
 value class FencingToken(val value: Long) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = value.compareTo(other.value)
@@ -35,10 +40,39 @@
     override fun toString() = value.toString()
 }
 
-/** Revision of a key's last change in the state service; [ABSENT] means that it does not exist. */
+/** Counts the changes of the whole key-value store. */
+@Serializable
+@JvmInline
+value class Revision(val value: Long) : Comparable<Revision> {
+    /** The version of a key that was written at this revision. */
+    val keyVersion: KeyVersion
+        get() = KeyVersion(value)
+
+    override fun compareTo(other: Revision) = value.compareTo(other.value)
+
+    override fun toString() = value.toString()
+
+    companion object {
+        /** Before all changes. */
+        val ZERO = Revision(0)
+    }
+}
+
+/** The revision of a key's last change in the key-value store; [ABSENT] if it does not exist. */
+@Serializable
 @JvmInline
 value class KeyVersion(val value: Long) {
+    override fun toString() = value.toString()
+
     companion object {
+        /** The version of a key that does not exist. */
         val ABSENT = KeyVersion(0)
     }
 }
+
+/** A lease of the key-value store, to which keys can be bound. */
+@Serializable
+@JvmInline
+value class LeaseId(val value: Long) {
+    override fun toString() = value.toString()
+}
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -12,9 +12,11 @@
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.Placement
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.JobRecord
@@ -198,7 +200,7 @@
         addRemovals(draft)
         addExpiredDecommissions(draft)
         if (draft.changes.isEmpty()) return
-        draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
+        draft.conditions.add(VersionCondition(FairQueue.KEY, KeyVersion(tagsVersion)))
         draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
         inFlight = true
         store.compareAndSwap(draft.conditions, draft.changes, RequestPriority.LEADER) {
@@ -213,7 +215,7 @@
                 if (!job.hasPlanned(page)) continue
                 if (!draft.room(1, 2)) return
                 if (addPage(draft, job, page)) {
-                    draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
+                    draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version))
                 } else {
                     // No start goes out without its record.
                     for (placement in job.placementsOf(page)) {
@@ -227,7 +229,7 @@
     private fun addFinished(draft: Draft) {
         for (job in finishing()) {
             if (!draft.room(2, 1)) return
-            draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
+            draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version))
             val record = JobRecord(JobState.DONE, job.acceptedAt.value)
             draft.put(JobRecord.key(job.id), record.toJson())
             draft.changes.add(WriteOperation(remove = JobRecord.openKey(job.id)))
@@ -267,7 +269,7 @@
                 if (!draft.room(1, 1) || draft.changes.size >= store.spareWrites) return
                 val key = Job.pageKey(job.id, page)
                 tooLargeUntil.remove(key)
-                draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+                draft.conditions.add(VersionCondition(key, KeyVersion(job.pageVersion(page))))
                 draft.changes.add(WriteOperation(remove = key))
                 draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
             }
@@ -299,7 +301,7 @@
             return false
         }
         tooLargeUntil.remove(key)
-        draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+        draft.conditions.add(VersionCondition(key, KeyVersion(job.pageVersion(page))))
         draft.put(key, content.data)
         val planned = job.placementsOf(page).filter { !it.committed }
         draft.pages.add(WrittenPage(job, page, content.done, planned, removed = false))
@@ -307,16 +309,17 @@
         return true
     }
 
-    private fun settle(draft: Draft, result: StoreResult<Long>) {
+    private fun settle(draft: Draft, result: StoreResult<Revision>) {
         inFlight = false
         when (result) {
-            is StoreResult.Ok -> committed(draft, result.value)
+            is StoreResult.Ok -> committed(draft, result.value.value)
             is StoreResult.Conflict -> conflict(draft, result.failed)
             is StoreResult.NotExecuted -> {
                 takeBack(draft)
                 nextAt = context.now + REFUSED_PAUSE
             }
-            is StoreResult.Invalid,
+            is StoreResult.InvalidRequest,
+            is StoreResult.Compacted,
             is StoreResult.NotFound -> {
                 log.error(
                     "a write was found invalid: {}",
--- a/src/main/kotlin/wardmux/serialization/JsonFormat.kt
+++ b/src/main/kotlin/wardmux/serialization/JsonFormat.kt
@@ -3,12 +3,14 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
-private const val ESCAPED: Int = 6
+/** A character as `\uXXXX`. */
+private const val ESCAPED_CHARACTER_BYTES = 6
 
-/** The most bytes that a value takes, also where the service escapes what is not ASCII. */
-fun jsonBytes(data: JsonElement): Int = data.toString().sumOf { if (it < '\u0080') 1 else ESCAPED }
+/** The most bytes that [data] takes in the key-value store, which may escape what is not ASCII. */
+fun jsonBytes(data: JsonElement): Int =
+    data.toString().sumOf { if (it < '\u0080') 1 else ESCAPED_CHARACTER_BYTES }
 
-/** Every other interface of the service is lenient in what it takes, as PROTOCOL asks. */
+/** JSON of all interfaces: unknown fields are ignored, as PROTOCOL asks, and nulls left out. */
 val lenientJson = Json {
     ignoreUnknownKeys = true
     explicitNulls = false
--- a/src/main/kotlin/wardmux/store/KeyValueStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -1,312 +1,209 @@
 package wardmux.store
 
 import kotlinx.serialization.KSerializer
-import kotlinx.serialization.SerializationException
-import kotlinx.serialization.json.JsonElement
 import wardmux.config.StoreLimits
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
-import wardmux.core.Outcome
-import wardmux.core.Target
-import wardmux.logging.logger
+import wardmux.model.LeaseId
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 
 /**
- * The state service as this controller may use it: its share of the request and write limits, the
- * lease before all else, and never more than the service's own limits on one transaction.
+ * Client of the consensus-backed key-value store. Keeps to this controller's share of the rate
+ * limits, sends requests for leases before all others, and knows the limits on one transaction.
+ * Every request ends in exactly one [StoreResult].
  */
-class KeyValueStore(private val context: CoreContext, limits: StoreLimits, nodes: Int) {
-    /** Lower limits may hold from any moment on, so they are kept from the start. */
-    private val deployment = limits.lowest
+class KeyValueStore(context: CoreContext, limits: StoreLimits, controllers: Int) {
+    /** Lower limits may apply from any moment on, so they are kept from the start. */
+    private val lowestLimits = limits.lowest
+    private val client = StoreClient(context, lowestLimits, controllers)
 
-    private val log = logger<KeyValueStore>()
-    private val limiter = RateLimiter(context, deployment, nodes)
-    private val queue = RequestQueue(context, limiter)
+    /** When the store last answered with anything but that it is unavailable. */
+    val lastAvailableAt: Micros
+        get() = client.lastAvailableAt
 
-    /** When the service last carried something out for this controller. */
-    var lastAvailableAt = Micros.LONG_AGO
-        private set
+    /** Since when no request was answered, or null if the last one was or none was sent yet. */
+    val unavailableSince: Micros?
+        get() = client.unavailableSince
 
-    /** Since when all that was asked went unanswered, or null: a quiet controller asks nothing. */
-    var unavailableSince: Micros? = null
-        private set
-
-    /** The most changes that one transaction may hold. */
+    /** The most writes that one transaction may hold. */
     val maxOperations: Int
-        get() = deployment.txnOps
+        get() = lowestLimits.txnOps
 
     /** The most conditions that one transaction may hold. */
     val maxConditions: Int
-        get() = deployment.txnOps * CONDITIONS_PER_CHANGE
+        get() = lowestLimits.txnOps * CONDITIONS_PER_OPERATION
 
     /**
-     * What the layout of stored pages is made for: it stays as the version before has it, which
-     * reads and writes the same keys, whatever the limits to come.
+     * The value size, in bytes, that the layout of stored pages is made for. It does not follow
+     * lowered limits: controllers of the version before read and write the same keys.
      */
     val pageLayoutBytes: Int = (limits.valueKb * BYTES_PER_KB).toInt()
 
-    /** The largest value that may be written. */
+    /** The largest value that may be written, in bytes. */
     val maxValueBytes: Int
-        get() = (deployment.valueKb * BYTES_PER_KB).toInt()
+        get() = (lowestLimits.valueKb * BYTES_PER_KB).toInt()
+
+    /** Writes that this controller could make now and still have half of its burst left. */
+    val spareWrites: Int
+        get() = client.limiter.spareWrites
 
-    /** The leader writes for all, so most changes are its; most requests are users' questions. */
+    /** Whether this controller leads: the leader has a larger share of the rate limits. */
     fun setLeading(leading: Boolean) {
-        limiter.leading = leading
+        client.limiter.leading = leading
     }
 
-    /** Changes that this controller could make now and still have half of its burst left. */
-    val spareWrites: Int
-        get() = limiter.spareWrites
-
-    /** Reads one key. */
+    /** Reads one key; [StoreResult.NotFound] if it does not exist. */
     fun get(
         key: String,
         priority: RequestPriority = RequestPriority.READ,
         then: (StoreResult<KeyValue>) -> Unit,
     ) {
-        submit(priority, 0, "GET", "/keys/$key", "", READ_TIMEOUT, then) { status, text ->
-            when (status) {
-                HttpStatus.OK ->
-                    StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
-                HttpStatus.NOT_FOUND ->
-                    StoreResult.NotFound(
-                        lenientJson.decodeFromString(KeyNotFoundWire.serializer(), text).revision
-                    )
-                else -> failure(status)
+        val request =
+            StoreRequest(priority, "GET", "/keys/$key", READ_TIMEOUT) { status, text ->
+                when (status) {
+                    HttpStatus.OK ->
+                        StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
+                    HttpStatus.NOT_FOUND -> StoreResult.NotFound(revisionOfAbsence(text))
+                    else -> StoreClient.failure(status)
+                }
             }
-        }
+        client.submit(request, then)
     }
 
+    private fun revisionOfAbsence(text: String) =
+        lenientJson.decodeFromString(KeyNotFoundWire.serializer(), text).revision
+
     /**
-     * All keys under [prefix] and the revision of the first page, or null if they can't be had.
-     * What is wanted of them is read straight from the answer: a new leader reads thousands at
-     * once, on a fraction of a core.
+     * Reads all keys under [prefix]; [then] gets null if they can't be had. [values] decodes them
+     * straight from the response: a new leader reads thousands at once, on a fraction of a core.
      */
     fun <T : Any> scan(
         prefix: String,
         values: KSerializer<T>,
         priority: RequestPriority = RequestPriority.LEADER,
-        then: (Scan<T>?) -> Unit,
-    ) = scanPage(prefix, values, priority, null, ArrayList(), 0, then)
-
-    /** All that was found under a prefix, and the revision of the first page. */
-    class Scan<T : Any>(val items: List<ScannedKey<T>>, val revision: Long)
+        then: (ScanResult<T>?) -> Unit,
+    ) = PrefixScan(client, prefix, values, priority, READ_TIMEOUT, then).start()
 
-    private fun <T : Any> scanPage(
-        prefix: String,
-        values: KSerializer<T>,
+    /**
+     * Applies all [operations] if all [conditions] hold, else none ([StoreResult.Conflict]). The
+     * result is the revision of the writes, which is the new version of every key written.
+     */
+    fun compareAndSwap(
+        conditions: List<VersionCondition>,
+        operations: List<WriteOperation>,
         priority: RequestPriority,
-        from: String?,
-        found: MutableList<ScannedKey<T>>,
-        firstRevision: Long,
-        then: (Scan<T>?) -> Unit,
+        then: (StoreResult<Revision>) -> Unit,
     ) {
-        val path = "/keys?under=$prefix&limit=1000" + if (from == null) "" else "&from=$from"
-        val answer: (StoreResult<KeyPageWire<T>>) -> Unit = { result ->
-            if (result is StoreResult.Ok) {
-                val page = result.value
-                val revision = if (from == null) page.revision else firstRevision
-                found.addAll(page.items)
-                if (page.truncated && page.items.isNotEmpty()) {
-                    val last = page.items.last().key
-                    scanPage(prefix, values, priority, last, found, revision, then)
-                } else {
-                    then(Scan(found, revision))
+        val wire = TransactionWire(conditions, operations.ifEmpty { null })
+        val body = lenientJson.encodeToString(TransactionWire.serializer(), wire)
+        val timeout = if (operations.isEmpty()) READ_TIMEOUT else WRITE_TIMEOUT
+        val request =
+            StoreRequest(priority, "POST", "/multi", timeout, body, operations.size) { status, text
+                ->
+                when (status) {
+                    HttpStatus.OK -> StoreResult.Ok(revisionOfCommit(text))
+                    HttpStatus.CONFLICT -> StoreResult.Conflict(failedConditions(text))
+                    else -> StoreClient.failure(status)
                 }
-            } else {
-                then(null)
             }
-        }
-        submit(priority, 0, "GET", path, "", READ_TIMEOUT, answer) { status, text ->
-            if (status == HttpStatus.OK) StoreResult.Ok(page(text, values)) else failure(status)
-        }
+        client.submit(request, then)
     }
 
-    private fun <T : Any> page(text: String, values: KSerializer<T>): KeyPageWire<T> =
-        try {
-            lenientJson.decodeFromString(KeyPageWire.serializer(values), text)
-        } catch (e: IllegalArgumentException) {
-            log.error("a value can't be read: {}", e.message?.lineSequence()?.first())
-            readable(text, values)
-        }
+    private fun revisionOfCommit(text: String) =
+        lenientJson.decodeFromString(CommittedWire.serializer(), text).revision
 
-    /** Value by value: one that can't be read must not keep the others from being read. */
-    private fun <T : Any> readable(text: String, values: KSerializer<T>): KeyPageWire<T> {
-        val page =
-            lenientJson.decodeFromString(KeyPageWire.serializer(JsonElement.serializer()), text)
-        val items =
-            page.items.map { item ->
-                val value =
-                    try {
-                        item.data?.let { lenientJson.decodeFromJsonElement(values, it) }
-                    } catch (e: IllegalArgumentException) {
-                        null
-                    }
-                ScannedKey(item.key, value, item.version)
-            }
-        return KeyPageWire(items, page.truncated, page.revision)
-    }
+    private fun failedConditions(text: String) =
+        lenientJson.decodeFromString(ConflictWire.serializer(), text).failed
 
-    /** Gives the revision of the changes. */
-    fun compareAndSwap(
-        conditions: List<VersionCondition>,
-        changes: List<WriteOperation>,
-        priority: RequestPriority,
-        then: (StoreResult<Long>) -> Unit,
-    ) {
-        val wire = TransactionWire(conditions, changes.ifEmpty { null })
-        val body = lenientJson.encodeToString(TransactionWire.serializer(), wire)
-        val timeout = if (changes.isEmpty()) READ_TIMEOUT else WRITE_TIMEOUT
-        submit(priority, changes.size, "POST", "/multi", body, timeout, then) { status, text ->
-            when (status) {
-                HttpStatus.OK ->
-                    StoreResult.Ok(
-                        lenientJson.decodeFromString(CommittedWire.serializer(), text).revision
-                    )
-                HttpStatus.CONFLICT ->
-                    StoreResult.Conflict(
-                        lenientJson.decodeFromString(ConflictWire.serializer(), text).failed
-                    )
-                else -> failure(status)
+    /** Asks for a lease of the given [duration]. */
+    fun grantLease(duration: Micros, then: (StoreResult<LeaseId>) -> Unit) {
+        val wire = LeaseRequestWire(duration.value / MICROS_PER_MS)
+        val body = lenientJson.encodeToString(LeaseRequestWire.serializer(), wire)
+        val request =
+            leaseRequest("POST", "/leases", body) { status, text ->
+                if (status == HttpStatus.OK) StoreResult.Ok(grantedLease(text))
+                else StoreClient.failure(status)
             }
-        }
+        client.submit(request, then)
     }
 
-    /** Asks for a lease of the given length; gives its number. */
-    fun grantLease(duration: Micros, then: (StoreResult<Long>) -> Unit) {
-        val body =
-            lenientJson.encodeToString(
-                LeaseRequestWire.serializer(),
-                LeaseRequestWire(duration.value / 1_000),
-            )
-        submit(RequestPriority.LEASE, 0, "POST", "/leases", body, LEASE_TIMEOUT, then) {
-            status,
-            text ->
-            if (status == HttpStatus.OK)
-                StoreResult.Ok(lenientJson.decodeFromString(LeaseWire.serializer(), text).permit)
-            else failure(status)
-        }
+    private fun grantedLease(text: String) =
+        lenientJson.decodeFromString(LeaseWire.serializer(), text).lease
+
+    /** Extends a lease by its duration; [StoreResult.NotFound] if it has expired. */
+    fun renewLease(lease: LeaseId, then: (StoreResult<Unit>) -> Unit) {
+        val request =
+            leaseRequest("POST", "/leases/${lease.value}/renew") { status, _ ->
+                when (status) {
+                    HttpStatus.OK -> StoreResult.Ok(Unit)
+                    HttpStatus.NOT_FOUND -> StoreResult.NotFound(Revision.ZERO)
+                    else -> StoreClient.failure(status)
+                }
+            }
+        client.submit(request, then)
     }
 
-    /** Extends a lease by its length. */
-    fun renewLease(lease: Long, then: (StoreResult<Unit>) -> Unit) {
-        submit(RequestPriority.LEASE, 0, "POST", "/leases/$lease/renew", "", LEASE_TIMEOUT, then) {
-            s,
-            _ ->
-            when (s) {
-                HttpStatus.OK -> StoreResult.Ok(Unit)
-                HttpStatus.NOT_FOUND -> StoreResult.NotFound(0)
-                else -> failure(s)
+    /** Ends a lease, also one that has expired; keys bound to it are removed. */
+    fun revokeLease(lease: LeaseId, then: (StoreResult<Unit>) -> Unit) {
+        val request =
+            leaseRequest("DELETE", "/leases/${lease.value}") { status, _ ->
+                if (status in HttpStatus.SUCCESS || status == HttpStatus.NOT_FOUND)
+                    StoreResult.Ok(Unit)
+                else StoreClient.failure(status)
             }
-        }
+        client.submit(request, then)
     }
 
-    /** Ends a lease; keys bound to it are removed. */
-    fun revokeLease(lease: Long, then: (StoreResult<Unit>) -> Unit) {
-        submit(RequestPriority.LEASE, 0, "DELETE", "/leases/$lease", "", LEASE_TIMEOUT, then) { s, _
-            ->
-            if (s in HttpStatus.SUCCESS || s == HttpStatus.NOT_FOUND) StoreResult.Ok(Unit)
-            else failure(s)
-        }
-    }
+    private fun <T> leaseRequest(
+        method: String,
+        path: String,
+        body: String = "",
+        reader: ResponseReader<T>,
+    ) = StoreRequest(RequestPriority.LEASE, method, path, LEASE_TIMEOUT, body, reader = reader)
 
-    /** Waits up to [block] for changes under [prefix] after the revision [from]. */
+    /**
+     * Waits up to [maxWait] for changes under [prefix] after the revision [from];
+     * [StoreResult.Compacted] if the store no longer keeps what changed since then.
+     */
     fun watch(
         prefix: String,
-        from: Long,
-        block: Micros,
+        from: Revision,
+        maxWait: Micros,
         priority: RequestPriority,
         then: (StoreResult<WatchResponse>) -> Unit,
     ) {
-        val path = "/watch?under=$prefix&from=$from&block_ms=${block.value / 1_000}"
-        val timeout = block + WATCH_SLACK
-        submit(priority, 0, "GET", path, "", timeout, then) { status, text ->
-            when (status) {
-                HttpStatus.OK ->
-                    StoreResult.Ok(lenientJson.decodeFromString(WatchResponse.serializer(), text))
-                HttpStatus.GONE -> StoreResult.Invalid
-                else -> failure(status)
-            }
-        }
-    }
-
-    private fun failure(status: Int): StoreResult<Nothing> =
-        when (status) {
-            HttpStatus.TOO_MANY_REQUESTS,
-            HttpStatus.SERVICE_UNAVAILABLE -> StoreResult.NotExecuted
-            HttpStatus.BAD_REQUEST -> StoreResult.Invalid
-            else -> StoreResult.Indeterminate
-        }
-
-    private fun <T> submit(
-        priority: RequestPriority,
-        writes: Int,
-        method: String,
-        path: String,
-        body: String,
-        timeout: Micros,
-        then: (StoreResult<T>) -> Unit,
-        read: (Int, String) -> StoreResult<T>,
-    ) {
-        val bytes = body.encodeToByteArray()
-        val deadline = context.now + QUEUE_TIME
-        lateinit var request: QueuedRequest
-        val send = {
-            context.send(Target.KeyValueStore, method, path, bytes, timeout) { outcome ->
-                if (isRateLimited(outcome) && context.now < deadline) {
-                    // Others had used up the limits for now.
-                    queue.retry(priority, request)
-                } else {
-                    recordAvailability(outcome)
-                    then(interpret(outcome, read))
+        val waitMs = maxWait.value / MICROS_PER_MS
+        val path = "/watch?under=$prefix&from=${from.value}&block_ms=$waitMs"
+        val request =
+            StoreRequest(priority, "GET", path, maxWait + WATCH_SLACK) { status, text ->
+                when (status) {
+                    HttpStatus.OK -> StoreResult.Ok(watchResponse(text))
+                    HttpStatus.GONE -> StoreResult.Compacted
+                    else -> StoreClient.failure(status)
                 }
             }
-        }
-        request = QueuedRequest(writes, deadline, send, refuse = { then(StoreResult.NotExecuted) })
-        queue.add(priority, request)
+        client.submit(request, then)
     }
 
-    private fun recordAvailability(outcome: Outcome) {
-        if (outcome is Outcome.Response && outcome.status != HttpStatus.SERVICE_UNAVAILABLE) {
-            lastAvailableAt = context.now
-            unavailableSince = null
-        } else if (unavailableSince == null) {
-            unavailableSince = context.now
-        }
-    }
-
-    private fun isRateLimited(outcome: Outcome) =
-        outcome is Outcome.Response && outcome.status == HttpStatus.TOO_MANY_REQUESTS
+    private fun watchResponse(text: String) =
+        lenientJson.decodeFromString(WatchResponse.serializer(), text)
 
-    private fun <T> interpret(
-        outcome: Outcome,
-        read: (Int, String) -> StoreResult<T>,
-    ): StoreResult<T> =
-        when (outcome) {
-            is Outcome.NotSent -> StoreResult.NotExecuted
-            is Outcome.NoResponse -> StoreResult.Indeterminate
-            is Outcome.Response ->
-                try {
-                    read(outcome.status, outcome.text)
-                } catch (e: SerializationException) {
-                    log.error("state service answered {}: {}", outcome.status, e.message)
-                    StoreResult.Indeterminate
-                }
-        }
-
-    /** Sends what the limits allow; refuses what has waited too long. */
-    fun sendDue() = queue.sendDue()
+    /** Sends what the limits allow, and ends requests that have waited too long. */
+    fun sendDue() = client.sendDue()
 
     private companion object {
-        const val CONDITIONS_PER_CHANGE = 4
-        const val BYTES_PER_KB = 1024
-        val QUEUE_TIME = 1_200.milliseconds
+        const val CONDITIONS_PER_OPERATION = 4
+        const val BYTES_PER_KB = 1_024
+        const val MICROS_PER_MS = 1_000
         val READ_TIMEOUT = 1_500.milliseconds
         val WRITE_TIMEOUT = 2.seconds
         val LEASE_TIMEOUT = 1.seconds
+
+        /** For the way there and back, on top of the time that a watch waits. */
         val WATCH_SLACK = 2.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/store/PrefixScan.kt
@@ -0,0 +1,78 @@
+package wardmux.store
+
+import kotlinx.serialization.KSerializer
+import kotlinx.serialization.json.JsonElement
+import wardmux.core.HttpStatus
+import wardmux.logging.logger
+import wardmux.model.Micros
+import wardmux.model.Revision
+import wardmux.serialization.lenientJson
+
+/** Reads all keys under [prefix], page by page; [then] gets them, or null if a page failed. */
+internal class PrefixScan<T : Any>(
+    private val client: StoreClient,
+    private val prefix: String,
+    private val values: KSerializer<T>,
+    private val priority: RequestPriority,
+    private val timeout: Micros,
+    private val then: (ScanResult<T>?) -> Unit,
+) {
+    private val log = logger<PrefixScan<*>>()
+    private val items = ArrayList<ScannedKey<T>>()
+    private var firstRevision = Revision.ZERO
+
+    /** Reads the first page, and from there all others. */
+    fun start() = readPage(null)
+
+    private fun readPage(from: String?) {
+        val path = "/keys?under=$prefix&limit=$PAGE_SIZE" + if (from == null) "" else "&from=$from"
+        val request =
+            StoreRequest(priority, "GET", path, timeout) { status, text ->
+                if (status == HttpStatus.OK) StoreResult.Ok(decode(text))
+                else StoreClient.failure(status)
+            }
+        client.submit(request) { result ->
+            if (result is StoreResult.Ok) add(result.value, isFirst = from == null) else then(null)
+        }
+    }
+
+    private fun add(page: KeyPageWire<T>, isFirst: Boolean) {
+        if (isFirst) firstRevision = page.revision
+        items.addAll(page.items)
+        if (page.truncated && page.items.isNotEmpty()) readPage(page.items.last().key)
+        else then(ScanResult(items, firstRevision))
+    }
+
+    private fun decode(text: String): KeyPageWire<T> =
+        try {
+            lenientJson.decodeFromString(KeyPageWire.serializer(values), text)
+        } catch (e: IllegalArgumentException) {
+            log.error(
+                "a value under {} can't be decoded: {}",
+                prefix,
+                e.message?.lineSequence()?.first(),
+            )
+            decodeEach(text)
+        }
+
+    /** Value by value: one that can't be decoded must not keep the others from being read. */
+    private fun decodeEach(text: String): KeyPageWire<T> {
+        val page =
+            lenientJson.decodeFromString(KeyPageWire.serializer(JsonElement.serializer()), text)
+        val items =
+            page.items.map { item ->
+                val value =
+                    try {
+                        item.data?.let { lenientJson.decodeFromJsonElement(values, it) }
+                    } catch (e: IllegalArgumentException) {
+                        null
+                    }
+                ScannedKey(item.key, value, item.version)
+            }
+        return KeyPageWire(items, page.truncated, page.revision)
+    }
+
+    private companion object {
+        const val PAGE_SIZE = 1_000
+    }
+}
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -4,33 +4,31 @@
 import wardmux.core.CoreContext
 import wardmux.model.Micros
 
-/**
- * Token buckets for this controller's share of the state service's limits on requests and changes.
- */
+/** Token buckets for this controller's share of the store's limits on requests and writes. */
 class RateLimiter(
     private val context: CoreContext,
-    private val deployment: StoreLimits,
-    private val nodes: Int,
+    private val limits: StoreLimits,
+    private val controllers: Int,
 ) {
     private var requestTokens = 0.0
     private var writeTokens = 0.0
     private var refilledAt: Micros? = null
 
-    /** This controller leads: it has the leader's share. */
+    /** Whether this controller leads, and so has the leader's share. */
     var leading = false
 
-    /** One more request may be sent now. */
+    /** Whether one more request may be sent now. */
     val allowsRequest: Boolean
         get() = requestTokens >= 1
 
-    /** Changes that this controller could make now and still have half of its burst left. */
+    /** Writes that this controller could make now and still have half of its burst left. */
     val spareWrites: Int
         get() = (writeTokens - writeBurst() / 2).toInt()
 
-    /** So many changes may be sent now. */
+    /** Whether a request with so many [writes] may be sent now. */
     fun allowsWrites(writes: Int) = writeTokens >= writes
 
-    /** Counts a request that is sent; a lease's is sent also where nothing is left. */
+    /** Counts a request that is sent; one for a lease is sent also where nothing is left. */
     fun spend(writes: Int) {
         requestTokens -= 1
         writeTokens -= writes
@@ -38,42 +36,48 @@
 
     /** Adds what the time since the last call allows, up to the burst. */
     fun refill() {
-        val rate = deployment.rps * share(LEADERS_REQUESTS) * MARGIN
+        val rate = limits.rps * share(LEADER_REQUEST_SHARE) * USABLE_SHARE
         val elapsed = refilledAt?.let { (context.now - it).inSeconds } ?: 1.0
         refilledAt = context.now
         requestTokens = (requestTokens + elapsed * rate).coerceAtMost(rate)
         writeTokens = (writeTokens + elapsed * writeRate()).coerceAtMost(writeBurst())
     }
 
-    private fun share(leaders: Double): Double =
+    private fun share(leaderShare: Double): Double =
         when {
-            nodes <= 1 -> 1.0
-            leading -> leaders
-            else -> (1 - leaders) / (nodes - 1)
+            controllers <= 1 -> 1.0
+            leading -> leaderShare
+            else -> (1 - leaderShare) / (controllers - 1)
         }
 
-    private fun writeRate() = deployment.writeRps * share(LEADERS_WRITES) * MARGIN
+    private fun writeRate() = limits.writeRps * share(LEADER_WRITE_SHARE) * USABLE_SHARE
 
     /** A whole transaction must fit, or it would wait for ever; only a leader's are large. */
     private fun writeBurst() =
         maxOf(
             writeRate(),
-            if (leading) deployment.txnOps.toDouble()
-            else maxOf(deployment.writeRps * USERS_BURST, USERS_CHANGES),
+            if (leading) limits.txnOps.toDouble()
+            else maxOf(limits.writeRps * FOLLOWER_BURST_S, MIN_FOLLOWER_BURST),
         )
 
     private companion object {
-        const val LEADERS_REQUESTS = 0.3
-        const val LEADERS_WRITES = 0.6
+        /** Of all requests; most are users' polls, which every controller answers. */
+        const val LEADER_REQUEST_SHARE = 0.3
+
+        /** Of all writes; the leader records every placement. */
+        const val LEADER_WRITE_SHARE = 0.6
 
         /**
-         * Users come in bunches: what a follower may save up, as a part of what all may do in a
-         * second. Where several bunches meet, the service refuses and they are sent again.
+         * A follower may save up the writes that all controllers together may make in this time:
+         * users come in bunches. Where several bunches meet, the store rejects what is too much,
+         * and it is sent again.
          */
-        const val USERS_BURST = 0.33
+        const val FOLLOWER_BURST_S = 0.33
+
+        /** The writes of one cancellation, which must fit however low the rate. */
+        const val MIN_FOLLOWER_BURST = 3.0
 
-        /** What a cancellation takes, however low the rate. */
-        const val USERS_CHANGES = 3.0
-        const val MARGIN = 0.95
+        /** Of the limits; the rest is a safety margin. */
+        const val USABLE_SHARE = 0.95
     }
 }
--- a/src/main/kotlin/wardmux/store/RequestQueue.kt
+++ b/src/main/kotlin/wardmux/store/RequestQueue.kt
@@ -4,7 +4,7 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** The order in which requests are sent when there is not room for all. */
+/** Requests of a higher priority, which stand first, are sent before all others. */
 enum class RequestPriority {
     LEASE,
     USER_WRITE,
@@ -12,23 +12,26 @@
     READ,
 }
 
-/** A request that waits for its turn; it is either sent or refused, and so always answered. */
-class QueuedRequest(
-    /** How many changes it makes. */
-    val writes: Int,
-    /** It is refused if it was not sent by then. */
-    val deadline: Micros,
+/** A request that waits for its turn; it is either sent or expires. */
+interface QueuedRequest {
+    /** How many writes it makes. */
+    val writes: Int
+
+    /** It expires if it was not sent by then. */
+    val deadline: Micros
+
     /** Sends it. */
-    val send: () -> Unit,
-    /** Answers whoever asked that it was not sent. */
-    val refuse: () -> Unit,
-)
+    fun send()
+
+    /** Ends it unsent. */
+    fun expire()
+}
 
-/** Requests to the state service in the order of their priority, as fast as [limiter] allows. */
+/** Requests to the key-value store in the order of their priority, as fast as [limiter] allows. */
 class RequestQueue(private val context: CoreContext, private val limiter: RateLimiter) {
     private val queues = List(RequestPriority.entries.size) { ArrayDeque<QueuedRequest>() }
 
-    /** Nothing but leases is sent until then: the service has refused for its limits. */
+    /** Until then only requests for leases are sent: the store has reported its rate limit. */
     private var pausedUntil = Micros.LONG_AGO
 
     /** Queues [request] behind the others of its priority, and sends what may be sent. */
@@ -37,16 +40,16 @@
         sendDue()
     }
 
-    /** The service refused [request] for its limits: it goes first, after a pause. */
+    /** The store rejected [request] for its rate limit: it goes first, after a pause. */
     fun retry(priority: RequestPriority, request: QueuedRequest) {
-        pausedUntil = context.now + LIMITED_PAUSE
+        pausedUntil = context.now + RATE_LIMIT_PAUSE
         queues[priority.ordinal].addFirst(request)
     }
 
-    /** Sends what the limits allow; refuses what has waited too long. */
+    /** Sends what the limits allow; ends requests whose deadline has passed. */
     fun sendDue() {
         limiter.refill()
-        refuseExpired()
+        expireOverdue()
         for (queue in queues) {
             while (queue.isNotEmpty()) {
                 val request = queue.first()
@@ -61,18 +64,18 @@
     }
 
     /**
-     * In every queue, also those that it is never the turn of: whoever asked waits for an answer,
-     * and a request that is neither sent nor refused would keep it waiting for ever.
+     * In every queue, also those whose turn never comes: a request that is neither sent nor ended
+     * would keep its caller waiting for ever.
      */
-    private fun refuseExpired() {
+    private fun expireOverdue() {
         for (queue in queues) {
             while (queue.isNotEmpty() && context.now > queue.first().deadline) {
-                queue.removeFirst().refuse()
+                queue.removeFirst().expire()
             }
         }
     }
 
     private companion object {
-        val LIMITED_PAUSE = 150.milliseconds
+        val RATE_LIMIT_PAUSE = 150.milliseconds
     }
 }
