--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -27,7 +27,7 @@
 import wardmux.model.JobId
 import wardmux.model.Micros
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.peers.PeerHeartbeats
 import wardmux.store.KeyValueStore
@@ -50,12 +50,12 @@
     private val types = MachineTypeCatalog(context, store, cloud)
     private val peerNames = platform.peers.map { it.member }
     private val cancellations =
-        Cancellations(
+        CancellationTracker(
             context,
             store,
             boot,
             peerNames,
-            Cancellations.horizon(platform.deployment.workers.cancelS.seconds),
+            CancellationTracker.horizon(platform.deployment.workers.cancelS.seconds),
         ) {
             term?.cancelled(it)
         }
@@ -69,7 +69,7 @@
             store,
             types,
             platform.deployment.teams,
-            cancellations::confirmed,
+            cancellations::acknowledged,
             ::progressOf,
         )
     private var term: LeaderTerm? = null
@@ -100,7 +100,7 @@
             StoredBatchClient(context, store, platform.member),
             platform.peers.size,
             platform.deployment.limits.sockets.workers,
-            peerHeartbeats::wantsRelays,
+            peerHeartbeats::isForwardingEnabledBy,
             ::sendToLeader,
         )
 
@@ -125,7 +125,7 @@
                 intake::learnFinal,
                 cancellations,
                 renewals,
-                peerHeartbeats::hearsOthers,
+                peerHeartbeats::isAnyPeerAlive,
             )
     }
 
@@ -161,8 +161,8 @@
         relay.tick()
         renewalCounters.tick()
         val role = leadership.role as? Role.Leader
-        val wantsRelays = term?.wantsRelays == true
-        peerHeartbeats.tick(role?.token, wantsRelays, store.lastAvailableAt) {
+        val forwardingEnabled = term?.forwardingEnabled == true
+        peerHeartbeats.tick(role?.token, forwardingEnabled, store.lastAvailableAt) {
             term?.progress().orEmpty()
         }
     }
@@ -212,7 +212,7 @@
         val alone =
             troubled != null &&
                 context.now - troubled > ALONE_AFTER &&
-                peerHeartbeats.othersFareBetter()
+                peerHeartbeats.isIsolatedFromStore()
         if (types.types != null && !alone) context.answer(call, HttpStatus.OK, """{"ready":true}""")
         else context.answer(call, HttpStatus.SERVICE_UNAVAILABLE, """{"ready":false}""", 1)
     }
@@ -253,16 +253,16 @@
 
     private fun heartbeat(call: Input.Request) {
         val heartbeat = PeerHeartbeatCodec.decode(call.body)
-        if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
+        if (heartbeat == null || !peerHeartbeats.isPeer(heartbeat.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
-        val told = peerHeartbeats.received(heartbeat)
+        val told = peerHeartbeats.receive(heartbeat)
         heartbeat.token?.let { leadership.heard(heartbeat.member, FencingToken(it)) }
         context.answerBytes(call.id, HttpStatus.OK, PeerHeartbeatCodec.encode(told))
     }
 
     private fun batch(call: Input.Request) {
-        val batch = ForwardingCodec.batch(call.body)
-        if (batch == null || !peerHeartbeats.knows(batch.member))
+        val batch = ForwardingCodec.decodeBatch(call.body)
+        if (batch == null || !peerHeartbeats.isPeer(batch.member))
             return context.answer(call.id, HttpStatus.BAD_REQUEST)
         leadership.seen(FencingToken(batch.token))
         val answer = term?.take(batch) ?: return context.answer(call.id, HttpStatus.CONFLICT)
--- a/src/main/kotlin/wardmux/forwarding/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -14,11 +14,11 @@
  */
 class BatchSender(
     private val context: CoreContext,
-    private val storeRelayClient: StoredBatchClient,
+    private val storedBatchClient: StoredBatchClient,
 ) {
     private val log = logger<BatchSender>()
     private var throughStoreUntil = Micros.LONG_AGO
-    private var storedReportBytes = storeRelayClient.maxPackedBytes
+    private var storedReportBytes = storedBatchClient.maxPackedBytes
 
     /** Batches go by way of the state service for now, where they are slower and smaller. */
     val isThroughStore: Boolean
@@ -29,9 +29,9 @@
         get() = if (isThroughStore) storedReportBytes else MAX_DIRECT_BYTES
 
     /** A stored batch holds few signs of life where values are small; the next takes the rest. */
-    val maxSigns: Int
+    val maxUnchanged: Int
         get() =
-            if (isThroughStore) maxOf(storeRelayClient.maxPackedBytes / SIGN_BYTES, 1)
+            if (isThroughStore) maxOf(storedBatchClient.maxPackedBytes / UNCHANGED_BYTES, 1)
             else Int.MAX_VALUE
 
     /** Another leader: it may well be reached directly. */
@@ -59,17 +59,17 @@
             then(
                 response
                     ?.takeIf { it.status == HttpStatus.OK }
-                    ?.let { ForwardingCodec.answer(it.body) }
+                    ?.let { ForwardingCodec.decodeResponse(it.body) }
             )
         }
     }
 
     private fun sendThroughStore(batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) {
         val packed = ForwardingCodec.pack(batch)
-        val maxBytes = storeRelayClient.maxPackedBytes
+        val maxBytes = storedBatchClient.maxPackedBytes
         if (packed.length <= maxBytes) {
-            storedReportBytes = minOf(storedReportBytes * 2, maxBytes * LEAST_PACKED)
-            return storeRelayClient.ask(batch, packed, then)
+            storedReportBytes = minOf(storedReportBytes * 2, maxBytes * MIN_COMPRESSION)
+            return storedBatchClient.ask(batch, packed, then)
         }
         storedReportBytes = maxOf(storedReportBytes / 2, 1)
         then(null)
@@ -83,9 +83,9 @@
         val STORE_TIME = 5.seconds
 
         /** Reports are packed to a fifth or less. */
-        const val LEAST_PACKED = 4
+        const val MIN_COMPRESSION = 4
 
         /** The most that a machine's number and tick take in a stored batch. */
-        const val SIGN_BYTES = 12
+        const val UNCHANGED_BYTES = 12
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -32,156 +32,157 @@
     private val workers: WorkerTiming,
     private val limits: ProcessLimits,
     private val operators: OperatorSettings,
-    hasSiblings: Boolean,
+    hasPeers: Boolean,
     private val knowledge: LeaderCancellationView,
 ) {
     /** One process that was ever given a grant in this term. */
-    private class Relayer(val member: String, val boot: String) {
+    private class Forwarder(val member: String, val processIncarnation: String) {
         /** By this controller's clock, from when it surely answers no more unless granted anew. */
-        var grantedUntil = Micros.LONG_AGO
+        var grantValidUntil = Micros.LONG_AGO
 
         /** All that it answered up to then has been told. */
-        var toldUntil = Micros.LONG_AGO
+        var reportedUntil = Micros.LONG_AGO
         var batchAt = Micros.LONG_AGO
         val reports = Long2ObjectHashMap<WorkerHeartbeat>()
         val numbers = HashMap<String, Long>()
-        var shed = 0
-        var shedTo: String? = null
+        var rebalanceCount = 0
+        var rebalanceTarget: String? = null
     }
 
     private val log = logger<ForwardingCoordinator>()
     private val electedAt = context.now
-    private val relayers = ArrayList<Relayer>()
+    private val forwarders = ArrayList<Forwarder>()
 
     /** How long a relay may answer without hearing from this leader. */
     private val grant = ForwardingGrant.duration(workers)
     private var decideAt = Micros.LONG_AGO
-    private var shed = 0
-    private var shedTo: String? = null
+    private var rebalanceCount = 0
+    private var rebalanceTarget: String? = null
 
     /**
      * Followers take reports too. At first they do, so that a new leader is not run over by all
      * workers at once; they go on if it is more than this controller can carry.
      */
-    var wanted = hasSiblings
+    var forwardingEnabled = hasPeers
         private set
 
-    private val alone = !hasSiblings
+    private val hasNoPeers = !hasPeers
     private val sockets = limits.sockets
 
     /** It was decided whether they go on. */
-    private var settled = false
+    private var decided = false
 
     /** What the answer to one batch says of single machines. */
     private class MachineAnswers {
-        val mail = ArrayList<UndeliveredCommands>()
-        val refuse = ArrayList<String>()
-        val unknown = ArrayList<Long>()
+        val undelivered = ArrayList<UndeliveredCommands>()
+        val rejectedMachines = ArrayList<String>()
+        val unknownNumbers = ArrayList<Long>()
     }
 
-    /** Takes in what a relay has heard, and grants it more time if relays are wanted. */
-    fun take(batch: HeartbeatBatch): HeartbeatBatchResponse {
-        val relayer = relayerOf(batch)
-        relayer.batchAt = context.now
-        val sentAt = sendTime(relayer, batch)
+    /** Takes in what a relay has heard, and grants it more time if relays are forwardingEnabled. */
+    fun handleBatch(batch: HeartbeatBatch): HeartbeatBatchResponse {
+        val forwarder = forwarderOf(batch)
+        forwarder.batchAt = context.now
+        val sentAt = sendTime(forwarder, batch)
         val answers = MachineAnswers()
-        hearReports(relayer, batch, sentAt, answers)
-        hearSigns(relayer, batch, sentAt, answers)
-        if (wanted) {
+        applyChanged(forwarder, batch, sentAt, answers)
+        applyUnchanged(forwarder, batch, sentAt, answers)
+        if (forwardingEnabled) {
             val until = context.now + grant * (1 + MAX_CLOCK_DRIFT)
-            relayer.grantedUntil = maxOf(relayer.grantedUntil, until)
+            forwarder.grantValidUntil = maxOf(forwarder.grantValidUntil, until)
         }
-        return answer(relayer, batch, answers)
+        return answer(forwarder, batch, answers)
     }
 
     /** When the batch was sent, or somewhat before: it may have been held up on its way. */
-    private fun sendTime(relayer: Relayer, batch: HeartbeatBatch): Micros {
+    private fun sendTime(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
         // The clock that it was told is this one's; what can't be is passed over.
-        val echo = Micros(batch.echo).takeIf { batch.echo > 0 && it <= context.now }
-        if (echo == null) return context.now
-        relayer.toldUntil = maxOf(relayer.toldUntil, echo)
-        return minOf(context.now, echo + Micros(batch.since.coerceAtLeast(0)))
+        val echoedClock =
+            Micros(batch.echoedClock).takeIf { batch.echoedClock > 0 && it <= context.now }
+        if (echoedClock == null) return context.now
+        forwarder.reportedUntil = maxOf(forwarder.reportedUntil, echoedClock)
+        return minOf(context.now, echoedClock + Micros(batch.sinceEcho.coerceAtLeast(0)))
     }
 
-    private fun hearReports(
-        relayer: Relayer,
+    private fun applyChanged(
+        forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
         answers: MachineAnswers,
     ) {
         for (full in batch.reports) {
             val report = reader.read(full.body) ?: continue
-            relayer.numbers.put(report.machine, full.number)?.let { relayer.reports.remove(it) }
-            relayer.reports[full.number] = report
-            hear(relayer, report, sentAt, answers)
+            forwarder.numbers.put(report.machine, full.number)?.let { forwarder.reports.remove(it) }
+            forwarder.reports[full.number] = report
+            apply(forwarder, report, sentAt, answers)
         }
     }
 
-    private fun hearSigns(
-        relayer: Relayer,
+    private fun applyUnchanged(
+        forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
         answers: MachineAnswers,
     ) {
-        for (i in 0 until batch.signs.size - 1 step 2) {
-            val report = relayer.reports[batch.signs[i]]
-            if (report == null) answers.unknown.add(batch.signs[i])
-            else hear(relayer, report.copy(tick = batch.signs[i + 1]), sentAt, answers)
+        for (i in 0 until batch.unchanged.size - 1 step 2) {
+            val report = forwarder.reports[batch.unchanged[i]]
+            if (report == null) answers.unknownNumbers.add(batch.unchanged[i])
+            else apply(forwarder, report.copy(tick = batch.unchanged[i + 1]), sentAt, answers)
         }
     }
 
     private fun answer(
-        relayer: Relayer,
+        forwarder: Forwarder,
         batch: HeartbeatBatch,
         answers: MachineAnswers,
     ): HeartbeatBatchResponse {
-        val shed = relayer.shed
-        relayer.shed = 0
+        val rebalanceCount = forwarder.rebalanceCount
+        forwarder.rebalanceCount = 0
         val mustHalt = knowledge.tasksToHalt()
         // Too many to name: then nothing may be renewed before some are proven gone.
-        val tooMany = mustHalt.sumOf { it.tasks.size } > MOST_NAMED_TASKS
+        val tooMany = mustHalt.sumOf { it.tasks.size } > MAX_NAMED_TASKS
         return HeartbeatBatchResponse(
-            boot = batch.boot,
+            processIncarnation = batch.processIncarnation,
             number = batch.number,
             token = token.value,
-            clock = context.now.value,
-            wanted = wanted,
-            grant = if (wanted) grant.value else 0,
-            unknown = answers.unknown,
-            mail = answers.mail,
-            refuse = answers.refuse,
-            shed = shed,
-            shedTo = relayer.shedTo,
-            sendOn = fleet.sendsOn,
-            renews = context.now < knowledge.usableUntil && !tooMany,
+            leaderClock = context.now.value,
+            forwardingEnabled = forwardingEnabled,
+            grantDuration = if (forwardingEnabled) grant.value else 0,
+            unknownNumbers = answers.unknownNumbers,
+            undelivered = answers.undelivered,
+            rejectedMachines = answers.rejectedMachines,
+            rebalanceCount = rebalanceCount,
+            rebalanceTarget = forwarder.rebalanceTarget,
+            redirectsWorkers = fleet.sendsOn,
+            renewalAllowed = context.now < knowledge.usableUntil && !tooMany,
             cancelledJobs = knowledge.cancelledJobs(),
             mustHalt = if (tooMany) emptyList() else mustHalt,
         )
     }
 
-    private fun relayerOf(batch: HeartbeatBatch): Relayer {
-        // What a former process of the member answered stays possible: its relayer stays too.
-        relayers
-            .find { it.member == batch.member && it.boot == batch.boot }
+    private fun forwarderOf(batch: HeartbeatBatch): Forwarder {
+        // What a former process of the member answered stays possible: its forwarder stays too.
+        forwarders
+            .find { it.member == batch.member && it.processIncarnation == batch.processIncarnation }
             ?.let {
                 return it
             }
         log.info("{} takes reports", batch.member)
-        return Relayer(batch.member, batch.boot).also { relayers.add(it) }
+        return Forwarder(batch.member, batch.processIncarnation).also { forwarders.add(it) }
     }
 
-    private fun hear(
-        relayer: Relayer,
+    private fun apply(
+        forwarder: Forwarder,
         report: WorkerHeartbeat,
         sentAt: Micros,
         answers: MachineAnswers,
     ) {
-        val orders = fleet.relayed(report, relayer.member, sentAt)
+        val orders = fleet.relayed(report, forwarder.member, sentAt)
         if (orders == null) {
-            answers.refuse.add(report.machine)
-            relayer.numbers.remove(report.machine)?.let { relayer.reports.remove(it) }
+            answers.rejectedMachines.add(report.machine)
+            forwarder.numbers.remove(report.machine)?.let { forwarder.reports.remove(it) }
         } else if (orders.isNotEmpty()) {
-            answers.mail.add(UndeliveredCommands(report.machine, report.incarnation, orders))
+            answers.undelivered.add(UndeliveredCommands(report.machine, report.incarnation, orders))
         }
     }
 
@@ -190,48 +191,50 @@
      * renewed. A relay that has told all that it answered until the lease would have been over has
      * not renewed it; any other may have done so as long as its grant ran.
      */
-    fun renewedAtLatest(renewedAt: Micros, leaseOver: Micros): Micros {
+    fun latestPossibleRenewal(renewedAt: Micros, leaseOver: Micros): Micros {
         var latest = renewedAt
-        for (relayer in relayers) {
-            if (relayer.toldUntil >= renewedAt + leaseOver) continue
-            latest = maxOf(latest, minOf(relayer.grantedUntil, context.now))
+        for (forwarder in forwarders) {
+            if (forwarder.reportedUntil >= renewedAt + leaseOver) continue
+            latest = maxOf(latest, minOf(forwarder.grantValidUntil, context.now))
         }
         return latest
     }
 
     /** Who answers workers besides this controller. */
-    private fun live() =
-        relayers.filter { context.now < it.grantedUntil && context.now - it.batchAt < BATCH_STALE }
+    private fun active() =
+        forwarders.filter {
+            context.now < it.grantValidUntil && context.now - it.batchAt < BATCH_STALE
+        }
 
-    /** Decides once a second whether relays are wanted, and spreads the workers. */
+    /** Decides once a second whether relays are forwardingEnabled, and spreads the workers. */
     fun tick(loaded: Boolean) {
         if (context.now < decideAt) return
         decideAt = context.now + PERIOD
         val old = context.now - workers.leaseS.seconds * KEPT_LEASES
-        relayers.removeIf { it.grantedUntil < old && it.batchAt < old }
+        forwarders.removeIf { it.grantValidUntil < old && it.batchAt < old }
         decide(loaded)
-        shed = 0
-        if (wanted) spread()
+        rebalanceCount = 0
+        if (forwardingEnabled) rebalance()
     }
 
     private fun decide(loaded: Boolean) {
-        if (alone) return
+        if (hasNoPeers) return
         val known = cluster.machines.values.count { !it.decommissioned }
         val reports = known / workers.reportS
         val many =
             reports > operators.reportsPerCore * limits.cpu ||
                 known > limits.fdLimit * SOCKETS_FOR_WORKERS
-        if (many && !wanted) {
+        if (many && !forwardingEnabled) {
             log.info("{} machines: followers take reports too", known)
-            wanted = true
+            forwardingEnabled = true
         }
         // Once only, when the machines of an earlier leader have been heard: no to and fro.
         val heard = loaded && context.now - electedAt > (workers.reportS * SETTLED_REPORTS).seconds
-        if (!heard || settled) return
-        settled = true
+        if (!heard || decided) return
+        decided = true
         if (!many) {
             log.info("{} machines: this controller takes all reports", known)
-            wanted = false
+            forwardingEnabled = false
         }
     }
 
@@ -239,15 +242,15 @@
      * In small steps from who has too many to who has the fewest. The leader, which decides for
      * all, counts for less than one of the others.
      */
-    private fun spread() {
-        val live = live()
-        if (live.isEmpty()) return
+    private fun rebalance() {
+        val active = active()
+        if (active.isEmpty()) return
         val counts = machinesByMember()
-        val own = 1.0 / (live.size + 1)
-        val total = live.sumOf { counts[it.member] ?: 0 } + (counts[member] ?: 0)
+        val own = 1.0 / (active.size + 1)
+        val total = active.sumOf { counts[it.member] ?: 0 } + (counts[member] ?: 0)
         // Nobody is given more than have sockets: they would come back, and go again.
-        val each = minOf(total / (live.size + own), sockets.workers * FULL_PART)
-        val least = live.minBy { counts[it.member] ?: 0 }
+        val each = minOf(total / (active.size + own), sockets.workers * FULL_PART)
+        val least = active.minBy { counts[it.member] ?: 0 }
         val room = (each - (counts[least.member] ?: 0)).toInt()
         var step = minOf(room, maxOf(1, total / STEP_PART))
         fun steps(count: Int, target: Double): Int {
@@ -256,11 +259,12 @@
             step -= part
             return part
         }
-        shed = steps(counts[member] ?: 0, each * own)
-        shedTo = least.member
-        for (relayer in live) {
-            relayer.shed = if (relayer === least) 0 else steps(counts[relayer.member] ?: 0, each)
-            relayer.shedTo = least.member
+        rebalanceCount = steps(counts[member] ?: 0, each * own)
+        rebalanceTarget = least.member
+        for (forwarder in active) {
+            forwarder.rebalanceCount =
+                if (forwarder === least) 0 else steps(counts[forwarder.member] ?: 0, each)
+            forwarder.rebalanceTarget = least.member
         }
     }
 
@@ -275,15 +279,15 @@
     }
 
     /** Whom to send a worker that reports to this controller to, or null to answer it. */
-    fun sendAway(): String? {
-        if (shed <= 0) return null
-        shed--
-        return shedTo
+    fun redirectTarget(): String? {
+        if (rebalanceCount <= 0) return null
+        rebalanceCount--
+        return rebalanceTarget
     }
 
     companion object {
         /** Some 100 KB in an answer; a fleet of thousands of machines rarely has so many. */
-        private const val MOST_NAMED_TASKS = 5_000
+        private const val MAX_NAMED_TASKS = 5_000
         private const val KEPT_LEASES = 3.0
         private val PERIOD = 1.seconds
         private val BATCH_STALE = 3.seconds
--- a/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
@@ -33,18 +33,18 @@
 class HeartbeatBatch(
     @SerialName("member") val member: String,
     /** Tells two processes of one member apart. */
-    @SerialName("boot") val boot: String,
+    @SerialName("boot") val processIncarnation: String,
     /** Counts the batches of a process. */
     @SerialName("number") val number: Long,
     /** The leader that it is for. */
     @SerialName("token") val token: Long,
     /** The leader's clock in its last answer, 0 if none came yet. */
-    @SerialName("echo") val echo: Long,
+    @SerialName("echo") val echoedClock: Long,
     /** Time at the relay since that answer, in microseconds. */
-    @SerialName("since") val since: Long,
+    @SerialName("since") val sinceEcho: Long,
     @SerialName("reports") val reports: List<FullHeartbeat> = emptyList(),
     /** Signs of life, two numbers each: of the report that still holds, and the tick. */
-    @SerialName("signs") val signs: List<Long> = emptyList(),
+    @SerialName("signs") val unchanged: List<Long> = emptyList(),
 )
 
 /** What a machine is told with the answer to its next report. */
@@ -52,34 +52,34 @@
 class UndeliveredCommands(
     @SerialName("machine") val machine: String,
     @SerialName("shift") val incarnation: Long,
-    @SerialName("orders") val orders: List<WorkerCommand>,
+    @SerialName("orders") val commands: List<WorkerCommand>,
 )
 
 /** The leader's answer to a batch: the grant, and what the relay is to tell workers. */
 @Serializable
 class HeartbeatBatchResponse(
     /** The batch that this answers. */
-    @SerialName("boot") val boot: String,
+    @SerialName("boot") val processIncarnation: String,
     @SerialName("number") val number: Long,
     @SerialName("token") val token: Long,
     /** The leader's clock, to be echoed. */
-    @SerialName("clock") val clock: Long,
+    @SerialName("clock") val leaderClock: Long,
     /** False: the leader takes all reports itself. */
-    @SerialName("wanted") val wanted: Boolean = true,
+    @SerialName("wanted") val forwardingEnabled: Boolean = true,
     /** How long the relay may answer workers, counted from when it sent the batch; microseconds. */
-    @SerialName("grant") val grant: Long = 0,
+    @SerialName("grant") val grantDuration: Long = 0,
     /** Numbers that the leader does not know: their machines' reports are to be sent whole. */
-    @SerialName("unknown") val unknown: List<Long> = emptyList(),
-    @SerialName("mail") val mail: List<UndeliveredCommands> = emptyList(),
+    @SerialName("unknown") val unknownNumbers: List<Long> = emptyList(),
+    @SerialName("mail") val undelivered: List<UndeliveredCommands> = emptyList(),
     /** Machines that are not to be answered any more. */
-    @SerialName("refuse") val refuse: List<String> = emptyList(),
+    @SerialName("refuse") val rejectedMachines: List<String> = emptyList(),
     /** So many workers are to be sent to [shedTo]. */
-    @SerialName("shed") val shed: Int = 0,
-    @SerialName("shedTo") val shedTo: String? = null,
+    @SerialName("shed") val rebalanceCount: Int = 0,
+    @SerialName("shedTo") val rebalanceTarget: String? = null,
     /** The leader has been unsure of its lease for long enough that workers are sent on once. */
-    @SerialName("sendOn") val sendOn: Boolean = false,
+    @SerialName("sendOn") val redirectsWorkers: Boolean = false,
     /** False: workers are kept, but their leases are not renewed for now. */
-    @SerialName("renews") val renews: Boolean = true,
+    @SerialName("renews") val renewalAllowed: Boolean = true,
     /** Jobs that are cancelled and of which something may be on a machine. */
     @SerialName("cancelled") val cancelledJobs: List<String> = emptyList(),
     /**
@@ -92,23 +92,25 @@
      * The machines will be told again. Without the tasks that have to be halted no lease may be
      * renewed, so if there are any, none is.
      */
-    fun withoutMail() =
+    fun withoutCommands() =
         HeartbeatBatchResponse(
-            boot,
+            processIncarnation,
             number,
             token,
-            clock,
-            wanted,
-            grant,
-            sendOn = sendOn,
-            renews = renews && mustHalt.isNullOrEmpty(),
+            leaderClock,
+            forwardingEnabled,
+            grantDuration,
+            redirectsWorkers = redirectsWorkers,
+            renewalAllowed = renewalAllowed && mustHalt.isNullOrEmpty(),
             mustHalt = mustHalt?.let { emptyList() },
         )
 }
 
 /** What the leader answers by way of the state service. */
 @Serializable
-class StoredAnswers(@SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>)
+class StoredBatchResponses(
+    @SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>
+)
 
 /** Batches and their answers as bytes, and packed as the state service keeps them. */
 object ForwardingCodec {
@@ -123,26 +125,27 @@
         CborFormat.encode(HeartbeatBatchResponse.serializer(), answer)
 
     /** The batch in [bytes], or null if they hold none. */
-    fun batch(bytes: ByteArray): HeartbeatBatch? =
+    fun decodeBatch(bytes: ByteArray): HeartbeatBatch? =
         CborFormat.decode(HeartbeatBatch.serializer(), bytes)
 
     /** The answer in [bytes], or null if they hold none. */
-    fun answer(bytes: ByteArray): HeartbeatBatchResponse? =
+    fun decodeResponse(bytes: ByteArray): HeartbeatBatchResponse? =
         CborFormat.decode(HeartbeatBatchResponse.serializer(), bytes)
 
     /** As the state service keeps it. */
     fun pack(batch: HeartbeatBatch): String = packed(encode(batch))
 
     /** All answers in one value of the state service. */
-    fun pack(answers: StoredAnswers): String =
-        packed(CborFormat.encode(StoredAnswers.serializer(), answers))
+    fun pack(answers: StoredBatchResponses): String =
+        packed(CborFormat.encode(StoredBatchResponses.serializer(), answers))
 
     /** The batch in a value of the state service, or null if it holds none. */
-    fun batch(stored: JsonElement): HeartbeatBatch? = unpacked(stored)?.let { batch(it) }
+    fun decodeBatch(stored: JsonElement): HeartbeatBatch? =
+        unpacked(stored)?.let { decodeBatch(it) }
 
     /** The answers in a value of the state service, or null if it holds none. */
-    fun answers(stored: JsonElement): StoredAnswers? =
-        unpacked(stored)?.let { CborFormat.decode(StoredAnswers.serializer(), it) }
+    fun decodeStoredResponses(stored: JsonElement): StoredBatchResponses? =
+        unpacked(stored)?.let { CborFormat.decode(StoredBatchResponses.serializer(), it) }
 
     private fun packed(bytes: ByteArray): String {
         val out = ByteArrayOutputStream()
@@ -154,12 +157,12 @@
     private fun unpacked(stored: JsonElement): ByteArray? =
         try {
             val bytes = Base64.getDecoder().decode(stored.jsonPrimitive.content)
-            InflaterInputStream(ByteArrayInputStream(bytes)).readNBytes(MOST_UNPACKED)
+            InflaterInputStream(ByteArrayInputStream(bytes)).readNBytes(MAX_UNPACKED_BYTES)
         } catch (e: IllegalArgumentException) {
             null
         } catch (e: IOException) {
             null
         }
 
-    private const val MOST_UNPACKED = 1 shl 20
+    private const val MAX_UNPACKED_BYTES = 1 shl 20
 }
--- a/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -6,22 +6,22 @@
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.TaskAttempt
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 
 /** What a relay knows of cancelled tasks while a grant of its leader runs. */
 class GrantedCancellationView(
     override val token: FencingToken,
     answer: HeartbeatBatchResponse,
     grantedUntil: Micros,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
 ) : CancellationView {
     private val mustHalt: Map<MachineId, List<TaskAttempt>> =
         answer.mustHalt.orEmpty().associate { MachineId(it.machine) to it.tasks }
 
-    override val usableUntil: Micros = if (answer.renews) grantedUntil else Micros.LONG_AGO
+    override val usableUntil: Micros = if (answer.renewalAllowed) grantedUntil else Micros.LONG_AGO
 
     override val cancellationsLearned: Long
-        get() = cancellations.learned
+        get() = cancellations.observedCount
 
     override fun isCancelled(job: JobId): Boolean = job in cancellations
 
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -16,7 +16,7 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.worker.Redirect
 import wardmux.worker.WorkerHeartbeat
 
@@ -33,17 +33,17 @@
     private val context: CoreContext,
     private val leadership: LeaderElection,
     private val member: String,
-    private val boot: String,
+    private val processIncarnation: String,
     private val workers: WorkerTiming,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
     private val renewals: LeaseRenewals,
-    storeRelayClient: StoredBatchClient,
+    storedBatchClient: StoredBatchClient,
     peers: Int,
     /** As many as workers may be connected. */
-    private val mostWaitingCalls: Int,
+    private val maxWaitingCalls: Int,
     /** The leader of this token has said lately that it wants relays. */
-    private val wantedBy: (FencingToken) -> Boolean,
-    /** For a worker that this relay can't answer: redirects it. */
+    private val isForwardingEnabledBy: (FencingToken) -> Boolean,
+    /** For a worker that this relay can't answer: redirectsWorkers it. */
     private val redirect: (call: Long) -> Unit,
 ) {
     /** A call that waits for the grant that is being asked for. */
@@ -59,54 +59,54 @@
     /** The leader that is asked, and its token; null while none is known, or while leading. */
     private var leader: String? = null
     private var token: FencingToken? = null
-    private var grantedUntil = Micros.LONG_AGO
+    private var grantValidUntil = Micros.LONG_AGO
 
     /** What the leader has told with the grant of what is cancelled; null before the first. */
-    private var knowledge: GrantedCancellationView? = null
+    private var cancellationView: GrantedCancellationView? = null
 
     /** Null until the leader has said whether it wants relays. */
-    private var wanted: Boolean? = null
-    private var echo = 0L
-    private var echoAt = Micros.ZERO
+    private var forwardingEnabled: Boolean? = null
+    private var echoedClock = 0L
+    private var echoedClockAt = Micros.ZERO
     private var busy = false
     private var sentAt = Micros.LONG_AGO
     private var failedAt = Micros.LONG_AGO
     private var urgent = false
     private val waitingCalls = ArrayDeque<WaitingCall>()
-    private var shedLeft = 0
-    private var shedTo: String? = null
-    private var redirects = false
+    private var rebalanceLeft = 0
+    private var rebalanceTarget: String? = null
+    private var redirectsWorkers = false
     private var removeSilentAt = Micros.ZERO
 
     private val spacing = SPACING_EACH * peers.toDouble()
 
     private var batches = 0L
     private val pending = PendingHeartbeats()
-    private val sender = BatchSender(context, storeRelayClient)
+    private val sender = BatchSender(context, storedBatchClient)
 
     private val granted: Boolean
-        get() = token != null && context.now < grantedUntil
+        get() = token != null && context.now < grantValidUntil
 
     /** False if this report is not for this controller to answer. */
     fun handleHeartbeat(call: Long, report: WorkerHeartbeat, body: ByteArray): Boolean {
         followLeader()
-        if (wanted == false) return false
+        if (forwardingEnabled == false) return false
         val current = token
-        val granting = knowledge
-        if (current == null || granting == null || !granted) return waitForGrant(call, report, body)
+        val view = cancellationView
+        if (current == null || view == null || !granted) return waitForGrant(call, report, body)
         if (FencingToken(report.token) > current) {
             // Another leads: nothing more is answered under this token.
-            grantedUntil = Micros.LONG_AGO
+            grantValidUntil = Micros.LONG_AGO
             return false
         }
-        answerReport(call, report, body, granting)
+        answerReport(call, report, body, view)
         return true
     }
 
     /** A grant is a matter of milliseconds; sent elsewhere, all would come back later. */
     private fun waitForGrant(call: Long, report: WorkerHeartbeat, body: ByteArray): Boolean {
         val failedLately = context.now - failedAt <= FAILED_RECENTLY
-        if (token == null || failedLately || waitingCalls.size >= mostWaitingCalls) return false
+        if (token == null || failedLately || waitingCalls.size >= maxWaitingCalls) return false
         waitingCalls.addLast(WaitingCall(call, report, body, context.now))
         return true
     }
@@ -121,38 +121,39 @@
         if (theirs == null && follower != null) return
         token = theirs
         leader = if (theirs == null) null else name
-        grantedUntil = Micros.LONG_AGO
-        knowledge = null
-        wanted = null
-        echo = 0
+        grantValidUntil = Micros.LONG_AGO
+        cancellationView = null
+        forwardingEnabled = null
+        echoedClock = 0
         failedAt = Micros.LONG_AGO
         sentAt = Micros.LONG_AGO
         sender.reset()
         // What is still under way was for another leader; nobody waits for its answer.
         busy = false
-        shedLeft = 0
-        redirects = false
-        pending.startOver()
+        rebalanceLeft = 0
+        redirectsWorkers = false
+        pending.reset()
     }
 
     private fun answerReport(
         call: Long,
         report: WorkerHeartbeat,
         body: ByteArray,
-        granting: GrantedCancellationView,
+        view: GrantedCancellationView,
     ) {
         val machine = pending.getOrAdd(report.machine)
         machine.lastHeartbeatAt = context.now
         if (sendElsewhere(call, machine)) return
-        val decision = renewals.decide(report, granting)
+        val decision = renewals.decide(report, view)
         val renewed = decision is RenewalDecision.Renew
         if (pending.add(machine, report, body, token, renewed)) urgent = true
         when (decision) {
             is RenewalDecision.Withhold -> context.answerBytes(call, HttpStatus.OK, decision.answer)
             is RenewalDecision.Renew -> {
-                val mail = machine.mail?.takeIf { it.incarnation == report.incarnation }
-                machine.mail = null
-                val answer = decision.renewal.answer(mail?.orders.orEmpty())
+                val undelivered =
+                    machine.undelivered?.takeIf { it.incarnation == report.incarnation }
+                machine.undelivered = null
+                val answer = decision.renewal.answer(undelivered?.commands.orEmpty())
                 context.answerBytes(call, HttpStatus.OK, answer)
             }
         }
@@ -161,15 +162,16 @@
 
     /** Answers a worker that is not to stay here; false if it is. */
     private fun sendElsewhere(call: Long, machine: ForwardedMachine): Boolean {
-        val target = shedTo
+        val target = rebalanceTarget
         when {
-            machine.refused -> context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
-            shedLeft > 0 && target != null -> {
-                shedLeft--
+            machine.rejected -> context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
+            rebalanceLeft > 0 && target != null -> {
+                rebalanceLeft--
                 val redirect = Redirect(target).encode()
                 context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, redirect)
             }
-            redirects && context.now - machine.redirectedAt >= Fleet.sendOnPause(workers) -> {
+            redirectsWorkers &&
+                context.now - machine.redirectedAt >= Fleet.sendOnPause(workers) -> {
                 machine.redirectedAt = context.now
                 context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
             }
@@ -187,9 +189,9 @@
         )
         removeSilent()
         val current = token ?: return
-        if (wanted == false) {
-            if (!wantedBy(current)) return
-            wanted = null
+        if (forwardingEnabled == false) {
+            if (!isForwardingEnabledBy(current)) return
+            forwardingEnabled = null
         }
         val longest = if (context.now - failedAt < FAILED_RECENTLY) RETRY else PERIOD
         val since = context.now - sentAt
@@ -213,17 +215,26 @@
         val name = leader ?: return
         val current = token ?: return
         if (busy) return
-        val content = pending.takeBatch(sender.maxReportBytes, sender.maxSigns)
+        val content = pending.takeBatch(sender.maxReportBytes, sender.maxUnchanged)
         val complete = pending.isEmpty
         urgent = !complete
         // What is left out here was answered too, so the leader may not take this for all.
-        val known = if (complete) echo else 0
-        val since = (context.now - echoAt).value
+        val known = if (complete) echoedClock else 0
+        val since = (context.now - echoedClockAt).value
         val number = ++batches
         val reports = content.reports
-        val signs = content.signs
+        val unchanged = content.unchanged
         val batch =
-            HeartbeatBatch(member, boot, number, current.value, known, since, reports, signs)
+            HeartbeatBatch(
+                member,
+                processIncarnation,
+                number,
+                current.value,
+                known,
+                since,
+                reports,
+                unchanged,
+            )
         send(name, current, batch, content)
     }
 
@@ -252,27 +263,33 @@
     }
 
     private fun accept(answer: HeartbeatBatchResponse, askedAt: Micros) {
-        echo = answer.clock
-        echoAt = context.now
-        if (wanted != answer.wanted) log.info("relay of {}: {}", leader, answer.wanted)
-        wanted = answer.wanted
-        val length = Micros(answer.grant) * (1 - MAX_CLOCK_DRIFT)
-        grantedUntil = if (answer.wanted) askedAt + length else Micros.LONG_AGO
-        for (number in answer.unknown) if (pending.resend(number)) urgent = true
-        for (mail in answer.mail) pending[mail.machine]?.mail = mail
+        echoedClock = answer.leaderClock
+        echoedClockAt = context.now
+        if (forwardingEnabled != answer.forwardingEnabled)
+            log.info("relay of {}: {}", leader, answer.forwardingEnabled)
+        forwardingEnabled = answer.forwardingEnabled
+        val length = Micros(answer.grantDuration) * (1 - MAX_CLOCK_DRIFT)
+        grantValidUntil = if (answer.forwardingEnabled) askedAt + length else Micros.LONG_AGO
+        for (number in answer.unknownNumbers) if (pending.resend(number)) urgent = true
+        for (commands in answer.undelivered) pending[commands.machine]?.undelivered = commands
         for (job in answer.cancelledJobs) {
-            if (JobId(job) !in cancellations) cancellations.learnStored(JobId(job))
+            if (JobId(job) !in cancellations) cancellations.observeStored(JobId(job))
         }
-        val granting =
-            GrantedCancellationView(FencingToken(answer.token), answer, grantedUntil, cancellations)
-        knowledge = granting
-        for (machine in answer.refuse) {
+        val view =
+            GrantedCancellationView(
+                FencingToken(answer.token),
+                answer,
+                grantValidUntil,
+                cancellations,
+            )
+        cancellationView = view
+        for (machine in answer.rejectedMachines) {
             // One that only may not be renewed is heard on: its reports may prove that it may be.
-            if (!granting.names(MachineId(machine))) pending[machine]?.refused = true
+            if (!view.names(MachineId(machine))) pending[machine]?.rejected = true
         }
-        shedLeft = answer.shed
-        shedTo = answer.shedTo
-        redirects = answer.sendOn
+        rebalanceLeft = answer.rebalanceCount
+        rebalanceTarget = answer.rebalanceTarget
+        redirectsWorkers = answer.redirectsWorkers
         answerWaiting()
     }
 
--- a/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
+++ b/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
@@ -21,16 +21,16 @@
     var lastHeartbeatAt = Micros.ZERO
 
     /** The leader wants it not to be answered any more. */
-    var refused = false
+    var rejected = false
 
     /** What it is told with the answer to its next report. */
-    var mail: UndeliveredCommands? = null
+    var undelivered: UndeliveredCommands? = null
 
     /** When it was last redirected because the leader was unsure of its lease. */
     var redirectedAt = Micros.LONG_AGO
 
     /** The token under which a report with an older one was let pass once. */
-    var learns: FencingToken? = null
+    var passedUnder: FencingToken? = null
 }
 
 /** What one batch tells the leader. */
@@ -40,7 +40,7 @@
     /** Reports that changed. */
     val reports: List<FullHeartbeat>,
     /** Signs of life, two numbers each: of the report that still holds, and the tick. */
-    val signs: List<Long>,
+    val unchanged: List<Long>,
 )
 
 /**
@@ -52,15 +52,15 @@
     private val machines = HashMap<String, ForwardedMachine>()
     private val byNumber = Long2ObjectHashMap<String>()
 
-    /** Machines whose report is to be sent whole. */
-    private val whole = LinkedHashSet<String>()
+    /** Machines whose report is to be sent changed. */
+    private val changed = LinkedHashSet<String>()
 
     /** The newest tick by the number of the report that still holds. */
-    private val signs = Long2LongLinkedOpenHashMap()
+    private val unchanged = Long2LongLinkedOpenHashMap()
 
     /** All that was heard is in a batch that was sent. */
     val isEmpty: Boolean
-        get() = whole.isEmpty() && signs.isEmpty()
+        get() = changed.isEmpty() && unchanged.isEmpty()
 
     /** The machine of this name, or null if it has not reported here. */
     operator fun get(name: String): ForwardedMachine? = machines[name]
@@ -81,14 +81,14 @@
     ): Boolean {
         val last = machine.report
         if (last != null && last.copy(tick = report.tick) == report) {
-            if (report.machine !in whole) signs.putAndMoveToLast(machine.number, report.tick)
+            if (report.machine !in changed) unchanged.putAndMoveToLast(machine.number, report.tick)
             else machine.body = body
             return false
         }
         if (token == null) return false
         // Renewed, it takes the token and reports once more: enough that the leader hears that.
-        if (renewed && FencingToken(report.token) < token && machine.learns != token) {
-            machine.learns = token
+        if (renewed && FencingToken(report.token) < token && machine.passedUnder != token) {
+            machine.passedUnder = token
             return false
         }
         machine.report = report
@@ -106,31 +106,33 @@
 
     private fun renumber(name: String, machine: ForwardedMachine) {
         byNumber.remove(machine.number)
-        signs.remove(machine.number)
+        unchanged.remove(machine.number)
         machine.number = ++lastNumber
         byNumber[machine.number] = name
-        whole.add(name)
+        changed.add(name)
     }
 
     /** Another leader, which has been told nothing yet and has said nothing of the machines. */
-    fun startOver() {
-        whole.clear()
-        signs.clear()
+    fun reset() {
+        changed.clear()
+        unchanged.clear()
         byNumber.clear()
         for (machine in machines.values) {
             machine.report = null
             machine.number = 0
-            machine.refused = false
-            machine.mail = null
+            machine.rejected = false
+            machine.undelivered = null
         }
     }
 
-    /** Takes out what the next batch holds: reports until [maxBytes], and at most [maxSigns]. */
-    fun takeBatch(maxBytes: Int, maxSigns: Int): BatchContent {
+    /**
+     * Takes out what the next batch holds: reports until [maxBytes], and at most [maxUnchanged].
+     */
+    fun takeBatch(maxBytes: Int, maxUnchanged: Int): BatchContent {
         val names = ArrayList<String>()
         val reports = ArrayList<FullHeartbeat>()
         var bytes = 0
-        val rest = whole.iterator()
+        val rest = changed.iterator()
         while (rest.hasNext() && bytes < maxBytes) {
             val name = rest.next()
             rest.remove()
@@ -139,13 +141,13 @@
             reports.add(FullHeartbeat(machine.number, machine.body))
             bytes += machine.body.size
         }
-        return BatchContent(names, reports, takeSigns(maxSigns))
+        return BatchContent(names, reports, takeUnchanged(maxUnchanged))
     }
 
-    private fun takeSigns(maxSigns: Int): List<Long> {
-        val taken = ArrayList<Long>(signs.size * 2)
-        val entries = signs.long2LongEntrySet().iterator()
-        while (entries.hasNext() && taken.size / 2 < maxSigns) {
+    private fun takeUnchanged(maxUnchanged: Int): List<Long> {
+        val taken = ArrayList<Long>(unchanged.size * 2)
+        val entries = unchanged.long2LongEntrySet().iterator()
+        while (entries.hasNext() && taken.size / 2 < maxUnchanged) {
             val entry = entries.next()
             taken.add(entry.longKey)
             taken.add(entry.longValue)
@@ -156,11 +158,11 @@
 
     /** The batch was lost: what it told is told again, unless there is something newer. */
     fun putBack(content: BatchContent) {
-        for (name in content.machines) if (name in machines) whole.add(name)
-        for (i in content.signs.indices step 2) {
-            val number = content.signs[i]
-            if (number in byNumber && !signs.containsKey(number)) {
-                signs.put(number, content.signs[i + 1])
+        for (name in content.machines) if (name in machines) changed.add(name)
+        for (i in content.unchanged.indices step 2) {
+            val number = content.unchanged[i]
+            if (number in byNumber && !unchanged.containsKey(number)) {
+                unchanged.put(number, content.unchanged[i + 1])
             }
         }
     }
@@ -170,8 +172,8 @@
         machines.entries.removeIf { (name, machine) ->
             val gone =
                 machine.lastHeartbeatAt < old &&
-                    name !in whole &&
-                    !signs.containsKey(machine.number)
+                    name !in changed &&
+                    !unchanged.containsKey(machine.number)
             if (gone) byNumber.remove(machine.number)
             gone
         }
--- a/src/main/kotlin/wardmux/forwarding/StoredBatches.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatchServer.kt
@@ -56,9 +56,9 @@
     }
 
     private fun answerIn(event: WatchEvent, batch: HeartbeatBatch): HeartbeatBatchResponse? {
-        val answers = event.data?.let { ForwardingCodec.answers(it) } ?: return null
+        val answers = event.data?.let { ForwardingCodec.decodeStoredResponses(it) } ?: return null
         return answers.byMember[member]?.takeIf {
-            it.boot == batch.boot && it.number == batch.number
+            it.processIncarnation == batch.processIncarnation && it.number == batch.number
         }
     }
 
@@ -85,15 +85,15 @@
     private val answers = LinkedHashMap<String, HeartbeatBatchResponse>()
     private var writing = false
     private var writeAt = Micros.LONG_AGO
-    private var ended = false
+    private var closed = false
 
     /** The most that packed answers may take. */
     private val maxPackedBytes: Int
         get() = store.maxValueBytes - StoredBatchClient.VALUE_OVERHEAD
 
     /** Ignores whatever still comes in: this leader session is over. */
-    fun end() {
-        ended = true
+    fun close() {
+        closed = true
     }
 
     /** Watches for batches, and writes the answers that are due. */
@@ -106,7 +106,7 @@
         watchAt = null
         store.watch(StoredBatchClient.BATCHES, watchFrom, WATCH_TIME, RequestPriority.LEASE) {
             result ->
-            if (ended) return@watch
+            if (closed) return@watch
             when (result) {
                 is StoreResult.Ok -> {
                     watchFrom = maxOf(watchFrom, result.value.revision)
@@ -128,7 +128,8 @@
         }
 
     private fun received(data: JsonElement) {
-        val batch = ForwardingCodec.batch(data) ?: return log.error("a stored batch can't be read")
+        val batch =
+            ForwardingCodec.decodeBatch(data) ?: return log.error("a stored batch can't be read")
         if (FencingToken(batch.token) != role.token) return
         answers[batch.member] = take(batch) ?: return
     }
@@ -136,15 +137,15 @@
     /** All that is to be answered, in one write; what does not fit is left to the next batches. */
     private fun write() {
         val all = LinkedHashMap(answers)
-        var packed = ForwardingCodec.pack(StoredAnswers(all))
+        var packed = ForwardingCodec.pack(StoredBatchResponses(all))
         if (packed.length > maxPackedBytes) {
-            all.replaceAll { _, answer -> answer.withoutMail() }
-            packed = ForwardingCodec.pack(StoredAnswers(all))
+            all.replaceAll { _, answer -> answer.withoutCommands() }
+            packed = ForwardingCodec.pack(StoredBatchResponses(all))
         }
         // The rest goes with the next write, and whoever no longer waits for it asks again.
         while (packed.length > maxPackedBytes && all.size > 1) {
             all.remove(all.keys.last())
-            packed = ForwardingCodec.pack(StoredAnswers(all))
+            packed = ForwardingCodec.pack(StoredBatchResponses(all))
         }
         answers.keys.removeAll(all.keys.toSet())
         if (packed.length > maxPackedBytes) return log.error("an answer is too large to be kept")
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -33,7 +33,7 @@
 import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.records.JobRecord
 import wardmux.records.StoredPage
 import wardmux.scheduling.ClusterState
@@ -66,7 +66,7 @@
     private val operators: OperatorSettings,
     private val reader: WorkerHeartbeatReader,
     private val learnFinal: (JobId, JobState) -> Unit,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
     renewals: LeaseRenewals,
     /** True if another controller could lead. */
     private val hasSiblings: () -> Boolean,
@@ -135,7 +135,7 @@
             deployment.workers,
             operators,
             { loaded },
-            relays::renewedAtLatest,
+            relays::latestPossibleRenewal,
             ::decommission,
         )
     private val provisioner =
@@ -211,13 +211,13 @@
     fun end() {
         over = true
         storedState.abandon()
-        storeRelay.end()
+        storeRelay.close()
     }
 
-    val wantsRelays: Boolean
-        get() = relays.wanted
+    val forwardingEnabled: Boolean
+        get() = relays.forwardingEnabled
 
-    private fun sendAway(): String? = relays.sendAway()
+    private fun sendAway(): String? = relays.redirectTarget()
 
     fun handleHeartbeat(call: Long, report: WorkerHeartbeat) {
         fleet.handleHeartbeat(call, report)
@@ -227,7 +227,7 @@
     /** What a relay has heard; null if it is not for this leader. */
     fun take(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         if (batch.token != role.token.value) return null
-        return relays.take(batch).also { planIfChanged() }
+        return relays.handleBatch(batch).also { planIfChanged() }
     }
 
     private fun planIfChanged() {
@@ -240,7 +240,7 @@
         val job = cluster.jobs[id] ?: return
         if (job.isDone || job.hasEnded || job.allTasksDone) return
         log.info("{} is cancelled; {} tasks are out", job.id, job.placements.size)
-        cluster.cancel(job, cancellations.toldSince(id))
+        cluster.cancel(job, cancellations.acknowledgedSince(id))
         fleet.sendDirect()
     }
 
@@ -330,7 +330,7 @@
         placementStore.tagsVersion = state.tags?.version?.value ?: 0
         for (item in state.openJobs.items) addJob(item.data ?: continue, item.version)
         for (item in state.cancelledJobs) loadCancelled(item)
-        cancellations.shown(askedAt)
+        cancellations.storeReadAsOf(askedAt)
         for (item in state.pages) loadPage(item)
         for (item in state.decommissionedMachines) {
             markDecommissioned(MachineId(item.key.removePrefix(PlacementStore.MACHINES)))
@@ -353,12 +353,12 @@
 
     private fun loadCancelled(item: ScannedKey<JobRecord>) {
         val id = JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
-        cancellations.learnStored(id)
+        cancellations.observeStored(id)
         // One that was cancelled since the open ones were read: the watch tells that.
         if (id in cluster.jobs) return
         // When its user was told is not stored: unless this process knows, as long ago as can be.
         addJob(item.data ?: return, item.version)?.let {
-            cluster.cancel(it, cancellations.toldSince(id))
+            cluster.cancel(it, cancellations.acknowledgedSince(id))
         }
     }
 
@@ -401,7 +401,7 @@
                 is StoreResult.Ok -> {
                     watchFrom = maxOf(watchFrom, result.value.revision)
                     for (event in result.value.events) take(event)
-                    cancellations.shown(askedAt)
+                    cancellations.storeReadAsOf(askedAt)
                     watchAt = context.now + WATCH_PAUSE
                     planAndWrite()
                 }
@@ -422,7 +422,7 @@
             // Of a job that is done it was this leader that removed it.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
             if (job.isDone) return
-            cancellations.learn(job.id)
+            cancellations.observe(job.id)
             // A sibling may have told it while what is stored was being read, before the job was
             // here.
             cancelled(job.id)
@@ -461,7 +461,7 @@
         // Its user has cancelled it; the watch will say so too.
         if (!job.isDone) {
             log.info("{} was cancelled meanwhile", job.id)
-            cluster.cancel(job, cancellations.informedAt)
+            cluster.cancel(job, cancellations.completeUntil)
         }
     }
 
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -10,7 +10,7 @@
 import wardmux.model.TaskAttempt
 import wardmux.model.TaskId
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.scheduling.ClusterState
 
 /**
@@ -25,7 +25,7 @@
 class LeaderCancellationView(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
     override val token: FencingToken,
     private val workers: WorkerTiming,
 ) : CancellationView {
@@ -42,11 +42,11 @@
         get() {
             val early = context.now - electedAt <= workers.leaseS.seconds * LATE_READING_SHARE
             if (!hasRead && early) return Micros.LONG_AGO
-            return cancellations.informedAt + renewableFor
+            return cancellations.completeUntil + renewableFor
         }
 
     override val cancellationsLearned: Long
-        get() = cancellations.learned + cluster.cancelled
+        get() = cancellations.observedCount + cluster.cancelled
 
     override fun isCancelled(job: JobId): Boolean {
         if (job in cancellations) return true
--- a/src/main/kotlin/wardmux/peers/Cancellations.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationTracker.kt
@@ -17,21 +17,21 @@
 @Serializable
 class CancellationCursor(
     @SerialName("member") val member: String,
-    @SerialName("boot") val boot: String,
+    @SerialName("boot") val processIncarnation: String,
     @SerialName("count") val count: Long,
 )
 
 /** What a process has told users to be cancelled, as an answer to a sibling's heartbeat. */
 @Serializable
 class CancellationUpdate(
-    @SerialName("boot") val boot: String,
+    @SerialName("boot") val processIncarnation: String,
     /** How long this process has run, in microseconds: it answers for no former one. */
-    @SerialName("up") val up: Long,
+    @SerialName("up") val uptime: Long,
     /** Counted from the first that this process told: that of the first of [jobs]. */
-    @SerialName("from") val from: Long,
+    @SerialName("from") val firstIndex: Long,
     @SerialName("jobs") val jobs: List<String> = emptyList(),
     /** There are more than fit into one answer. */
-    @SerialName("more") val more: Boolean = false,
+    @SerialName("more") val hasMore: Boolean = false,
 )
 
 /**
@@ -43,15 +43,15 @@
  * What is told by one sibling is as good as what the state service shows: it was recorded first.
  * But a process that is gone, or can't be heard, may have told something that nobody else knows.
  */
-class Cancellations(
+class CancellationTracker(
     private val context: CoreContext,
     private val store: KeyValueStore,
-    private val boot: String,
+    private val processIncarnation: String,
     private val peers: List<String>,
     /** What was cancelled longer ago can't be on a machine any more. */
     private val horizon: Micros,
     /** One that this process did not know of. */
-    private val onLearned: (JobId) -> Unit,
+    private val onObserved: (JobId) -> Unit,
 ) {
     private class ConfirmedJob(val job: JobId, val at: Micros)
 
@@ -59,16 +59,16 @@
     private class KnownCancellation(val learnedAt: Micros, val since: Micros)
 
     /** How much of what a sibling's present process told is known here, and up to when. */
-    private class SiblingProgress(val boot: String, val since: Micros) {
+    private class PeerProgress(val processIncarnation: String, val since: Micros) {
         var count = 0L
         var at = Micros.LONG_AGO
     }
 
-    private val log = logger<Cancellations>()
+    private val log = logger<CancellationTracker>()
     private var startedAt: Micros? = null
     private val confirmedHere = ArrayDeque<ConfirmedJob>()
     private var dropped = 0L
-    private val siblingProgress = HashMap<String, SiblingProgress>()
+    private val peerProgress = HashMap<String, PeerProgress>()
     private val known = Object2ObjectLinkedOpenHashMap<JobId, KnownCancellation>()
 
     /** All that was told before then was shown by the state service. */
@@ -77,57 +77,57 @@
     private var scanning = false
 
     /** Counts the cancellations that became known. */
-    var learned = 0L
+    var observedCount = 0L
         private set
 
     /** Whether [job] is known to be cancelled. */
     operator fun contains(job: JobId) = known.containsKey(job)
 
     /** This process is about to tell a user. */
-    fun confirmed(job: JobId) {
+    fun acknowledged(job: JobId) {
         if (confirmedHere.none { it.job == job })
             confirmedHere.addLast(ConfirmedJob(job, context.now))
-        learn(job)
+        observe(job)
     }
 
     /** [job] was recorded as cancelled, whoever told its user. */
-    fun learn(job: JobId) {
+    fun observe(job: JobId) {
         // All that was told before that is known, so this was told later.
-        learn(job, since = informedAt)
+        observe(job, since = completeUntil)
     }
 
     /** [job] is among what is stored as cancelled, perhaps for very long. */
-    fun learnStored(job: JobId) = learn(job, since = Micros.LONG_AGO)
+    fun observeStored(job: JobId) = observe(job, since = Micros.LONG_AGO)
 
-    private fun learn(job: JobId, since: Micros) {
+    private fun observe(job: JobId, since: Micros) {
         val before = known[job]
         val earliest = before?.since ?: since
         known.putAndMoveToLast(job, KnownCancellation(context.now, earliest))
         if (before != null) return
-        learned++
-        onLearned(job)
+        observedCount++
+        onObserved(job)
     }
 
     /** The earliest moment at which a user may have been told that [job] is cancelled. */
-    fun toldSince(job: JobId): Micros = known[job]?.since ?: Micros.LONG_AGO
+    fun acknowledgedSince(job: JobId): Micros = known[job]?.since ?: Micros.LONG_AGO
 
     /** All jobs that are known to be cancelled. */
     fun all(): Set<JobId> = known.keys
 
     /** The state service has shown all that was recorded before [at]. */
-    fun shown(at: Micros) {
+    fun storeReadAsOf(at: Micros) {
         shownAt = maxOf(shownAt, at)
     }
 
     /** All that any user was told before then is known. */
-    val informedAt: Micros
+    val completeUntil: Micros
         get() = maxOf(shownAt, siblingsAt() ?: shownAt)
 
     private fun siblingsAt(): Micros? {
         if (!covers(startedAt ?: return null)) return null
         var least = context.now
         for (peer in peers) {
-            val progress = siblingProgress[peer] ?: return null
+            val progress = peerProgress[peer] ?: return null
             if (!covers(progress.since)) return null
             least = minOf(least, progress.at)
         }
@@ -139,30 +139,41 @@
 
     /** How much of what each sibling told is known here, to be sent to them. */
     fun cursors(): List<CancellationCursor> =
-        siblingProgress.map { (name, progress) ->
-            CancellationCursor(name, progress.boot, progress.count)
+        peerProgress.map { (name, progress) ->
+            CancellationCursor(name, progress.processIncarnation, progress.count)
         }
 
     /** What a sibling that is at [cursor] does not know yet of what this process told. */
-    fun reportFor(cursor: CancellationCursor?): CancellationUpdate {
+    fun updateAfter(cursor: CancellationCursor?): CancellationUpdate {
         removeOld()
-        val from = maxOf(cursor?.takeIf { it.boot == boot }?.count ?: 0, dropped)
+        val from =
+            maxOf(
+                cursor?.takeIf { it.processIncarnation == processIncarnation }?.count ?: 0,
+                dropped,
+            )
         val rest = confirmedHere.drop((from - dropped).toInt())
         val jobs = rest.take(MAX_REPORTED_JOBS).map { it.job.value }
         val up = (context.now - (startedAt ?: context.now)).value
-        return CancellationUpdate(boot, up, from, jobs, more = rest.size > MAX_REPORTED_JOBS)
+        return CancellationUpdate(
+            processIncarnation,
+            up,
+            from,
+            jobs,
+            hasMore = rest.size > MAX_REPORTED_JOBS,
+        )
     }
 
     /** The answer of [member] to what was sent at [sentAt]: it holds all that it told till then. */
-    fun accept(member: String, report: CancellationUpdate, sentAt: Micros) {
-        var progress = siblingProgress[member]
-        if (progress == null || progress.boot != report.boot) {
-            val since = context.now - Micros(report.up.coerceAtLeast(0)) * (1 - MAX_CLOCK_DRIFT)
-            progress = SiblingProgress(report.boot, since).also { siblingProgress[member] = it }
+    fun applyUpdate(member: String, report: CancellationUpdate, sentAt: Micros) {
+        var progress = peerProgress[member]
+        if (progress == null || progress.processIncarnation != report.processIncarnation) {
+            val since = context.now - Micros(report.uptime.coerceAtLeast(0)) * (1 - MAX_CLOCK_DRIFT)
+            progress =
+                PeerProgress(report.processIncarnation, since).also { peerProgress[member] = it }
         }
-        for (job in report.jobs) learn(JobId(job))
-        progress.count = maxOf(progress.count, report.from + report.jobs.size)
-        if (!report.more) progress.at = maxOf(progress.at, sentAt)
+        for (job in report.jobs) observe(JobId(job))
+        progress.count = maxOf(progress.count, report.firstIndex + report.jobs.size)
+        if (!report.hasMore) progress.at = maxOf(progress.at, sentAt)
     }
 
     /**
@@ -172,17 +183,17 @@
     fun tick() {
         val begun = startedAt ?: context.now.also { startedAt = it }
         if (scanning || context.now < scanAt) return
-        if (covers(begun) && siblingProgress.values.all { covers(it.since) }) return
+        if (covers(begun) && peerProgress.values.all { covers(it.since) }) return
         scanning = true
         scanAt = context.now + SCAN_PERIOD
         val sentAt = context.now
         store.scan(JobRecord.CANCELLED_PREFIX, IgnoredValue.serializer()) { found ->
             scanning = false
             if (found == null) return@scan
-            for (item in found.items) learnStored(
+            for (item in found.items) observeStored(
                 JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
             )
-            shown(sentAt)
+            storeReadAsOf(sentAt)
             log.debug("{} cancelled jobs are known", known.size)
         }
     }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
@@ -12,12 +12,12 @@
     /** The leader's token; null from all others. */
     @SerialName("token") val token: Long? = null,
     /** How long ago the state service last answered it, in microseconds. */
-    @SerialName("stateSilence") val stateSilence: Long = 0,
+    @SerialName("stateSilence") val storeSilence: Long = 0,
     @SerialName("progress") val progress: List<JobProgress> = emptyList(),
     /** The leader wants the others to take workers' reports too. */
-    @SerialName("wantsRelays") val wantsRelays: Boolean = false,
+    @SerialName("wantsRelays") val forwardingEnabled: Boolean = false,
     /** Of what the others told users to be cancelled, how much is known here. */
-    @SerialName("heard") val heard: List<CancellationCursor> = emptyList(),
+    @SerialName("heard") val cancellationCursors: List<CancellationCursor> = emptyList(),
 )
 
 /** Heartbeats and their answers as bytes. */
@@ -35,6 +35,6 @@
         CborFormat.encode(CancellationUpdate.serializer(), told)
 
     /** The answer in [bytes], or null if they hold none. */
-    fun told(bytes: ByteArray): CancellationUpdate? =
+    fun decodeUpdate(bytes: ByteArray): CancellationUpdate? =
         CborFormat.decode(CancellationUpdate.serializer(), bytes)
 }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -18,64 +18,66 @@
     private val context: CoreContext,
     private val member: String,
     private val peers: List<String>,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
 ) {
-    private class SiblingStatus(val at: Micros, val stateSilence: Micros)
+    private class PeerStatus(val at: Micros, val storeSilence: Micros)
 
     private var nextHeartbeatAt = Micros.ZERO
     private val busy = HashSet<String>()
-    private val heard = HashMap<String, SiblingStatus>()
+    private val heard = HashMap<String, PeerStatus>()
     private var progress = emptyMap<String, JobProgress>()
     private var progressAt = Micros.LONG_AGO
     private var progressToken = 0L
-    private var relaysWanted = false
+    private var forwardingEnabledByLeader = false
 
     /** Whether [member] is one of the siblings in the settings. */
-    fun knows(member: String) = member in peers
+    fun isPeer(member: String) = member in peers
 
     /** The leader's counts for [job], if they are recent. */
     fun progressOf(job: String): JobProgress? =
         if (context.now - progressAt < STALE) progress[job] else null
 
     /** The answer says what this controller told users to be cancelled. */
-    fun received(heartbeat: PeerHeartbeat): CancellationUpdate {
+    fun receive(heartbeat: PeerHeartbeat): CancellationUpdate {
         recordHeartbeat(heartbeat)
-        return cancellations.reportFor(heartbeat.heard.find { it.member == member })
+        return cancellations.updateAfter(heartbeat.cancellationCursors.find { it.member == member })
     }
 
     private fun recordHeartbeat(heartbeat: PeerHeartbeat) {
-        heard[heartbeat.member] = SiblingStatus(context.now, Micros(heartbeat.stateSilence))
+        heard[heartbeat.member] = PeerStatus(context.now, Micros(heartbeat.storeSilence))
         val token = heartbeat.token ?: return
         // A late copy of what a former leader said.
         if (token < progressToken) return
         progressToken = token
         progress = heartbeat.progress.associateBy { it.job }
         progressAt = context.now
-        relaysWanted = heartbeat.wantsRelays
+        forwardingEnabledByLeader = heartbeat.forwardingEnabled
     }
 
     /** The leader of this token has said so in its last heartbeat. */
-    fun wantsRelays(leader: FencingToken) =
-        relaysWanted && progressToken == leader.value && context.now - progressAt < STALE
+    fun isForwardingEnabledBy(leader: FencingToken) =
+        forwardingEnabledByLeader &&
+            progressToken == leader.value &&
+            context.now - progressAt < STALE
 
     /** Whether a heartbeat of any sibling came lately. */
-    fun hearsOthers() = heard.values.any { context.now - it.at < STALE }
+    fun isAnyPeerAlive() = heard.values.any { context.now - it.at < STALE }
 
     /**
      * With the state service silent for this controller: true if it answers a sibling (the leader
      * asks it more than once in two seconds), or if no sibling is heard either, so that it is this
      * controller that is cut off.
      */
-    fun othersFareBetter(): Boolean {
+    fun isIsolatedFromStore(): Boolean {
         if (peers.isEmpty()) return false
         val lately = heard.values.filter { context.now - it.at < STALE }
-        return lately.isEmpty() || lately.any { it.stateSilence < ANSWERED_LATELY }
+        return lately.isEmpty() || lately.any { it.storeSilence < ANSWERED_LATELY }
     }
 
     /** Sends a heartbeat to each sibling once a second, one at a time to each. */
     fun tick(
         token: FencingToken?,
-        wantsRelays: Boolean,
+        forwardingEnabled: Boolean,
         stateAnsweredAt: Micros,
         progress: () -> List<JobProgress>,
     ) {
@@ -83,7 +85,8 @@
         nextHeartbeatAt = context.now + PERIOD
         val silence = (context.now - stateAnsweredAt).value
         val heard = cancellations.cursors()
-        val heartbeat = PeerHeartbeat(member, token?.value, silence, progress(), wantsRelays, heard)
+        val heartbeat =
+            PeerHeartbeat(member, token?.value, silence, progress(), forwardingEnabled, heard)
         val body = PeerHeartbeatCodec.encode(heartbeat)
         val sentAt = context.now
         for (peer in peers) {
@@ -94,8 +97,8 @@
                 val told =
                     response
                         ?.takeIf { it.status == HttpStatus.OK }
-                        ?.let { PeerHeartbeatCodec.told(it.body) }
-                if (told != null) cancellations.accept(peer, told, sentAt)
+                        ?.let { PeerHeartbeatCodec.decodeUpdate(it.body) }
+                if (told != null) cancellations.applyUpdate(peer, told, sentAt)
             }
         }
     }
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -8,8 +8,8 @@
 import wardmux.forwarding.FullHeartbeat
 import wardmux.forwarding.HeartbeatBatch
 import wardmux.forwarding.HeartbeatBatchResponse
-import wardmux.forwarding.StoredAnswers
 import wardmux.forwarding.StoredBatchClient
+import wardmux.forwarding.StoredBatchResponses
 import wardmux.forwarding.UndeliveredCommands
 import wardmux.model.Charge
 import wardmux.model.Cost
@@ -238,23 +238,23 @@
         PeerHeartbeat(
             member = "n1",
             token = 4_711,
-            stateSilence = 1_250_000,
+            storeSilence = 1_250_000,
             progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0)),
-            wantsRelays = true,
-            heard =
+            forwardingEnabled = true,
+            cancellationCursors =
                 listOf(CancellationCursor("n2", "n2-5f3a", 12), CancellationCursor("n3", "n3-1", 0)),
         )
     val FOLLOWER_BEAT = PeerHeartbeat(member = "n3")
 
     val TOLD =
         CancellationUpdate(
-            boot = "n2-5f3a",
-            up = 86_400_000_000,
-            from = 12,
+            processIncarnation = "n2-5f3a",
+            uptime = 86_400_000_000,
+            firstIndex = 12,
             jobs = listOf("job-000412", "job-000413"),
-            more = true,
+            hasMore = true,
         )
-    val NOTHING_TOLD = CancellationUpdate(boot = "n3-1", up = 0, from = 0)
+    val NOTHING_TOLD = CancellationUpdate(processIncarnation = "n3-1", uptime = 0, firstIndex = 0)
 
     const val REPORT_BODY =
         """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"rackmid","ward":"east",""" +
@@ -265,18 +265,25 @@
     fun batch() =
         HeartbeatBatch(
             member = "n3",
-            boot = "n3-1",
+            processIncarnation = "n3-1",
             number = 41,
             token = 4_711,
-            echo = 55_000_000,
-            since = 250_000,
+            echoedClock = 55_000_000,
+            sinceEcho = 250_000,
             reports = listOf(FullHeartbeat(6, REPORT_BODY.encodeToByteArray())),
-            signs = listOf(4, 90, 5, 1_000_000),
+            unchanged = listOf(4, 90, 5, 1_000_000),
         )
 
     /** The first of a process: it has no clock to echo and nothing to tell. */
     fun firstBatch() =
-        HeartbeatBatch(member = "n3", boot = "n3-1", number = 1, token = 4_711, echo = 0, since = 0)
+        HeartbeatBatch(
+            member = "n3",
+            processIncarnation = "n3-1",
+            number = 1,
+            token = 4_711,
+            echoedClock = 0,
+            sinceEcho = 0,
+        )
 
     val ORDERS =
         listOf(
@@ -286,32 +293,32 @@
 
     fun answer() =
         HeartbeatBatchResponse(
-            boot = "n3-1",
+            processIncarnation = "n3-1",
             number = 41,
             token = 4_711,
-            clock = 55_500_000,
-            wanted = false,
-            grant = 5_280_000,
-            unknown = listOf(4, 5),
-            mail =
+            leaderClock = 55_500_000,
+            forwardingEnabled = false,
+            grantDuration = 5_280_000,
+            unknownNumbers = listOf(4, 5),
+            undelivered =
                 listOf(
                     UndeliveredCommands("i-000001", 3, ORDERS),
                     UndeliveredCommands("i-000002", 1, emptyList()),
                 ),
-            refuse = listOf("i-000007"),
-            shed = 3,
-            shedTo = "n1",
-            sendOn = true,
-            renews = false,
+            rejectedMachines = listOf("i-000007"),
+            rebalanceCount = 3,
+            rebalanceTarget = "n1",
+            redirectsWorkers = true,
+            renewalAllowed = false,
         )
 
     fun plainAnswer() =
         HeartbeatBatchResponse(
-            boot = "n3-1",
+            processIncarnation = "n3-1",
             number = 1,
             token = 4_711,
-            clock = 55_000_000,
-            grant = 5_280_000,
+            leaderClock = 55_000_000,
+            grantDuration = 5_280_000,
         )
 
     const val CONDEMNED_WHY = "tasks fail on it"
@@ -343,8 +350,8 @@
         all[StoredBatchClient.ANSWERS] =
             JsonPrimitive(
                 ForwardingCodec.pack(
-                    StoredAnswers(
-                        mapOf("n1" to plainAnswer(), "n3" to answer().withoutMail()) +
+                    StoredBatchResponses(
+                        mapOf("n1" to plainAnswer(), "n3" to answer().withoutCommands()) +
                             ("n4" to answer())
                     )
                 )
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -159,23 +159,27 @@
             sentOn(name) { PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it))) }
         }
         for (name in listOf("told", "nothing told")) {
-            sentOn(name) { PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.told(it))) }
+            sentOn(name) {
+                PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decodeUpdate(it)))
+            }
         }
     }
 
     @Test
     fun `batches and answers, sent and by way of the state service`() {
         for (name in listOf("batch", "first batch")) {
-            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.batch(it))) }
+            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeBatch(it))) }
         }
         for (name in listOf("answer", "plain answer")) {
-            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.answer(it))) }
+            sentOn(name) {
+                ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeResponse(it)))
+            }
         }
         packedAgain(StoredBatchClient.BATCHES + "n3") {
-            ForwardingCodec.pack(assertNotNull(ForwardingCodec.batch(it)))
+            ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeBatch(it)))
         }
         packedAgain(StoredBatchClient.ANSWERS) {
-            ForwardingCodec.pack(assertNotNull(ForwardingCodec.answers(it)))
+            ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeStoredResponses(it)))
         }
     }
 
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -362,11 +362,14 @@
             val heartbeat = assertNotNull(PeerHeartbeatCodec.decode(it))
             assertEquals("n1", heartbeat.member)
             assertEquals(4_711, heartbeat.token)
-            assertEquals(1_250_000, heartbeat.stateSilence)
+            assertEquals(1_250_000, heartbeat.storeSilence)
             val progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0))
             assertEquals(progress, heartbeat.progress)
-            assertTrue(heartbeat.wantsRelays)
-            val heard = heartbeat.heard.map { h -> Triple(h.member, h.boot, h.count) }
+            assertTrue(heartbeat.forwardingEnabled)
+            val heard =
+                heartbeat.cancellationCursors.map { h ->
+                    Triple(h.member, h.processIncarnation, h.count)
+                }
             assertEquals(listOf(Triple("n2", "n2-5f3a", 12L), Triple("n3", "n3-1", 0L)), heard)
         }
         eachMessage("beat of a follower") {
@@ -377,111 +380,111 @@
     @Test
     fun `the answer to a heartbeat is read`() {
         eachMessage("told") {
-            val told = assertNotNull(PeerHeartbeatCodec.told(it))
-            assertEquals("n2-5f3a", told.boot)
-            assertEquals(86_400_000_000, told.up)
-            assertEquals(12, told.from)
+            val told = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
+            assertEquals("n2-5f3a", told.processIncarnation)
+            assertEquals(86_400_000_000, told.uptime)
+            assertEquals(12, told.firstIndex)
             assertEquals(listOf("job-000412", "job-000413"), told.jobs)
-            assertTrue(told.more)
+            assertTrue(told.hasMore)
         }
         eachMessage("nothing told") {
-            val told = assertNotNull(PeerHeartbeatCodec.told(it))
-            assertEquals("n3-1", told.boot)
-            assertEquals(0, told.up)
-            assertEquals(0, told.from)
+            val told = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
+            assertEquals("n3-1", told.processIncarnation)
+            assertEquals(0, told.uptime)
+            assertEquals(0, told.firstIndex)
             assertEquals(emptyList(), told.jobs)
-            assertFalse(told.more)
+            assertFalse(told.hasMore)
         }
     }
 
     private fun assertWhole(batch: HeartbeatBatch?) {
         assertNotNull(batch)
         assertEquals("n3", batch.member)
-        assertEquals("n3-1", batch.boot)
+        assertEquals("n3-1", batch.processIncarnation)
         assertEquals(41, batch.number)
         assertEquals(4_711, batch.token)
-        assertEquals(55_000_000, batch.echo)
-        assertEquals(250_000, batch.since)
+        assertEquals(55_000_000, batch.echoedClock)
+        assertEquals(250_000, batch.sinceEcho)
         val report = batch.reports.single()
         assertEquals(6, report.number)
         assertContentEquals(FormatContents.REPORT_BODY.encodeToByteArray(), report.body)
-        assertEquals(listOf<Long>(4, 90, 5, 1_000_000), batch.signs)
+        assertEquals(listOf<Long>(4, 90, 5, 1_000_000), batch.unchanged)
     }
 
     private fun assertWhole(answer: HeartbeatBatchResponse?) {
         assertNotNull(answer)
-        assertEquals("n3-1", answer.boot)
+        assertEquals("n3-1", answer.processIncarnation)
         assertEquals(41, answer.number)
         assertEquals(4_711, answer.token)
-        assertEquals(55_500_000, answer.clock)
-        assertFalse(answer.wanted)
-        assertEquals(5_280_000, answer.grant)
-        assertEquals(listOf<Long>(4, 5), answer.unknown)
-        val mail = answer.mail.map { Triple(it.machine, it.incarnation, it.orders) }
+        assertEquals(55_500_000, answer.leaderClock)
+        assertFalse(answer.forwardingEnabled)
+        assertEquals(5_280_000, answer.grantDuration)
+        assertEquals(listOf<Long>(4, 5), answer.unknownNumbers)
+        val mail = answer.undelivered.map { Triple(it.machine, it.incarnation, it.commands) }
         val orders = FormatContents.ORDERS
         val wanted = listOf(Triple("i-000001", 3L, orders), Triple("i-000002", 1L, emptyList()))
         assertEquals(wanted, mail)
-        assertEquals(listOf("i-000007"), answer.refuse)
-        assertEquals(3, answer.shed)
-        assertEquals("n1", answer.shedTo)
-        assertTrue(answer.sendOn)
-        assertFalse(answer.renews)
+        assertEquals(listOf("i-000007"), answer.rejectedMachines)
+        assertEquals(3, answer.rebalanceCount)
+        assertEquals("n1", answer.rebalanceTarget)
+        assertTrue(answer.redirectsWorkers)
+        assertFalse(answer.renewalAllowed)
     }
 
     private fun assertBare(answer: HeartbeatBatchResponse?) {
         assertNotNull(answer)
-        assertEquals("n3-1", answer.boot)
+        assertEquals("n3-1", answer.processIncarnation)
         assertEquals(4_711, answer.token)
-        assertEquals(5_280_000, answer.grant)
-        assertEquals(emptyList(), answer.unknown)
-        assertEquals(emptyList(), answer.mail)
-        assertEquals(emptyList(), answer.refuse)
-        assertEquals(0, answer.shed)
-        assertNull(answer.shedTo)
+        assertEquals(5_280_000, answer.grantDuration)
+        assertEquals(emptyList(), answer.unknownNumbers)
+        assertEquals(emptyList(), answer.undelivered)
+        assertEquals(emptyList(), answer.rejectedMachines)
+        assertEquals(0, answer.rebalanceCount)
+        assertNull(answer.rebalanceTarget)
     }
 
     private fun assertPlain(answer: HeartbeatBatchResponse?) {
         assertBare(answer)
         assertEquals(1, answer?.number)
-        assertEquals(55_000_000, answer?.clock)
-        assertEquals(true, answer?.wanted)
-        assertEquals(false, answer?.sendOn)
-        assertEquals(true, answer?.renews)
+        assertEquals(55_000_000, answer?.leaderClock)
+        assertEquals(true, answer?.forwardingEnabled)
+        assertEquals(false, answer?.redirectsWorkers)
+        assertEquals(true, answer?.renewalAllowed)
     }
 
     @Test
     fun `batches are read`() {
-        eachMessage("batch") { assertWhole(ForwardingCodec.batch(it)) }
-        eachStored("r/n3") { assertWhole(ForwardingCodec.batch(it)) }
+        eachMessage("batch") { assertWhole(ForwardingCodec.decodeBatch(it)) }
+        eachStored("r/n3") { assertWhole(ForwardingCodec.decodeBatch(it)) }
         eachMessage("first batch") {
-            val batch = assertNotNull(ForwardingCodec.batch(it))
+            val batch = assertNotNull(ForwardingCodec.decodeBatch(it))
             assertEquals("n3", batch.member)
-            assertEquals("n3-1", batch.boot)
+            assertEquals("n3-1", batch.processIncarnation)
             assertEquals(1, batch.number)
             assertEquals(4_711, batch.token)
-            assertEquals(0, batch.echo)
-            assertEquals(0, batch.since)
+            assertEquals(0, batch.echoedClock)
+            assertEquals(0, batch.sinceEcho)
             assertEquals(0, batch.reports.size)
-            assertEquals(emptyList(), batch.signs)
+            assertEquals(emptyList(), batch.unchanged)
         }
     }
 
     @Test
     fun `the answers to batches are read`() {
-        eachMessage("answer") { assertWhole(ForwardingCodec.answer(it)) }
-        eachMessage("plain answer") { assertPlain(ForwardingCodec.answer(it)) }
+        eachMessage("answer") { assertWhole(ForwardingCodec.decodeResponse(it)) }
+        eachMessage("plain answer") { assertPlain(ForwardingCodec.decodeResponse(it)) }
         eachStored("a/relays") {
-            val answers = assertNotNull(ForwardingCodec.answers(it)).byMember
+            val answers = assertNotNull(ForwardingCodec.decodeStoredResponses(it)).byMember
             assertEquals(setOf("n1", "n3", "n4"), answers.keys)
             assertPlain(answers["n1"])
             assertWhole(answers["n4"])
-            val withoutMail = answers["n3"]
-            assertBare(withoutMail)
-            assertEquals(41, withoutMail?.number)
-            assertEquals(55_500_000, withoutMail?.clock)
-            assertEquals(false, withoutMail?.wanted)
-            assertEquals(true, withoutMail?.sendOn)
-            assertEquals(false, withoutMail?.renews)
+            val withoutCommands = answers["n3"]
+            assertBare(withoutCommands)
+            assertEquals(41, withoutCommands?.number)
+            assertEquals(55_500_000, withoutCommands?.leaderClock)
+            assertEquals(false, withoutCommands?.forwardingEnabled)
+            assertEquals(true, withoutCommands?.redirectsWorkers)
+            assertEquals(false, withoutCommands?.renewalAllowed)
         }
     }
 
--- a/src/test/kotlin/wardmux/app/ReadyTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadyTest.kt
@@ -20,7 +20,7 @@
         repeat(inSeconds) {
             val heartbeat =
                 PeerHeartbeatCodec.encode(
-                    PeerHeartbeat("n1", stateSilence = siblingsSilence(it) * 1_000_000)
+                    PeerHeartbeat("n1", storeSilence = siblingsSilence(it) * 1_000_000)
                 )
             harness.call("POST", "/beat", heartbeat, Port.PEER)
             harness.call("GET", "/submissions/job-000001")
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -35,19 +35,19 @@
     private fun send(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         val status = harness.call("POST", "/relay", ForwardingCodec.encode(batch), Port.PEER)?.first
         if (status != 200) return null
-        return ForwardingCodec.answer(harness.bytesOf(harness.lastCall))
+        return ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall))
     }
 
     private fun batch(
         reports: List<FullHeartbeat> = emptyList(),
-        signs: List<Long> = emptyList(),
+        unchanged: List<Long> = emptyList(),
         echo: Long = this.echo,
         boot: String = "b",
     ): HeartbeatBatchResponse? {
         val since = harness.now.value - echoAt
-        val answer = send(HeartbeatBatch("n1", boot, 1, token, echo, since, reports, signs))
+        val answer = send(HeartbeatBatch("n1", boot, 1, token, echo, since, reports, unchanged))
         if (answer != null) {
-            this.echo = answer.clock
+            this.echo = answer.leaderClock
             echoAt = harness.now.value
         }
         return answer
@@ -71,15 +71,15 @@
     fun `a machine that is heard through a relay gets work, directly and only so`() {
         harness.accept(plainJob(1))
         harness.directOutcome = Outcome.NoResponse
-        val mail = ArrayList<UndeliveredCommands>()
-        mail += batch(listOf(report()))!!.mail
+        val undelivered = ArrayList<UndeliveredCommands>()
+        undelivered += batch(listOf(report()))!!.undelivered
         repeat(6) {
-            mail += batch(signs = listOf(number, ++tick))!!.mail
+            undelivered += batch(unchanged = listOf(number, ++tick))!!.undelivered
             harness.run(1.seconds)
         }
         assertEquals(1, starts("job-000001/0"))
         // Unanswered, it may still be carried out: it goes no second way.
-        assertTrue(mail.flatMap { it.orders }.none { it.verb == "start" })
+        assertTrue(undelivered.flatMap { it.commands }.none { it.verb == "start" })
     }
 
     @Test
@@ -90,15 +90,15 @@
         val ended = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"done"}"""
         batch(listOf(report(ended)))
         harness.run(2.seconds)
-        val answer = batch(signs = listOf(number, ++tick))!!
-        assertEquals("forget", answer.mail.single().orders.single().verb)
+        val answer = batch(unchanged = listOf(number, ++tick))!!
+        assertEquals("forget", answer.undelivered.single().commands.single().verb)
     }
 
     @Test
     fun `an unknown number is asked for, and a late copy proves nothing`() {
         val first = report()
         batch(listOf(first))
-        assertEquals(listOf(77L), batch(signs = listOf(77, 3))!!.unknown)
+        assertEquals(listOf(77L), batch(unchanged = listOf(77, 3))!!.unknownNumbers)
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
         batch(listOf(report(running)))
         // A copy of the first comes late: it frees nothing and brings nothing back.
@@ -180,9 +180,12 @@
         val batch = HeartbeatBatch("n1", "b", 9, token, 0, 0, listOf(report()))
         harness.write("r/n1", JsonPrimitive(ForwardingCodec.pack(batch)))
         harness.run(2.seconds)
-        val answer = ForwardingCodec.answers(harness.stored("a/relays")!!)!!.byMember.getValue("n1")
+        val answer =
+            ForwardingCodec.decodeStoredResponses(harness.stored("a/relays")!!)!!
+                .byMember
+                .getValue("n1")
         assertEquals(9, answer.number)
-        assertTrue(answer.grant > 0)
+        assertTrue(answer.grantDuration > 0)
     }
 
     /** Requests of 5 s in which each of the machines at the relay gives a sign of life a second. */
@@ -196,8 +199,8 @@
         harness.stateCalls.clear()
         harness.direct.clear()
         repeat(5) {
-            val answer = batch(signs = numbers.flatMap { n -> listOf(n, ++tick) })!!
-            assertTrue(answer.unknown.isEmpty() && answer.mail.isEmpty())
+            val answer = batch(unchanged = numbers.flatMap { n -> listOf(n, ++tick) })!!
+            assertTrue(answer.unknownNumbers.isEmpty() && answer.undelivered.isEmpty())
             ownReport()
             heartbeat()
             harness.run(1.seconds)
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -26,17 +26,17 @@
     private var answer: (HeartbeatBatch) -> HeartbeatBatchResponse? = { grant() }
 
     private fun grant(
-        mail: List<UndeliveredCommands> = emptyList(),
-        unknown: List<Long> = emptyList(),
+        undelivered: List<UndeliveredCommands> = emptyList(),
+        unknownNumbers: List<Long> = emptyList(),
     ) =
         HeartbeatBatchResponse(
             "rig",
             batches.last().number,
             token,
             harness.now.value,
-            grant = 5_000_000,
-            mail = mail,
-            unknown = unknown,
+            grantDuration = 5_000_000,
+            undelivered = undelivered,
+            unknownNumbers = unknownNumbers,
         )
 
     init {
@@ -44,7 +44,7 @@
         harness.peer = { path, body ->
             if (path != ForwardingCodec.PATH) null
             else {
-                val batch = ForwardingCodec.batch(body)!!
+                val batch = ForwardingCodec.decodeBatch(body)!!
                 batches.add(batch)
                 answer(batch)?.let { ForwardingCodec.encode(it) }
             }
@@ -54,7 +54,7 @@
 
     /** The follower learns the token from the leader's heartbeat. */
     private fun lead(number: Long = token, wants: Boolean = true) {
-        val heartbeat = PeerHeartbeat("n1", token = number, wantsRelays = wants)
+        val heartbeat = PeerHeartbeat("n1", token = number, forwardingEnabled = wants)
         harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
         harness.run(1.seconds)
     }
@@ -71,7 +71,7 @@
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
         assertEquals(whole, bodies().size, "an unchanged report was handed on whole")
-        assertTrue(batches.any { it.signs.isNotEmpty() && it.signs[1] == 3L })
+        assertTrue(batches.any { it.unchanged.isNotEmpty() && it.unchanged[1] == 3L })
         machine.handleHeartbeat(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
         harness.run(1.seconds)
         assertContains(bodies().last(), "job-000001/0")
@@ -103,7 +103,7 @@
     fun `a new leader's token drops the old grant and all that was left for machines`() {
         val halt =
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
-        answer = { grant(mail = listOf(halt)) }
+        answer = { grant(undelivered = listOf(halt)) }
         lead()
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
@@ -123,7 +123,7 @@
         val second = ManualWorker(harness, "i-000002")
         machine.handleHeartbeat(token)
         second.handleHeartbeat(token)
-        answer = { grant(mail = listOf(halt, other)) }
+        answer = { grant(undelivered = listOf(halt, other)) }
         harness.run(2.seconds)
         answer = { grant() }
         harness.run(2.seconds)
@@ -143,11 +143,11 @@
         answer = { grant() }
         // The way by the state service, on which nobody answers here, is given up first.
         harness.run(12.seconds)
-        assertTrue(batches.any { b -> b.signs.isNotEmpty() }, "a sign of life was lost")
+        assertTrue(batches.any { b -> b.unchanged.isNotEmpty() }, "a sign of life was lost")
         // An answer that the leader asks for by its number is sent whole once more.
-        val number = batches.first { it.signs.isNotEmpty() }.signs[0]
+        val number = batches.first { it.unchanged.isNotEmpty() }.unchanged[0]
         batches.clear()
-        answer = { grant(unknown = listOf(number)) }
+        answer = { grant(unknownNumbers = listOf(number)) }
         harness.run(1.2.seconds)
         answer = { grant() }
         harness.run(2.seconds)
@@ -161,20 +161,20 @@
         harness.peer = { _, _ -> null }
         repeat(12) {
             harness.run(1.seconds)
-            val stored = harness.stored("r/n0")?.let { ForwardingCodec.batch(it) }
+            val stored = harness.stored("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
             if (stored != null && stored.number > batches.last().number) {
                 batches.add(stored)
-                val all = StoredAnswers(mapOf("n0" to grant()))
+                val all = StoredBatchResponses(mapOf("n0" to grant()))
                 harness.write("a/relays", JsonPrimitive(ForwardingCodec.pack(all)))
             }
             assertEquals(200, machine.report(token)?.first, "after $it s")
         }
-        assertTrue(batches.last().signs.isNotEmpty(), "signs of life are not handed on")
+        assertTrue(batches.last().unchanged.isNotEmpty(), "signs of life are not handed on")
         // A late answer is for a batch long past: it grants nothing.
         harness.run(10.seconds)
         harness.write(
             "a/relays",
-            JsonPrimitive(ForwardingCodec.pack(StoredAnswers(mapOf("n0" to grant())))),
+            JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(mapOf("n0" to grant())))),
         )
         harness.run(0.2.seconds)
         assertFalse(machine.report(token)?.first == 200)
@@ -183,7 +183,13 @@
     @Test
     fun `where the leader takes all reports itself, workers are sent to it`() {
         answer = {
-            HeartbeatBatchResponse("rig", it.number, token, harness.now.value, wanted = false)
+            HeartbeatBatchResponse(
+                "rig",
+                it.number,
+                token,
+                harness.now.value,
+                forwardingEnabled = false,
+            )
         }
         lead(wants = false)
         val sent = machine.report(0)
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -63,7 +63,7 @@
     private fun batch(token: Long, vararg reports: FullHeartbeat): HeartbeatBatchResponse {
         val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports.toList())
         harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), Port.PEER)
-        return assertNotNull(ForwardingCodec.answer(harness.bytesOf(harness.lastCall)))
+        return assertNotNull(ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall)))
     }
 
     private fun report(token: Long, tick: Int, tasks: String): FullHeartbeat {
@@ -145,17 +145,17 @@
         assertEquals(listOf(job.id), batch(token).cancelledJobs)
         val shown = batch(token, report(token, 5, running))
         assertEquals(listOf(theTask), named(shown))
-        assertEquals("halt", shown.mail.single().orders.single().verb)
+        assertEquals("halt", shown.undelivered.single().commands.single().verb)
         batch(token, report(token, 6, ""))
         assertEquals(emptyList(), named(batch(token)))
-        assertTrue(batch(token).renews)
+        assertTrue(batch(token).renewalAllowed)
     }
 
     @Test
     fun `a relay of an earlier version is to refuse a machine that does not show it`() {
         val token = takeOver()
-        assertEquals(listOf("i-000001"), batch(token, report(token - 1, 5, "")).refuse)
-        assertEquals(emptyList(), batch(token, report(token - 1, 6, running)).refuse)
+        assertEquals(listOf("i-000001"), batch(token, report(token - 1, 5, "")).rejectedMachines)
+        assertEquals(emptyList(), batch(token, report(token - 1, 6, running)).rejectedMachines)
     }
 
     @Test
@@ -178,10 +178,10 @@
     fun `what does not fit by way of the state service stops all renewals`() {
         val token = takeOver()
         val answer = batch(token)
-        assertTrue(answer.renews)
-        assertFalse(answer.withoutMail().renews)
-        assertEquals(emptyList(), answer.withoutMail().mustHalt)
+        assertTrue(answer.renewalAllowed)
+        assertFalse(answer.withoutCommands().renewalAllowed)
+        assertEquals(emptyList(), answer.withoutCommands().mustHalt)
         batch(token, report(token, 6, ""))
-        assertTrue(batch(token).withoutMail().renews, "nothing is left out")
+        assertTrue(batch(token).withoutCommands().renewalAllowed, "nothing is left out")
     }
 }
--- a/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -33,8 +33,8 @@
     private var mustHalt: List<CancelledTasks>? =
         listOf(CancelledTasks("i-000001", listOf(TaskAttempt("job-000001/0", 1))))
     private var cancelledJobs = emptyList<String>()
-    private var mail = emptyList<UndeliveredCommands>()
-    private var refuse = emptyList<String>()
+    private var undelivered = emptyList<UndeliveredCommands>()
+    private var rejectedMachines = emptyList<String>()
 
     private fun answer(batch: HeartbeatBatch) =
         HeartbeatBatchResponse(
@@ -42,9 +42,9 @@
             batch.number,
             token,
             harness.now.value,
-            grant = 5_000_000,
-            mail = mail,
-            refuse = refuse,
+            grantDuration = 5_000_000,
+            undelivered = undelivered,
+            rejectedMachines = rejectedMachines,
             cancelledJobs = cancelledJobs,
             mustHalt = mustHalt,
         )
@@ -52,14 +52,15 @@
     private fun begin() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.peer = { path, body ->
-            val batch = if (path == ForwardingCodec.PATH) ForwardingCodec.batch(body) else null
+            val batch =
+                if (path == ForwardingCodec.PATH) ForwardingCodec.decodeBatch(body) else null
             batch?.let {
                 batches.add(it)
                 ForwardingCodec.encode(answer(it))
             }
         }
         harness.run(1.seconds)
-        val heartbeat = PeerHeartbeat("n1", token = token, wantsRelays = true)
+        val heartbeat = PeerHeartbeat("n1", token = token, forwardingEnabled = true)
         harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
         harness.run(1.seconds)
     }
@@ -125,7 +126,7 @@
     fun `an order that the leader left is not repeated beside the halt`() {
         begin()
         machine.handleHeartbeat(token, running)
-        mail =
+        undelivered =
             listOf(
                 UndeliveredCommands(
                     "i-000001",
@@ -142,7 +143,7 @@
     fun `a machine that is refused for the task alone is heard on`() {
         begin()
         machine.handleHeartbeat(token, fine)
-        refuse = listOf("i-000001")
+        rejectedMachines = listOf("i-000001")
         harness.run(1.1.seconds)
         assertEquals(200, machine.report(token, fine)?.first)
         // Given up, it is named no more.
--- a/src/test/kotlin/wardmux/peers/CancellationsTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -17,7 +17,7 @@
 import wardmux.store.KeyValueStore
 
 /** Who knows what users were told to be cancelled, and what a leader does that may not know it. */
-class CancellationsTest {
+class CancellationTrackerTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
     private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
@@ -106,20 +106,23 @@
     fun `what this controller tells a user it tells its siblings, each once`() {
         siblingTells()
         leads()
-        val heartbeat = { heard: List<CancellationCursor> ->
+        val heartbeat = { cursors: List<CancellationCursor> ->
             harness.call(
                 "POST",
                 "/beat",
-                PeerHeartbeatCodec.encode(PeerHeartbeat("n1", heard = heard)),
+                PeerHeartbeatCodec.encode(PeerHeartbeat("n1", cancellationCursors = cursors)),
                 Port.PEER,
             )
-            PeerHeartbeatCodec.told(harness.bytesOf(harness.lastCall))!!
+            PeerHeartbeatCodec.decodeUpdate(harness.bytesOf(harness.lastCall))!!
         }
         assertEquals(emptyList(), heartbeat(emptyList()).jobs)
         assertEquals(200, harness.call("POST", "/submissions/job-000001/abort")?.first)
         val told = heartbeat(emptyList())
         assertEquals(listOf("job-000001"), told.jobs)
-        assertEquals(emptyList(), heartbeat(listOf(CancellationCursor("n0", told.boot, 1))).jobs)
+        assertEquals(
+            emptyList(),
+            heartbeat(listOf(CancellationCursor("n0", told.processIncarnation, 1))).jobs,
+        )
         assertEquals(
             1,
             heartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
@@ -132,42 +135,46 @@
     private class Known {
         val context = CoreContext().also { it.at(100.seconds, 100.seconds) }
         private val store = KeyValueStore(context, StoreLimits(900.0, 900.0, 8.0, 8), 2)
-        val cancellations = Cancellations(context, store, "own", listOf("n1"), 60.seconds) {}
+        val cancellations = CancellationTracker(context, store, "own", listOf("n1"), 60.seconds) {}
         private val job = JobId("job-000001")
 
         fun at(second: Int) = context.at(second.seconds, second.seconds)
 
         fun toldBy(peer: List<String>) =
-            cancellations.accept("n1", CancellationUpdate("b", 1_000_000_000, 0, peer), context.now)
+            cancellations.applyUpdate(
+                "n1",
+                CancellationUpdate("b", 1_000_000_000, 0, peer),
+                context.now,
+            )
 
-        fun since() = cancellations.toldSince(job)
+        fun since() = cancellations.acknowledgedSince(job)
 
-        fun learnStored() = cancellations.learnStored(job)
+        fun observeStored() = cancellations.observeStored(job)
 
-        fun learn() = cancellations.learn(job)
+        fun learn() = cancellations.observe(job)
     }
 
     @Test
     fun `a cancellation counts from when it was last known that there was none`() =
         Known().run {
-            cancellations.shown(90.seconds)
+            cancellations.storeReadAsOf(90.seconds)
             at(120)
             learn()
             assertEquals(90.seconds, since())
-            cancellations.shown(119.seconds)
+            cancellations.storeReadAsOf(119.seconds)
             at(130)
             // Told once more, and read from what is stored: no later for that.
             learn()
-            learnStored()
+            observeStored()
             assertEquals(90.seconds, since())
         }
 
     @Test
     fun `one that is read from what is stored counts from as long ago as can be`() =
         Known().run {
-            cancellations.shown(119.seconds)
+            cancellations.storeReadAsOf(119.seconds)
             at(120)
-            learnStored()
+            observeStored()
             assertEquals(Micros.LONG_AGO, since())
         }
 
@@ -175,7 +182,7 @@
     fun `one that a sibling tells counts from when all were last heard`() =
         Known().run {
             // Nothing is known of what former processes told.
-            cancellations.shown(100.seconds)
+            cancellations.storeReadAsOf(100.seconds)
             cancellations.tick()
             at(101)
             toldBy(emptyList())
