--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -55,7 +55,7 @@
             store,
             boot,
             peerNames,
-            CancellationTracker.horizon(platform.deployment.workers.cancelS.seconds),
+            CancellationTracker.retention(platform.deployment.workers.cancelS.seconds),
         ) {
             term?.cancelled(it)
         }
--- a/src/main/kotlin/wardmux/peers/CancellationTracker.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationTracker.kt
@@ -1,8 +1,6 @@
 package wardmux.peers
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
 import wardmux.core.CoreContext
 import wardmux.logging.logger
 import wardmux.model.JobId
@@ -13,67 +11,50 @@
 import wardmux.store.IgnoredValue
 import wardmux.store.KeyValueStore
 
-/** How many of the cancellations that process [boot] of [member] told the asker has. */
-@Serializable
-class CancellationCursor(
-    @SerialName("member") val member: String,
-    @SerialName("boot") val processIncarnation: String,
-    @SerialName("count") val count: Long,
-)
-
-/** What a process has told users to be cancelled, as an answer to a sibling's heartbeat. */
-@Serializable
-class CancellationUpdate(
-    @SerialName("boot") val processIncarnation: String,
-    /** How long this process has run, in microseconds: it answers for no former one. */
-    @SerialName("up") val uptime: Long,
-    /** Counted from the first that this process told: that of the first of [jobs]. */
-    @SerialName("from") val firstIndex: Long,
-    @SerialName("jobs") val jobs: List<String> = emptyList(),
-    /** There are more than fit into one answer. */
-    @SerialName("more") val hasMore: Boolean = false,
-)
+/** Called for every cancellation that becomes known to this process. */
+fun interface CancellationListener {
+    /** [job] is cancelled, and was not known to be. */
+    fun onCancelled(job: JobId)
+}
 
 /**
- * What users were told to be cancelled, by any controller, and up to when this one surely knows all
- * of it. The state service says so, and so do the siblings, each for what it told itself: a leader
- * that the state service refuses goes on knowing, and in an outage for all, in which nobody can
- * cancel anything, it may go on keeping its workers' leases alive.
+ * Tracks which cancellations users were told of, by any controller, and up to when this process
+ * surely knows all of them ([completeUntil]).
+ *
+ * There are two sources: the key-value store, and the peers, each for what its present process
+ * acknowledged. A leader that the store does not answer thus still knows all cancellations, and may
+ * go on renewing leases in an outage of the store, in which nobody can cancel anything.
  *
- * What is told by one sibling is as good as what the state service shows: it was recorded first.
- * But a process that is gone, or can't be heard, may have told something that nobody else knows.
+ * What a peer reports is as good as what the store shows: it was recorded first. But a process that
+ * ended, or can't be reached, may have acknowledged something that no peer knows.
  */
 class CancellationTracker(
     private val context: CoreContext,
     private val store: KeyValueStore,
-    private val processIncarnation: String,
+    processIncarnation: String,
     private val peers: List<String>,
     /** What was cancelled longer ago can't be on a machine any more. */
-    private val horizon: Micros,
-    /** One that this process did not know of. */
-    private val onObserved: (JobId) -> Unit,
+    private val retention: Micros,
+    private val listener: CancellationListener,
 ) {
-    private class ConfirmedJob(val job: JobId, val at: Micros)
-
-    /** A user may have been told of it from [since] on. */
-    private class KnownCancellation(val learnedAt: Micros, val since: Micros)
+    /** A user may have been told of it from [acknowledgedSince] on. */
+    private class KnownCancellation(val observedAt: Micros, val acknowledgedSince: Micros)
 
-    /** How much of what a sibling's present process told is known here, and up to when. */
-    private class PeerProgress(val processIncarnation: String, val since: Micros) {
+    /** How much of what a peer's present process acknowledged is known, and up to when. */
+    private class PeerProgress(val processIncarnation: String, val startedAt: Micros) {
         var count = 0L
-        var at = Micros.LONG_AGO
+        var completeUntil = Micros.LONG_AGO
     }
 
     private val log = logger<CancellationTracker>()
     private var startedAt: Micros? = null
-    private val confirmedHere = ArrayDeque<ConfirmedJob>()
-    private var dropped = 0L
+    private val acknowledged = AcknowledgedCancellations(context, processIncarnation, retention)
     private val peerProgress = HashMap<String, PeerProgress>()
     private val known = Object2ObjectLinkedOpenHashMap<JobId, KnownCancellation>()
 
-    /** All that was told before then was shown by the state service. */
-    private var shownAt = Micros.LONG_AGO
-    private var scanAt = Micros.LONG_AGO
+    /** The store has shown all that was recorded before. */
+    private var storeReadAsOf = Micros.LONG_AGO
+    private var nextScanAt = Micros.LONG_AGO
     private var scanning = false
 
     /** Counts the cancellations that became known. */
@@ -83,141 +64,125 @@
     /** Whether [job] is known to be cancelled. */
     operator fun contains(job: JobId) = known.containsKey(job)
 
-    /** This process is about to tell a user. */
+    /** Records that this process is about to tell a user that [job] is cancelled. */
     fun acknowledged(job: JobId) {
-        if (confirmedHere.none { it.job == job })
-            confirmedHere.addLast(ConfirmedJob(job, context.now))
+        acknowledged.add(job)
         observe(job)
     }
 
-    /** [job] was recorded as cancelled, whoever told its user. */
+    /** Records that [job] was cancelled lately, whichever controller told its user. */
     fun observe(job: JobId) {
-        // All that was told before that is known, so this was told later.
+        // All that was acknowledged before that is known, so this was acknowledged later.
         observe(job, since = completeUntil)
     }
 
-    /** [job] is among what is stored as cancelled, perhaps for very long. */
+    /** Records that [job] is stored as cancelled, perhaps for very long. */
     fun observeStored(job: JobId) = observe(job, since = Micros.LONG_AGO)
 
     private fun observe(job: JobId, since: Micros) {
         val before = known[job]
-        val earliest = before?.since ?: since
+        val earliest = before?.acknowledgedSince ?: since
         known.putAndMoveToLast(job, KnownCancellation(context.now, earliest))
         if (before != null) return
         observedCount++
-        onObserved(job)
+        listener.onCancelled(job)
     }
 
-    /** The earliest moment at which a user may have been told that [job] is cancelled. */
-    fun acknowledgedSince(job: JobId): Micros = known[job]?.since ?: Micros.LONG_AGO
+    /** The earliest time at which a user may have been told that [job] is cancelled. */
+    fun acknowledgedSince(job: JobId): Micros = known[job]?.acknowledgedSince ?: Micros.LONG_AGO
 
     /** All jobs that are known to be cancelled. */
     fun all(): Set<JobId> = known.keys
 
-    /** The state service has shown all that was recorded before [at]. */
-    fun storeReadAsOf(at: Micros) {
-        shownAt = maxOf(shownAt, at)
+    /** Records that the store has shown all cancellations recorded before [time]. */
+    fun storeReadAsOf(time: Micros) {
+        storeReadAsOf = maxOf(storeReadAsOf, time)
     }
 
-    /** All that any user was told before then is known. */
+    /** Every cancellation that any user was told of before then is known. */
     val completeUntil: Micros
-        get() = maxOf(shownAt, siblingsAt() ?: shownAt)
+        get() = maxOf(storeReadAsOf, peersCompleteUntil() ?: storeReadAsOf)
 
-    private fun siblingsAt(): Micros? {
-        if (!covers(startedAt ?: return null)) return null
-        var least = context.now
+    private fun peersCompleteUntil(): Micros? {
+        if (!isCovered(startedAt ?: return null)) return null
+        var earliest = context.now
         for (peer in peers) {
             val progress = peerProgress[peer] ?: return null
-            if (!covers(progress.since)) return null
-            least = minOf(least, progress.at)
+            if (!isCovered(progress.startedAt)) return null
+            earliest = minOf(earliest, progress.completeUntil)
         }
-        return least
+        return earliest
     }
 
-    /** What processes before [since] told is known, or too old to matter. */
-    private fun covers(since: Micros) = shownAt >= since || context.now - since > horizon
+    /** Whether what processes before [start] acknowledged is known, or too old to matter. */
+    private fun isCovered(start: Micros) = storeReadAsOf >= start || context.now - start > retention
 
-    /** How much of what each sibling told is known here, to be sent to them. */
+    /** How much of what each peer acknowledged is known here, to be sent to them. */
     fun cursors(): List<CancellationCursor> =
         peerProgress.map { (name, progress) ->
             CancellationCursor(name, progress.processIncarnation, progress.count)
         }
 
-    /** What a sibling that is at [cursor] does not know yet of what this process told. */
+    /** What a peer that is at [cursor] does not know yet of what this process acknowledged. */
     fun updateAfter(cursor: CancellationCursor?): CancellationUpdate {
         removeOld()
-        val from =
-            maxOf(
-                cursor?.takeIf { it.processIncarnation == processIncarnation }?.count ?: 0,
-                dropped,
-            )
-        val rest = confirmedHere.drop((from - dropped).toInt())
-        val jobs = rest.take(MAX_REPORTED_JOBS).map { it.job.value }
-        val up = (context.now - (startedAt ?: context.now)).value
-        return CancellationUpdate(
-            processIncarnation,
-            up,
-            from,
-            jobs,
-            hasMore = rest.size > MAX_REPORTED_JOBS,
-        )
+        return acknowledged.updateAfter(cursor, context.now - (startedAt ?: context.now))
     }
 
-    /** The answer of [member] to what was sent at [sentAt]: it holds all that it told till then. */
-    fun applyUpdate(member: String, report: CancellationUpdate, sentAt: Micros) {
+    /**
+     * Takes in the answer of [member] to a heartbeat that was sent at [sentAt]: it holds all that
+     * the peer's process had acknowledged by then.
+     */
+    fun applyUpdate(member: String, update: CancellationUpdate, sentAt: Micros) {
         var progress = peerProgress[member]
-        if (progress == null || progress.processIncarnation != report.processIncarnation) {
-            val since = context.now - Micros(report.uptime.coerceAtLeast(0)) * (1 - MAX_CLOCK_DRIFT)
-            progress =
-                PeerProgress(report.processIncarnation, since).also { peerProgress[member] = it }
+        if (progress == null || progress.processIncarnation != update.processIncarnation) {
+            val uptime = Micros(update.uptime.coerceAtLeast(0)) * (1 - MAX_CLOCK_DRIFT)
+            progress = PeerProgress(update.processIncarnation, context.now - uptime)
+            peerProgress[member] = progress
         }
-        for (job in report.jobs) observe(JobId(job))
-        progress.count = maxOf(progress.count, report.firstIndex + report.jobs.size)
-        if (!report.hasMore) progress.at = maxOf(progress.at, sentAt)
+        for (job in update.jobs) observe(JobId(job))
+        progress.count = maxOf(progress.count, update.firstIndex + update.jobs.size)
+        if (!update.hasMore) progress.completeUntil = maxOf(progress.completeUntil, sentAt)
     }
 
     /**
-     * Another process of a member, or this one, has begun: what the one before told is asked of the
-     * state service, once.
+     * Reads the cancelled jobs from the store if this process or another one of a member is new:
+     * what the process before it acknowledged only the store knows.
      */
     fun tick() {
-        val begun = startedAt ?: context.now.also { startedAt = it }
-        if (scanning || context.now < scanAt) return
-        if (covers(begun) && peerProgress.values.all { covers(it.since) }) return
+        val start = startedAt ?: context.now.also { startedAt = it }
+        if (scanning || context.now < nextScanAt) return
+        if (isCovered(start) && peerProgress.values.all { isCovered(it.startedAt) }) return
         scanning = true
-        scanAt = context.now + SCAN_PERIOD
+        nextScanAt = context.now + SCAN_PERIOD
         val sentAt = context.now
         store.scan(JobRecord.CANCELLED_PREFIX, IgnoredValue.serializer()) { found ->
             scanning = false
             if (found == null) return@scan
-            for (item in found.items) observeStored(
-                JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
-            )
+            for (item in found.items) {
+                observeStored(JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX)))
+            }
             storeReadAsOf(sentAt)
             log.debug("{} cancelled jobs are known", known.size)
         }
     }
 
     private fun removeOld() {
-        while (confirmedHere.isNotEmpty() && context.now - confirmedHere.first().at > horizon) {
-            confirmedHere.removeFirst()
-            dropped++
-        }
+        acknowledged.removeOld()
         while (
             !known.isEmpty() &&
-                context.now - known[known.firstKey()]!!.learnedAt > horizon + horizon
+                context.now - known[known.firstKey()]!!.observedAt > retention + retention
         ) {
             known.removeFirst()
         }
     }
 
     companion object {
-        private const val MAX_REPORTED_JOBS = 500
         private val SCAN_PERIOD = 2.seconds
-        private const val HORIZON_FACTOR = 1.1
-        private val HORIZON_MARGIN = 5.seconds
+        private const val RETENTION_FACTOR = 1.1
+        private val RETENTION_MARGIN = 5.seconds
 
-        /** Somewhat more than a cancelled job's tasks may live. */
-        fun horizon(cancelTime: Micros) = cancelTime * HORIZON_FACTOR + HORIZON_MARGIN
+        /** How long cancellations are kept: somewhat longer than their tasks may run on. */
+        fun retention(cancelTime: Micros) = cancelTime * RETENTION_FACTOR + RETENTION_MARGIN
     }
 }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
@@ -5,36 +5,37 @@
 import wardmux.model.JobProgress
 import wardmux.serialization.CborFormat
 
-/** A controller's word to its siblings, about once a second. */
+/** What a controller tells each of its peers about once a second. */
 @Serializable
 data class PeerHeartbeat(
     @SerialName("member") val member: String,
-    /** The leader's token; null from all others. */
+    /** The leader's fencing token; null from all others. */
     @SerialName("token") val token: Long? = null,
-    /** How long ago the state service last answered it, in microseconds. */
+    /** How long ago the key-value store last answered the sender, in microseconds. */
     @SerialName("stateSilence") val storeSilence: Long = 0,
+    /** The leader's counts of tasks; empty from all others. */
     @SerialName("progress") val progress: List<JobProgress> = emptyList(),
-    /** The leader wants the others to take workers' reports too. */
+    /** The leader wants its followers to answer workers too. */
     @SerialName("wantsRelays") val forwardingEnabled: Boolean = false,
-    /** Of what the others told users to be cancelled, how much is known here. */
+    /** How many of the cancellations that its peers acknowledged the sender knows. */
     @SerialName("heard") val cancellationCursors: List<CancellationCursor> = emptyList(),
 )
 
-/** Heartbeats and their answers as bytes. */
+/** Peer heartbeats and their answers as bytes. */
 object PeerHeartbeatCodec {
-    /** A heartbeat as it is sent. */
+    /** Encodes a heartbeat. */
     fun encode(heartbeat: PeerHeartbeat): ByteArray =
         CborFormat.encode(PeerHeartbeat.serializer(), heartbeat)
 
-    /** The heartbeat in [bytes], or null if they hold none. */
+    /** Decodes a heartbeat; null if [bytes] hold none. */
     fun decode(bytes: ByteArray): PeerHeartbeat? =
         CborFormat.decode(PeerHeartbeat.serializer(), bytes)
 
-    /** The answer to a heartbeat as it is sent. */
-    fun encode(told: CancellationUpdate): ByteArray =
-        CborFormat.encode(CancellationUpdate.serializer(), told)
+    /** Encodes the answer to a heartbeat. */
+    fun encode(update: CancellationUpdate): ByteArray =
+        CborFormat.encode(CancellationUpdate.serializer(), update)
 
-    /** The answer in [bytes], or null if they hold none. */
+    /** Decodes the answer to a heartbeat; null if [bytes] hold none. */
     fun decodeUpdate(bytes: ByteArray): CancellationUpdate? =
         CborFormat.decode(CancellationUpdate.serializer(), bytes)
 }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -11,8 +11,8 @@
 import wardmux.model.seconds
 
 /**
- * Talk between the controllers: each tells the others that it lives and whether the state service
- * answers it; the leader also who leads and how far the jobs are.
+ * Sends and receives heartbeats between controllers: each tells its peers that it is alive and
+ * whether the key-value store answers it; the leader also its token and the progress of jobs.
  */
 class PeerHeartbeats(
     private val context: CoreContext,
@@ -20,33 +20,36 @@
     private val peers: List<String>,
     private val cancellations: CancellationTracker,
 ) {
-    private class PeerStatus(val at: Micros, val storeSilence: Micros)
+    private class PeerStatus(val lastHeartbeatAt: Micros, val storeSilence: Micros)
 
     private var nextHeartbeatAt = Micros.ZERO
-    private val busy = HashSet<String>()
-    private val heard = HashMap<String, PeerStatus>()
+
+    /** Peers that have not answered the last heartbeat yet. */
+    private val inFlight = HashSet<String>()
+    private val statusByPeer = HashMap<String, PeerStatus>()
     private var progress = emptyMap<String, JobProgress>()
     private var progressAt = Micros.LONG_AGO
-    private var progressToken = 0L
+    private var progressToken = FencingToken(0)
     private var forwardingEnabledByLeader = false
 
-    /** Whether [member] is one of the siblings in the settings. */
+    /** Whether [member] is one of the peers in the settings. */
     fun isPeer(member: String) = member in peers
 
-    /** The leader's counts for [job], if they are recent. */
-    fun progressOf(job: String): JobProgress? =
-        if (context.now - progressAt < STALE) progress[job] else null
+    /** The leader's counts for [job], or null if they are not known or too old. */
+    fun progressOf(job: String): JobProgress? = if (isRecent(progressAt)) progress[job] else null
 
-    /** The answer says what this controller told users to be cancelled. */
+    /** Takes in a peer's heartbeat; the answer holds the cancellations that it does not know. */
     fun receive(heartbeat: PeerHeartbeat): CancellationUpdate {
-        recordHeartbeat(heartbeat)
-        return cancellations.updateAfter(heartbeat.cancellationCursors.find { it.member == member })
+        record(heartbeat)
+        val cursor = heartbeat.cancellationCursors.find { it.member == member }
+        return cancellations.updateAfter(cursor)
     }
 
-    private fun recordHeartbeat(heartbeat: PeerHeartbeat) {
-        heard[heartbeat.member] = PeerStatus(context.now, Micros(heartbeat.storeSilence))
-        val token = heartbeat.token ?: return
-        // A late copy of what a former leader said.
+    private fun record(heartbeat: PeerHeartbeat) {
+        val status = PeerStatus(context.now, Micros(heartbeat.storeSilence))
+        statusByPeer[heartbeat.member] = status
+        val token = FencingToken(heartbeat.token ?: return)
+        // A late heartbeat of a former leader.
         if (token < progressToken) return
         progressToken = token
         progress = heartbeat.progress.associateBy { it.job }
@@ -54,60 +57,65 @@
         forwardingEnabledByLeader = heartbeat.forwardingEnabled
     }
 
-    /** The leader of this token has said so in its last heartbeat. */
+    /** Whether the leader of token [leader] has lately said that followers answer workers too. */
     fun isForwardingEnabledBy(leader: FencingToken) =
-        forwardingEnabledByLeader &&
-            progressToken == leader.value &&
-            context.now - progressAt < STALE
+        forwardingEnabledByLeader && progressToken == leader && isRecent(progressAt)
 
-    /** Whether a heartbeat of any sibling came lately. */
-    fun isAnyPeerAlive() = heard.values.any { context.now - it.at < STALE }
+    /** Whether a heartbeat of any peer came lately. */
+    fun isAnyPeerAlive() = statusByPeer.values.any { isRecent(it.lastHeartbeatAt) }
 
     /**
-     * With the state service silent for this controller: true if it answers a sibling (the leader
-     * asks it more than once in two seconds), or if no sibling is heard either, so that it is this
-     * controller that is cut off.
+     * For a controller that the key-value store does not answer: whether it alone is cut off. So it
+     * is if the store answers a peer (the leader sends it more than one request in two seconds), or
+     * if no peer is alive either.
      */
     fun isIsolatedFromStore(): Boolean {
         if (peers.isEmpty()) return false
-        val lately = heard.values.filter { context.now - it.at < STALE }
-        return lately.isEmpty() || lately.any { it.storeSilence < ANSWERED_LATELY }
+        val alive = statusByPeer.values.filter { isRecent(it.lastHeartbeatAt) }
+        return alive.isEmpty() || alive.any { it.storeSilence < MAX_STORE_SILENCE }
     }
 
-    /** Sends a heartbeat to each sibling once a second, one at a time to each. */
+    private fun isRecent(time: Micros) = context.now - time < MAX_HEARTBEAT_AGE
+
+    /** Sends a heartbeat to each peer once a second, one at a time to each. */
     fun tick(
         token: FencingToken?,
         forwardingEnabled: Boolean,
-        stateAnsweredAt: Micros,
+        storeAvailableAt: Micros,
         progress: () -> List<JobProgress>,
     ) {
         if (context.now < nextHeartbeatAt) return
         nextHeartbeatAt = context.now + PERIOD
-        val silence = (context.now - stateAnsweredAt).value
-        val heard = cancellations.cursors()
         val heartbeat =
-            PeerHeartbeat(member, token?.value, silence, progress(), forwardingEnabled, heard)
+            PeerHeartbeat(
+                member,
+                token?.value,
+                (context.now - storeAvailableAt).value,
+                progress(),
+                forwardingEnabled,
+                cancellations.cursors(),
+            )
         val body = PeerHeartbeatCodec.encode(heartbeat)
+        for (peer in peers) if (inFlight.add(peer)) send(peer, body)
+    }
+
+    private fun send(peer: String, body: ByteArray) {
         val sentAt = context.now
-        for (peer in peers) {
-            if (!busy.add(peer)) continue
-            context.send(Target.Peer(peer), "POST", PATH, body, TIMEOUT) { outcome ->
-                busy.remove(peer)
-                val response = outcome as? Outcome.Response
-                val told =
-                    response
-                        ?.takeIf { it.status == HttpStatus.OK }
-                        ?.let { PeerHeartbeatCodec.decodeUpdate(it.body) }
-                if (told != null) cancellations.applyUpdate(peer, told, sentAt)
-            }
+        context.send(Target.Peer(peer), "POST", PATH, body, TIMEOUT) { outcome ->
+            inFlight.remove(peer)
+            val response = outcome as? Outcome.Response
+            if (response?.status != HttpStatus.OK) return@send
+            val update = PeerHeartbeatCodec.decodeUpdate(response.body) ?: return@send
+            cancellations.applyUpdate(peer, update, sentAt)
         }
     }
 
     companion object {
+        /** Where heartbeats are sent to. */
         const val PATH = "/beat"
         private val PERIOD = 1.seconds
-        private val STALE = 3.seconds
-        private val ANSWERED_LATELY = 2.seconds
+        private val MAX_HEARTBEAT_AGE = 3.seconds
+        private val MAX_STORE_SILENCE = 2.seconds
         private val TIMEOUT = 900.milliseconds
     }
 }
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -16,14 +16,14 @@
 import wardmux.sim.plainJob
 import wardmux.store.KeyValueStore
 
-/** Who knows what users were told to be cancelled, and what a leader does that may not know it. */
+/** Who knows which cancellations users were told of, and what a leader does that may not know. */
 class CancellationTrackerTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
     private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
     private var heartbeats = 0
 
-    private fun siblingTells(vararg jobs: String, boot: String = "b", upS: Long = 1_000) {
+    private fun peerAcknowledges(vararg jobs: String, boot: String = "b", upS: Long = 1_000) {
         harness.peer = { path, _ ->
             if (path != PeerHeartbeats.PATH) null
             else {
@@ -35,7 +35,7 @@
         }
     }
 
-    private fun leads(): Long {
+    private fun becomeLeader(): Long {
         harness.accept(plainJob(1))
         harness.run(3.seconds)
         val token = machine.token()
@@ -45,67 +45,67 @@
     }
 
     /** Renewed in each of so many seconds: an answer under no token renews nothing. */
-    private fun renewals(token: Long, inSeconds: Int): List<Boolean> =
-        List(inSeconds) {
+    private fun renewals(token: Long, seconds: Int): List<Boolean> =
+        List(seconds) {
             harness.run(1.seconds)
             val answer = machine.report(token, running)
             answer?.first == 200 && "\"baton\":$token" in answer.second
         }
 
     @Test
-    fun `a leader that hears all siblings keeps leases alive in an outage of any length`() {
-        siblingTells()
-        val token = leads()
+    fun `a leader that all peers answer renews leases in an outage of any length`() {
+        peerAcknowledges()
+        val token = becomeLeader()
         harness.outage()
         val renewed = renewals(token, 60)
         assertTrue(
             renewed.count { !it } <= 8,
-            "sent on once in half a lease, else renewed: $renewed",
+            "redirected once in half a lease, else renewed: $renewed",
         )
         assertTrue(heartbeats > 40)
     }
 
     @Test
-    fun `one that does not hear them stops in time, counted from when it last asked`() {
-        siblingTells()
-        val token = leads()
+    fun `one that they do not answer stops in time, counted from its last heartbeat`() {
+        peerAcknowledges()
+        val token = becomeLeader()
         harness.outage()
         harness.peer = { _, _ -> null }
-        // Cancelled 36 s before, all must be gone: a lease of 16 s and a relay's grant go off that.
+        // Cancelled 36 s before, all must be gone: minus a lease of 16 s and a forwarder's grant.
         val renewed = renewals(token, 40)
         assertTrue(renewed.take(8).any { it }, "$renewed")
         assertFalse(renewed.drop(15).any { it }, "$renewed")
     }
 
     @Test
-    fun `nor does one whose sibling was replaced by a process that knows nothing of the last`() {
-        siblingTells()
-        val token = leads()
+    fun `one whose peer was replaced by a process that knows nothing of the last stops too`() {
+        peerAcknowledges()
+        val token = becomeLeader()
         harness.outage()
-        siblingTells(boot = "c", upS = 0)
+        peerAcknowledges(boot = "c", upS = 0)
         assertFalse(renewals(token, 40).drop(15).any { it })
-        // The state service shows what the process before has told.
+        // The store shows what the process before has acknowledged.
         harness.outageOver()
         harness.run(3.seconds)
         assertTrue(renewals(token, 3).any { it })
     }
 
     @Test
-    fun `what a sibling has told a user is taken down while the state service is away`() {
-        siblingTells()
-        val token = leads()
+    fun `a cancellation that a peer acknowledged is enforced in an outage of the store`() {
+        peerAcknowledges()
+        val token = becomeLeader()
         harness.outage()
         harness.run(5.seconds)
-        siblingTells("job-000001")
+        peerAcknowledges("job-000001")
         harness.run(2.seconds)
         val answers = List(4) { machine.report(token, running)?.second.orEmpty() }
         assertContains(answers.joinToString(), "\"verb\":\"halt\"")
     }
 
     @Test
-    fun `what this controller tells a user it tells its siblings, each once`() {
-        siblingTells()
-        leads()
+    fun `a cancellation that this controller acknowledged is sent to each peer once`() {
+        peerAcknowledges()
+        becomeLeader()
         val heartbeat = { cursors: List<CancellationCursor> ->
             harness.call(
                 "POST",
@@ -117,11 +117,11 @@
         }
         assertEquals(emptyList(), heartbeat(emptyList()).jobs)
         assertEquals(200, harness.call("POST", "/submissions/job-000001/abort")?.first)
-        val told = heartbeat(emptyList())
-        assertEquals(listOf("job-000001"), told.jobs)
+        val update = heartbeat(emptyList())
+        assertEquals(listOf("job-000001"), update.jobs)
         assertEquals(
             emptyList(),
-            heartbeat(listOf(CancellationCursor("n0", told.processIncarnation, 1))).jobs,
+            heartbeat(listOf(CancellationCursor("n0", update.processIncarnation, 1))).jobs,
         )
         assertEquals(
             1,
@@ -132,7 +132,7 @@
         assertEquals(emptyList(), heartbeat(emptyList()).jobs)
     }
 
-    private class Known {
+    private class TrackerHarness {
         val context = CoreContext().also { it.at(100.seconds, 100.seconds) }
         private val store = KeyValueStore(context, StoreLimits(900.0, 900.0, 8.0, 8), 2)
         val cancellations = CancellationTracker(context, store, "own", listOf("n1"), 60.seconds) {}
@@ -140,54 +140,54 @@
 
         fun at(second: Int) = context.at(second.seconds, second.seconds)
 
-        fun toldBy(peer: List<String>) =
+        fun peerReports(jobs: List<String>) =
             cancellations.applyUpdate(
                 "n1",
-                CancellationUpdate("b", 1_000_000_000, 0, peer),
+                CancellationUpdate("b", 1_000_000_000, 0, jobs),
                 context.now,
             )
 
-        fun since() = cancellations.acknowledgedSince(job)
+        fun acknowledgedSince() = cancellations.acknowledgedSince(job)
 
         fun observeStored() = cancellations.observeStored(job)
 
-        fun learn() = cancellations.observe(job)
+        fun observe() = cancellations.observe(job)
     }
 
     @Test
     fun `a cancellation counts from when it was last known that there was none`() =
-        Known().run {
+        TrackerHarness().run {
             cancellations.storeReadAsOf(90.seconds)
             at(120)
-            learn()
-            assertEquals(90.seconds, since())
+            observe()
+            assertEquals(90.seconds, acknowledgedSince())
             cancellations.storeReadAsOf(119.seconds)
             at(130)
-            // Told once more, and read from what is stored: no later for that.
-            learn()
+            // Observed once more, and read from the store: no later for that.
+            observe()
             observeStored()
-            assertEquals(90.seconds, since())
+            assertEquals(90.seconds, acknowledgedSince())
         }
 
     @Test
     fun `one that is read from what is stored counts from as long ago as can be`() =
-        Known().run {
+        TrackerHarness().run {
             cancellations.storeReadAsOf(119.seconds)
             at(120)
             observeStored()
-            assertEquals(Micros.LONG_AGO, since())
+            assertEquals(Micros.LONG_AGO, acknowledgedSince())
         }
 
     @Test
-    fun `one that a sibling tells counts from when all were last heard`() =
-        Known().run {
-            // Nothing is known of what former processes told.
+    fun `one that a peer reports counts from when all peers had last answered`() =
+        TrackerHarness().run {
+            // Nothing is known of what former processes acknowledged.
             cancellations.storeReadAsOf(100.seconds)
             cancellations.tick()
             at(101)
-            toldBy(emptyList())
+            peerReports(emptyList())
             at(150)
-            toldBy(listOf("job-000001"))
-            assertEquals(101.seconds, since())
+            peerReports(listOf("job-000001"))
+            assertEquals(101.seconds, acknowledgedSince())
         }
 }
