--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -13,6 +13,7 @@
 import wardmux.drain.DrainApi
 import wardmux.election.LeaderElection
 import wardmux.election.Role
+import wardmux.forwarding.ForwarderSettings
 import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.HeartbeatForwarder
 import wardmux.forwarding.StoredBatchClient
@@ -92,15 +93,17 @@
         HeartbeatForwarder(
             context,
             leadership,
-            platform.member,
-            boot,
-            platform.deployment.workers,
+            peerHeartbeats,
             cancellations,
             renewals,
             StoredBatchClient(context, store, platform.member),
-            platform.peers.size,
-            platform.deployment.limits.sockets.workers,
-            peerHeartbeats::isForwardingEnabledBy,
+            ForwarderSettings(
+                platform.member,
+                boot,
+                platform.deployment.workers,
+                platform.peers.size,
+                platform.deployment.limits.sockets.workers,
+            ),
             ::sendToLeader,
         )
 
--- a/src/main/kotlin/wardmux/forwarding/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -9,8 +9,8 @@
 import wardmux.model.seconds
 
 /**
- * Sends a relay's batches to the leader: directly, or through the state service for some time after
- * the leader could not be connected to.
+ * Sends a follower's batches to the leader: directly, or through the key-value store for some time
+ * after the leader could not be connected to.
  */
 class BatchSender(
     private val context: CoreContext,
@@ -18,28 +18,30 @@
 ) {
     private val log = logger<BatchSender>()
     private var throughStoreUntil = Micros.LONG_AGO
-    private var storedReportBytes = storedBatchClient.maxPackedBytes
 
-    /** Batches go by way of the state service for now, where they are slower and smaller. */
+    /** The uncompressed heartbeats that are expected to fit into a stored batch, in bytes. */
+    private var storedHeartbeatBytes = storedBatchClient.maxPackedBytes
+
+    /** Whether batches go through the key-value store now, which is slower and holds less. */
     val isThroughStore: Boolean
         get() = context.now < throughStoreUntil
 
-    /** Reports are added to a batch until they take so many bytes. */
-    val maxReportBytes: Int
-        get() = if (isThroughStore) storedReportBytes else MAX_DIRECT_BYTES
+    /** Full heartbeats are added to a batch until they take so many bytes. */
+    val maxHeartbeatBytes: Int
+        get() = if (isThroughStore) storedHeartbeatBytes else MAX_DIRECT_BYTES
 
-    /** A stored batch holds few signs of life where values are small; the next takes the rest. */
+    /** How many unchanged heartbeats a batch may hold; a stored one is limited by its value. */
     val maxUnchanged: Int
         get() =
-            if (isThroughStore) maxOf(storedBatchClient.maxPackedBytes / UNCHANGED_BYTES, 1)
+            if (isThroughStore) maxOf(storedBatchClient.maxPackedBytes / MAX_UNCHANGED_BYTES, 1)
             else Int.MAX_VALUE
 
-    /** Another leader: it may well be reached directly. */
+    /** Another controller leads: it is tried directly first. */
     fun reset() {
         throughStoreUntil = Micros.LONG_AGO
     }
 
-    /** Sends [batch] to [leader]; [then] gets the answer, or null if there is none. */
+    /** Sends [batch] to [leader]; [then] gets the response, or null if there is none. */
     fun send(leader: String, batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) =
         if (isThroughStore) sendThroughStore(batch, then) else sendDirectly(leader, batch, then)
 
@@ -53,8 +55,8 @@
         context.send(target, "POST", ForwardingCodec.PATH, bytes, TIMEOUT) { outcome ->
             val response = outcome as? Outcome.Response
             if (response == null) {
-                log.info("{} can't be reached: by way of the state service", leader)
-                throughStoreUntil = context.now + STORE_TIME
+                log.info("{} can't be reached; forwarding through the key-value store", leader)
+                throughStoreUntil = context.now + DIRECT_RETRY_PAUSE
             }
             then(
                 response
@@ -68,10 +70,10 @@
         val packed = ForwardingCodec.pack(batch)
         val maxBytes = storedBatchClient.maxPackedBytes
         if (packed.length <= maxBytes) {
-            storedReportBytes = minOf(storedReportBytes * 2, maxBytes * MIN_COMPRESSION)
-            return storedBatchClient.ask(batch, packed, then)
+            storedHeartbeatBytes = minOf(storedHeartbeatBytes * 2, maxBytes * MAX_COMPRESSION)
+            return storedBatchClient.send(batch, packed, then)
         }
-        storedReportBytes = maxOf(storedReportBytes / 2, 1)
+        storedHeartbeatBytes = maxOf(storedHeartbeatBytes / 2, 1)
         then(null)
     }
 
@@ -79,13 +81,13 @@
         val TIMEOUT = 3.seconds
         const val MAX_DIRECT_BYTES = 200_000
 
-        /** Until a direct connection is tried again. */
-        val STORE_TIME = 5.seconds
+        /** How long batches go through the store before the leader is tried directly again. */
+        val DIRECT_RETRY_PAUSE = 5.seconds
 
-        /** Reports are packed to a fifth or less. */
-        const val MIN_COMPRESSION = 4
+        /** The most uncompressed bytes that are tried for each byte of a value. */
+        const val MAX_COMPRESSION = 4
 
-        /** The most that a machine's number and tick take in a stored batch. */
-        const val UNCHANGED_BYTES = 12
+        /** The most that an unchanged heartbeat takes in a compressed batch. */
+        const val MAX_UNCHANGED_BYTES = 12
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
@@ -16,38 +16,46 @@
 import wardmux.serialization.CborFormat
 import wardmux.worker.WorkerCommand
 
-/** A worker's report that differs from the last one handed on, as the worker sent it. */
+/** A worker's heartbeat that differs from the last one forwarded, as the worker sent it. */
 @Serializable
 class FullHeartbeat(
-    /** What signs of life refer to: another number for each report that was handed on whole. */
+    /** Identifies this heartbeat when a later one is the same; never used twice by a process. */
     @SerialName("number") val number: Long,
     @OptIn(ExperimentalSerializationApi::class) @ByteString @SerialName("body") val body: ByteArray,
 )
 
 /**
- * What a relay has heard since its last batch, and its wish to go on taking reports. A batch that
- * is lost, late, doubled or out of order does no harm: what it says of a machine is held against
- * the machine's session and tick, and a number that the leader does not know is asked for again.
+ * The heartbeats that a follower has answered since its last batch, and its request for a new
+ * grant. A batch that is lost, late, duplicated or out of order does no harm: every heartbeat is
+ * compared with the machine's incarnation and tick, and a number that the leader does not know is
+ * asked for again.
  */
 @Serializable
 class HeartbeatBatch(
     @SerialName("member") val member: String,
-    /** Tells two processes of one member apart. */
+    /** The process of [member] that sends it. */
     @SerialName("boot") val processIncarnation: String,
     /** Counts the batches of a process. */
     @SerialName("number") val number: Long,
-    /** The leader that it is for. */
+    /** Fencing token of the leader that it is for. */
     @SerialName("token") val token: Long,
-    /** The leader's clock in its last answer, 0 if none came yet. */
+    /**
+     * The leader's clock in its last response, in microseconds: all heartbeats answered before that
+     * response came are in this batch or an earlier one. 0 if there was none, or if heartbeats had
+     * to be left out.
+     */
     @SerialName("echo") val echoedClock: Long,
-    /** Time at the relay since that answer, in microseconds. */
+    /** Time at the follower since that response, in microseconds. */
     @SerialName("since") val sinceEcho: Long,
     @SerialName("reports") val reports: List<FullHeartbeat> = emptyList(),
-    /** Signs of life, two numbers each: of the report that still holds, and the tick. */
+    /**
+     * Unchanged heartbeats, two numbers each: that of the [FullHeartbeat] which they equal, and
+     * their tick.
+     */
     @SerialName("signs") val unchanged: List<Long> = emptyList(),
 )
 
-/** What a machine is told with the answer to its next report. */
+/** Commands for a machine, to be delivered with the response to its next heartbeat. */
 @Serializable
 class UndeliveredCommands(
     @SerialName("machine") val machine: String,
@@ -55,42 +63,45 @@
     @SerialName("orders") val commands: List<WorkerCommand>,
 )
 
-/** The leader's answer to a batch: the grant, and what the relay is to tell workers. */
+/** The leader's response to a batch: the new grant, and what the follower is to tell workers. */
 @Serializable
 class HeartbeatBatchResponse(
-    /** The batch that this answers. */
+    /** With [number], the batch that this responds to. */
     @SerialName("boot") val processIncarnation: String,
     @SerialName("number") val number: Long,
     @SerialName("token") val token: Long,
-    /** The leader's clock, to be echoed. */
+    /** The leader's clock in microseconds, to be sent back with the next batch. */
     @SerialName("clock") val leaderClock: Long,
-    /** False: the leader takes all reports itself. */
+    /** False if the leader answers all workers itself. */
     @SerialName("wanted") val forwardingEnabled: Boolean = true,
-    /** How long the relay may answer workers, counted from when it sent the batch; microseconds. */
+    /**
+     * How long the follower may answer workers, in microseconds, counted from when it sent the
+     * batch.
+     */
     @SerialName("grant") val grantDuration: Long = 0,
-    /** Numbers that the leader does not know: their machines' reports are to be sent whole. */
+    /** Numbers that the leader does not know: these heartbeats are to be sent in full. */
     @SerialName("unknown") val unknownNumbers: List<Long> = emptyList(),
     @SerialName("mail") val undelivered: List<UndeliveredCommands> = emptyList(),
     /** Machines that are not to be answered any more. */
     @SerialName("refuse") val rejectedMachines: List<String> = emptyList(),
-    /** So many workers are to be sent to [shedTo]. */
+    /** So many workers are to be redirected to [rebalanceTarget]. */
     @SerialName("shed") val rebalanceCount: Int = 0,
     @SerialName("shedTo") val rebalanceTarget: String? = null,
-    /** The leader has been unsure of its lease for long enough that workers are sent on once. */
+    /** The leader has been unsure of its lease for so long that each worker is redirected once. */
     @SerialName("sendOn") val redirectsWorkers: Boolean = false,
-    /** False: workers are kept, but their leases are not renewed for now. */
+    /** False if workers are answered, but their leases not renewed for now. */
     @SerialName("renews") val renewalAllowed: Boolean = true,
-    /** Jobs that are cancelled and of which something may be on a machine. */
+    /** Cancelled jobs of which a task may be on a machine. */
     @SerialName("cancelled") val cancelledJobs: List<String> = emptyList(),
     /**
-     * Tasks without whose halts the leases of their machines are not renewed under this grant; null
+     * Tasks that the response to their machine must stop if it renews the machine's lease; null
      * from a leader of an earlier version, which names none.
      */
     @SerialName("mustHalt") val mustHalt: List<CancelledTasks>? = null,
 ) {
     /**
-     * The machines will be told again. Without the tasks that have to be halted no lease may be
-     * renewed, so if there are any, none is.
+     * The same without what concerns single machines, which the next response repeats. Where tasks
+     * must be stopped, no lease may be renewed without naming them, so none is.
      */
     fun withoutCommands() =
         HeartbeatBatchResponse(
@@ -106,55 +117,56 @@
         )
 }
 
-/** What the leader answers by way of the state service. */
+/** The responses that the leader leaves in the key-value store, by member. */
 @Serializable
 class StoredBatchResponses(
     @SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>
 )
 
-/** Batches and their answers as bytes, and packed as the state service keeps them. */
+/** Batches and responses as bytes, and compressed as values of the key-value store. */
 object ForwardingCodec {
+    /** Where batches are sent to. */
     const val PATH = "/relay"
 
-    /** A batch as it is sent directly. */
+    /** Encodes a batch that is sent directly. */
     fun encode(batch: HeartbeatBatch): ByteArray =
         CborFormat.encode(HeartbeatBatch.serializer(), batch)
 
-    /** An answer as it is sent directly. */
-    fun encode(answer: HeartbeatBatchResponse): ByteArray =
-        CborFormat.encode(HeartbeatBatchResponse.serializer(), answer)
+    /** Encodes a response that is sent directly. */
+    fun encode(response: HeartbeatBatchResponse): ByteArray =
+        CborFormat.encode(HeartbeatBatchResponse.serializer(), response)
 
-    /** The batch in [bytes], or null if they hold none. */
+    /** Decodes a batch; null if [bytes] hold none. */
     fun decodeBatch(bytes: ByteArray): HeartbeatBatch? =
         CborFormat.decode(HeartbeatBatch.serializer(), bytes)
 
-    /** The answer in [bytes], or null if they hold none. */
+    /** Decodes a response; null if [bytes] hold none. */
     fun decodeResponse(bytes: ByteArray): HeartbeatBatchResponse? =
         CborFormat.decode(HeartbeatBatchResponse.serializer(), bytes)
 
-    /** As the state service keeps it. */
-    fun pack(batch: HeartbeatBatch): String = packed(encode(batch))
+    /** Compresses a batch into a value of the key-value store. */
+    fun pack(batch: HeartbeatBatch): String = compress(encode(batch))
 
-    /** All answers in one value of the state service. */
-    fun pack(answers: StoredBatchResponses): String =
-        packed(CborFormat.encode(StoredBatchResponses.serializer(), answers))
+    /** Compresses all responses into one value of the key-value store. */
+    fun pack(responses: StoredBatchResponses): String =
+        compress(CborFormat.encode(StoredBatchResponses.serializer(), responses))
 
-    /** The batch in a value of the state service, or null if it holds none. */
+    /** Decodes a stored batch; null if the value holds none. */
     fun decodeBatch(stored: JsonElement): HeartbeatBatch? =
-        unpacked(stored)?.let { decodeBatch(it) }
+        decompress(stored)?.let { decodeBatch(it) }
 
-    /** The answers in a value of the state service, or null if it holds none. */
+    /** Decodes stored responses; null if the value holds none. */
     fun decodeStoredResponses(stored: JsonElement): StoredBatchResponses? =
-        unpacked(stored)?.let { CborFormat.decode(StoredBatchResponses.serializer(), it) }
+        decompress(stored)?.let { CborFormat.decode(StoredBatchResponses.serializer(), it) }
 
-    private fun packed(bytes: ByteArray): String {
+    private fun compress(bytes: ByteArray): String {
         val out = ByteArrayOutputStream()
         DeflaterOutputStream(out).use { it.write(bytes) }
         return Base64.getEncoder().encodeToString(out.toByteArray())
     }
 
-    /** Null if it is nothing that was packed, or more than was ever. */
-    private fun unpacked(stored: JsonElement): ByteArray? =
+    /** Null if [stored] was not compressed, or holds more than any message. */
+    private fun decompress(stored: JsonElement): ByteArray? =
         try {
             val bytes = Base64.getDecoder().decode(stored.jsonPrimitive.content)
             InflaterInputStream(ByteArrayInputStream(bytes)).readNBytes(MAX_UNPACKED_BYTES)
--- /dev/null
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
@@ -0,0 +1,65 @@
+package wardmux.forwarding
+
+import wardmux.config.OperatorSettings
+import wardmux.config.PlatformConfig
+import wardmux.core.CoreContext
+import wardmux.logging.logger
+import wardmux.model.seconds
+import wardmux.scheduling.ClusterState
+
+/**
+ * Decides whether followers answer workers too. When a leader is new they do, so that it is not
+ * overloaded by all workers at once; they go on if there are more than it can serve by itself.
+ */
+class ForwardingSwitch(
+    private val context: CoreContext,
+    private val cluster: ClusterState,
+    platform: PlatformConfig,
+    private val operators: OperatorSettings,
+) {
+    private val log = logger<ForwardingSwitch>()
+    private val workers = platform.deployment.workers
+    private val limits = platform.deployment.limits
+    private val hasPeers = platform.peers.isNotEmpty()
+    private val electedAt = context.now
+
+    /** It was decided once whether followers go on. */
+    private var isDecided = false
+
+    /** Whether followers answer workers too. */
+    var isEnabled = hasPeers
+        private set
+
+    /** Decides anew; [isLoaded] says whether this leader knows what is stored. */
+    fun update(isLoaded: Boolean) {
+        if (!hasPeers) return
+        val machines = cluster.machines.values.count { !it.decommissioned }
+        val exceedsLeader = exceedsLeader(machines)
+        if (exceedsLeader && !isEnabled) {
+            log.info("{} machines: followers forward heartbeats", machines)
+            isEnabled = true
+        }
+        // Only once, when all machines have sent a heartbeat: else it would go back and forth.
+        val settlingTime = (workers.reportS * SETTLING_HEARTBEATS).seconds
+        if (isDecided || !isLoaded || context.now - electedAt <= settlingTime) return
+        isDecided = true
+        if (!exceedsLeader) {
+            log.info("{} machines: the leader answers all heartbeats", machines)
+            isEnabled = false
+        }
+    }
+
+    private fun exceedsLeader(machines: Int): Boolean {
+        val heartbeatsPerSecond = machines / workers.reportS
+        return heartbeatsPerSecond > operators.reportsPerCore * limits.cpu ||
+            machines > limits.fdLimit * WORKER_SOCKET_SHARE
+    }
+
+    private companion object {
+        /** In periods of the workers' heartbeats. */
+        const val SETTLING_HEARTBEATS = 1.5
+
+        /** Of all sockets; the rest is for users, peers, direct commands and other services. */
+        const val WORKER_SOCKET_SHARE = 0.5
+    }
+}
--- a/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -8,17 +8,19 @@
 import wardmux.model.TaskAttempt
 import wardmux.peers.CancellationTracker
 
-/** What a relay knows of cancelled tasks while a grant of its leader runs. */
+/** What a follower knows of cancelled tasks while the grant in a leader's [response] is valid. */
 class GrantedCancellationView(
-    override val token: FencingToken,
-    answer: HeartbeatBatchResponse,
-    grantedUntil: Micros,
+    response: HeartbeatBatchResponse,
+    grantValidUntil: Micros,
     private val cancellations: CancellationTracker,
 ) : CancellationView {
+    override val token = FencingToken(response.token)
+
     private val mustHalt: Map<MachineId, List<TaskAttempt>> =
-        answer.mustHalt.orEmpty().associate { MachineId(it.machine) to it.tasks }
+        response.mustHalt.orEmpty().associate { MachineId(it.machine) to it.tasks }
 
-    override val usableUntil: Micros = if (answer.renewalAllowed) grantedUntil else Micros.LONG_AGO
+    override val usableUntil: Micros =
+        if (response.renewalAllowed) grantValidUntil else Micros.LONG_AGO
 
     override val cancellationsLearned: Long
         get() = cancellations.observedCount
@@ -27,6 +29,6 @@
 
     override fun mustHalt(machine: MachineId): List<TaskAttempt> = mustHalt[machine].orEmpty()
 
-    /** Whether something on [machine] has to be halted. */
-    fun names(machine: MachineId): Boolean = machine in mustHalt
+    /** Whether a task on [machine] must be stopped before its lease is renewed. */
+    fun mustStopTasksOn(machine: MachineId): Boolean = machine in mustHalt
 }
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -8,232 +8,210 @@
 import wardmux.fleet.Fleet
 import wardmux.lease.LeaseRenewals
 import wardmux.lease.RenewalDecision
-import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.JobId
-import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.peers.CancellationTracker
+import wardmux.peers.PeerHeartbeats
 import wardmux.worker.Redirect
 import wardmux.worker.WorkerHeartbeat
 
+/** Who this follower is, and the limits that it keeps to. */
+class ForwarderSettings(
+    val member: String,
+    val processIncarnation: String,
+    val workers: WorkerTiming,
+    /** How many controllers may forward to one leader. */
+    val peers: Int,
+    /** As many as workers may be connected. */
+    val maxWaitingHeartbeats: Int,
+)
+
+/** Redirects workers that this follower can't answer. */
+fun interface WorkerRedirector {
+    /** Answers [call] with where to go to. */
+    fun redirect(call: Long)
+}
+
 /**
- * A follower's part in taking reports. It decides nothing: it answers workers under the leader's
- * token while it holds a grant of that leader, hands on what they say, and tells them what the
- * leader has left for them. Starts never go this way.
+ * A follower's side of heartbeat forwarding. It decides nothing: while it holds a grant of the
+ * leader, it answers workers under the leader's fencing token, forwards their heartbeats in batches
+ * and delivers commands that the leader has left for them. Starts never go this way.
  *
- * A grant is limited in time, counted from when it was asked for, so a relay that is cut off,
- * refused or frozen stops by itself; one that was restarted is another process and has none. It
- * allows to renew leases, but each single one by the machine's report only: see [LeaseRenewals].
+ * A grant is limited in time, counted from when it was requested, so a follower that is cut off,
+ * rejected or frozen stops by itself; one that was restarted is another process and has none. It
+ * allows lease renewals, but each single one only on the machine's own heartbeat: see
+ * [LeaseRenewals].
  */
 class HeartbeatForwarder(
     private val context: CoreContext,
     private val leadership: LeaderElection,
-    private val member: String,
-    private val processIncarnation: String,
-    private val workers: WorkerTiming,
+    private val peerHeartbeats: PeerHeartbeats,
     private val cancellations: CancellationTracker,
     private val renewals: LeaseRenewals,
     storedBatchClient: StoredBatchClient,
-    peers: Int,
-    /** As many as workers may be connected. */
-    private val maxWaitingCalls: Int,
-    /** The leader of this token has said lately that it wants relays. */
-    private val isForwardingEnabledBy: (FencingToken) -> Boolean,
-    /** For a worker that this relay can't answer: redirectsWorkers it. */
-    private val redirect: (call: Long) -> Unit,
+    private val settings: ForwarderSettings,
+    private val redirector: WorkerRedirector,
 ) {
-    /** A call that waits for the grant that is being asked for. */
-    private class WaitingCall(
-        val call: Long,
-        val report: WorkerHeartbeat,
-        val body: ByteArray,
-        val at: Micros,
-    )
-
-    private val log = logger<HeartbeatForwarder>()
-
-    /** The leader that is asked, and its token; null while none is known, or while leading. */
+    /** The leader that batches go to, and its token; null while none is known, or while leading. */
     private var leader: String? = null
     private var token: FencingToken? = null
-    private var grantValidUntil = Micros.LONG_AGO
-
-    /** What the leader has told with the grant of what is cancelled; null before the first. */
-    private var cancellationView: GrantedCancellationView? = null
+    private val grant = LeaderGrant(context, cancellations)
+    private val waiting = WaitingHeartbeats(settings.maxWaitingHeartbeats)
+    private val pending = PendingHeartbeats()
+    private val sender = BatchSender(context, storedBatchClient)
 
-    /** Null until the leader has said whether it wants relays. */
-    private var forwardingEnabled: Boolean? = null
-    private var echoedClock = 0L
-    private var echoedClockAt = Micros.ZERO
-    private var busy = false
+    /** A batch was sent and not answered yet. */
+    private var inFlight = false
     private var sentAt = Micros.LONG_AGO
     private var failedAt = Micros.LONG_AGO
-    private var urgent = false
-    private val waitingCalls = ArrayDeque<WaitingCall>()
-    private var rebalanceLeft = 0
-    private var rebalanceTarget: String? = null
-    private var redirectsWorkers = false
-    private var removeSilentAt = Micros.ZERO
-
-    private val spacing = SPACING_EACH * peers.toDouble()
 
+    /** Something is pending that the leader should get soon. */
+    private var urgent = false
     private var batches = 0L
-    private val pending = PendingHeartbeats()
-    private val sender = BatchSender(context, storedBatchClient)
-
-    private val granted: Boolean
-        get() = token != null && context.now < grantValidUntil
+    private var nextRemovalAt = Micros.ZERO
+    private val directSpacing = SPACING_PER_PEER * settings.peers.toDouble()
 
-    /** False if this report is not for this controller to answer. */
-    fun handleHeartbeat(call: Long, report: WorkerHeartbeat, body: ByteArray): Boolean {
+    /**
+     * Answers a worker's heartbeat, or keeps it until there is a grant; false if it is not for this
+     * controller to answer.
+     */
+    fun handleHeartbeat(call: Long, heartbeat: WorkerHeartbeat, body: ByteArray): Boolean {
         followLeader()
-        if (forwardingEnabled == false) return false
+        if (grant.mode == ForwardingMode.DISABLED) return false
         val current = token
-        val view = cancellationView
-        if (current == null || view == null || !granted) return waitForGrant(call, report, body)
-        if (FencingToken(report.token) > current) {
-            // Another leads: nothing more is answered under this token.
-            grantValidUntil = Micros.LONG_AGO
+        val view = grant.cancellationView
+        if (current == null || view == null || !grant.isValid)
+            return waitForGrant(call, heartbeat, body)
+        if (FencingToken(heartbeat.token) > current) {
+            // Another controller leads: nothing more is answered under this token.
+            grant.revoke()
             return false
         }
-        answerReport(call, report, body, view)
+        answer(call, heartbeat, body, view)
         return true
     }
 
-    /** A grant is a matter of milliseconds; sent elsewhere, all would come back later. */
-    private fun waitForGrant(call: Long, report: WorkerHeartbeat, body: ByteArray): Boolean {
-        val failedLately = context.now - failedAt <= FAILED_RECENTLY
-        if (token == null || failedLately || waitingCalls.size >= maxWaitingCalls) return false
-        waitingCalls.addLast(WaitingCall(call, report, body, context.now))
+    /** A grant comes within milliseconds; redirected, all workers would come back later. */
+    private fun waitForGrant(call: Long, heartbeat: WorkerHeartbeat, body: ByteArray): Boolean {
+        val failedRecently = context.now - failedAt <= FAILURE_MEMORY
+        if (token == null || failedRecently || waiting.isFull) return false
+        waiting.add(WaitingHeartbeat(call, heartbeat, body, context.now))
         return true
     }
 
-    /** Follows the leader: another one is asked for a grant anew. */
+    /** Starts anew with another leader. */
     private fun followLeader() {
         val follower = leadership.role as? Role.Follower
-        val name = follower?.leader?.takeIf { it != member }
-        val theirs = if (name == null) null else follower.token
-        if (theirs == token) return
-        // Between two leaders the old grant goes on until it is over, or a new leader is known.
-        if (theirs == null && follower != null) return
-        token = theirs
-        leader = if (theirs == null) null else name
-        grantValidUntil = Micros.LONG_AGO
-        cancellationView = null
-        forwardingEnabled = null
-        echoedClock = 0
+        val name = follower?.leader?.takeIf { it != settings.member }
+        val newToken = if (name == null) null else follower.token
+        if (newToken == token) return
+        // Between two leaders the old grant stays valid until it expires or a new one is known.
+        if (newToken == null && follower != null) return
+        token = newToken
+        leader = if (newToken == null) null else name
+        grant.reset()
         failedAt = Micros.LONG_AGO
         sentAt = Micros.LONG_AGO
         sender.reset()
-        // What is still under way was for another leader; nobody waits for its answer.
-        busy = false
-        rebalanceLeft = 0
-        redirectsWorkers = false
+        // A batch in flight is for another leader; its response is ignored.
+        inFlight = false
         pending.reset()
     }
 
-    private fun answerReport(
+    private fun answer(
         call: Long,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         body: ByteArray,
         view: GrantedCancellationView,
     ) {
-        val machine = pending.getOrAdd(report.machine)
+        val machine = pending.getOrAdd(heartbeat.machine)
         machine.lastHeartbeatAt = context.now
-        if (sendElsewhere(call, machine)) return
-        val decision = renewals.decide(report, view)
+        if (turnAway(call, machine)) return
+        val decision = renewals.decide(heartbeat, view)
         val renewed = decision is RenewalDecision.Renew
-        if (pending.add(machine, report, body, token, renewed)) urgent = true
+        if (pending.add(machine, heartbeat, body, token, renewed)) urgent = true
         when (decision) {
             is RenewalDecision.Withhold -> context.answerBytes(call, HttpStatus.OK, decision.answer)
             is RenewalDecision.Renew -> {
                 val undelivered =
-                    machine.undelivered?.takeIf { it.incarnation == report.incarnation }
+                    machine.undelivered?.takeIf { it.incarnation == heartbeat.incarnation }
                 machine.undelivered = null
                 val answer = decision.renewal.answer(undelivered?.commands.orEmpty())
                 context.answerBytes(call, HttpStatus.OK, answer)
             }
         }
-        if (urgent && context.now - sentAt >= pause()) sendBatch()
+        if (urgent && context.now - sentAt >= batchSpacing()) sendBatch()
     }
 
-    /** Answers a worker that is not to stay here; false if it is. */
-    private fun sendElsewhere(call: Long, machine: ForwardedMachine): Boolean {
-        val target = rebalanceTarget
-        when {
-            machine.rejected -> context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
-            rebalanceLeft > 0 && target != null -> {
-                rebalanceLeft--
-                val redirect = Redirect(target).encode()
-                context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, redirect)
-            }
-            redirectsWorkers &&
-                context.now - machine.redirectedAt >= Fleet.sendOnPause(workers) -> {
-                machine.redirectedAt = context.now
-                context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
-            }
-            else -> return false
+    /** Rejects or redirects a worker that is not to stay here; false if it is. */
+    private fun turnAway(call: Long, machine: ForwardedMachine): Boolean {
+        if (machine.isRejected) {
+            context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
+            return true
+        }
+        val target = grant.takeRebalanceTarget()
+        if (target != null) {
+            val redirect = Redirect(target).encode()
+            context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, redirect)
+            return true
         }
+        if (!grant.redirectsWorkers) return false
+        if (context.now - machine.redirectedAt < Fleet.sendOnPause(settings.workers)) return false
+        machine.redirectedAt = context.now
+        context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
         return true
     }
 
-    /** Sends the next batch when it is due, and gives up calls that waited too long. */
+    /** Sends the next batch when it is due, and redirects workers that waited too long. */
     fun tick() {
         followLeader()
-        val late = context.now - LONGEST_GRANT_WAIT
-        while (waitingCalls.isNotEmpty() && waitingCalls.first().at < late) redirect(
-            waitingCalls.removeFirst().call
-        )
+        val late = context.now - MAX_GRANT_WAIT
+        while (true) redirector.redirect((waiting.takeReceivedBefore(late) ?: break).call)
         removeSilent()
         val current = token ?: return
-        if (forwardingEnabled == false) {
-            if (!isForwardingEnabledBy(current)) return
-            forwardingEnabled = null
+        if (grant.mode == ForwardingMode.DISABLED) {
+            if (!peerHeartbeats.isForwardingEnabledBy(current)) return
+            grant.forgetMode()
         }
-        val longest = if (context.now - failedAt < FAILED_RECENTLY) RETRY else PERIOD
-        val since = context.now - sentAt
-        if (since >= longest || (urgent && since >= pause())) sendBatch()
+        val failedRecently = context.now - failedAt < FAILURE_MEMORY
+        val period = if (failedRecently) RETRY_PERIOD else BATCH_PERIOD
+        val sinceSent = context.now - sentAt
+        if (sinceSent >= period || (urgent && sinceSent >= batchSpacing())) sendBatch()
     }
 
-    private fun pause() = if (sender.isThroughStore) PERIOD else spacing
+    private fun batchSpacing() = if (sender.isThroughStore) BATCH_PERIOD else directSpacing
 
-    /**
-     * Forgets machines that report elsewhere, or no more; not one of which there is more to tell.
-     */
+    /** Forgets machines that send their heartbeats elsewhere now, or nowhere. */
     private fun removeSilent() {
-        if (context.now < removeSilentAt || busy) return
-        removeSilentAt = context.now + REMOVAL_PERIOD
-        val old = context.now - (workers.reportS * KEPT_REPORTS).seconds - REMOVAL_PERIOD
-        pending.removeSilent(old)
+        if (context.now < nextRemovalAt || inFlight) return
+        nextRemovalAt = context.now + REMOVAL_PERIOD
+        val silence = (settings.workers.reportS * MAX_MISSED_HEARTBEATS).seconds + REMOVAL_PERIOD
+        pending.removeSilent(context.now - silence)
     }
 
-    /** Hands on what was heard, and asks to go on. */
+    /** Forwards what is pending, and requests a new grant. */
     private fun sendBatch() {
         val name = leader ?: return
         val current = token ?: return
-        if (busy) return
-        val content = pending.takeBatch(sender.maxReportBytes, sender.maxUnchanged)
-        val complete = pending.isEmpty
-        urgent = !complete
-        // What is left out here was answered too, so the leader may not take this for all.
-        val known = if (complete) echoedClock else 0
-        val since = (context.now - echoedClockAt).value
-        val number = ++batches
-        val reports = content.reports
-        val unchanged = content.unchanged
+        if (inFlight) return
+        val content = pending.takeBatch(sender.maxHeartbeatBytes, sender.maxUnchanged)
+        val isComplete = pending.isEmpty
+        urgent = !isComplete
         val batch =
             HeartbeatBatch(
-                member,
-                processIncarnation,
-                number,
-                current.value,
-                known,
-                since,
-                reports,
-                unchanged,
+                member = settings.member,
+                processIncarnation = settings.processIncarnation,
+                number = ++batches,
+                token = current.value,
+                // Heartbeats that are left out were answered too: the leader may not count on all.
+                echoedClock = if (isComplete) grant.leaderClock else 0,
+                sinceEcho = grant.sinceResponse.value,
+                reports = content.full,
+                unchanged = content.unchanged,
             )
         send(name, current, batch, content)
     }
@@ -244,69 +222,51 @@
         batch: HeartbeatBatch,
         content: BatchContent,
     ) {
-        busy = true
+        inFlight = true
         sentAt = context.now
-        val askedAt = context.now
-        sender.send(name, batch) { answer ->
+        val requestedAt = context.now
+        sender.send(name, batch) { response ->
             if (token == current) {
-                busy = false
-                if (answer == null || answer.token != current.value) batchLost(content)
-                else accept(answer, askedAt)
+                inFlight = false
+                if (response == null || response.token != current.value) restore(content)
+                else accept(response, requestedAt)
             }
         }
     }
 
-    private fun batchLost(content: BatchContent) {
+    /** Every answered heartbeat must reach the leader before a batch may count as complete. */
+    private fun restore(content: BatchContent) {
         failedAt = context.now
-        // All that was answered is told before the leader may take a batch for complete.
         pending.putBack(content)
     }
 
-    private fun accept(answer: HeartbeatBatchResponse, askedAt: Micros) {
-        echoedClock = answer.leaderClock
-        echoedClockAt = context.now
-        if (forwardingEnabled != answer.forwardingEnabled)
-            log.info("relay of {}: {}", leader, answer.forwardingEnabled)
-        forwardingEnabled = answer.forwardingEnabled
-        val length = Micros(answer.grantDuration) * (1 - MAX_CLOCK_DRIFT)
-        grantValidUntil = if (answer.forwardingEnabled) askedAt + length else Micros.LONG_AGO
-        for (number in answer.unknownNumbers) if (pending.resend(number)) urgent = true
-        for (commands in answer.undelivered) pending[commands.machine]?.undelivered = commands
-        for (job in answer.cancelledJobs) {
+    private fun accept(response: HeartbeatBatchResponse, requestedAt: Micros) {
+        grant.accept(leader, response, requestedAt)
+        for (number in response.unknownNumbers) if (pending.resend(number)) urgent = true
+        for (commands in response.undelivered) pending[commands.machine]?.undelivered = commands
+        for (job in response.cancelledJobs) {
             if (JobId(job) !in cancellations) cancellations.observeStored(JobId(job))
         }
-        val view =
-            GrantedCancellationView(
-                FencingToken(answer.token),
-                answer,
-                grantValidUntil,
-                cancellations,
-            )
-        cancellationView = view
-        for (machine in answer.rejectedMachines) {
-            // One that only may not be renewed is heard on: its reports may prove that it may be.
-            if (!view.names(MachineId(machine))) pending[machine]?.rejected = true
+        for (machine in response.rejectedMachines) {
+            // One that only may not be renewed is still heard: its heartbeats may change that.
+            val isStillHeard = grant.cancellationView?.mustStopTasksOn(MachineId(machine)) == true
+            if (!isStillHeard) pending[machine]?.isRejected = true
+        }
+        for (one in waiting.takeAll()) {
+            if (!handleHeartbeat(one.call, one.heartbeat, one.body)) redirector.redirect(one.call)
         }
-        rebalanceLeft = answer.rebalanceCount
-        rebalanceTarget = answer.rebalanceTarget
-        redirectsWorkers = answer.redirectsWorkers
-        answerWaiting()
-    }
-
-    private fun answerWaiting() {
-        val all = waitingCalls.toList()
-        waitingCalls.clear()
-        for (one in all) if (!handleHeartbeat(one.call, one.report, one.body)) redirect(one.call)
     }
 
     private companion object {
-        /** Between two batches of one relay, for each that there may be: the leader takes all. */
-        val SPACING_EACH = 50.milliseconds
-        val PERIOD = 1.seconds
-        val RETRY = 300.milliseconds
-        val FAILED_RECENTLY = 2.seconds
-        val LONGEST_GRANT_WAIT = 1.seconds
-        const val KEPT_REPORTS = 3.0
+        /** Between two batches of a follower, for each that there may be: the leader takes all. */
+        val SPACING_PER_PEER = 50.milliseconds
+        val BATCH_PERIOD = 1.seconds
+
+        /** In place of [BATCH_PERIOD] for the time of [FAILURE_MEMORY] after a batch was lost. */
+        val RETRY_PERIOD = 300.milliseconds
+        val FAILURE_MEMORY = 2.seconds
+        val MAX_GRANT_WAIT = 1.seconds
+        const val MAX_MISSED_HEARTBEATS = 3.0
         val REMOVAL_PERIOD = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
+++ b/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
@@ -6,98 +6,72 @@
 import wardmux.model.Micros
 import wardmux.worker.WorkerHeartbeat
 
-/** A machine that reports to this relay. */
-class ForwardedMachine {
-    /** The last report that the leader is told of whole, or null if there is none. */
-    var report: WorkerHeartbeat? = null
-
-    /** The bytes of [report], with its newest tick while it is still to be sent. */
-    var body = ByteArray(0)
-
-    /** The number of [report]; 0 if there is none. */
-    var number = 0L
-
-    /** When it last reported. */
-    var lastHeartbeatAt = Micros.ZERO
-
-    /** The leader wants it not to be answered any more. */
-    var rejected = false
-
-    /** What it is told with the answer to its next report. */
-    var undelivered: UndeliveredCommands? = null
-
-    /** When it was last redirected because the leader was unsure of its lease. */
-    var redirectedAt = Micros.LONG_AGO
-
-    /** The token under which a report with an older one was let pass once. */
-    var passedUnder: FencingToken? = null
-}
-
-/** What one batch tells the leader. */
+/** The heartbeats of one batch. */
 class BatchContent(
-    /** The machines whose reports are in [reports], in the same order. */
+    /** The machines whose heartbeats are in [full], in the same order. */
     val machines: List<String>,
-    /** Reports that changed. */
-    val reports: List<FullHeartbeat>,
-    /** Signs of life, two numbers each: of the report that still holds, and the tick. */
+    /** Heartbeats that differ from the last one. */
+    val full: List<FullHeartbeat>,
+    /** Unchanged heartbeats, as in [HeartbeatBatch.unchanged]. */
     val unchanged: List<Long>,
 )
 
 /**
- * What this relay has heard and not yet told the leader: changed reports whole, unchanged ones by
- * their number and tick.
+ * The heartbeats that this follower has answered and not yet forwarded: changed ones in full,
+ * unchanged ones by their number and tick.
  */
 class PendingHeartbeats {
     private var lastNumber = 0L
     private val machines = HashMap<String, ForwardedMachine>()
     private val byNumber = Long2ObjectHashMap<String>()
 
-    /** Machines whose report is to be sent changed. */
+    /** Machines whose heartbeat is to be sent in full. */
     private val changed = LinkedHashSet<String>()
 
-    /** The newest tick by the number of the report that still holds. */
+    /** The newest tick, by the number of the full heartbeat that is still the same. */
     private val unchanged = Long2LongLinkedOpenHashMap()
 
-    /** All that was heard is in a batch that was sent. */
+    /** Whether all heartbeats are in a batch that was sent. */
     val isEmpty: Boolean
         get() = changed.isEmpty() && unchanged.isEmpty()
 
-    /** The machine of this name, or null if it has not reported here. */
+    /** The machine of this name, or null if it has sent no heartbeat here. */
     operator fun get(name: String): ForwardedMachine? = machines[name]
 
-    /** The machine of this name, from now on one that reports here. */
+    /** The machine of this name; it is added if it is new here. */
     fun getOrAdd(name: String): ForwardedMachine = machines.getOrPut(name) { ForwardedMachine() }
 
     /**
-     * Takes in a report under the leader's [token], whose answer [renewed] the lease or did not;
-     * true if the leader is to hear of it soon.
+     * Adds a heartbeat that was answered under the leader's [token]; [renewed] says whether the
+     * answer renewed the lease. True if it is to be forwarded soon.
      */
     fun add(
         machine: ForwardedMachine,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         body: ByteArray,
         token: FencingToken?,
         renewed: Boolean,
     ): Boolean {
-        val last = machine.report
-        if (last != null && last.copy(tick = report.tick) == report) {
-            if (report.machine !in changed) unchanged.putAndMoveToLast(machine.number, report.tick)
+        val last = machine.heartbeat
+        if (last != null && last.copy(tick = heartbeat.tick) == heartbeat) {
+            if (heartbeat.machine !in changed)
+                unchanged.putAndMoveToLast(machine.number, heartbeat.tick)
             else machine.body = body
             return false
         }
         if (token == null) return false
-        // Renewed, it takes the token and reports once more: enough that the leader hears that.
-        if (renewed && FencingToken(report.token) < token && machine.passedUnder != token) {
-            machine.passedUnder = token
+        // Its worker takes the new token and sends another heartbeat, which is enough to forward.
+        if (renewed && FencingToken(heartbeat.token) < token && machine.heldBackUnder != token) {
+            machine.heldBackUnder = token
             return false
         }
-        machine.report = report
+        machine.heartbeat = heartbeat
         machine.body = body
-        renumber(report.machine, machine)
+        renumber(heartbeat.machine, machine)
         return true
     }
 
-    /** The leader does not know the report of this number; true if it is sent whole again. */
+    /** Has the heartbeat of this number sent in full again; false if it is no longer the last. */
     fun resend(number: Long): Boolean {
         val name = byNumber[number] ?: return false
         renumber(name, machines[name] ?: return false)
@@ -112,25 +86,26 @@
         changed.add(name)
     }
 
-    /** Another leader, which has been told nothing yet and has said nothing of the machines. */
+    /** Another controller leads: it knows no heartbeat, and has said nothing of the machines. */
     fun reset() {
         changed.clear()
         unchanged.clear()
         byNumber.clear()
         for (machine in machines.values) {
-            machine.report = null
+            machine.heartbeat = null
             machine.number = 0
-            machine.rejected = false
+            machine.isRejected = false
             machine.undelivered = null
         }
     }
 
     /**
-     * Takes out what the next batch holds: reports until [maxBytes], and at most [maxUnchanged].
+     * Takes out the heartbeats of the next batch: full ones until they take [maxBytes], and at most
+     * [maxUnchanged] unchanged ones.
      */
     fun takeBatch(maxBytes: Int, maxUnchanged: Int): BatchContent {
         val names = ArrayList<String>()
-        val reports = ArrayList<FullHeartbeat>()
+        val full = ArrayList<FullHeartbeat>()
         var bytes = 0
         val rest = changed.iterator()
         while (rest.hasNext() && bytes < maxBytes) {
@@ -138,10 +113,10 @@
             rest.remove()
             val machine = machines[name] ?: continue
             names.add(name)
-            reports.add(FullHeartbeat(machine.number, machine.body))
+            full.add(FullHeartbeat(machine.number, machine.body))
             bytes += machine.body.size
         }
-        return BatchContent(names, reports, takeUnchanged(maxUnchanged))
+        return BatchContent(names, full, takeUnchanged(maxUnchanged))
     }
 
     private fun takeUnchanged(maxUnchanged: Int): List<Long> {
@@ -156,7 +131,7 @@
         return taken
     }
 
-    /** The batch was lost: what it told is told again, unless there is something newer. */
+    /** Returns the heartbeats of a batch that was lost, unless there are newer ones. */
     fun putBack(content: BatchContent) {
         for (name in content.machines) if (name in machines) changed.add(name)
         for (i in content.unchanged.indices step 2) {
@@ -167,15 +142,15 @@
         }
     }
 
-    /** Forgets machines last heard before [old]; not one of which there is more to tell. */
-    fun removeSilent(old: Micros) {
+    /** Removes machines whose last heartbeat came before [time] and was forwarded. */
+    fun removeSilent(time: Micros) {
         machines.entries.removeIf { (name, machine) ->
-            val gone =
-                machine.lastHeartbeatAt < old &&
+            val isSilent =
+                machine.lastHeartbeatAt < time &&
                     name !in changed &&
                     !unchanged.containsKey(machine.number)
-            if (gone) byNumber.remove(machine.number)
-            gone
+            if (isSilent) byNumber.remove(machine.number)
+            isSilent
         }
     }
 }
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -117,12 +117,9 @@
             cluster,
             fleet,
             reader,
-            platform.member,
             role.token,
-            deployment.workers,
-            deployment.limits,
+            platform,
             operators,
-            platform.peers.isNotEmpty(),
             knowledge,
         )
     private val storeRelay = StoredBatchServer(context, store, role, ::take)
@@ -217,7 +214,7 @@
     val forwardingEnabled: Boolean
         get() = relays.forwardingEnabled
 
-    private fun sendAway(): String? = relays.redirectTarget()
+    private fun sendAway(): String? = relays.takeRedirect()
 
     fun handleHeartbeat(call: Long, report: WorkerHeartbeat) {
         fleet.handleHeartbeat(call, report)
