--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -7,6 +7,7 @@
 import wardmux.core.Input
 import wardmux.core.Port
 import wardmux.drain.DrainApi
+import wardmux.forwarding.ForwarderSettings
 import wardmux.forwarding.HeartbeatForwarder
 import wardmux.forwarding.StoredBatchClient
 import wardmux.jobs.JobApi
@@ -49,15 +50,17 @@
         HeartbeatForwarder(
             context,
             leadership,
-            platform.member,
-            processIncarnation,
-            platform.deployment.workers,
+            peerHeartbeats,
             cancellations,
             renewals,
             StoredBatchClient(context, store, platform.member),
-            platform.peers.size,
-            platform.deployment.limits.sockets.workers,
-            peerHeartbeats::wantsRelays,
+            ForwarderSettings(
+                platform.member,
+                processIncarnation,
+                platform.deployment.workers,
+                platform.peers.size,
+                platform.deployment.limits.sockets.workers,
+            ),
             leaderRedirect::redirect,
         )
 
@@ -94,7 +97,7 @@
         forwarder.tick()
         services.renewalCounters.tick()
         val forwardingEnabled = currentTerm.term?.forwardingEnabled == true
-        peerHeartbeats.tick(currentTerm.token, forwardingEnabled, store.answeredAt) {
+        peerHeartbeats.tick(currentTerm.token, forwardingEnabled, store.lastAvailableAt) {
             currentTerm.term?.progress().orEmpty()
         }
     }
--- a/src/main/kotlin/wardmux/app/PeerApi.kt
+++ b/src/main/kotlin/wardmux/app/PeerApi.kt
@@ -31,9 +31,9 @@
 
     private fun handleHeartbeat(request: Input.Request) {
         val heartbeat = PeerHeartbeatCodec.decode(request.body)
-        if (heartbeat == null || !peerHeartbeats.knows(heartbeat.member))
+        if (heartbeat == null || !peerHeartbeats.isPeer(heartbeat.member))
             return context.answer(request.id, HttpStatus.BAD_REQUEST)
-        val update = peerHeartbeats.received(heartbeat)
+        val update = peerHeartbeats.receive(heartbeat)
         heartbeat.token?.let {
             currentTerm.election.observeLeader(heartbeat.member, FencingToken(it))
         }
@@ -41,8 +41,8 @@
     }
 
     private fun handleBatch(request: Input.Request) {
-        val batch = ForwardingCodec.batch(request.body)
-        if (batch == null || !peerHeartbeats.knows(batch.member))
+        val batch = ForwardingCodec.decodeBatch(request.body)
+        if (batch == null || !peerHeartbeats.isPeer(batch.member))
             return context.answer(request.id, HttpStatus.BAD_REQUEST)
         currentTerm.election.observeToken(FencingToken(batch.token))
         val response =
--- a/src/main/kotlin/wardmux/app/PublicApi.kt
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -52,9 +52,9 @@
     }
 
     private fun isCutOffAlone(): Boolean {
-        val troubledSince = services.store.troubledSince ?: return false
-        return context.now - troubledSince > MAX_TROUBLED_READY &&
-            services.peerHeartbeats.othersFareBetter()
+        val unavailableSince = services.store.unavailableSince ?: return false
+        return context.now - unavailableSince > MAX_TROUBLED_READY &&
+            services.peerHeartbeats.isIsolatedFromStore()
     }
 
     private fun handleHeartbeat(request: Input.Request) {
--- a/src/main/kotlin/wardmux/election/LeaderCampaign.kt
+++ b/src/main/kotlin/wardmux/election/LeaderCampaign.kt
@@ -2,6 +2,8 @@
 
 import wardmux.core.CoreContext
 import wardmux.model.FencingToken
+import wardmux.model.KeyVersion
+import wardmux.model.LeaseId
 import wardmux.model.Micros
 import wardmux.serialization.lenientJson
 import wardmux.store.KeyValueStore
@@ -43,9 +45,9 @@
     /** Asks for a lease and takes the key if nobody has it; [then] gets the result. */
     fun run(then: (CampaignResult) -> Unit) {
         val sentAt = context.now
-        store.grant(leaseDuration) { result ->
+        store.grantLease(leaseDuration) { result ->
             if (result is StoreResult.Ok) {
-                val lease = LeaseId(result.value)
+                val lease = result.value
                 granted = lease
                 takeKey(lease, sentAt, then)
             } else {
@@ -59,17 +61,17 @@
             WriteOperation(
                 put = LeaderElection.KEY,
                 data = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record),
-                permit = lease.value,
+                lease = lease,
             )
-        val absent = VersionCondition(LeaderElection.KEY, 0)
-        store.multi(listOf(absent), listOf(change), RequestPriority.LEASE) { written ->
+        val absent = VersionCondition(LeaderElection.KEY, KeyVersion.ABSENT)
+        store.compareAndSwap(listOf(absent), listOf(change), RequestPriority.LEASE) { written ->
             when (written) {
                 is StoreResult.Ok -> {
-                    val leader = Role.Leader(FencingToken(written.value), lease)
+                    val leader = Role.Leader(FencingToken(written.value.value), lease)
                     then(CampaignResult.Won(leader, sentAt))
                 }
                 is StoreResult.Conflict -> {
-                    store.end(lease.value) {}
+                    store.revokeLease(lease) {}
                     then(CampaignResult.Lost)
                 }
                 else -> then(CampaignResult.Failed)
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -5,7 +5,9 @@
 import wardmux.logging.logger
 import wardmux.model.FencingToken
 import wardmux.model.KeyVersion
+import wardmux.model.LeaseId
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
@@ -107,7 +109,7 @@
         val leader = role as? Role.Leader ?: return
         log.info("resigning with fencing token {}: {}", leader.token, reason)
         stepDown(leader.token, leaseDuration + leaseDuration)
-        store.end(leader.lease.value) {}
+        store.revokeLease(leader.lease) {}
     }
 
     /** Steps down after a write was refused because the leader key is not as it was written. */
@@ -127,7 +129,7 @@
         role = Role.Follower(null, token)
         lease.release()
         campaign.forgetLease()
-        store.lead(false)
+        store.setLeading(false)
         listener.deposed()
         readAfter(pause)
     }
@@ -141,10 +143,10 @@
         store.get(KEY, RequestPriority.LEASE) { result ->
             when (result) {
                 is StoreResult.Ok -> {
-                    val lease = result.value.permit?.let { LeaseId(it) }
-                    keyFound(result.value.data, KeyVersion(result.value.version), lease)
+                    val key = result.value
+                    keyFound(key.data, key.version, key.lease)
                 }
-                is StoreResult.Absent -> runCampaign()
+                is StoreResult.NotFound -> runCampaign()
                 else -> readAfter(RETRY_PERIOD)
             }
         }
@@ -173,7 +175,7 @@
                 log.info("revoking the lease of a former process of this member")
                 // Followers that were up meanwhile know the cluster, and lead sooner than this
                 // fresh process: they go first.
-                store.end(keyLease.value) { readAfter(HEAD_START) }
+                store.revokeLease(keyLease) { readAfter(HEAD_START) }
             }
         }
     }
@@ -192,7 +194,7 @@
         readAt = null
         role = leader
         lease.acquire(leader, sentAt)
-        store.lead(true)
+        store.setLeading(true)
         log.info("{} leads with fencing token {}", member, leader.token)
         listener.elected(leader)
     }
@@ -202,10 +204,10 @@
         if (role != follower) log.info("following {} with fencing token {}", leader, token)
         role = follower
         leaderConfirmedAt = context.now
-        watchKey(token.value)
+        watchKey(Revision(token.value))
     }
 
-    private fun watchKey(revision: Long) {
+    private fun watchKey(revision: Revision) {
         // Ahead of users' reads: behind many of these a follower would not learn who leads.
         store.watch(KEY, revision, WATCH_TIMEOUT, RequestPriority.LEASE) { result ->
             if (role is Role.Leader) return@watch
--- a/src/main/kotlin/wardmux/election/LeaderLease.kt
+++ b/src/main/kotlin/wardmux/election/LeaderLease.kt
@@ -67,12 +67,12 @@
     private fun renew(leader: Role.Leader) {
         isRenewing = true
         val sentAt = context.now
-        store.renew(leader.lease.value) { result ->
-            if (holder != leader) return@renew
+        store.renewLease(leader.lease) { result ->
+            if (holder != leader) return@renewLease
             isRenewing = false
             when (result) {
                 is StoreResult.Ok -> extend(sentAt)
-                is StoreResult.Absent -> listener.expired(leader)
+                is StoreResult.NotFound -> listener.expired(leader)
                 else -> renewAt = context.now + RETRY_PERIOD
             }
         }
--- a/src/main/kotlin/wardmux/election/Role.kt
+++ b/src/main/kotlin/wardmux/election/Role.kt
@@ -1,11 +1,10 @@
 package wardmux.election
 
 import wardmux.model.FencingToken
+import wardmux.model.KeyVersion
+import wardmux.model.LeaseId
 import wardmux.store.VersionCondition
 
-/** The id of a lease that the key-value store granted; no two leases have the same. */
-@JvmInline value class LeaseId(val value: Long)
-
 /** The part that a controller has among its peers. */
 sealed interface Role {
     /** Another controller leads: the last known [leader] with its [token], or null if unknown. */
@@ -15,6 +14,6 @@
     data class Leader(val token: FencingToken, val lease: LeaseId) : Role {
         /** The condition of each write of the leader: its key is as it was written. */
         val condition: VersionCondition
-            get() = VersionCondition(LeaderElection.KEY, token.value)
+            get() = VersionCondition(LeaderElection.KEY, KeyVersion(token.value))
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -1,16 +1,12 @@
 package wardmux.forwarding
 
-import org.agrona.collections.Long2ObjectHashMap
 import wardmux.config.OperatorSettings
-import wardmux.config.ProcessLimits
-import wardmux.config.WorkerTiming
+import wardmux.config.PlatformConfig
 import wardmux.core.CoreContext
 import wardmux.fleet.HeartbeatHandler
 import wardmux.lease.ForwardingGrant
 import wardmux.lease.LeaderCancellationView
-import wardmux.logging.logger
 import wardmux.model.FencingToken
-import wardmux.model.MAX_CLOCK_DRIFT
 import wardmux.model.Micros
 import wardmux.model.seconds
 import wardmux.scheduling.ClusterState
@@ -18,284 +14,162 @@
 import wardmux.worker.WorkerHeartbeatReader
 
 /**
- * The leader's side of the relays: who may answer workers and until when, what their batches say,
- * and how the workers are spread. Nothing of it outlasts the term: a successor has another token,
- * and infers nothing of a machine that has not taken that.
+ * The leader's side of heartbeat forwarding: takes in the batches of followers, and grants them
+ * time to answer workers. It lasts for one term: the next leader has another token, and assumes
+ * nothing of a machine whose worker has not taken that.
  */
 class ForwardingCoordinator(
     private val context: CoreContext,
-    private val cluster: ClusterState,
+    cluster: ClusterState,
     private val heartbeats: HeartbeatHandler,
     private val reader: WorkerHeartbeatReader,
-    private val member: String,
     private val token: FencingToken,
-    private val workers: WorkerTiming,
-    private val limits: ProcessLimits,
-    private val operators: OperatorSettings,
-    hasSiblings: Boolean,
-    private val knowledge: LeaderCancellationView,
+    platform: PlatformConfig,
+    operators: OperatorSettings,
+    private val cancellationView: LeaderCancellationView,
 ) {
-    /** One process that was ever given a grant in this term. */
-    private class Relayer(val member: String, val boot: String) {
-        /** By this controller's clock, from when it surely answers no more unless granted anew. */
-        var grantedUntil = Micros.LONG_AGO
-
-        /** All that it answered up to then has been told. */
-        var toldUntil = Micros.LONG_AGO
-        var batchAt = Micros.LONG_AGO
-        val reports = Long2ObjectHashMap<WorkerHeartbeat>()
-        val numbers = HashMap<String, Long>()
-        var shed = 0
-        var shedTo: String? = null
-    }
-
-    private val log = logger<ForwardingCoordinator>()
-    private val electedAt = context.now
-    private val relayers = ArrayList<Relayer>()
-
-    /** How long a relay may answer without hearing from this leader. */
-    private val grant = ForwardingGrant.duration(workers)
-    private var decideAt = Micros.LONG_AGO
-    private var shed = 0
-    private var shedTo: String? = null
-
-    /**
-     * Followers take reports too. At first they do, so that a new leader is not run over by all
-     * workers at once; they go on if it is more than this controller can carry.
-     */
-    var wanted = hasSiblings
-        private set
-
-    private val alone = !hasSiblings
-    private val sockets = limits.sockets
-
-    /** It was decided whether they go on. */
-    private var settled = false
-
-    /** What the answer to one batch says of single machines. */
-    private class MachineAnswers {
-        val mail = ArrayList<UndeliveredCommands>()
-        val refuse = ArrayList<String>()
-        val unknown = ArrayList<Long>()
-    }
-
-    /** Takes in what a relay has heard, and grants it more time if relays are wanted. */
-    fun take(batch: HeartbeatBatch): HeartbeatBatchResponse {
-        val relayer = relayerOf(batch)
-        relayer.batchAt = context.now
-        val sentAt = sendTime(relayer, batch)
-        val answers = MachineAnswers()
-        hearReports(relayer, batch, sentAt, answers)
-        hearSigns(relayer, batch, sentAt, answers)
-        if (wanted) {
-            val until = context.now + grant * (1 + MAX_CLOCK_DRIFT)
-            relayer.grantedUntil = maxOf(relayer.grantedUntil, until)
+    private val workers = platform.deployment.workers
+    private val grantDuration = ForwardingGrant.duration(workers)
+    private val grants =
+        ForwardingGrants(context, grantDuration, workers.leaseS.seconds * RETENTION_LEASES)
+    private val switch = ForwardingSwitch(context, cluster, platform, operators)
+    private val rebalancer =
+        WorkerRebalancer(cluster, platform.member, platform.deployment.limits.sockets.workers)
+    private var nextDecisionAt = Micros.LONG_AGO
+
+    /** Whether followers answer workers too. */
+    val forwardingEnabled: Boolean
+        get() = switch.isEnabled
+
+    /** What the response to one batch says of single machines. */
+    private class MachineResponses {
+        val undelivered = ArrayList<UndeliveredCommands>()
+        val rejectedMachines = ArrayList<String>()
+        val unknownNumbers = ArrayList<Long>()
+    }
+
+    /** Applies the heartbeats of [batch], and grants its sender more time if that is wanted. */
+    fun handleBatch(batch: HeartbeatBatch): HeartbeatBatchResponse {
+        val forwarder = grants.receive(batch)
+        val sentAt = sentAt(forwarder, batch)
+        val responses = MachineResponses()
+        applyFull(forwarder, batch, sentAt, responses)
+        applyUnchanged(forwarder, batch, sentAt, responses)
+        if (forwardingEnabled) grants.extend(forwarder)
+        return respond(forwarder, batch, responses)
+    }
+
+    /** When [batch] was sent, or somewhat earlier: it may have been delayed on its way. */
+    private fun sentAt(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
+        // It is this leader's own clock; one that it can't have sent is ignored.
+        val echoed = Micros(batch.echoedClock).takeIf { batch.echoedClock > 0 && it <= context.now }
+        if (echoed == null) return context.now
+        forwarder.reportedAll(echoed)
+        return minOf(context.now, echoed + Micros(batch.sinceEcho.coerceAtLeast(0)))
+    }
+
+    private fun applyFull(
+        forwarder: Forwarder,
+        batch: HeartbeatBatch,
+        sentAt: Micros,
+        responses: MachineResponses,
+    ) {
+        for (full in batch.reports) {
+            val heartbeat = reader.read(full.body) ?: continue
+            forwarder.store(full.number, heartbeat)
+            apply(forwarder, heartbeat, sentAt, responses)
         }
-        return answer(relayer, batch, answers)
-    }
-
-    /** When the batch was sent, or somewhat before: it may have been held up on its way. */
-    private fun sendTime(relayer: Relayer, batch: HeartbeatBatch): Micros {
-        // The clock that it was told is this one's; what can't be is passed over.
-        val echo = Micros(batch.echo).takeIf { batch.echo > 0 && it <= context.now }
-        if (echo == null) return context.now
-        relayer.toldUntil = maxOf(relayer.toldUntil, echo)
-        return minOf(context.now, echo + Micros(batch.since.coerceAtLeast(0)))
     }
 
-    private fun hearReports(
-        relayer: Relayer,
+    private fun applyUnchanged(
+        forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
-        answers: MachineAnswers,
+        responses: MachineResponses,
     ) {
-        for (full in batch.reports) {
-            val report = reader.read(full.body) ?: continue
-            relayer.numbers.put(report.machine, full.number)?.let { relayer.reports.remove(it) }
-            relayer.reports[full.number] = report
-            hear(relayer, report, sentAt, answers)
+        for (i in 0 until batch.unchanged.size - 1 step 2) {
+            val heartbeat = forwarder.heartbeat(batch.unchanged[i])
+            if (heartbeat == null) responses.unknownNumbers.add(batch.unchanged[i])
+            else {
+                val latest = heartbeat.copy(tick = batch.unchanged[i + 1])
+                apply(forwarder, latest, sentAt, responses)
+            }
         }
     }
 
-    private fun hearSigns(
-        relayer: Relayer,
-        batch: HeartbeatBatch,
+    private fun apply(
+        forwarder: Forwarder,
+        heartbeat: WorkerHeartbeat,
         sentAt: Micros,
-        answers: MachineAnswers,
+        responses: MachineResponses,
     ) {
-        for (i in 0 until batch.signs.size - 1 step 2) {
-            val report = relayer.reports[batch.signs[i]]
-            if (report == null) answers.unknown.add(batch.signs[i])
-            else hear(relayer, report.copy(tick = batch.signs[i + 1]), sentAt, answers)
+        val commands = heartbeats.handleForwarded(heartbeat, forwarder.member, sentAt)
+        if (commands == null) {
+            responses.rejectedMachines.add(heartbeat.machine)
+            forwarder.remove(heartbeat.machine)
+        } else if (commands.isNotEmpty()) {
+            val undelivered =
+                UndeliveredCommands(heartbeat.machine, heartbeat.incarnation, commands)
+            responses.undelivered.add(undelivered)
         }
     }
 
-    private fun answer(
-        relayer: Relayer,
+    private fun respond(
+        forwarder: Forwarder,
         batch: HeartbeatBatch,
-        answers: MachineAnswers,
+        responses: MachineResponses,
     ): HeartbeatBatchResponse {
-        val shed = relayer.shed
-        relayer.shed = 0
-        val mustHalt = knowledge.tasksToStop()
-        // Too many to name: then nothing may be renewed before some are proven gone.
-        val tooMany = mustHalt.sumOf { it.tasks.size } > MOST_NAMED_TASKS
+        val mustHalt = cancellationView.tasksToStop()
+        // Too many to name: then no lease may be renewed before some have surely ended.
+        val tooMany = mustHalt.sumOf { it.tasks.size } > MAX_NAMED_TASKS
         return HeartbeatBatchResponse(
-            boot = batch.boot,
+            processIncarnation = batch.processIncarnation,
             number = batch.number,
             token = token.value,
-            clock = context.now.value,
-            wanted = wanted,
-            grant = if (wanted) grant.value else 0,
-            unknown = answers.unknown,
-            mail = answers.mail,
-            refuse = answers.refuse,
-            shed = shed,
-            shedTo = relayer.shedTo,
-            sendOn = heartbeats.isRedirecting,
-            renews = context.now < knowledge.usableUntil && !tooMany,
-            cancelledJobs = knowledge.cancelledJobs(),
+            leaderClock = context.now.value,
+            forwardingEnabled = forwardingEnabled,
+            grantDuration = if (forwardingEnabled) grantDuration.value else 0,
+            unknownNumbers = responses.unknownNumbers,
+            undelivered = responses.undelivered,
+            rejectedMachines = responses.rejectedMachines,
+            rebalanceCount = forwarder.takeRebalanceCount(),
+            rebalanceTarget = forwarder.rebalanceTarget,
+            redirectsWorkers = heartbeats.isRedirecting,
+            renewalAllowed = context.now < cancellationView.usableUntil && !tooMany,
+            cancelledJobs = cancellationView.cancelledJobs(),
             mustHalt = if (tooMany) emptyList() else mustHalt,
         )
     }
 
-    private fun relayerOf(batch: HeartbeatBatch): Relayer {
-        // What a former process of the member answered stays possible: its relayer stays too.
-        relayers
-            .find { it.member == batch.member && it.boot == batch.boot }
-            ?.let {
-                return it
-            }
-        log.info("{} takes reports", batch.member)
-        return Relayer(batch.member, batch.boot).also { relayers.add(it) }
-    }
-
-    private fun hear(
-        relayer: Relayer,
-        report: WorkerHeartbeat,
-        sentAt: Micros,
-        answers: MachineAnswers,
-    ) {
-        val orders = heartbeats.handleForwarded(report, relayer.member, sentAt)
-        if (orders == null) {
-            answers.refuse.add(report.machine)
-            relayer.numbers.remove(report.machine)?.let { relayer.reports.remove(it) }
-        } else if (orders.isNotEmpty()) {
-            answers.mail.add(UndeliveredCommands(report.machine, report.incarnation, orders))
-        }
-    }
-
     /**
      * The latest that the lease of a machine last known to be renewed at [renewedAt] may have been
-     * renewed. A relay that has told all that it answered until the lease would have been over has
-     * not renewed it; any other may have done so as long as its grant ran.
+     * renewed, by this leader or by a follower.
      */
-    fun renewedAtLatest(renewedAt: Micros, leaseOver: Micros): Micros {
-        var latest = renewedAt
-        for (relayer in relayers) {
-            if (relayer.toldUntil >= renewedAt + leaseOver) continue
-            latest = maxOf(latest, minOf(relayer.grantedUntil, context.now))
-        }
-        return latest
-    }
-
-    /** Who answers workers besides this controller. */
-    private fun live() =
-        relayers.filter { context.now < it.grantedUntil && context.now - it.batchAt < BATCH_STALE }
-
-    /** Decides once a second whether relays are wanted, and spreads the workers. */
-    fun tick(loaded: Boolean) {
-        if (context.now < decideAt) return
-        decideAt = context.now + PERIOD
-        val old = context.now - workers.leaseS.seconds * KEPT_LEASES
-        relayers.removeIf { it.grantedUntil < old && it.batchAt < old }
-        decide(loaded)
-        shed = 0
-        if (wanted) spread()
-    }
-
-    private fun decide(loaded: Boolean) {
-        if (alone) return
-        val known = cluster.machines.values.count { !it.isDecommissioned }
-        val reports = known / workers.reportS
-        val many =
-            reports > operators.reportsPerCore * limits.cpu ||
-                known > limits.fdLimit * SOCKETS_FOR_WORKERS
-        if (many && !wanted) {
-            log.info("{} machines: followers take reports too", known)
-            wanted = true
-        }
-        // Once only, when the machines of an earlier leader have been heard: no to and fro.
-        val heard = loaded && context.now - electedAt > (workers.reportS * SETTLED_REPORTS).seconds
-        if (!heard || settled) return
-        settled = true
-        if (!many) {
-            log.info("{} machines: this controller takes all reports", known)
-            wanted = false
-        }
-    }
+    fun latestPossibleRenewal(renewedAt: Micros, leaseDuration: Micros): Micros =
+        grants.latestPossibleRenewal(renewedAt, leaseDuration)
 
     /**
-     * In small steps from who has too many to who has the fewest. The leader, which decides for
-     * all, counts for less than one of the others.
+     * Decides once a second whether followers answer workers, and how workers are rebalanced;
+     * [isLoaded] says whether this leader knows what is stored.
      */
-    private fun spread() {
-        val live = live()
-        if (live.isEmpty()) return
-        val counts = machinesByMember()
-        val own = 1.0 / (live.size + 1)
-        val total = live.sumOf { counts[it.member] ?: 0 } + (counts[member] ?: 0)
-        // Nobody is given more than have sockets: they would come back, and go again.
-        val each = minOf(total / (live.size + own), sockets.workers * FULL_PART)
-        val least = live.minBy { counts[it.member] ?: 0 }
-        val room = (each - (counts[least.member] ?: 0)).toInt()
-        var step = minOf(room, maxOf(1, total / STEP_PART))
-        fun steps(count: Int, target: Double): Int {
-            val over = count - target * TOLERANCE - FEW
-            val part = minOf(step, over.toInt()).coerceAtLeast(0)
-            step -= part
-            return part
-        }
-        shed = steps(counts[member] ?: 0, each * own)
-        shedTo = least.member
-        for (relayer in live) {
-            relayer.shed = if (relayer === least) 0 else steps(counts[relayer.member] ?: 0, each)
-            relayer.shedTo = least.member
-        }
-    }
-
-    /** How many machines report to each controller. */
-    private fun machinesByMember(): Map<String, Int> {
-        val counts = HashMap<String, Int>()
-        for (machine in cluster.machines.values) {
-            if (machine.isUp && !machine.isDecommissioned)
-                counts.merge(machine.forwardedBy ?: member, 1, Int::plus)
-        }
-        return counts
-    }
-
-    /** Whom to send a worker that reports to this controller to, or null to answer it. */
-    fun sendAway(): String? {
-        if (shed <= 0) return null
-        shed--
-        return shedTo
+    fun tick(isLoaded: Boolean) {
+        if (context.now < nextDecisionAt) return
+        nextDecisionAt = context.now + DECISION_PERIOD
+        grants.removeOld()
+        switch.update(isLoaded)
+        rebalancer.stop()
+        if (forwardingEnabled) rebalancer.rebalance(grants.active())
     }
 
-    companion object {
-        /** Some 100 KB in an answer; a fleet of thousands of machines rarely has so many. */
-        private const val MOST_NAMED_TASKS = 5_000
-        private const val KEPT_LEASES = 3.0
-        private val PERIOD = 1.seconds
-        private val BATCH_STALE = 3.seconds
-        private const val SETTLED_REPORTS = 1.5
+    /** The member to redirect a worker of this controller to, or null to answer it. */
+    fun takeRedirect(): String? = rebalancer.takeRedirect()
 
-        /** The rest is for users, siblings, direct orders and the services. */
-        private const val SOCKETS_FOR_WORKERS = 0.5
-        private const val STEP_PART = 100
-        private const val TOLERANCE = 1.2
-        private const val FEW = 3
+    private companion object {
+        /** Some 100 KB in a response; a fleet of thousands of machines rarely has so many. */
+        const val MAX_NAMED_TASKS = 5_000
 
-        /** Of a controller's sockets for workers; the others take those that come and go. */
-        private const val FULL_PART = 0.95
+        /** In leases of workers. */
+        const val RETENTION_LEASES = 3.0
+        val DECISION_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/jobs/FinalJobStates.kt
+++ b/src/main/kotlin/wardmux/jobs/FinalJobStates.kt
@@ -3,11 +3,11 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap
 import wardmux.model.JobId
 import wardmux.model.JobState
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 
 /** States of jobs that are over. They never change, so users are answered from memory. */
 class FinalJobStates(
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
     private val openVersions: OpenJobVersions,
 ) {
     private val states = Object2ObjectLinkedOpenHashMap<String, JobState>()
@@ -18,7 +18,7 @@
     /** Keeps [state] if it is final, before its user is told of it. */
     fun record(job: JobId, state: JobState) {
         if (state == JobState.ACCEPTED) return
-        if (state == JobState.CANCELLED) cancellations.confirmed(job)
+        if (state == JobState.CANCELLED) cancellations.acknowledged(job)
         openVersions.remove(job)
         states.putAndMoveToLast(job.value, state)
         if (states.size > MAX_JOBS) states.removeFirst()
--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -61,7 +61,7 @@
         store.get(JobRecord.key(job)) { result ->
             when (result) {
                 is StoreResult.Ok -> responder.answerRecord(call, job, result.value)
-                is StoreResult.Absent -> absent()
+                is StoreResult.NotFound -> absent()
                 else -> responder.answerUnavailable(call)
             }
         }
@@ -92,15 +92,15 @@
                 WriteOperation(put = JobRecord.key(job), data = record),
                 WriteOperation(put = JobRecord.openKey(job), data = record),
             )
-        val absent = listOf(VersionCondition(JobRecord.key(job), 0))
-        store.multi(absent, changes, RequestPriority.USER_WRITE) { result ->
+        val absent = listOf(VersionCondition(JobRecord.key(job), KeyVersion.ABSENT))
+        store.compareAndSwap(absent, changes, RequestPriority.USER_WRITE) { result ->
             when (result) {
-                is StoreResult.Ok -> accepted(call, spec, KeyVersion(result.value))
+                is StoreResult.Ok -> accepted(call, spec, result.value.keyVersion)
                 is StoreResult.Conflict -> answerKnownOrUnavailable(call, job)
                 // Perhaps written: the record is read before anything is said.
                 is StoreResult.Indeterminate -> answerKnownOrUnavailable(call, job)
                 // The store counts the record as too large; it is not sent that again.
-                is StoreResult.Invalid ->
+                is StoreResult.InvalidRequest ->
                     if (JobRecord.takes(spec) > maxRecordBytes) refuseTooLarge(call, job)
                     else responder.answerUnavailable(call)
                 else -> responder.answerUnavailable(call)
--- a/src/main/kotlin/wardmux/jobs/JobApi.kt
+++ b/src/main/kotlin/wardmux/jobs/JobApi.kt
@@ -6,7 +6,7 @@
 import wardmux.model.JobId
 import wardmux.model.JobState
 import wardmux.model.MachineTypes
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.store.KeyValueStore
 
 /**
@@ -19,7 +19,7 @@
     store: KeyValueStore,
     types: MachineTypes,
     teams: List<TeamQuota>,
-    cancellations: Cancellations,
+    cancellations: CancellationTracker,
     progress: JobProgressSource,
 ) : JobCompletionListener {
     private val openVersions = OpenJobVersions()
--- a/src/main/kotlin/wardmux/jobs/JobCancellation.kt
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -33,7 +33,7 @@
                         write(call, job, result.value, record, retries)
                     else responder.answerRecord(call, job, result.value)
                 }
-                is StoreResult.Absent -> responder.answerUnknownJob(call)
+                is StoreResult.NotFound -> responder.answerUnknownJob(call)
                 else -> responder.answerUnavailable(call)
             }
         }
@@ -48,7 +48,7 @@
                 WriteOperation(remove = JobRecord.openKey(job)),
             )
         val unchanged = listOf(VersionCondition(JobRecord.key(job), item.version))
-        store.multi(unchanged, changes, RequestPriority.USER_WRITE) { result ->
+        store.compareAndSwap(unchanged, changes, RequestPriority.USER_WRITE) { result ->
             when {
                 result is StoreResult.Ok -> {
                     log.info("{} is cancelled by its user", job)
--- a/src/main/kotlin/wardmux/jobs/JobResponder.kt
+++ b/src/main/kotlin/wardmux/jobs/JobResponder.kt
@@ -8,7 +8,6 @@
 import wardmux.model.JobId
 import wardmux.model.JobProgress
 import wardmux.model.JobState
-import wardmux.model.KeyVersion
 import wardmux.records.JobRecord
 import wardmux.serialization.lenientJson
 import wardmux.store.KeyValue
@@ -66,7 +65,7 @@
     /** Answers [call] with the state that the record of [job] holds, and remembers it. */
     fun answerRecord(call: Long, job: JobId, item: KeyValue) {
         val state = JobRecord.of(item.data)?.state ?: return answerUnavailable(call)
-        if (state == JobState.ACCEPTED) openVersions.record(job, KeyVersion(item.version))
+        if (state == JobState.ACCEPTED) openVersions.record(job, item.version)
         finalStates.record(job, state)
         answerState(call, HttpStatus.OK, job, state)
     }
--- a/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
+++ b/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
@@ -2,7 +2,6 @@
 
 import wardmux.core.CoreContext
 import wardmux.model.JobId
-import wardmux.model.KeyVersion
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.records.JobRecord
@@ -108,10 +107,10 @@
             if (job !in openVersions) continue
             jobs.remove()
             compared[job] = calls
-            conditions.add(VersionCondition(JobRecord.key(job), openVersions.getValue(job).value))
+            conditions.add(VersionCondition(JobRecord.key(job), openVersions.getValue(job)))
         }
         openComparisons++
-        store.multi(conditions, emptyList(), RequestPriority.READ) { result ->
+        store.compareAndSwap(conditions, emptyList(), RequestPriority.READ) { result ->
             openComparisons--
             val changed = (result as? StoreResult.Conflict)?.failed.orEmpty().toSet()
             val isAnswered = result is StoreResult.Ok || changed.isNotEmpty()
@@ -136,7 +135,7 @@
             val status =
                 when (result) {
                     is StoreResult.Ok -> JobStatus.Recorded(result.value)
-                    is StoreResult.Absent -> JobStatus.Absent
+                    is StoreResult.NotFound -> JobStatus.Absent
                     else -> JobStatus.Unavailable
                 }
             report(job, calls, status)
@@ -159,7 +158,7 @@
             for (item in found?.items.orEmpty()) {
                 val job = JobId(item.key.removePrefix(JobRecord.OPEN_PREFIX))
                 open.add(job)
-                openVersions.record(job, KeyVersion(item.version))
+                openVersions.record(job, item.version)
             }
             for ((job, calls) in scanned) {
                 when {
--- a/src/main/kotlin/wardmux/leader/ControllerServices.kt
+++ b/src/main/kotlin/wardmux/leader/ControllerServices.kt
@@ -9,7 +9,7 @@
 import wardmux.lease.RenewalCounters
 import wardmux.model.JobId
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.peers.PeerHeartbeats
 import wardmux.store.KeyValueStore
 import wardmux.worker.WorkerHeartbeatReader
@@ -37,12 +37,12 @@
     val machineTypes = MachineTypeCatalog(context, store, cloud)
     private val peerNames = platform.peers.map { it.member }
     val cancellations =
-        Cancellations(
+        CancellationTracker(
             context,
             store,
             processIncarnation,
             peerNames,
-            Cancellations.horizon(platform.deployment.workers.cancelS.seconds),
+            CancellationTracker.retention(platform.deployment.workers.cancelS.seconds),
         ) {
             cancellationListener.jobCancelled(it)
         }
--- a/src/main/kotlin/wardmux/leader/HeartbeatBatchHandler.kt
+++ b/src/main/kotlin/wardmux/leader/HeartbeatBatchHandler.kt
@@ -14,6 +14,6 @@
     /** The response to [batch]; null if it is meant for a leader with another fencing token. */
     fun handle(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         if (batch.token != token.value) return null
-        return coordinator.take(batch).also { planningLoop.planIfChanged() }
+        return coordinator.handleBatch(batch).also { planningLoop.planIfChanged() }
     }
 }
--- a/src/main/kotlin/wardmux/leader/JobCancellationHandler.kt
+++ b/src/main/kotlin/wardmux/leader/JobCancellationHandler.kt
@@ -4,14 +4,14 @@
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.JobId
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.scheduling.ClusterState
 
 /** Takes cancelled jobs out of the leader's plans and stops their tasks. */
 class JobCancellationHandler(
     private val cluster: ClusterState,
     private val directCommands: DirectCommandSender,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
 ) {
     private val log = logger<JobCancellationHandler>()
 
@@ -20,7 +20,7 @@
         val job = cluster.jobs[id] ?: return
         if (job.isDone || job.hasEnded || job.allTasksDone) return
         log.info("{} is cancelled; {} placements to stop", job.id, job.placements.size)
-        cluster.cancel(job, cancellations.toldSince(id))
+        cluster.cancel(job, cancellations.acknowledgedSince(id))
         directCommands.sendDue()
     }
 
@@ -29,7 +29,7 @@
         // Only its user's cancellation changes it; the watch of the open jobs will show that too.
         if (!job.isDone) {
             log.info("{} was cancelled while it was being written", job.id)
-            cluster.cancel(job, cancellations.informedAt)
+            cluster.cancel(job, cancellations.completeUntil)
         }
     }
 }
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -124,12 +124,9 @@
             cluster,
             heartbeats,
             reader,
-            platform.member,
             role.token,
-            deployment.workers,
-            deployment.limits,
+            platform,
             operators,
-            platform.peers.isNotEmpty(),
             knowledge,
         )
     val batchHandler = HeartbeatBatchHandler(role.token, relays, planningLoop)
@@ -140,7 +137,7 @@
             context,
             cluster,
             timeouts,
-            LeaseExpiry(context, deployment.workers, operators, relays::renewedAtLatest),
+            LeaseExpiry(context, deployment.workers, operators, relays::latestPossibleRenewal),
             MachineProber(context, workerClient),
             UnconfirmedMachineMonitor(
                 context,
@@ -172,11 +169,12 @@
     /** Drains that operators asked for; null where these are switched off. */
     val drains: LeaderDrains? =
         operators.drain?.let { LeaderDrains(context, drainEnvironment(), it) }
-    val jobs = JobRegistry(cluster, Job.pageSize(store.layoutBytes))
+    val jobs = JobRegistry(cluster, Job.pageSize(store.pageLayoutBytes))
     val cancellationHandler = JobCancellationHandler(cluster, directCommands, cancellations)
     val resignationCheck = ResignationCheck(services, leadership, reachability, health)
     val openJobWatcher = OpenJobWatcher(services, this)
     val loader = StoredStateLoader(services, this)
+
     private fun drainEnvironment() =
         DrainEnvironment(
             store,
@@ -212,5 +210,5 @@
         loader.reload()
     }
 
-    private fun sendAway(): String? = relays.sendAway()
+    private fun sendAway(): String? = relays.takeRedirect()
 }
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -35,13 +35,13 @@
 
     /** Followers are to forward the heartbeats of the workers that reach them. */
     val forwardingEnabled: Boolean
-        get() = components.relays.wanted
+        get() = components.relays.forwardingEnabled
 
     /** Ends the term for good; responses that are still to come are ignored. */
     fun end() {
         status.end()
         components.loader.end()
-        components.storeRelay.end()
+        components.storeRelay.close()
     }
 
     /** Answers [call], a worker's heartbeat that came to this controller itself. */
--- a/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
+++ b/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
@@ -1,8 +1,8 @@
 package wardmux.leader
 
 import wardmux.model.JobId
-import wardmux.model.KeyVersion
 import wardmux.model.Micros
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.JobRecord
@@ -27,10 +27,10 @@
 
     /** When to watch next; null while a watch is open or nothing is loaded. */
     private var watchAt: Micros? = null
-    private var nextRevision = 0L
+    private var nextRevision = Revision.ZERO
 
     /** Watches from [revision] on, beginning at the next tick. */
-    fun start(revision: Long) {
+    fun start(revision: Revision) {
         nextRevision = revision
         watchAt = context.now
     }
@@ -61,12 +61,13 @@
                 is StoreResult.Ok -> {
                     nextRevision = maxOf(nextRevision, result.value.revision)
                     for (event in result.value.events) apply(event)
-                    cancellations.shown(sentAt)
+                    cancellations.storeReadAsOf(sentAt)
                     watchAt = context.now + WATCH_INTERVAL
                     components.planningLoop.planAndWrite()
                 }
                 // The revision is no longer kept, so changes may have been missed.
-                is StoreResult.Invalid -> components.reload()
+                is StoreResult.InvalidRequest,
+                is StoreResult.Compacted -> components.reload()
                 else -> watchAt = context.now + RETRY_PERIOD
             }
         }
@@ -76,12 +77,12 @@
         val put = event.put
         val removed = event.remove
         if (put != null && event.data != null) {
-            JobRecord.of(event.data)?.let { components.jobs.add(it, KeyVersion(event.version)) }
+            JobRecord.of(event.data)?.let { components.jobs.add(it, event.version) }
         } else if (removed != null) {
             // Of a job that is done it was this leader that removed it.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
             if (job.isDone) return
-            cancellations.learn(job.id)
+            cancellations.observe(job.id)
             // A peer may have reported it during the load, before the job was known here; then
             // learning it has no effect.
             components.cancellationHandler.jobCancelled(job.id)
--- a/src/main/kotlin/wardmux/leader/ResignationCheck.kt
+++ b/src/main/kotlin/wardmux/leader/ResignationCheck.kt
@@ -37,11 +37,11 @@
      * would leave all workers without a leader until their leases end.
      */
     private val canHandOver: Boolean
-        get() = leadership.leaseIsValid && store.troubledSince == null
+        get() = leadership.leaseIsValid && store.unavailableSince == null
 
     private fun resignationReason(): String? =
         when {
-            !peerHeartbeats.hearsOthers() -> null
+            !peerHeartbeats.isAnyPeerAlive() -> null
             health.areMostSilent() -> "most machines are silent"
             reachability.isCutOff -> "commands reach no machine"
             else -> null
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -3,7 +3,6 @@
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.JobId
-import wardmux.model.KeyVersion
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.milliseconds
@@ -61,12 +60,12 @@
 
     private fun apply(state: StoredState, sentAt: Micros) {
         state.tags?.let { components.queue.load(it.data) }
-        components.placementStore.tagsVersion = state.tags?.version ?: 0
+        components.placementStore.tagsVersion = state.tags?.version?.value ?: 0
         for (item in state.openJobs.items) {
-            components.jobs.add(item.data ?: continue, KeyVersion(item.version))
+            components.jobs.add(item.data ?: continue, item.version)
         }
         for (item in state.cancelledJobs) addCancelledJob(item)
-        cancellations.shown(sentAt)
+        cancellations.storeReadAsOf(sentAt)
         for (item in state.pages) addPage(item)
         for (item in state.decommissionedMachines) {
             markDecommissioned(MachineId(item.key.removePrefix(PlacementStore.MACHINES)))
@@ -87,13 +86,13 @@
 
     private fun addCancelledJob(item: ScannedKey<JobRecord>) {
         val id = JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
-        cancellations.learnStored(id)
+        cancellations.observeStored(id)
         // It was cancelled after the open jobs were read: the watch of these will show that.
         if (id in cluster.jobs) return
         // The time of the cancellation is not stored: unless this process knows it, the earliest
         // possible one is assumed.
-        components.jobs.add(item.data ?: return, KeyVersion(item.version))?.let {
-            cluster.cancel(it, cancellations.toldSince(id))
+        components.jobs.add(item.data ?: return, item.version)?.let {
+            cluster.cancel(it, cancellations.acknowledgedSince(id))
         }
     }
 
@@ -108,7 +107,7 @@
         val id = JobId(item.key.removePrefix(Job.PAGES).substringBefore('/'))
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         val job = components.jobs.getOrAddCompleted(id)
-        val placed = job.load(page, item.version, item.data)
+        val placed = job.load(page, item.version.value, item.data)
         // Nothing of a done job is on a machine; its pages are only to be removed.
         if (job.isDone) return job.placements.clear()
         for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -10,7 +10,7 @@
 import wardmux.model.TaskAttempt
 import wardmux.model.TaskId
 import wardmux.model.seconds
-import wardmux.peers.Cancellations
+import wardmux.peers.CancellationTracker
 import wardmux.scheduling.ClusterState
 
 /**
@@ -26,7 +26,7 @@
 class LeaderCancellationView(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val cancellations: Cancellations,
+    private val cancellations: CancellationTracker,
     override val token: FencingToken,
     private val workers: WorkerTiming,
 ) : CancellationView {
@@ -55,11 +55,11 @@
         get() {
             val early = context.now - electedAt <= workers.leaseS.seconds * MAX_LOAD_LEASE_SHARE
             if (!wasLoaded && early) return Micros.LONG_AGO
-            return cancellations.informedAt + renewableFor
+            return cancellations.completeUntil + renewableFor
         }
 
     override val cancellationCount: Long
-        get() = cancellations.learned + cluster.cancelled
+        get() = cancellations.observedCount + cluster.cancelled
 
     override fun isCancelled(job: JobId): Boolean {
         if (job in cancellations) return true
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -12,9 +12,11 @@
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.Placement
+import wardmux.model.Revision
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.JobRecord
@@ -132,7 +134,7 @@
         private var bytes = 0
 
         fun room(changesNeeded: Int, conditionsNeeded: Int) =
-            changes.size + changesNeeded < store.maxChanges &&
+            changes.size + changesNeeded < store.maxOperations &&
                 conditions.size + conditionsNeeded < store.maxConditions &&
                 bytes < MAX_BYTES
 
@@ -177,12 +179,12 @@
     fun admission(): Admission {
         // One change is kept for the tags.
         // Where a transaction holds few, ends never take all that a start needs.
-        val ends = minOf(finishing().take(2).count() * 2, store.maxChanges - 2)
+        val ends = minOf(finishing().take(2).count() * 2, store.maxOperations - 2)
         // A lost machine keeps its tasks from running elsewhere until its record is written: where
         // many are lost at once, as with a zone, these must not wait behind all that can be placed.
-        val mostLost = maxOf(1, store.maxChanges / DECOMMISSIONS_PART)
+        val mostLost = maxOf(1, store.maxOperations / DECOMMISSIONS_PART)
         val others = minOf(decommissioning.size, mostLost) + ends
-        return Admission(maxOf(1, store.maxChanges - 1 - others), store.maxValueBytes)
+        return Admission(maxOf(1, store.maxOperations - 1 - others), store.maxValueBytes)
     }
 
     private fun finishing() =
@@ -198,10 +200,12 @@
         addRemovals(draft)
         addExpiredDecommissions(draft)
         if (draft.changes.isEmpty()) return
-        draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
+        draft.conditions.add(VersionCondition(FairQueue.KEY, KeyVersion(tagsVersion)))
         draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
         inFlight = true
-        store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { settle(draft, it) }
+        store.compareAndSwap(draft.conditions, draft.changes, RequestPriority.LEADER) {
+            settle(draft, it)
+        }
         nextAt = context.now + period
     }
 
@@ -211,7 +215,7 @@
                 if (!job.hasPlanned(page)) continue
                 if (!draft.room(1, 2)) return
                 if (addPage(draft, job, page)) {
-                    draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
+                    draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version))
                 } else {
                     // No start goes out without its record.
                     for (placement in job.placementsOf(page)) {
@@ -225,7 +229,7 @@
     private fun addFinished(draft: Draft) {
         for (job in finishing()) {
             if (!draft.room(2, 1)) return
-            draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
+            draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version))
             val record = JobRecord(JobState.DONE, job.acceptedAt.value)
             draft.put(JobRecord.key(job.id), record.toJson())
             draft.changes.add(WriteOperation(remove = JobRecord.openKey(job.id)))
@@ -262,15 +266,15 @@
             val pages = job.storedPages()
             for (page in pages) {
                 // Nobody waits for it, so it never takes what a start or an end needs.
-                if (!draft.room(1, 1) || draft.changes.size >= store.writesToSpare) return
+                if (!draft.room(1, 1) || draft.changes.size >= store.spareWrites) return
                 val key = Job.pageKey(job.id, page)
                 tooLargeUntil.remove(key)
-                draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+                draft.conditions.add(VersionCondition(key, KeyVersion(job.pageVersion(page))))
                 draft.changes.add(WriteOperation(remove = key))
                 draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
             }
             if (job.isDone || job.unlisted || pages.isNotEmpty()) continue
-            if (!draft.room(1, 0) || draft.changes.size >= store.writesToSpare) return
+            if (!draft.room(1, 0) || draft.changes.size >= store.spareWrites) return
             draft.changes.add(WriteOperation(remove = JobRecord.cancelledKey(job.id)))
             draft.unlisting.add(job)
         }
@@ -297,7 +301,7 @@
             return false
         }
         tooLargeUntil.remove(key)
-        draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+        draft.conditions.add(VersionCondition(key, KeyVersion(job.pageVersion(page))))
         draft.put(key, content.data)
         val planned = job.placementsOf(page).filter { !it.isCommitted }
         draft.pages.add(WrittenPage(job, page, content.done, planned, removed = false))
@@ -305,17 +309,18 @@
         return true
     }
 
-    private fun settle(draft: Draft, result: StoreResult<Long>) {
+    private fun settle(draft: Draft, result: StoreResult<Revision>) {
         inFlight = false
         when (result) {
-            is StoreResult.Ok -> committed(draft, result.value)
+            is StoreResult.Ok -> committed(draft, result.value.value)
             is StoreResult.Conflict -> conflict(draft, result.failed)
-            is StoreResult.Refused -> {
+            is StoreResult.NotExecuted -> {
                 takeBack(draft)
                 nextAt = context.now + REFUSED_PAUSE
             }
-            is StoreResult.Invalid,
-            is StoreResult.Absent -> {
+            is StoreResult.InvalidRequest,
+            is StoreResult.Compacted,
+            is StoreResult.NotFound -> {
                 log.error(
                     "a write was found invalid: {}",
                     draft.changes.map { it.put ?: it.remove },
--- a/src/test/kotlin/wardmux/app/FormatAdditions.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditions.kt
@@ -23,8 +23,8 @@
 import wardmux.drain.operatorJson
 import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.HeartbeatBatchResponse
-import wardmux.forwarding.StoredAnswers
 import wardmux.forwarding.StoredBatchClient
+import wardmux.forwarding.StoredBatchResponses
 import wardmux.lease.CancelledTasks
 import wardmux.model.TaskAttempt
 import wardmux.serialization.CborFormat
@@ -127,11 +127,11 @@
 
     private fun haltingAnswer() =
         HeartbeatBatchResponse(
-            boot = "n3-1",
+            processIncarnation = "n3-1",
             number = 41,
             token = 4_711,
-            clock = 55_500_000,
-            grant = 5_280_000,
+            leaderClock = 55_500_000,
+            grantDuration = 5_280_000,
             cancelledJobs = listOf("job-000412", "job-000414"),
             mustHalt =
                 listOf(
@@ -146,10 +146,10 @@
     /** Of a leader that names the tasks to be halted, and has none. */
     private fun nothingToHalt() =
         HeartbeatBatchResponse(
-            boot = "n3-1",
+            processIncarnation = "n3-1",
             number = 42,
             token = 4_711,
-            clock = 55_600_000,
+            leaderClock = 55_600_000,
             mustHalt = emptyList(),
         )
 
@@ -160,9 +160,9 @@
             mapOf(
                 "n1" to nothingToHalt(),
                 "n3" to haltingAnswer(),
-                "n4" to haltingAnswer().withoutMail(),
+                "n4" to haltingAnswer().withoutCommands(),
             )
-        val packed = JsonPrimitive(ForwardingCodec.pack(StoredAnswers(answers)))
+        val packed = JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(answers)))
         return drains + (StoredBatchClient.ANSWERS to packed)
     }
 
--- a/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
@@ -55,7 +55,7 @@
         val bytes = samples.messages.getValue(name)
         val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
         for (sent in listOf(bytes, more)) {
-            val answer = assertNotNull(ForwardingCodec.answer(sent), name)
+            val answer = assertNotNull(ForwardingCodec.decodeResponse(sent), name)
             check(answer)
             assertEquals(bytes.toHexString(), ForwardingCodec.encode(answer).toHexString(), name)
         }
@@ -63,10 +63,13 @@
 
     private fun assertHalting(answer: HeartbeatBatchResponse?) {
         assertNotNull(answer)
-        assertEquals(listOf("n3-1", 41L, 4_711L), listOf(answer.boot, answer.number, answer.token))
-        assertEquals(55_500_000, answer.clock)
-        assertEquals(5_280_000, answer.grant)
-        assertTrue(answer.renews)
+        assertEquals(
+            listOf("n3-1", 41L, 4_711L),
+            listOf(answer.processIncarnation, answer.number, answer.token),
+        )
+        assertEquals(55_500_000, answer.leaderClock)
+        assertEquals(5_280_000, answer.grantDuration)
+        assertTrue(answer.renewalAllowed)
         assertEquals(listOf("job-000412", "job-000414"), answer.cancelledJobs)
         val halts = answer.mustHalt.orEmpty().map { it.machine to it.tasks }
         val first = listOf(TaskAttempt("job-000412/16", 1), TaskAttempt("job-000412/17", 2))
@@ -75,9 +78,12 @@
 
     private fun assertNothingToHalt(answer: HeartbeatBatchResponse?) {
         assertNotNull(answer)
-        assertEquals(listOf("n3-1", 42L, 4_711L), listOf(answer.boot, answer.number, answer.token))
-        assertEquals(55_600_000, answer.clock)
-        assertTrue(answer.renews)
+        assertEquals(
+            listOf("n3-1", 42L, 4_711L),
+            listOf(answer.processIncarnation, answer.number, answer.token),
+        )
+        assertEquals(55_600_000, answer.leaderClock)
+        assertTrue(answer.renewalAllowed)
         assertEquals(emptyList(), answer.cancelledJobs)
         assertEquals(emptyList(), answer.mustHalt)
     }
@@ -93,15 +99,15 @@
         val value = samples.stored.getValue("a/relays")
         val more = FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
         for (stored in listOf(value, more)) {
-            val answers = assertNotNull(ForwardingCodec.answers(stored)).byMember
+            val answers = assertNotNull(ForwardingCodec.decodeStoredResponses(stored)).byMember
             assertEquals(setOf("n1", "n3", "n4"), answers.keys)
             assertNothingToHalt(answers["n1"])
             assertHalting(answers["n3"])
-            val withoutMail = assertNotNull(answers["n4"])
-            assertEquals(41, withoutMail.number)
-            assertFalse(withoutMail.renews)
-            assertEquals(emptyList(), withoutMail.cancelledJobs)
-            assertEquals(emptyList(), withoutMail.mustHalt)
+            val withoutCommands = assertNotNull(answers["n4"])
+            assertEquals(41, withoutCommands.number)
+            assertFalse(withoutCommands.renewalAllowed)
+            assertEquals(emptyList(), withoutCommands.cancelledJobs)
+            assertEquals(emptyList(), withoutCommands.mustHalt)
         }
     }
 
@@ -109,6 +115,6 @@
     @Test
     fun `an answer of an earlier version names no tasks to be halted`() {
         val earlier = FormatSamples(FormatSamples.PRODUCTION).messages.getValue("answer")
-        assertNull(assertNotNull(ForwardingCodec.answer(earlier)).mustHalt)
+        assertNull(assertNotNull(ForwardingCodec.decodeResponse(earlier)).mustHalt)
     }
 }
--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -33,8 +33,8 @@
     private var mustHalt: List<CancelledTasks>? =
         listOf(CancelledTasks("i-000001", listOf(TaskAttempt("job-000001/0", 1))))
     private var cancelledJobs = emptyList<String>()
-    private var mail = emptyList<UndeliveredCommands>()
-    private var refuse = emptyList<String>()
+    private var undelivered = emptyList<UndeliveredCommands>()
+    private var rejectedMachines = emptyList<String>()
 
     private fun answer(batch: HeartbeatBatch) =
         HeartbeatBatchResponse(
@@ -42,9 +42,9 @@
             batch.number,
             token,
             harness.now.value,
-            grant = 5_000_000,
-            mail = mail,
-            refuse = refuse,
+            grantDuration = 5_000_000,
+            undelivered = undelivered,
+            rejectedMachines = rejectedMachines,
             cancelledJobs = cancelledJobs,
             mustHalt = mustHalt,
         )
@@ -52,14 +52,15 @@
     private fun startForwarding() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.peer = { path, body ->
-            val batch = if (path == ForwardingCodec.PATH) ForwardingCodec.batch(body) else null
+            val batch =
+                if (path == ForwardingCodec.PATH) ForwardingCodec.decodeBatch(body) else null
             batch?.let {
                 batches.add(it)
                 ForwardingCodec.encode(answer(it))
             }
         }
         harness.run(1.seconds)
-        val heartbeat = PeerHeartbeat("n1", token = token, wantsRelays = true)
+        val heartbeat = PeerHeartbeat("n1", token = token, forwardingEnabled = true)
         harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
         harness.run(1.seconds)
     }
@@ -129,7 +130,7 @@
     fun `an undelivered command of the leader is not repeated beside the stop`() {
         startForwarding()
         machine.handleHeartbeat(token, running)
-        mail =
+        undelivered =
             listOf(
                 UndeliveredCommands(
                     "i-000001",
@@ -146,7 +147,7 @@
     fun `a machine that is refused for the task alone is still answered`() {
         startForwarding()
         machine.handleHeartbeat(token, notCancelled)
-        refuse = listOf("i-000001")
+        rejectedMachines = listOf("i-000001")
         harness.run(1.1.seconds)
         assertEquals(200, machine.report(token, notCancelled)?.first)
         // Once decommissioned it is not named any more.
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -65,7 +65,7 @@
     private fun batch(token: Long, vararg reports: FullHeartbeat): HeartbeatBatchResponse {
         val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports.toList())
         harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), Port.PEER)
-        return assertNotNull(ForwardingCodec.answer(harness.bytesOf(harness.lastCall)))
+        return assertNotNull(ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall)))
     }
 
     private fun report(token: Long, tick: Int, tasks: String): FullHeartbeat {
@@ -147,17 +147,17 @@
         assertEquals(listOf(job.id), batch(token).cancelledJobs)
         val listed = batch(token, report(token, 5, running))
         assertEquals(listOf(cancelledTask), tasksToStop(listed))
-        assertEquals("halt", listed.mail.single().orders.single().typeName)
+        assertEquals("halt", listed.undelivered.single().commands.single().typeName)
         batch(token, report(token, 6, ""))
         assertEquals(emptyList(), tasksToStop(batch(token)))
-        assertTrue(batch(token).renews)
+        assertTrue(batch(token).renewalAllowed)
     }
 
     @Test
     fun `a forwarder of an earlier version is to refuse a machine that does not list it`() {
         val token = startAfterFailover()
-        assertEquals(listOf("i-000001"), batch(token, report(token - 1, 5, "")).refuse)
-        assertEquals(emptyList(), batch(token, report(token - 1, 6, running)).refuse)
+        assertEquals(listOf("i-000001"), batch(token, report(token - 1, 5, "")).rejectedMachines)
+        assertEquals(emptyList(), batch(token, report(token - 1, 6, running)).rejectedMachines)
     }
 
     @Test
@@ -180,10 +180,10 @@
     fun `what does not fit into the key-value store stops all renewals`() {
         val token = startAfterFailover()
         val answer = batch(token)
-        assertTrue(answer.renews)
-        assertFalse(answer.withoutMail().renews)
-        assertEquals(emptyList(), answer.withoutMail().mustHalt)
+        assertTrue(answer.renewalAllowed)
+        assertFalse(answer.withoutCommands().renewalAllowed)
+        assertEquals(emptyList(), answer.withoutCommands().mustHalt)
         batch(token, report(token, 6, ""))
-        assertTrue(batch(token).withoutMail().renews, "nothing is left out")
+        assertTrue(batch(token).withoutCommands().renewalAllowed, "nothing is left out")
     }
 }
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -31,6 +31,7 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
+import wardmux.store.KeyValueStore
 
 /** Real controllers among fakes of all that they deal with, in simulated time. */
 class ClusterSimulation(
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -32,6 +32,7 @@
 import wardmux.model.milliseconds
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
+import wardmux.store.KeyValueStore
 
 /** One controller whose state service answers at once, for situations set up by hand. */
 class ControllerHarness(
