--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -35,6 +35,7 @@
 import wardmux.peers.Cancellations
 import wardmux.records.JobRecord
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.MachinePools
@@ -72,7 +73,7 @@
 ) : PlacementStore.Listener {
     private val log = logger<LeaderTerm>()
     private val deployment = platform.deployment
-    private val pageSize = Job.pageSize(store.layoutBytes)
+    private val pageSize = TaskPageCodec.tasksPerPage(store.layoutBytes)
 
     private val queue =
         FairQueue(
@@ -371,11 +372,11 @@
     }
 
     private fun loadPage(item: ScannedKey<StoredPage>) {
-        val id = JobId(item.key.removePrefix(Job.PAGES).substringBefore('/'))
+        val id = JobId(item.key.removePrefix(TaskPageCodec.KEY_PREFIX).substringBefore('/'))
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         // Nothing of a done job is on a machine; its pages are only to be removed.
         val job = cluster.jobs.getOrPut(id) { CompletedJobs.of(id, pageSize) }
-        val placed = job.load(page, item.version, item.data)
+        val placed = TaskPageCodec.restore(job, page, KeyVersion(item.version), item.data)
         if (job.isDone) return job.placements.clear()
         for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
     }
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
-import wardmux.model.Job
 import wardmux.records.JobRecord
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.PlacementStore
 import wardmux.store.KeyValue
@@ -78,7 +78,7 @@
         }
 
         private fun readPages() {
-            scan(Job.PAGES, StoredPage.serializer()) { found ->
+            scan(TaskPageCodec.KEY_PREFIX, StoredPage.serializer()) { found ->
                 pages = found.items
                 readDecommissionedMachines()
             }
--- /dev/null
+++ b/src/main/kotlin/wardmux/model/GangAttempt.kt
@@ -0,0 +1,12 @@
+package wardmux.model
+
+/** One try of a gang as a whole. */
+class GangAttempt(
+    val number: Int,
+    val since: Micros,
+    /** All had gathered once: without one of them the others can't go on. */
+    var ran: Boolean = false,
+) {
+    /** It comes to nothing any more: what is left of it has to be gone before the next. */
+    var broken = false
+}
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -1,47 +1,20 @@
 package wardmux.model
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
-import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntArrayFIFOQueue
-import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import java.util.BitSet
-import kotlinx.serialization.json.JsonElement
-import wardmux.logging.logger
-import wardmux.records.StoredPage
-import wardmux.serialization.jsonBytes
-
-/** What a task asks of its machine. */
-data class ResourceRequest(
-    val cpus: Double,
-    val gpus: Double,
-    val memoryGb: Double,
-    val types: List<String>?,
-    val zone: String?,
-    val spot: Boolean,
-)
-
-/** A page as it is to be written, and the tasks that it says are done. */
-class PageContent(val data: JsonElement, val done: BitSet)
-
-/** One try of a gang as a whole. */
-class GangAttempt(
-    val number: Int,
-    val since: Micros,
-    /** All had gathered once: without one of them the others can't go on. */
-    var ran: Boolean = false,
-) {
-    /** It comes to nothing any more: what is left of it has to be gone before the next. */
-    var broken = false
-}
 
 /**
  * A job with its tasks: one class of like work. Waiting tasks are those never tried, in order, and
  * then those that came back; a large job costs no more here than a small one.
  */
-class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, val pageSize: Int) {
+class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, tasksPerPage: Int) {
     val id: JobId = spec.jobId
 
+    /** How its tasks are stored. */
+    val pages = TaskPages(tasksPerPage, spec.tasks)
+
     /** Jobs with the same need find the same machines. */
     val resourceRequest =
         ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
@@ -52,19 +25,9 @@
 
     val placements = Int2ObjectOpenHashMap<Placement>()
     private val done = BitSet()
-    private val recorded = BitSet()
     private val attempts = Int2IntOpenHashMap()
     private val requeued = IntArrayFIFOQueue()
     private var nextUntried = 0
-    private val pageVersions = Int2LongOpenHashMap()
-    private val dirty = IntOpenHashSet()
-
-    /** Placements of each page that no write holds yet. */
-    private val planned = Int2IntOpenHashMap()
-
-    /** Since when a page differs from what is stored of it in no more than how its tasks ended. */
-    var dirtySince: Micros? = null
-        private set
 
     /** Tasks that were reported as running, for display. */
     val running: Int
@@ -92,7 +55,7 @@
 
     /** Nothing that is stored of it says any more that something may be on a machine. */
     val isRemovable: Boolean
-        get() = hasEnded && placements.isEmpty() && pageVersions.isEmpty() && (isDone || unlisted)
+        get() = hasEnded && placements.isEmpty() && pages.noneStored && (isDone || unlisted)
 
     /** No longer listed among the cancelled jobs of which something is left. */
     var unlisted = false
@@ -170,7 +133,7 @@
 
     fun isTaskDone(task: Int) = done.get(task)
 
-    fun isRecorded(task: Int) = isDone || recorded.get(task)
+    fun isRecorded(task: Int) = isDone || pages.isRecordedDone(task)
 
     /** The next waiting task, or -1. */
     fun takeWaiting(): Int {
@@ -188,7 +151,7 @@
     /** Its page is full for now: its turn comes after that of all others, with its page's rest. */
     fun setAside(task: Int) {
         requeued.enqueue(task)
-        val end = lastOf(task) + 1
+        val end = pages.lastTaskBeside(task) + 1
         if (nextUntried <= task || nextUntried > end) return
         while (nextUntried < end) {
             val next = nextUntried++
@@ -205,7 +168,7 @@
     fun place(placement: Placement, wall: Micros) {
         placements.put(placement.task.index, placement)
         attempts.put(placement.task.index, placement.attempt)
-        planned.addTo(placement.task.index / pageSize, 1)
+        pages.addUncommitted(placement.task.index)
         touch(placement.task.index, wall)
     }
 
@@ -214,7 +177,7 @@
         if (placement.committed) return
         placement.committed = true
         val task = placement.task.index
-        if (placements.get(task) === placement) planned.addTo(task / pageSize, -1)
+        if (placements.get(task) === placement) pages.removeUncommitted(task)
     }
 
     /** Proven gone; the task waits again unless it is done. */
@@ -222,7 +185,7 @@
         val task = placement.task.index
         if (placements.get(task) !== placement) return
         placements.remove(task)
-        if (!placement.committed) planned.addTo(task / pageSize, -1)
+        if (!placement.committed) pages.removeUncommitted(task)
         touch(task, wall)
         if (!done.get(task)) requeued.enqueue(task)
     }
@@ -239,72 +202,27 @@
         touch(task, wall)
     }
 
-    private fun touch(task: Int, wall: Micros) {
-        dirty.add(task / pageSize)
-        if (dirtySince == null) dirtySince = wall
-    }
-
-    fun dirtyPages(): IntArray =
-        if (dirty.isEmpty()) NO_PAGES else dirty.toIntArray().also { it.sort() }
-
-    fun storedPages(): IntArray = pageVersions.keys.toIntArray().also { it.sort() }
-
-    fun pageVersion(page: Int): Long = pageVersions.get(page)
+    private fun touch(task: Int, wall: Micros) = pages.markDirty(pages.pageOf(task), wall)
 
-    fun hasPlanned(page: Int): Boolean = planned.get(page) > 0
-
-    fun placementsOf(page: Int): List<Placement> {
-        val from = page * pageSize
-        return if (placements.size < pageSize) {
-            placements.values.filter { it.task.index / pageSize == page }
+    /** The placements of the tasks on [page]. */
+    fun placementsOn(page: Int): List<Placement> {
+        val size = pages.tasksPerPage
+        val first = page * size
+        return if (placements.size < size) {
+            placements.values.filter { pages.pageOf(it.task.index) == page }
         } else {
-            (from until from + pageSize).mapNotNull { placements.get(it) }
+            (first until first + size).mapNotNull { placements.get(it) }
         }
     }
 
-    /** The last task on the page of [task]. */
-    fun lastOf(task: Int): Int = minOf((task / pageSize + 1) * pageSize, spec.tasks) - 1
-
-    /** Tasks of the page that were tried and are not done. */
-    fun openIn(page: Int): Int {
-        val from = page * pageSize
-        val to = minOf(from + pageSize, spec.tasks)
-        return (from until to).count { !done.get(it) && attempts.get(it) > 0 }
-    }
-
-    /** What the page holds now; the caller writes it and then calls [written]. */
-    fun page(page: Int): JsonElement = page(page, Int.MAX_VALUE).data
-
-    /**
-     * The same in [mostBytes], if leaving out some done tasks helps: those between tasks that are
-     * not, each of which takes two numbers. They stand among the tried ones until their neighbours
-     * end, and their machines keep the result until they are recorded. One that is recorded, and
-     * perhaps forgotten, is left out only where nothing of the page is out, as then nothing else
-     * would ever make room: after a change of leaders it runs once more.
-     */
-    fun page(page: Int, mostBytes: Int): PageContent {
-        val runs = doneRuns(page)
-        val whole = page(page, runs, BitSet())
-        var over = jsonBytes(whole.data) - mostBytes
-        if (over <= 0) return whole
-        val leftOut = BitSet()
-        val nothingOut = placementsOf(page).none { it.committed }
-        val single =
-            runs
-                .filter { it.first == it.last && !placements.containsKey(it.first) }
-                .map { it.first }
-                .filter { nothingOut || !recorded.get(it) }
-        for (task in single.sortedBy { recorded.get(it) }) {
-            if (over + SEPARATORS <= 0) break
-            leftOut.set(task)
-            over -= task.toString().length - lastAttempt(task).toString().length
-        }
-        return page(page, runs, leftOut)
-    }
+    /** How many tasks on [page] were tried and are not done. */
+    fun triedNotDoneOn(page: Int): Int =
+        pages.tasksOn(page).count { !done.get(it) && attempts.get(it) > 0 }
 
-    private fun doneRuns(page: Int): List<IntRange> {
-        val from = page * pageSize
-        val to = minOf(from + pageSize, spec.tasks)
+    /** The runs of consecutive done tasks on [page], ascending. */
+    fun doneRunsOn(page: Int): List<IntRange> {
+        val from = page * pages.tasksPerPage
+        val to = pages.tasksOn(page).last + 1
         val runs = ArrayList<IntRange>()
         var start = done.nextSetBit(from)
         while (start in from until to) {
@@ -315,92 +233,36 @@
         return runs
     }
 
-    /** One that was read as done has no attempt on record. */
-    private fun lastAttempt(task: Int) = maxOf(1, attempts.get(task))
-
-    private fun page(page: Int, runs: List<IntRange>, leftOut: BitSet): PageContent {
-        val from = page * pageSize
-        val to = minOf(from + pageSize, spec.tasks)
-        val kept = runs.filter { !leftOut.get(it.first) }
-        val tried = ArrayList<Int>()
-        for (task in from until to) {
-            if (leftOut.get(task) || free(task) && attempts.get(task) > 0) {
-                tried.add(task)
-                tried.add(lastAttempt(task))
-            }
-        }
-        val done = BitSet().apply { for (run in kept) set(run.first, run.last + 1) }
-        val numbers = kept.flatMap { listOf(it.first, it.last) }
-        return PageContent(StoredPage.of(numbers, placementsOf(page), tried), done)
-    }
+    /** The number of the last attempt of [task], or 0 if none is known. */
+    fun lastAttempt(task: Int): Int = attempts.get(task)
 
-    /** The page as it was at [doneThen] is stored now. */
-    fun written(page: Int, version: Long, doneThen: BitSet) {
-        pageVersions.put(page, version)
-        recorded.clear(page * pageSize, (page + 1) * pageSize)
-        recorded.or(doneThen)
-    }
-
-    fun clean(page: Int) {
-        dirty.remove(page)
-        if (dirty.isEmpty()) dirtySince = null
-    }
+    /** True if [task] was tried, is not done and is not placed now. */
+    fun isInterrupted(task: Int) = free(task) && attempts.get(task) > 0
 
-    fun markDirty(page: Int, wall: Micros) {
-        dirty.add(page)
-        if (dirtySince == null) dirtySince = wall
+    /** From the store: the tasks [first] to [last] are done. */
+    fun restoreDone(first: Int, last: Int) {
+        done.set(first, last + 1)
+        pages.restoreDone(first, last)
     }
 
-    fun forgetPage(page: Int) {
-        pageVersions.remove(page)
-        clean(page)
+    /** From the store: [task] was tried up to [lastAttempt], is not done and not placed. */
+    fun restoreInterrupted(task: Int, lastAttempt: Int) {
+        attempts.put(task, lastAttempt)
+        requeued.enqueue(task)
     }
 
-    /** At take-over: what a stored page says. */
-    fun load(page: Int, version: Long, stored: StoredPage?): List<Placement> {
-        pageVersions.put(page, version)
-        val placed = stored?.placementsOf(this)
-        if (placed == null) {
-            logger<Job>().error("page {} of {} can't be read", page, id)
-            return emptyList()
-        }
-        for (i in stored.done.indices step 2) {
-            done.set(stored.done[i], stored.done[i + 1] + 1)
-            recorded.set(stored.done[i], stored.done[i + 1] + 1)
-        }
-        for (i in stored.tried.indices step 2) {
-            attempts.put(stored.tried[i], stored.tried[i + 1])
-            requeued.enqueue(stored.tried[i])
-        }
-        return placed.onEach { placement ->
-            placement.committed = true
-            placement.restored = true
-            placements.put(placement.task.index, placement)
-            attempts.put(placement.task.index, placement.attempt)
-            // How far it came is not known, so nothing of it is replaced.
-            if (spec.isGang) gang = GangAttempt(placement.attempt, Micros.LONG_AGO, ran = true)
-        }
+    /** From the store: [placement] is committed, and a start of it may have gone out. */
+    fun restore(placement: Placement) {
+        placement.committed = true
+        placement.restored = true
+        placements.put(placement.task.index, placement)
+        attempts.put(placement.task.index, placement.attempt)
+        // How far it came is not known, so nothing of it is replaced.
+        if (spec.isGang) gang = GangAttempt(placement.attempt, Micros.LONG_AGO, ran = true)
     }
 
     companion object {
         const val FAULTY_MACHINES = 2
         private val SCARCE_AFTER = 4.seconds
-
-        /** Keeps the pages of all jobs; a page's key is `t/<job>/<page>`. */
-        const val PAGES = "t/"
-
-        /**
-         * A placement's record takes at most about this much, on a machine of its own and charged
-         * unlike all others, so that a page fits a value. As a rule it takes a quarter of that.
-         */
-        const val BYTES_A_TASK = 64
-
-        /** At the ends of the two lists that a task moves between. */
-        private const val SEPARATORS = 4
-        private val NO_PAGES = IntArray(0)
-
-        fun pageKey(job: JobId, page: Int) = "$PAGES${job.value}/$page"
-
-        fun pageSize(maxValueBytes: Int) = (maxValueBytes / BYTES_A_TASK).coerceAtLeast(1)
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -6,6 +6,7 @@
 import wardmux.model.MachineId
 import wardmux.model.Placement
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.serialization.jsonBytes
 
 /** So many tasks of a gang are to go to this machine. */
@@ -16,12 +17,13 @@
  * a value may be can't be written, and neither can the starts on it.
  */
 class PageSizeEstimate(job: Job, page: Int, private val mostBytes: Int) {
-    private val size = RecordSize(jsonBytes(job.page(page, mostBytes - PLANNED).data))
+    private val size =
+        RecordSize(jsonBytes(TaskPageCodec.encode(job, page, mostBytes - PLANNED).data))
 
     /** Tasks of the page that may end in any order; none of them may make it too large for good. */
-    private var open = job.openIn(page)
+    private var open = job.triedNotDoneOn(page)
     private val openBefore = open
-    private var placed = job.placementsOf(page).size
+    private var placed = job.placementsOn(page).size
 
     fun hasRoom(job: Job, task: Int): Boolean =
         size.bytes + MOST_A_PLACEMENT <= mostBytes &&
@@ -49,7 +51,7 @@
 
     /** Half of them done, each a run of its own; between them the others, tried and waiting. */
     private fun mostLeftOf(job: Job, task: Int): Int {
-        val name = RecordSize.number(maxOf(task, job.lastOf(task)).toLong())
+        val name = RecordSize.number(maxOf(task, job.pages.lastTaskBeside(task)).toLong())
         return (2 * name + name + ATTEMPT + 1) / 2
     }
 
@@ -114,15 +116,16 @@
          */
         fun placeable(job: Job, together: Int, mostBytes: Int): Int {
             if (fitsAlways(job, mostBytes)) return job.waiting
-            val pages = 0..(job.spec.tasks - 1) / job.pageSize
-            val room = pages.sumOf { PageSizeEstimate(job, it, mostBytes).roomFor(together) }
+            val room =
+                job.pages.all.sumOf { PageSizeEstimate(job, it, mostBytes).roomFor(together) }
             return minOf(job.waiting, room)
         }
 
         /** A page with so few tasks is never too large. */
         fun fitsAlways(job: Job, mostBytes: Int) =
-            minOf(job.pageSize, job.spec.tasks).toLong() * MOST_AS_A_RULE + FRAME <= mostBytes ||
-                job.pageSize.toLong() * Job.BYTES_A_TASK <= mostBytes
+            minOf(job.pages.tasksPerPage, job.spec.tasks).toLong() * MOST_AS_A_RULE + FRAME <=
+                mostBytes ||
+                job.pages.tasksPerPage.toLong() * TaskPageCodec.BYTES_PER_TASK <= mostBytes
 
         /**
          * True if all tasks have to be out at the same time and their pages hold them only on few
@@ -131,12 +134,13 @@
         fun needsFewMachines(job: Job, mostBytes: Int) =
             job.sharesCharge &&
                 !fitsAlways(job, mostBytes) &&
-                minOf(job.pageSize, job.spec.tasks) * MOST_CHARGED_ALIKE + FRAME > mostBytes
+                minOf(job.pages.tasksPerPage, job.spec.tasks) * MOST_CHARGED_ALIKE + FRAME >
+                    mostBytes
 
         /** True if pages may hold a whole attempt with so many tasks on each machine. */
         fun mayHold(job: Job, onEach: Int, mostBytes: Int): Boolean {
             if (onEach <= 0) return false
-            val tasks = minOf(job.pageSize, job.spec.tasks)
+            val tasks = minOf(job.pages.tasksPerPage, job.spec.tasks)
             val machines = (tasks + onEach - 1) / onEach
             val numbers = (0 until tasks).sumOf { RecordSize.number(it.toLong()) + LEAST_A_TASK }
             return FRAME + numbers + machines * LEAST_A_MACHINE <= mostBytes
@@ -148,7 +152,7 @@
             var size = RecordSize(FRAME)
             for (share in shares) {
                 repeat(share.tasks) {
-                    if (task > 0 && task % job.pageSize == 0) size = RecordSize(FRAME)
+                    if (task > 0 && task % job.pages.tasksPerPage == 0) size = RecordSize(FRAME)
                     size.machine(share.machine.id, share.machine.incarnation, share.machine.zone)
                     size.task(task++, job.nextGangAttempt)
                     size.charge(null)
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -12,12 +12,14 @@
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.Placement
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.JobRecord
+import wardmux.records.TaskPageCodec
 import wardmux.serialization.jsonBytes
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
@@ -42,7 +44,7 @@
      */
     fun admitsWhole(job: Job): Boolean {
         val own = pages.getOrPut(job.id) { IntOpenHashSet() }
-        val needed = (0..(job.spec.tasks - 1) / job.pageSize).filter { it !in own }
+        val needed = job.pages.all.filter { it !in own }
         if (needed.size > left && left < most) return false
         left = maxOf(0, left - needed.size)
         own.addAll(needed)
@@ -56,7 +58,7 @@
     }
 
     fun admits(job: Job, task: Int): Boolean {
-        val page = task / job.pageSize
+        val page = job.pages.pageOf(task)
         val own = pages[job.id]
         val open = own != null && own.contains(page)
         if (!open && left <= 0) return false
@@ -67,12 +69,12 @@
     }
 
     /** True if its page can't take it, though others of the job may. */
-    fun isFull(job: Job, task: Int) = fill(job, task / job.pageSize)?.hasRoom(job, task) == false
+    fun isFull(job: Job, task: Int) = fill(job, job.pages.pageOf(task))?.hasRoom(job, task) == false
 
     /** It is placed as it was admitted. */
     fun took(placement: Placement) {
         val job = placement.job
-        fill(job, placement.task.index / job.pageSize)?.add(placement)
+        fill(job, job.pages.pageOf(placement.task.index))?.add(placement)
     }
 
     /** Null if the page fits whatever is placed on it. */
@@ -207,14 +209,14 @@
 
     private fun addPlanned(draft: Draft) {
         for (job in cluster.jobs.values) {
-            for (page in job.dirtyPages()) {
-                if (!job.hasPlanned(page)) continue
+            for (page in job.pages.dirtyPages()) {
+                if (!job.pages.hasUncommitted(page)) continue
                 if (!draft.room(1, 2)) return
                 if (addPage(draft, job, page)) {
                     draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
                 } else {
                     // No start goes out without its record.
-                    for (placement in job.placementsOf(page)) {
+                    for (placement in job.placementsOn(page)) {
                         if (!placement.committed) cluster.undo(placement)
                     }
                 }
@@ -243,11 +245,11 @@
 
     private fun addDirty(draft: Draft) {
         for (job in cluster.jobs.values) {
-            val since = job.dirtySince ?: continue
+            val since = job.pages.dirtySince ?: continue
             if (job.hasEnded || job.allTasksDone || context.wall - since < PATIENCE) continue
-            for (page in job.dirtyPages()) {
-                if (job.hasPlanned(page)) continue
-                val key = Job.pageKey(job.id, page)
+            for (page in job.pages.dirtyPages()) {
+                if (job.pages.hasUncommitted(page)) continue
+                val key = TaskPageCodec.key(job.id, page)
                 if (tooLargeUntil[key]?.let { context.now < it } == true) continue
                 if (!draft.room(1, 1)) return
                 addPage(draft, job, page)
@@ -259,13 +261,13 @@
     private fun addRemovals(draft: Draft) {
         for (job in cluster.jobs.values) {
             if (!job.hasEnded || job.placements.isNotEmpty()) continue
-            val pages = job.storedPages()
+            val pages = job.pages.storedPages()
             for (page in pages) {
                 // Nobody waits for it, so it never takes what a start or an end needs.
                 if (!draft.room(1, 1) || draft.changes.size >= store.writesToSpare) return
-                val key = Job.pageKey(job.id, page)
+                val key = TaskPageCodec.key(job.id, page)
                 tooLargeUntil.remove(key)
-                draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+                draft.conditions.add(VersionCondition(key, job.pages.version(page).value))
                 draft.changes.add(WriteOperation(remove = key))
                 draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
             }
@@ -290,18 +292,18 @@
      * ended, and the job is done by its record, which needs no page.
      */
     private fun addPage(draft: Draft, job: Job, page: Int): Boolean {
-        val key = Job.pageKey(job.id, page)
-        val content = job.page(page, store.maxValueBytes)
+        val key = TaskPageCodec.key(job.id, page)
+        val content = TaskPageCodec.encode(job, page, store.maxValueBytes)
         if (jsonBytes(content.data) > store.maxValueBytes) {
             tooLargeUntil[key] = context.now + TOO_LARGE_PAUSE
             return false
         }
         tooLargeUntil.remove(key)
-        draft.conditions.add(VersionCondition(key, job.pageVersion(page)))
+        draft.conditions.add(VersionCondition(key, job.pages.version(page).value))
         draft.put(key, content.data)
-        val planned = job.placementsOf(page).filter { !it.committed }
+        val planned = job.placementsOn(page).filter { !it.committed }
         draft.pages.add(WrittenPage(job, page, content.done, planned, removed = false))
-        job.clean(page)
+        job.pages.markClean(page)
         return true
     }
 
@@ -333,8 +335,8 @@
     private fun committed(draft: Draft, version: Long) {
         tagsVersion = version
         for (written in draft.pages) {
-            if (written.removed) written.job.forgetPage(written.page)
-            else written.job.written(written.page, version, written.done)
+            if (written.removed) written.job.pages.onRemoved(written.page)
+            else written.job.pages.onWritten(written.page, KeyVersion(version), written.done)
             for (placement in written.planned) written.job.commit(placement)
         }
         for (job in draft.finishing) {
@@ -365,7 +367,7 @@
     /** Surely not written: planned placements are undone, the rest is tried again. */
     private fun takeBack(draft: Draft) {
         for (written in draft.pages) {
-            if (!written.removed) written.job.markDirty(written.page, context.wall)
+            if (!written.removed) written.job.pages.markDirty(written.page, context.wall)
             for (placement in written.planned) cluster.undo(placement)
         }
     }
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -32,6 +32,7 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.lenientJson
 import wardmux.worker.WorkerCommand
@@ -334,10 +335,11 @@
         }
         all[JobRecord.key(JobId("job-000001"))] = DONE.toJson()
         val job = job()
-        for (page in 0..2) all[Job.pageKey(job.id, page)] = job.page(page)
+        for (page in 0..2) all[TaskPageCodec.key(job.id, page)] = TaskPageCodec.encode(job, page)
         val gang = gangOut()
-        for (page in 0..2) all[Job.pageKey(gang.id, page)] = gang.page(page)
-        for (other in listOf(gangAgain(), gangDone())) all[Job.pageKey(other.id, 0)] = other.page(0)
+        for (page in 0..2) all[TaskPageCodec.key(gang.id, page)] = TaskPageCodec.encode(gang, page)
+        for (other in listOf(gangAgain(), gangDone())) all[TaskPageCodec.key(other.id, 0)] =
+            TaskPageCodec.encode(other, 0)
         all[CONDEMNED_KEY] = JsonPrimitive(CONDEMNED_WHY)
         all[StoredBatchClient.BATCHES + "n3"] = JsonPrimitive(ForwardingCodec.pack(batch()))
         all[StoredBatchClient.ANSWERS] =
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -15,11 +15,13 @@
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
 import wardmux.model.Micros
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
@@ -106,14 +108,14 @@
         record.jsonObject.keys + (record.jsonObject["spec"] as JsonObject).keys
 
     private fun pagesAgain(spec: JobSpec, pages: IntRange) {
-        val keys = pages.associateWith { Job.pageKey(JobId(spec.id), it) }
+        val keys = pages.associateWith { TaskPageCodec.key(JobId(spec.id), it) }
         for (more in listOf(false, true)) {
             val first = FormatContents.emptyGang(spec)
             val second = FormatContents.emptyGang(spec)
             for ((number, key) in keys) {
                 val sample = samples.stored.getValue(key)
                 load(first, number, if (more) FormatTree.withMore(sample) else sample)
-                val again = first.page(number)
+                val again = TaskPageCodec.encode(first, number)
                 // The order of placements is free; the fields and all that they hold are not.
                 assertEquals(sample.jsonObject.keys.toList(), again.jsonObject.keys.toList(), key)
                 load(second, number, again)
@@ -124,7 +126,8 @@
     }
 
     private fun load(job: Job, number: Int, json: JsonElement) {
-        job.load(number, 99, lenientJson.decodeFromJsonElement(StoredPage.serializer(), json))
+        val stored = lenientJson.decodeFromJsonElement(StoredPage.serializer(), json)
+        TaskPageCodec.restore(job, number, KeyVersion(99), stored)
     }
 
     private fun written(spec: JobSpec): Job =
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -23,6 +23,7 @@
 import wardmux.model.JobProgress
 import wardmux.model.JobSpec
 import wardmux.model.JobState
+import wardmux.model.KeyVersion
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.Placement
@@ -32,6 +33,7 @@
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.lenientJson
 import wardmux.sim.ControllerHarness
@@ -234,7 +236,10 @@
     fun `a page is read with its placements, their zones and charges`() =
         eachStored("t/job-000412/1") { json ->
             val job = FormatContents.emptyJob()
-            val read = job.load(1, 99, page(json)).associateBy { it.task.index }
+            val read =
+                TaskPageCodec.restore(job, 1, KeyVersion(99), page(json)).associateBy {
+                    it.task.index
+                }
             val wanted = FormatContents.placements(job).associateBy { it.task.index }
             assertEquals(setOf(16, 17, 18, 22, 23), read.keys)
             for ((task, placement) in wanted) {
@@ -250,7 +255,7 @@
             assertEquals(9_000_000_000, read.getValue(23).incarnation)
             assertEquals(MachineId("i-000003"), read.getValue(23).machine)
             assertEquals("west", read.getValue(22).zone)
-            assertEquals(99, job.pageVersion(1))
+            assertEquals(KeyVersion(99), job.pages.version(1))
         }
 
     @Test
@@ -259,7 +264,8 @@
         for (form in listOf({ json: JsonElement -> json }, more)) {
             val job = FormatContents.emptyJob()
             for (number in 0..2) {
-                job.load(number, 99, page(form(stored.getValue("t/job-000412/$number"))))
+                val json = form(stored.getValue("t/job-000412/$number"))
+                TaskPageCodec.restore(job, number, KeyVersion(99), page(json))
             }
             val tasks = 0 until job.spec.tasks
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isTaskDone(it) })
@@ -307,7 +313,8 @@
             val gang = FormatContents.emptyGang(spec)
             val read =
                 pages.flatMap { number ->
-                    gang.load(number, 99, page(form(stored.getValue("t/${spec.id}/$number"))))
+                    val json = form(stored.getValue("t/${spec.id}/$number"))
+                    TaskPageCodec.restore(gang, number, KeyVersion(99), page(json))
                 }
             check(gang, read.sortedBy { it.task.index })
         }
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -8,6 +8,7 @@
 import wardmux.jobs.SubmissionReader
 import wardmux.jobs.submission
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.Admission
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
@@ -18,16 +19,24 @@
         val read = SubmissionReader.read(submission()) as Submission.Good
         val spec = read.spec.copy(tasks = SubmissionReader.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
-            val size = Job.pageSize(limit)
+            val size = TaskPageCodec.tasksPerPage(limit)
             val job = Job(spec, KeyVersion(1), Micros.ZERO, size)
             val last = (spec.tasks - 1) / size
             for (task in last * size until spec.tasks) job.place(widest(job, task), Micros.ZERO)
             for (task in 0 until size) job.place(widest(job, task), Micros.ZERO)
             for (page in listOf(0, last)) {
-                assertTrue(job.page(page).toString().length <= limit, "page $page of $size tasks")
+                assertTrue(
+                    TaskPageCodec.encode(job, page).toString().length <= limit,
+                    "page $page of $size tasks",
+                )
             }
-            val stored = lenientJson.decodeFromJsonElement(StoredPage.serializer(), job.page(0))
-            assertEquals(size, Job(spec, KeyVersion(1), Micros.ZERO, size).load(0, 1, stored).size)
+            val stored =
+                lenientJson.decodeFromJsonElement(
+                    StoredPage.serializer(),
+                    TaskPageCodec.encode(job, 0),
+                )
+            val again = Job(spec, KeyVersion(1), Micros.ZERO, size)
+            assertEquals(size, TaskPageCodec.restore(again, 0, KeyVersion(1), stored).size)
         }
     }
 
@@ -37,7 +46,8 @@
         val spec = read.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
             for (perMachine in listOf(1, 3, 16)) {
-                val job = Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024))
+                val job =
+                    Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
                 // What two rounds admit, ended in between as badly as can be.
                 repeat(2) {
                     val admission = Admission(7, limit)
@@ -115,9 +125,9 @@
     }
 
     private fun write(job: Job, page: Int): StoredPage {
-        val content = job.page(page, LOWERED)
+        val content = TaskPageCodec.encode(job, page, LOWERED)
         assertTrue(jsonBytes(content.data) <= LOWERED, "${jsonBytes(content.data)} bytes")
-        job.written(page, 1, content.done)
+        job.pages.onWritten(page, KeyVersion(1), content.done)
         return decode(content.data)
     }
 
@@ -128,13 +138,13 @@
         jsonBytes(lenientJson.encodeToJsonElement(StoredPage.serializer(), page))
 
     private fun loaded(spec: JobSpec, stored: StoredPage, page: Int) =
-        Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024)).also {
-            it.load(page, 1, stored)
+        Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024)).also {
+            TaskPageCodec.restore(it, page, KeyVersion(1), stored)
         }
 
     private fun assertFits(job: Job, limit: Int) {
         for (page in 0..1) {
-            val bytes = job.page(page).toString().length
+            val bytes = TaskPageCodec.encode(job, page).toString().length
             assertTrue(bytes <= limit, "page $page takes $bytes of $limit")
         }
     }
--- a/src/test/kotlin/wardmux/scheduling/FewMachinesTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FewMachinesTest.kt
@@ -9,6 +9,7 @@
 import wardmux.model.MachineType
 import wardmux.model.seconds
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.serialization.lenientJson
 import wardmux.sim.plainJob
 
@@ -24,7 +25,7 @@
             plainJob(tasks, "job-%06d".format(id)).copy(shape = shape, cpus = cpus, estimateS = 9.0)
         )
 
-    private fun bytesOf(job: Job) = job.page(0).toString().length
+    private fun bytesOf(job: Job) = TaskPageCodec.encode(job, 0).toString().length
 
     /** As many on small machines as on large ones, which small tasks fit exactly. */
     private fun smallAndLarge() {
@@ -39,7 +40,11 @@
         harness.planner.plan(Admission(7, LOWERED))
         assertEquals(110, gang.placements.size)
         assertTrue(bytesOf(gang) <= LOWERED, "${bytesOf(gang)} bytes")
-        val stored = lenientJson.decodeFromJsonElement(StoredPage.serializer(), gang.page(0))
+        val stored =
+            lenientJson.decodeFromJsonElement(
+                StoredPage.serializer(),
+                TaskPageCodec.encode(gang, 0),
+            )
         assertEquals(110, stored.placementsOf(gang)?.size)
     }
 
--- a/src/test/kotlin/wardmux/sim/GangFaultDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultDay.kt
@@ -17,6 +17,7 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.StoredPage
+import wardmux.records.TaskPageCodec
 import wardmux.serialization.lenientJson
 
 /**
@@ -86,7 +87,7 @@
     /** What is stored of the gang's tasks that may be on machines. */
     fun recorded(): Map<Int, Placement> {
         val pages = 0..(gang.tasks - 1) / PAGE_SIZE
-        val stamps = pages.map { simulation.state.version(Job.pageKey(gang.jobId, it)) }
+        val stamps = pages.map { simulation.state.version(TaskPageCodec.key(gang.jobId, it)) }
         if (stamps != read.first) read = stamps to readPages(pages)
         return read.second
     }
@@ -94,7 +95,7 @@
     private fun readPages(pages: IntRange): Map<Int, Placement> {
         val job = Job(gang, KeyVersion(0), Micros.ZERO, PAGE_SIZE)
         return pages
-            .mapNotNull { simulation.state.value(Job.pageKey(gang.jobId, it)) }
+            .mapNotNull { simulation.state.value(TaskPageCodec.key(gang.jobId, it)) }
             .flatMap {
                 val page = lenientJson.decodeFromJsonElement(StoredPage.serializer(), it)
                 page.placementsOf(job).orEmpty()
@@ -106,7 +107,7 @@
     fun pagesIn(transaction: JsonObject): Int =
         transaction["then"]?.jsonArray.orEmpty().count { change ->
             val key = change.jsonObject["put"]?.jsonPrimitive?.content.orEmpty()
-            key.startsWith(Job.PAGES + gang.id)
+            key.startsWith(TaskPageCodec.KEY_PREFIX + gang.id)
         }
 
     /** Once, [after] the gang began to run. */
@@ -190,6 +191,6 @@
         val SUBMITTED = 7.seconds
 
         /** Tasks that a page holds with values of up to 8 KiB. */
-        private val PAGE_SIZE = Job.pageSize(8 * 1024)
+        private val PAGE_SIZE = TaskPageCodec.tasksPerPage(8 * 1024)
     }
 }
