--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -49,7 +49,7 @@
     ): Double {
         val spec = job.spec
         val left = headroom.getOrPut(spec.team) { unusedCap(spec.team) }
-        val all = placeable(job, fittingOf(spec, pool)).toDouble()
+        val all = placeableTasks(job, fittingOf(spec, pool)).toDouble()
         val tasks = if (spec.cpus > 0) minOf(all, left / spec.cpus) else all
         if (tasks > 0) headroom[spec.team] = left - tasks * spec.cpus
         return tasks
@@ -96,9 +96,9 @@
     }
 
     /** Of a gang all pages are written at once, in several writes if need be. */
-    private fun placeable(job: Job, together: Int): Int =
+    private fun placeableTasks(job: Job, together: Int): Int =
         if (job.spec.isGang) job.waiting
-        else PageSizeEstimate.placeable(job, together, mostValueBytes())
+        else PageSizeEstimate.placeableTasks(job, together, mostValueBytes())
 
     /** Seconds that the job can still wait before it misses what its users expect of its class. */
     private fun slack(job: Job, run: Double): Double {
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -59,7 +59,7 @@
         !machine.isUp ||
             machine.fits(job.spec) ||
             machine.placements.values.any {
-                it.job.spec.shape != JobKind.SERVICE || it.job.spec.urgency > job.spec.urgency
+                it.job.spec.kind != JobKind.SERVICE || it.job.spec.priority > job.spec.priority
             }
 
     /** A machine that suits the job is asked for. */
--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
@@ -39,7 +39,7 @@
             if (left <= 0) return
             machine.isScalingIn = false
             left -= pool.weightOf(machine.type)
-            cluster.changed()
+            cluster.markChanged()
             log.info("{} takes tasks again", machine.id)
         }
     }
@@ -48,7 +48,7 @@
         var left = surplus
         val candidates = own.filter { !it.spot && eligibility.usable(it) }
         val order =
-            compareByDescending<Machine> { pool.dearness(it.type, it.spot) }.thenBy { it.load }
+            compareByDescending<Machine> { pool.relativeCost(it.type, it.spot) }.thenBy { it.load }
         for (machine in candidates.filter { !it.isEmpty }.sortedWith(order)) {
             val weight = pool.weightOf(machine.type)
             if (left < weight) continue
@@ -74,14 +74,14 @@
                 if (!isMovable(replica)) continue
                 val target = targets.firstOrNull { takes(it, replica, promised) } ?: continue
                 promised.merge(target, replica.job.spec.cpus, Double::plus)
-                stopper.stop(replica, "its machine is emptied")
+                stopper.evict(replica, "its machine is emptied")
                 left--
             }
         }
     }
 
     private fun isMovable(placement: Placement) =
-        placement.job.spec.shape == JobKind.SERVICE &&
+        placement.job.spec.kind == JobKind.SERVICE &&
             placement.status == TaskStatus.RUNNING &&
             placement.committed &&
             !placement.isStopping &&
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -94,7 +94,7 @@
         when (entry.status) {
             "failed" -> {
                 // It stopped by itself: nothing runs there.
-                cluster.clear(machine, "listed as failed")
+                cluster.releaseAll(machine, "listed as failed")
                 decommission(machine, "failed")
             }
             "running" -> Unit
@@ -120,7 +120,7 @@
 
     private fun deleted(machine: Machine) {
         log.info("{} is deleted: {}", machine.id, machine.decommissionReason)
-        cluster.clear(machine, "deleted")
+        cluster.releaseAll(machine, "deleted")
         cluster.machines.remove(machine.id)
         fleet.gone.add(machine.id)
         expiringDecommissions.addLast(ExpiringRecord(context.now + RECORD_KEPT, machine))
@@ -136,7 +136,7 @@
     }
 
     private fun decide() {
-        for (job in planner.shortOfRoom()) jobs.rentFor(job, pools.pools.flatMap { it.types })
+        for (job in planner.jobsShortOfRoom()) jobs.rentFor(job, pools.pools.flatMap { it.types })
         val backlogs = demand.backlogs(pools)
         val ordinaryInUse = demand.ordinaryInUse(pools)
         val machines = cluster.machines.values.filter { !it.decommissioned }
@@ -227,9 +227,9 @@
         for (machine in drained) if (idleForLong(pool, machine)) decommission(machine, "emptied")
         var left = surplus + 1 - SURPLUS
         if (left < 1) return
-        val gangs = planner.shortOfRoom().filter { it.spec.isGang && !it.isFailing }
+        val gangs = planner.jobsShortOfRoom().filter { it.spec.isGang && !it.isFailing }
         val idle = own.filter { it.isUp && it.isEmpty && !it.decommissioned && it.spot == spot }
-        for (machine in idle.sortedByDescending { pool.dearness(it.type, it.spot) }) {
+        for (machine in idle.sortedByDescending { pool.relativeCost(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !idleForLong(pool, machine)) continue
             // One that a gang waits for more of: it would be rented again at once, and go again.
             if (gangs.any { planner.eligibility.allowed(it.spec, machine) }) continue
@@ -240,8 +240,8 @@
 
     /** To boot it again would cost about as much; a dear one is kept for as much shorter. */
     private fun idleForLong(pool: MachinePool, machine: Machine): Boolean {
-        val dearness = pool.dearness(machine.type, machine.spot)
-        val keep = (operators.idleKeepBoots * machine.type.bootS / dearness).seconds
+        val relativeCost = pool.relativeCost(machine.type, machine.spot)
+        val keep = (operators.idleKeepBoots * machine.type.bootS / relativeCost).seconds
         return context.now - machine.idleSince > keep
     }
 
--- a/src/main/kotlin/wardmux/drain/Disruptions.kt
+++ b/src/main/kotlin/wardmux/drain/Disruptions.kt
@@ -61,7 +61,7 @@
         }
         upByTeam.merge(job.spec.team, up, Int::plus)
         lostByTeam.merge(job.spec.team, lost, Int::plus)
-        if (job.spec.shape == JobKind.SERVICE) lostByService[job.id] = lost
+        if (job.spec.kind == JobKind.SERVICE) lostByService[job.id] = lost
     }
 
     private fun forgetOldStops() {
@@ -108,7 +108,7 @@
         if (!stopsSent.add(placement.attemptKey) || wasLost) return
         lostByTeam.merge(spec.team, 1, Int::plus)
         if (wasUp) upByTeam.merge(spec.team, -1, Int::plus)
-        if (spec.shape == JobKind.SERVICE) lostByService.merge(placement.job.id, 1, Int::plus)
+        if (spec.kind == JobKind.SERVICE) lostByService.merge(placement.job.id, 1, Int::plus)
     }
 
     /** Workers of the team that are disrupted or may be. */
@@ -134,7 +134,7 @@
                 "team $team: ${job.id} disrupts $count at once, its budget is " +
                     "${budget.mostDisrupted} (share ${budget.mostDisruptedShare})"
             )
-        if (job.spec.shape == JobKind.SERVICE)
+        if (job.spec.kind == JobKind.SERVICE)
             replicaRefusal(job, count)?.let {
                 return it
             }
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -66,7 +66,7 @@
     /** Nothing is left of an earlier reading; the marks are made anew from what is read next. */
     private fun clearMarks() {
         for (machine in marked) machine.maintenance = Maintenance.NONE
-        if (marked.isNotEmpty()) cluster.changed()
+        if (marked.isNotEmpty()) cluster.markChanged()
         marked.clear()
     }
 
@@ -95,7 +95,7 @@
     private fun set(machine: Machine, maintenance: Maintenance) {
         if (machine.maintenance == maintenance) return
         machine.maintenance = maintenance
-        cluster.changed()
+        cluster.markChanged()
     }
 
     private fun advance(record: DrainRecord) {
--- a/src/main/kotlin/wardmux/drain/PlanDesk.kt
+++ b/src/main/kotlin/wardmux/drain/PlanDesk.kt
@@ -35,7 +35,7 @@
         val teams = cluster.teams.keys.associateWith { maxOf(1, disruptions.limitOf(it)) }
         val services =
             cluster.jobs.values
-                .filter { it.spec.shape == JobKind.SERVICE }
+                .filter { it.spec.kind == JobKind.SERVICE }
                 .associate { it.id.value to maxOf(1, disruptions.replicasThatMayBeDown(it)) }
         val loads = machines.map { loadOf(it, request) }
         return DrainProblem(loads, teams, services, request.stepSize, request.order)
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -70,7 +70,7 @@
     fun urgentWaiting(machines: List<Machine>): Job? =
         cluster.jobs.values.firstOrNull { job ->
             val since = job.blockedSince
-            job.spec.urgency <= PriorityClass.HIGH &&
+            job.spec.priority <= PriorityClass.HIGH &&
                 job.waiting > 0 &&
                 !job.isFailing &&
                 since != null &&
@@ -226,7 +226,7 @@
         if (more > 0 && disruptions.refusal(placement.job, more) != null) return
         // Counted first: once the halt is in force they no longer count as up.
         for (unit in units) disruptions.stopped(unit)
-        stopper.stop(placement, DRAINED)
+        stopper.evict(placement, DRAINED)
     }
 
     private fun settle(record: DrainRecord, step: DrainStep): Decision {
--- a/src/main/kotlin/wardmux/drain/StopChooser.kt
+++ b/src/main/kotlin/wardmux/drain/StopChooser.kt
@@ -11,7 +11,7 @@
 
 /** A task of a service, which never ends by itself. */
 val Placement.isReplica: Boolean
-    get() = job.spec.shape == JobKind.SERVICE
+    get() = job.spec.kind == JobKind.SERVICE
 
 /** What a stop of this task stops: a gang as one. */
 val Placement.stoppedTogether: List<Placement>
@@ -67,7 +67,8 @@
     private fun lost(placement: Placement): Micros {
         val since = placement.runningSince ?: return Micros.ZERO
         val spec = placement.job.spec
-        return if (spec.savable || placement.isReplica) spec.saveS.seconds else context.now - since
+        return if (spec.isCheckpointable || placement.isReplica) spec.saveS.seconds
+        else context.now - since
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/fleet/Fleet.kt
+++ b/src/main/kotlin/wardmux/fleet/Fleet.kt
@@ -216,7 +216,7 @@
                 // Until it took this token, an earlier leader may have renewed its lease.
                 machine.incarnationSince = context.now
                 cluster.machinesWithCommands.add(machine)
-                cluster.changed()
+                cluster.markChanged()
             }
             machine.confirmed = true
             machine.hasOnlyStaleHeartbeats = false
@@ -280,7 +280,7 @@
     private fun progressed(machine: Machine, placement: Placement, status: TaskStatus) {
         if (status == TaskStatus.RUNNING && placement.runningSince == null) {
             placement.runningSince = context.now
-            placement.job.gang?.ran = true
+            placement.job.gangAttempt?.hasRun = true
             log.debug("{} runs on {}", placement.task, machine.id)
         }
         placement.status = status
@@ -290,9 +290,9 @@
         if (
             machine.preemptionNoticeAt != null &&
                 !placement.isStopping &&
-                placement.job.spec.savable
+                placement.job.spec.isCheckpointable
         ) {
-            stopper.stop(placement, "its machine is taken back")
+            stopper.evict(placement, "its machine is taken back")
         }
     }
 
@@ -306,7 +306,7 @@
         // A copy from before this leader's time frees nothing; what is done stays done.
         if (reported.cause != "done" && report.token != token.value) return
         // The others wait or run for nothing.
-        if (reported.cause != "done" && !job.allTasksDone) cluster.breakAttempt(job)
+        if (reported.cause != "done" && !job.allTasksDone) cluster.abortGangAttempt(job)
         when (reported.cause) {
             "done" -> {
                 failures.completed(machine, job)
@@ -336,7 +336,7 @@
         if (task.index !in 0 until job.spec.tasks) return
         if (job.placements.containsKey(task.index)) return
         cluster.complete(job, task.index)
-        cluster.changed()
+        cluster.markChanged()
     }
 
     private fun orders(
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -84,7 +84,7 @@
         // Should it hang, what was cancelled goes when it is deleted. A later leader would not know
         // of it any more.
         if (silence > leaseOver && machine.holdsCancelled) decommission(machine, "lease over")
-        cluster.clear(machine, "lease over")
+        cluster.releaseAll(machine, "lease over")
     }
 
     /** Many at once: more likely the network than the machines. Their leases decide. */
@@ -164,7 +164,7 @@
             cluster.machines.values.filter {
                 !it.isUp && !it.decommissioned && it.placements.isNotEmpty()
             }
-        val unknown = cluster.unheardOf().toList()
+        val unknown = cluster.unknownMachines().toList()
         // How long ago the cancellation was is not known, so these get one report's time.
         val since = watchedSince ?: context.now
         if (context.now - since >= REPORT_TIME + askAfter) {
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -29,7 +29,7 @@
     fun runs(machine: Machine, placement: Placement) {
         val job = placement.job
         val since = placement.runningSince ?: return
-        if (job.failedMachines.isEmpty() || job.spec.shape != JobKind.SERVICE) return
+        if (job.failedMachines.isEmpty() || job.spec.kind != JobKind.SERVICE) return
         val isProof = machine.id !in job.failedMachines && context.now - since >= PROVEN_RUN
         if (isProof && placement.status == TaskStatus.RUNNING) job.failedMachines.clear()
     }
--- a/src/main/kotlin/wardmux/jobs/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -108,7 +108,7 @@
         val allowed = known.filter { it.allowedFor(spec) }
         if (allowed.isEmpty()) return "a task fits no allowed machine type"
         if (tooFewZones(spec, allowed)) return "may not be in as few zones as it has to"
-        val tasks = if (spec.shape == JobKind.ARRAY) 1 else spec.tasks
+        val tasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         val slack = MachineType.EPSILON
         return if (
             spec.cpus * tasks > team.cpusMax + slack || spec.gpus * tasks > team.gpusMax + slack
@@ -122,7 +122,7 @@
      * zone can't give to those that may not all be in one.
      */
     private fun tooFewZones(spec: JobSpec, allowed: List<MachineType>): Boolean {
-        if (spec.shape == JobKind.ARRAY || !spec.spread) return false
+        if (spec.kind == JobKind.ARRAY || !spec.spread) return false
         val zones =
             if (spec.zone != null || spec.oneZone) 1 else allowed.flatMap { it.zones }.toSet().size
         return spec.zoneLimit * zones < spec.tasks
@@ -131,7 +131,7 @@
     /** What can't be recorded can never run. */
     private fun acceptFitting(call: Long, spec: JobSpec, known: List<MachineType>) {
         val useful = known.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
-        val kept = JobRecord.fitting(spec, useful, mostRecordBytes)
+        val kept = JobRecord.shortened(spec, useful, mostRecordBytes)
         if (kept == null) refuse(call, spec.jobId, 422, TOO_LARGE) else accept(call, kept)
     }
 
@@ -167,7 +167,7 @@
                 is StoreResult.Indeterminate -> settle(call, id) { later(call) }
                 // Found too large by how the service counts; it is not asked that again.
                 is StoreResult.Invalid ->
-                    if (JobRecord.takes(spec) > mostRecordBytes) refuse(call, id, 422, TOO_LARGE)
+                    if (JobRecord.maxBytes(spec) > mostRecordBytes) refuse(call, id, 422, TOO_LARGE)
                     else later(call)
                 else -> later(call)
             }
@@ -201,7 +201,7 @@
         store.get(JobRecord.key(id)) { result ->
             when (result) {
                 is StoreResult.Ok -> {
-                    val record = JobRecord.of(result.value.data)
+                    val record = JobRecord.decode(result.value.data)
                     if (record?.state == JobState.ACCEPTED)
                         cancel(call, id, result.value, record, tries)
                     else answerRecord(call, id, result.value)
@@ -213,7 +213,7 @@
     }
 
     private fun cancel(call: Long, id: JobId, item: KeyValue, record: JobRecord, tries: Int) {
-        val cancelled = record.cancelled(store.maxValueBytes).toJson()
+        val cancelled = record.toCancelled(store.maxValueBytes).toJson()
         val changes =
             listOf(
                 WriteOperation(put = JobRecord.key(id), data = cancelled),
@@ -237,7 +237,7 @@
     }
 
     private fun answerRecord(call: Long, id: JobId, item: KeyValue) {
-        val state = JobRecord.of(item.data)?.state ?: return later(call)
+        val state = JobRecord.decode(item.data)?.state ?: return later(call)
         if (state == JobState.ACCEPTED) polls.learn(id, KeyVersion(item.version))
         learnFinal(id, state)
         answerState(call, 200, id, state)
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -55,14 +55,14 @@
             id = id,
             jobClass = text(json, "jobclass"),
             team = text(json, "owner"),
-            shape =
+            kind =
                 when (text(json, "shape")) {
                     "batch" -> JobKind.ARRAY
                     "daemon" -> JobKind.SERVICE
                     "group" -> JobKind.GANG
                     else -> throw Wrong("shape")
                 },
-            urgency =
+            priority =
                 when (text(json, "urgency")) {
                     "prod" -> PriorityClass.PROD
                     "high" -> PriorityClass.HIGH
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -34,7 +34,7 @@
 import wardmux.model.seconds
 import wardmux.peers.Cancellations
 import wardmux.records.JobRecord
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.FairQueue
@@ -232,7 +232,7 @@
 
     private fun planIfChanged() {
         // What ended makes room; but a plan is not made for each report.
-        if (plannedChanges != cluster.changes && context.now >= nextPlanAt) planAndWrite()
+        if (plannedChanges != cluster.changeCount && context.now >= nextPlanAt) planAndWrite()
     }
 
     /** A user was told so, by this controller or by another. */
@@ -245,8 +245,8 @@
     }
 
     fun tick() {
-        cluster.reference = types.types?.maxByOrNull { it.cpus }
-        pools.observe(cluster.jobs.values)
+        cluster.referenceType = types.types?.maxByOrNull { it.cpus }
+        pools.refreshIfDue(cluster.jobs.values)
         relays.tick(loaded)
         storeRelay.tick()
         loadAt?.let { if (context.now >= it && types.types != null) load() }
@@ -274,11 +274,11 @@
     /** Decides and writes, if the last write is settled. */
     private fun planAndWrite() {
         nextPlanAt = context.now + PLAN_PERIOD_LEAST
-        if (!loaded || over || !leadership.leaseIsValid || !placementStore.ready) return
-        if (plannedChanges != cluster.changes || context.now >= planAnywayAt) {
-            plannedChanges = cluster.changes
+        if (!loaded || over || !leadership.leaseIsValid || !placementStore.isReady) return
+        if (plannedChanges != cluster.changeCount || context.now >= planAnywayAt) {
+            plannedChanges = cluster.changeCount
             planAnywayAt = context.now + PLAN_PERIOD_MOST
-            planner.plan(placementStore.admission())
+            planner.plan(placementStore.pageBudget())
         }
         placementStore.flush()
     }
@@ -319,7 +319,7 @@
         val askedAt = context.now
         // Also what an earlier reading took in before it failed half-way: a job that was cancelled
         // since would stay, and its tasks with it.
-        cluster.forgetJobs()
+        cluster.removeAllJobs()
         storedState.read { state ->
             if (state == null) loadAt = context.now + LOAD_RETRY else load(state, askedAt)
         }
@@ -333,9 +333,11 @@
         cancellations.shown(askedAt)
         for (item in state.pages) loadPage(item)
         for (item in state.decommissionedMachines) {
-            markDecommissioned(MachineId(item.key.removePrefix(PlacementStore.MACHINES)))
+            markDecommissioned(
+                MachineId(item.key.removePrefix(PlacementStore.DECOMMISSIONED_PREFIX))
+            )
         }
-        pools.observeNow(cluster.jobs.values)
+        pools.refresh(cluster.jobs.values)
         watchFrom = state.openJobs.revision
         watchAt = context.now
         knowledge.isLoaded = true
@@ -371,14 +373,17 @@
         machine.deleting = true
     }
 
-    private fun loadPage(item: ScannedKey<StoredPage>) {
+    private fun loadPage(item: ScannedKey<StoredTaskPage>) {
         val id = JobId(item.key.removePrefix(TaskPageCodec.KEY_PREFIX).substringBefore('/'))
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         // Nothing of a done job is on a machine; its pages are only to be removed.
         val job = cluster.jobs.getOrPut(id) { CompletedJobs.of(id, pageSize) }
         val placed = TaskPageCodec.restore(job, page, KeyVersion(item.version), item.data)
         if (job.isDone) return job.placements.clear()
-        for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
+        for (placement in placed) cluster.addPlacement(
+            placement,
+            cluster.machines[placement.machine],
+        )
     }
 
     private fun addJob(record: JobRecord, version: KeyVersion): Job? {
@@ -386,7 +391,7 @@
         if (spec.jobId in cluster.jobs) return null
         val job = Job(spec, version, Micros(record.acceptedAt), pageSize)
         cluster.jobs[spec.jobId] = job
-        cluster.changed()
+        cluster.markChanged()
         return job
     }
 
@@ -406,7 +411,7 @@
                     planAndWrite()
                 }
                 // Too old to go on from.
-                is StoreResult.Invalid -> lost()
+                is StoreResult.Invalid -> onStateUnknown()
                 else -> watchAt = context.now + WATCH_RETRY
             }
         }
@@ -416,7 +421,7 @@
         val put = event.put
         val removed = event.remove
         if (put != null && event.data != null) {
-            JobRecord.of(event.data)?.let { addJob(it, KeyVersion(event.version)) }
+            JobRecord.decode(event.data)?.let { addJob(it, KeyVersion(event.version)) }
         } else if (removed != null) {
             // Of a job that is done it was this leader that removed it.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
@@ -430,11 +435,11 @@
 
     // What the placement store reports.
 
-    override fun written() = fleet.sendDirect()
+    override fun onCommitted() = fleet.sendDirect()
 
-    override fun fenced() = leadership.fenced()
+    override fun onFenced() = leadership.fenced()
 
-    override fun lost() {
+    override fun onStateUnknown() {
         knowledge.isLoaded = false
         watchGeneration++
         storedState.abandon()
@@ -442,7 +447,7 @@
         loadAt = context.now
     }
 
-    override fun finished(job: Job) {
+    override fun onJobDone(job: Job) {
         val took = context.wall - job.acceptedAt
         log.info(
             "{} is done: {} {} tasks for {} took {} s, due after {} s",
@@ -456,7 +461,7 @@
         learnFinal(job.id, JobState.DONE)
     }
 
-    override fun changed(job: Job) {
+    override fun onJobRecordChanged(job: Job) {
         // Its user has cancelled it; the watch will say so too.
         if (!job.isDone) {
             log.info("{} was cancelled meanwhile", job.id)
@@ -464,7 +469,7 @@
         }
     }
 
-    override fun decommissioned(machine: Machine) {
+    override fun onDecommissionRecorded(machine: Machine) {
         machine.deleting = true
     }
 
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
 import wardmux.records.JobRecord
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.PlacementStore
@@ -19,7 +19,7 @@
     val tags: KeyValue?,
     /** Jobs that were open, with the revision from which changes to them are watched. */
     val openJobs: KeyValueStore.Scan<JobRecord>,
-    val pages: List<ScannedKey<StoredPage>>,
+    val pages: List<ScannedKey<StoredTaskPage>>,
     val decommissionedMachines: List<ScannedKey<JsonElement>>,
     val cancelledJobs: List<ScannedKey<JobRecord>>,
 )
@@ -53,7 +53,7 @@
     private inner class Reading(private val then: (StoredState?) -> Unit) {
         private var tags: KeyValue? = null
         private lateinit var openJobs: KeyValueStore.Scan<JobRecord>
-        private lateinit var pages: List<ScannedKey<StoredPage>>
+        private lateinit var pages: List<ScannedKey<StoredTaskPage>>
         private lateinit var decommissionedMachines: List<ScannedKey<JsonElement>>
 
         fun readTags() {
@@ -78,14 +78,14 @@
         }
 
         private fun readPages() {
-            scan(TaskPageCodec.KEY_PREFIX, StoredPage.serializer()) { found ->
+            scan(TaskPageCodec.KEY_PREFIX, StoredTaskPage.serializer()) { found ->
                 pages = found.items
                 readDecommissionedMachines()
             }
         }
 
         private fun readDecommissionedMachines() {
-            scan(PlacementStore.MACHINES, JsonElement.serializer()) { found ->
+            scan(PlacementStore.DECOMMISSIONED_PREFIX, JsonElement.serializer()) { found ->
                 decommissionedMachines = found.items
                 readCancelledJobs()
             }
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -46,7 +46,7 @@
         }
 
     override val cancellationsLearned: Long
-        get() = cancellations.learned + cluster.cancelled
+        get() = cancellations.learned + cluster.cancelledJobCount
 
     override fun isCancelled(job: JobId): Boolean {
         if (job in cancellations) return true
--- a/src/main/kotlin/wardmux/model/GangAttempt.kt
+++ b/src/main/kotlin/wardmux/model/GangAttempt.kt
@@ -3,10 +3,10 @@
 /** One try of a gang as a whole. */
 class GangAttempt(
     val number: Int,
-    val since: Micros,
+    val startedAt: Micros,
     /** All had gathered once: without one of them the others can't go on. */
-    var ran: Boolean = false,
+    var hasRun: Boolean = false,
 ) {
     /** It comes to nothing any more: what is left of it has to be gone before the next. */
-    var broken = false
+    var isAborted = false
 }
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -55,10 +55,14 @@
 
     /** Nothing that is stored of it says any more that something may be on a machine. */
     val isRemovable: Boolean
-        get() = hasEnded && placements.isEmpty() && pages.noneStored && (isDone || unlisted)
+        get() =
+            hasEnded &&
+                placements.isEmpty() &&
+                pages.noneStored &&
+                (isDone || isCancelledKeyRemoved)
 
     /** No longer listed among the cancelled jobs of which something is left. */
-    var unlisted = false
+    var isCancelledKeyRemoved = false
 
     /** Machines on which tasks of this job failed since one of them last completed. */
     val failedMachines = HashSet<MachineId>()
@@ -68,7 +72,7 @@
     var blockedSince: Micros? = null
 
     /** It has waited for room for longer than what comes free as a matter of course. */
-    fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > SCARCE_AFTER } == true
+    fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > LONG_BLOCKED_AFTER } == true
 
     /** When others were last stopped to give its team the guarantee. */
     var lastReclaimAt = Micros.LONG_AGO
@@ -83,7 +87,7 @@
             else (spec.tasks - done.cardinality() - placements.size).coerceAtLeast(0)
 
     /** The gang's attempt that is out, or was last. */
-    var gang: GangAttempt? = null
+    var gangAttempt: GangAttempt? = null
         private set
 
     /**
@@ -91,15 +95,15 @@
      * the same; those of a service never complete, so what they were charged is never corrected.
      */
     val sharesCharge: Boolean
-        get() = spec.shape != JobKind.ARRAY
+        get() = spec.kind != JobKind.ARRAY
 
     /** Larger than any before. */
     val nextGangAttempt: Int
         get() = (attempts.values.maxOrNull() ?: 0) + 1
 
     /** All tasks of a gang get one number, and are placed in their order: each page's together. */
-    fun beginAttempt(now: Micros) {
-        gang = GangAttempt(nextGangAttempt, now)
+    fun startGangAttempt(now: Micros) {
+        gangAttempt = GangAttempt(nextGangAttempt, now)
         requeued.clear()
         nextUntried = 0
     }
@@ -108,7 +112,7 @@
     val mayStart: Boolean
         get() =
             !spec.isGang ||
-                (gang?.broken == false &&
+                (gangAttempt?.isAborted == false &&
                     placements.size == spec.tasks &&
                     placements.values.all { it.committed })
 
@@ -117,7 +121,7 @@
 
     /** Failing on several machines: the job is at fault, and stands behind its team's others. */
     val isFailing: Boolean
-        get() = failedMachines.size >= FAULTY_MACHINES
+        get() = failedMachines.size >= MIN_FAILING_MACHINES
 
     /** A task of it was started once. */
     val hasStarted: Boolean
@@ -128,7 +132,7 @@
         get() =
             attempts
                 .int2IntEntrySet()
-                .filter { it.intValue > 0 && free(it.intKey) }
+                .filter { it.intValue > 0 && needsPlacement(it.intKey) }
                 .map { it.intKey }
 
     fun isTaskDone(task: Int) = done.get(task)
@@ -136,40 +140,40 @@
     fun isRecorded(task: Int) = isDone || pages.isRecordedDone(task)
 
     /** The next waiting task, or -1. */
-    fun takeWaiting(): Int {
+    fun pollWaitingTask(): Int {
         while (nextUntried < spec.tasks) {
             val task = nextUntried++
-            if (free(task) && (spec.isGang || !attempts.containsKey(task))) return task
+            if (needsPlacement(task) && (spec.isGang || !attempts.containsKey(task))) return task
         }
         while (!requeued.isEmpty) {
             val task = requeued.dequeueInt()
-            if (free(task)) return task
+            if (needsPlacement(task)) return task
         }
         return -1
     }
 
     /** Its page is full for now: its turn comes after that of all others, with its page's rest. */
-    fun setAside(task: Int) {
+    fun deferRestOfPage(task: Int) {
         requeued.enqueue(task)
         val end = pages.lastTaskBeside(task) + 1
         if (nextUntried <= task || nextUntried > end) return
         while (nextUntried < end) {
             val next = nextUntried++
-            if (free(next) && !attempts.containsKey(next)) requeued.enqueue(next)
+            if (needsPlacement(next) && !attempts.containsKey(next)) requeued.enqueue(next)
         }
     }
 
-    fun putBack(task: Int) = requeued.enqueueFirst(task)
+    fun requeueFirst(task: Int) = requeued.enqueueFirst(task)
 
-    private fun free(task: Int) = !done.get(task) && !placements.containsKey(task)
+    private fun needsPlacement(task: Int) = !done.get(task) && !placements.containsKey(task)
 
-    fun nextAttempt(task: Int) = gang?.number ?: (attempts.get(task) + 1)
+    fun nextAttempt(task: Int) = gangAttempt?.number ?: (attempts.get(task) + 1)
 
     fun place(placement: Placement, wall: Micros) {
         placements.put(placement.task.index, placement)
         attempts.put(placement.task.index, placement.attempt)
         pages.addUncommitted(placement.task.index)
-        touch(placement.task.index, wall)
+        markDirty(placement.task.index, wall)
     }
 
     /** Its record is written. */
@@ -186,12 +190,12 @@
         if (placements.get(task) !== placement) return
         placements.remove(task)
         if (!placement.committed) pages.removeUncommitted(task)
-        touch(task, wall)
+        markDirty(task, wall)
         if (!done.get(task)) requeued.enqueue(task)
     }
 
     /** The placement was never written, so its attempt number is free again. */
-    fun undo(placement: Placement, wall: Micros) {
+    fun rollBack(placement: Placement, wall: Micros) {
         attempts.put(placement.task.index, placement.attempt - 1)
         release(placement, wall)
     }
@@ -199,10 +203,10 @@
     fun complete(task: Int, wall: Micros) {
         if (done.get(task)) return
         done.set(task)
-        touch(task, wall)
+        markDirty(task, wall)
     }
 
-    private fun touch(task: Int, wall: Micros) = pages.markDirty(pages.pageOf(task), wall)
+    private fun markDirty(task: Int, wall: Micros) = pages.markDirty(pages.pageOf(task), wall)
 
     /** The placements of the tasks on [page]. */
     fun placementsOn(page: Int): List<Placement> {
@@ -237,7 +241,7 @@
     fun lastAttempt(task: Int): Int = attempts.get(task)
 
     /** True if [task] was tried, is not done and is not placed now. */
-    fun isInterrupted(task: Int) = free(task) && attempts.get(task) > 0
+    fun isInterrupted(task: Int) = needsPlacement(task) && attempts.get(task) > 0
 
     /** From the store: the tasks [first] to [last] are done. */
     fun restoreDone(first: Int, last: Int) {
@@ -258,11 +262,12 @@
         placements.put(placement.task.index, placement)
         attempts.put(placement.task.index, placement.attempt)
         // How far it came is not known, so nothing of it is replaced.
-        if (spec.isGang) gang = GangAttempt(placement.attempt, Micros.LONG_AGO, ran = true)
+        if (spec.isGang)
+            gangAttempt = GangAttempt(placement.attempt, Micros.LONG_AGO, hasRun = true)
     }
 
     companion object {
-        const val FAULTY_MACHINES = 2
-        private val SCARCE_AFTER = 4.seconds
+        const val MIN_FAILING_MACHINES = 2
+        private val LONG_BLOCKED_AFTER = 4.seconds
     }
 }
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -9,8 +9,8 @@
     @SerialName("name_id") val id: String,
     @SerialName("jobclass") val jobClass: String,
     @SerialName("owner") val team: String,
-    @SerialName("shape") val shape: JobKind,
-    @SerialName("urgency") val urgency: PriorityClass,
+    @SerialName("shape") val kind: JobKind,
+    @SerialName("urgency") val priority: PriorityClass,
     @SerialName("pieces") val tasks: Int,
     @SerialName("cores") val cpus: Double,
     @SerialName("gpus") val gpus: Double,
@@ -34,9 +34,9 @@
         get() = estimateS.seconds
 
     val isGang: Boolean
-        get() = shape == JobKind.GANG
+        get() = kind == JobKind.GANG
 
-    val savable: Boolean
+    val isCheckpointable: Boolean
         get() = checkpointS > 0
 
     /** At most this many tasks may be in one zone. */
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -214,7 +214,7 @@
         usedCpus += sign * spec.cpus
         usedGpus += sign * spec.gpus
         usedMemory += sign * spec.memoryGb
-        if (spec.shape == JobKind.SERVICE) serviceCpus += sign * spec.cpus
+        if (spec.kind == JobKind.SERVICE) serviceCpus += sign * spec.cpus
         if (placements.isEmpty()) {
             serviceCpus = 0.0
             usedCpus = 0.0
--- a/src/main/kotlin/wardmux/records/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -27,19 +27,19 @@
      * Cancelled. A record that the version before accepted may be larger than a value may be now:
      * what is left of the job is found and taken down by less.
      */
-    fun cancelled(mostBytes: Int): JobRecord {
+    fun toCancelled(maxBytes: Int): JobRecord {
         val whole = copy(state = JobState.CANCELLED)
-        if (jsonBytes(whole.toJson()) <= mostBytes) return whole
+        if (jsonBytes(whole.toJson()) <= maxBytes) return whole
         return whole.copy(spec = spec?.copy(jobClass = "", image = "", types = null, zone = null))
     }
 
     companion object {
         /** The most bytes that a job's record takes. */
-        fun takes(spec: JobSpec): Int =
+        fun maxBytes(spec: JobSpec): Int =
             jsonBytes(JobRecord(JobState.CANCELLED, Long.MAX_VALUE, spec).toJson())
 
         /** What it takes where the service keeps all characters as they are. */
-        private fun takesAtLeast(spec: JobSpec): Int =
+        private fun minBytes(spec: JobSpec): Int =
             JobRecord(JobState.CANCELLED, Long.MAX_VALUE, spec)
                 .toJson()
                 .toString()
@@ -50,15 +50,15 @@
         private const val USUAL_BYTES = 2_000
 
         /**
-         * What is recorded of a job so that its record takes [mostBytes], or null if it can't. A
+         * What is recorded of a job so that its record takes [maxBytes], or null if it can't. A
          * type that none of its tasks can go to, or that is named twice, is of no use to anybody;
          * all else is kept as its user named it. If it fits only where nothing is escaped, the
          * service tells: the record is not written again for as long as the job is open.
          */
-        fun fitting(spec: JobSpec, useful: Set<String>, mostBytes: Int): JobSpec? {
-            if (takes(spec) <= minOf(mostBytes, USUAL_BYTES)) return spec
-            val shorter = spec.copy(types = spec.types?.filter { it in useful }?.distinct())
-            return shorter.takeIf { takesAtLeast(it) <= mostBytes }
+        fun shortened(spec: JobSpec, usefulTypes: Set<String>, maxBytes: Int): JobSpec? {
+            if (maxBytes(spec) <= minOf(maxBytes, USUAL_BYTES)) return spec
+            val shorter = spec.copy(types = spec.types?.filter { it in usefulTypes }?.distinct())
+            return shorter.takeIf { minBytes(it) <= maxBytes }
         }
 
         const val PREFIX = "j/"
@@ -82,7 +82,7 @@
         fun cancelledKey(job: JobId) = CANCELLED_PREFIX + job.value
 
         /** Null if what is stored is no record: it must not end or stop a controller. */
-        fun of(json: JsonElement): JobRecord? =
+        fun decode(json: JsonElement): JobRecord? =
             try {
                 lenientJson.decodeFromJsonElement(serializer(), json)
             } catch (e: IllegalArgumentException) {
--- a/src/main/kotlin/wardmux/records/StoredPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredTaskPage.kt
@@ -17,7 +17,7 @@
  * together have one charge, those on one machine name it once.
  */
 @Serializable
-class StoredPage(
+class StoredTaskPage(
     /** First and last of each run of done tasks. */
     @SerialName("d") val done: List<Int> = emptyList(),
     @SerialName("c") private val costs: List<Long> = emptyList(),
@@ -83,7 +83,7 @@
                 }
             }
             val page =
-                StoredPage(
+                StoredTaskPage(
                     done,
                     charges.keys.map { it.cost.value },
                     charges.keys.map { it.weight },
--- a/src/main/kotlin/wardmux/records/TaskPageCodec.kt
+++ b/src/main/kotlin/wardmux/records/TaskPageCodec.kt
@@ -79,7 +79,7 @@
         }
         val done = BitSet().apply { for (run in kept) set(run.first, run.last + 1) }
         val doneBounds = kept.flatMap { listOf(it.first, it.last) }
-        return EncodedTaskPage(StoredPage.of(doneBounds, job.placementsOn(page), tried), done)
+        return EncodedTaskPage(StoredTaskPage.of(doneBounds, job.placementsOn(page), tried), done)
     }
 
     /** A task that was read as done has no attempt on record. */
@@ -89,7 +89,12 @@
      * Restores [page] of [job] from what is stored with [version], and gives its placements: none
      * if [stored] is null or no page of this job, which is logged.
      */
-    fun restore(job: Job, page: Int, version: KeyVersion, stored: StoredPage?): List<Placement> {
+    fun restore(
+        job: Job,
+        page: Int,
+        version: KeyVersion,
+        stored: StoredTaskPage?,
+    ): List<Placement> {
         job.pages.onRead(page, version)
         val placements = stored?.placementsOf(job)
         if (placements == null) {
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -26,10 +26,10 @@
     val teams = teams.associateBy { it.name }
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
-    val estimates = Estimates()
+    val estimates = RuntimeEstimates()
 
     /** Read from records, on machines that have not been heard of yet. */
-    private val unplaced = HashMap<MachineId, LinkedHashSet<Placement>>()
+    private val placementsOnUnknownMachines = HashMap<MachineId, LinkedHashSet<Placement>>()
 
     /** How many orphans of each job there are on all machines. */
     private val orphanCounts = HashMap<JobId, Int>()
@@ -41,11 +41,11 @@
     var hasDrains = false
 
     /** Counts the jobs that were found cancelled. */
-    var cancelled = 0L
+    var cancelledJobCount = 0L
         private set
 
     /** Counts what may let a waiting task start; a plan that found nothing is not made again. */
-    var changes = 0L
+    var changeCount = 0L
         private set
 
     private val cpus = Object2DoubleOpenHashMap<String>()
@@ -71,7 +71,7 @@
     }
 
     /** Room and cap are taken by orphans too: tasks that a machine reports without a record. */
-    fun book(spec: JobSpec, sign: Int) {
+    fun adjustQuotaUsage(spec: JobSpec, sign: Int) {
         cpus.addTo(spec.team, sign * spec.cpus)
         gpus.addTo(spec.team, sign * spec.gpus)
     }
@@ -90,41 +90,44 @@
                 charge,
             )
         job.place(placement, context.wall)
-        restore(placement, machine)
+        addPlacement(placement, machine)
         machine.useImage(job.spec.image, job.spec.imageGb, context.now)
         return placement
     }
 
     /** A placement read from a record. */
-    fun restore(placement: Placement, machine: Machine?) {
+    fun addPlacement(placement: Placement, machine: Machine?) {
         if (machine != null) {
             machine.add(placement)
             machinesWithCommands.add(machine)
         } else {
-            unplaced.getOrPut(placement.machine) { LinkedHashSet() }.add(placement)
+            placementsOnUnknownMachines
+                .getOrPut(placement.machine) { LinkedHashSet() }
+                .add(placement)
         }
-        book(placement.job.spec, 1)
+        adjustQuotaUsage(placement.job.spec, 1)
     }
 
     /** A machine is heard of; what the records say of it was read before. */
     fun add(machine: Machine) {
         machines[machine.id] = machine
-        unplaced.remove(machine.id)?.forEach { machine.add(it) }
-        changed()
+        placementsOnUnknownMachines.remove(machine.id)?.forEach { machine.add(it) }
+        markChanged()
     }
 
     /** Machines that records name and that nothing else has told of. */
-    fun unheardOf(): Set<MachineId> = unplaced.keys
+    fun unknownMachines(): Set<MachineId> = placementsOnUnknownMachines.keys
 
     /** All that may be on the machine, whether it has been heard of or not. */
     fun placementsOn(id: MachineId): Collection<Placement> =
-        machines[id]?.placements?.values ?: unplaced[id].orEmpty()
+        machines[id]?.placements?.values ?: placementsOnUnknownMachines[id].orEmpty()
 
-    fun holdsCancelled(id: MachineId) = unplaced[id].orEmpty().any { it.job.isCancelled }
+    fun holdsCancelled(id: MachineId) =
+        placementsOnUnknownMachines[id].orEmpty().any { it.job.isCancelled }
 
     /** Something happened that may let a waiting task start. */
-    fun changed() {
-        changes++
+    fun markChanged() {
+        changeCount++
     }
 
     /** Its user may have been told from [since] on that the job is cancelled. */
@@ -132,48 +135,49 @@
         if (!job.hasEnded) {
             job.phase = JobPhase.CANCELLED
             job.cancelledSince = since
-            cancelled++
+            cancelledJobCount++
         }
-        end(job)
+        scheduleStops(job)
     }
 
     /** The job's record says done. */
     fun finish(job: Job) {
         job.phase = JobPhase.DONE
-        end(job)
+        scheduleStops(job)
     }
 
     /** Nothing of the job is to go on: what is left of it is taken down. */
-    private fun end(job: Job) {
+    private fun scheduleStops(job: Job) {
         for (placement in job.placements.values) machines[placement.machine]?.let {
             machinesWithCommands.add(it)
         }
     }
 
     /** The placement is proven gone from its machine. */
-    fun release(placement: Placement, why: String) {
+    fun release(placement: Placement, reason: String) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         log.debug(
             "{} try {} is off {}: {}",
             placement.task,
             placement.attempt,
             placement.machine,
-            why,
+            reason,
         )
-        unbook(placement)
+        removePlacement(placement)
         placement.job.release(placement, context.wall)
-        val gang = placement.job.gang
-        if (gang != null && gang.ran && !placement.job.allTasksDone) breakAttempt(placement.job)
-        changed()
+        val gang = placement.job.gangAttempt
+        if (gang != null && gang.hasRun && !placement.job.allTasksDone)
+            abortGangAttempt(placement.job)
+        markChanged()
     }
 
     /**
      * Nothing comes of the gang's attempt any more. What is left of it is stopped: its tasks would
      * find out by themselves, but later.
      */
-    fun breakAttempt(job: Job) {
-        val gang = job.gang ?: return
-        gang.broken = true
+    fun abortGangAttempt(job: Job) {
+        val gang = job.gangAttempt ?: return
+        gang.isAborted = true
         for (placement in job.placements.values) {
             if (placement.gracePeriod == Micros.ZERO) continue
             placement.gracePeriod = Micros.ZERO
@@ -183,28 +187,29 @@
     }
 
     /** The placement's record was surely not written. */
-    fun undo(placement: Placement) {
+    fun rollBack(placement: Placement) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
-        unbook(placement)
-        queue.undo(placement.job.spec.team, placement.charge, context.wall)
-        placement.job.undo(placement, context.wall)
-        changed()
+        removePlacement(placement)
+        queue.refund(placement.job.spec.team, placement.charge, context.wall)
+        placement.job.rollBack(placement, context.wall)
+        markChanged()
     }
 
-    private fun unbook(placement: Placement) {
+    private fun removePlacement(placement: Placement) {
         val machine = machines[placement.machine]
-        if (machine != null) machine.remove(placement, context.now) else forgetUnplaced(placement)
+        if (machine != null) machine.remove(placement, context.now)
+        else removeFromUnknownMachine(placement)
         val image = placement.job.spec.image
         if (placement.runningSince == null && machine?.needs(image) == false) {
             machine.fetchGivenUp(image, context.now)
         }
-        book(placement.job.spec, -1)
+        adjustQuotaUsage(placement.job.spec, -1)
     }
 
-    private fun forgetUnplaced(placement: Placement) {
-        val there = unplaced[placement.machine] ?: return
+    private fun removeFromUnknownMachine(placement: Placement) {
+        val there = placementsOnUnknownMachines[placement.machine] ?: return
         there.remove(placement)
-        if (there.isEmpty()) unplaced.remove(placement.machine)
+        if (there.isEmpty()) placementsOnUnknownMachines.remove(placement.machine)
     }
 
     /** The task has completed; its team's tag is corrected by what it really cost. */
@@ -212,9 +217,9 @@
         val job = placement.job
         val since = placement.runningSince
         if (since != null) {
-            val ran = context.now - since
-            estimates.learn(job.spec, ran)
-            queue.correct(job.spec.team, placement.charge, cost(job.spec, ran), context.wall)
+            val hasRun = context.now - since
+            estimates.record(job.spec, hasRun)
+            queue.settle(job.spec.team, placement.charge, cost(job.spec, hasRun), context.wall)
         }
         complete(job, placement.task.index)
         release(placement, "done")
@@ -227,21 +232,21 @@
     }
 
     /** Everything on the machine is proven gone. */
-    fun clear(machine: Machine, why: String) {
-        for (placement in machine.placements.values.toList()) release(placement, why)
+    fun releaseAll(machine: Machine, reason: String) {
+        for (placement in machine.placements.values.toList()) release(placement, reason)
         setOrphans(machine, emptyList())
     }
 
     fun setOrphans(machine: Machine, orphans: List<JobSpec>) {
         if (machine.orphans.isEmpty() && orphans.isEmpty()) return
-        for (spec in machine.orphans) bookOrphan(spec, -1)
+        for (spec in machine.orphans) adjustOrphanUsage(spec, -1)
         machine.orphans = orphans
-        for (spec in orphans) bookOrphan(spec, 1)
-        changed()
+        for (spec in orphans) adjustOrphanUsage(spec, 1)
+        markChanged()
     }
 
-    private fun bookOrphan(spec: JobSpec, sign: Int) {
-        book(spec, sign)
+    private fun adjustOrphanUsage(spec: JobSpec, sign: Int) {
+        adjustQuotaUsage(spec, sign)
         orphanCounts.merge(spec.jobId, sign) { a, b -> (a + b).takeIf { it != 0 } }
     }
 
@@ -249,7 +254,7 @@
     fun hasOrphans(job: Job) = job.id in orphanCounts
 
     /** Before everything is read again. */
-    fun forgetJobs() {
+    fun removeAllJobs() {
         for (machine in machines.values) {
             setOrphans(machine, emptyList())
             for (placement in machine.placements.values.toList()) machine.remove(
@@ -258,7 +263,7 @@
             )
         }
         jobs.clear()
-        unplaced.clear()
+        placementsOnUnknownMachines.clear()
         machinesWithCommands.clear()
         cpus.clear()
         gpus.clear()
@@ -266,7 +271,7 @@
 
     /** The largest booked share of CPU, GPU or memory, in CPUs of the largest machine type. */
     private fun cost(spec: JobSpec, run: Micros): Cost {
-        val type = reference
+        val type = referenceType
         var share = spec.cpus
         if (type != null) {
             share = maxOf(share, spec.memoryGb * type.cpus / type.memoryGb)
@@ -276,11 +281,11 @@
     }
 
     /** The type that shares are measured by. */
-    var reference: MachineType? = null
+    var referenceType: MachineType? = null
 }
 
 /** Owners' estimates are often wrong in one direction for a whole class; what ran corrects them. */
-class Estimates {
+class RuntimeEstimates {
     private class Ratio {
         var value = 1.0
         var seen = 0
@@ -293,12 +298,12 @@
         return spec.estimate * ratio
     }
 
-    fun learn(spec: JobSpec, ran: Micros) {
+    fun record(spec: JobSpec, hasRun: Micros) {
         if (spec.estimate <= Micros.ZERO) return
         val ratio = ratios.getOrPut(spec.jobClass) { Ratio() }
         ratio.seen++
         val part = maxOf(1.0 / (ratio.seen + 1), SMALLEST_PART)
-        val seen = (ran.value.toDouble() / spec.estimate.value).coerceIn(0.2, 5.0)
+        val seen = (hasRun.value.toDouble() / spec.estimate.value).coerceIn(0.2, 5.0)
         ratio.value += (seen - ratio.value) * part
     }
 
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -38,14 +38,14 @@
     }
 
     /** The machine types that a task like this fits exactly. */
-    fun exactFor(spec: JobSpec): Set<String> = pools.exactFor(spec)
+    fun exactTypesFor(spec: JobSpec): Set<String> = pools.exactTypesFor(spec)
 
     /** True if the job allows this machine's kind, type and zone. */
     fun allowed(spec: JobSpec, machine: Machine): Boolean =
         (spec.spot || !machine.spot) &&
             (spec.types == null || machine.type.label in spec.types) &&
             (spec.zone == null || spec.zone == machine.zone) &&
-            (machine.maintenance != Maintenance.YIELDING || spec.urgency <= PriorityClass.HIGH)
+            (machine.maintenance != Maintenance.YIELDING || spec.priority <= PriorityClass.HIGH)
 
     /** True if a machine of this kind could take a task of the job, were it empty. */
     fun suits(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
@@ -79,12 +79,12 @@
     fun score(spec: JobSpec, machine: Machine): Double {
         val fetch = machine.imageWait(spec.image, spec.imageGb, context.now)
         return fetch.inSeconds * FETCH_WEIGHT +
-            (pools.dearness(machine.type, machine.spot) - 1) * DEAR_WEIGHT +
+            (pools.relativeCost(machine.type, machine.spot) - 1) * DEAR_WEIGHT +
             leftOver(spec, machine) / machine.type.cpus
     }
 
     private fun leftOver(spec: JobSpec, machine: Machine): Double =
-        if (spec.shape == JobKind.SERVICE) machine.type.cpus - machine.serviceCpus - spec.cpus
+        if (spec.kind == JobKind.SERVICE) machine.type.cpus - machine.serviceCpus - spec.cpus
         else machine.freeCpus - spec.cpus
 
     private companion object {
--- a/src/main/kotlin/wardmux/scheduling/FairQueue.kt
+++ b/src/main/kotlin/wardmux/scheduling/FairQueue.kt
@@ -45,7 +45,7 @@
     var clock = 0L
         private set
 
-    private fun base(team: String) = maxOf(1.0, guarantees[team] ?: 1.0)
+    private fun baseWeight(team: String) = maxOf(1.0, guarantees[team] ?: 1.0)
 
     private fun account(team: String, wall: Micros): Account {
         val account = accounts.getOrPut(team) { Account().also { it.readAt = wall } }
@@ -60,8 +60,8 @@
     fun usage(team: String, wall: Micros): Double = account(team, wall).usage
 
     fun weight(team: String, wall: Micros): Double {
-        val norm = normSeconds * 1e6 * base(team)
-        val weight = base(team) * 2.0.pow(-account(team, wall).usage / norm)
+        val norm = normSeconds * 1e6 * baseWeight(team)
+        val weight = baseWeight(team) * 2.0.pow(-account(team, wall).usage / norm)
         return threeDigits(weight.coerceAtLeast(MIN_WEIGHT))
     }
 
@@ -84,20 +84,20 @@
     }
 
     /** The step that was taken with the weight at dispatch is corrected with that same weight. */
-    fun correct(team: String, charge: Charge, actual: Cost, wall: Micros) {
+    fun settle(team: String, charge: Charge, actual: Cost, wall: Micros) {
         val difference = (actual.value - charge.cost.value) / charge.weight
         account(team, wall).finishTag += difference.roundToLong()
     }
 
     /** A dispatch that never left this controller is taken back whole. */
-    fun undo(team: String, charge: Charge, wall: Micros) {
+    fun refund(team: String, charge: Charge, wall: Micros) {
         val account = account(team, wall)
         account.finishTag -= (charge.cost.value / charge.weight).roundToLong()
         account.usage = (account.usage - charge.cost.value).coerceAtLeast(0.0)
     }
 
     /** With nothing to run the clock equals the highest tag: nobody saves up credit. */
-    fun idle() {
+    fun advanceToHighestTag() {
         clock = maxOf(clock, accounts.values.maxOfOrNull { it.finishTag } ?: clock)
     }
 
@@ -105,18 +105,18 @@
      * Teams that neither lead the clock nor have usage left are as new, and are left out; if the
      * rest takes more than a value may, those that are nearest to that as well.
      */
-    fun toJson(wall: Micros, mostBytes: Int = Int.MAX_VALUE): JsonElement {
+    fun toJson(wall: Micros, maxBytes: Int = Int.MAX_VALUE): JsonElement {
         val kept =
             accounts
                 .filter { (_, a) -> a.finishTag > clock || a.usage > NEGLIGIBLE }
                 .mapValues { (team, a) -> AccountWire(a.finishTag, usage(team, wall)) }
         val whole = toJson(kept, wall)
-        if (jsonBytes(whole) <= mostBytes) return whole
+        if (jsonBytes(whole) <= maxBytes) return whole
         val left = kept.entries.sortedBy { it.value.tag }.toMutableList()
         while (left.isNotEmpty()) {
             left.removeFirst()
             val json = toJson(left.associate { it.key to it.value }, wall)
-            if (jsonBytes(json) <= mostBytes) return json
+            if (jsonBytes(json) <= maxBytes) return json
         }
         return toJson(emptyMap(), wall)
     }
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -15,7 +15,7 @@
     private val types: () -> List<MachineType>,
 ) {
     /** The largest value that a page may be. */
-    var mostBytes = Int.MAX_VALUE
+    var maxBytes = Int.MAX_VALUE
 
     /** Machines that a gang could go to together. */
     private class GangPlaces(
@@ -36,7 +36,7 @@
         val zones = eligibility.zonesOf(job)
         val open = candidates.filter { eligibility.mayGoTo(it.zone, spec, zones) }
         val groups = if (spec.oneZone) open.groupBy { it.zone }.values else listOf(open)
-        if (job.placements.isEmpty() && PageSizeEstimate.needsFewMachines(job, mostBytes)) {
+        if (job.placements.isEmpty() && PageSizeEstimate.requiresDensePacking(job, maxBytes)) {
             return groups.firstOrNull { group -> pagesHold(job, group) { it.roomFor(spec) } }
         }
         return groups
@@ -81,7 +81,7 @@
             zones[machine.zone] = there + here
             shares.add(GangShare(machine, here))
             left -= here
-            if (left == 0) return PageSizeEstimate.holds(job, shares, mostBytes)
+            if (left == 0) return PageSizeEstimate.holds(job, shares, maxBytes)
         }
         return false
     }
@@ -105,16 +105,16 @@
     }
 
     /** True of a gang whose pages can't be written even if it has the largest machines alone. */
-    fun neverWritten(job: Job): Boolean {
-        if (!job.spec.isGang || !PageSizeEstimate.needsFewMachines(job, mostBytes)) return false
+    fun canNeverBeStored(job: Job): Boolean {
+        if (!job.spec.isGang || !PageSizeEstimate.requiresDensePacking(job, maxBytes)) return false
         val most = types().filter { it.allowedFor(job.spec) }.maxOfOrNull { it.fitting(job.spec) }
-        return !PageSizeEstimate.mayHold(job, most ?: 0, mostBytes)
+        return !PageSizeEstimate.mayHold(job, most ?: 0, maxBytes)
     }
 
     /** These machines, were they empty, would take all of the gang. */
     fun holdsAll(job: Job, machines: List<Machine>) =
         machines.sumOf { it.type.fitting(job.spec) } >= job.spec.tasks &&
-            (!PageSizeEstimate.needsFewMachines(job, mostBytes) ||
+            (!PageSizeEstimate.requiresDensePacking(job, maxBytes) ||
                 pagesHold(job, machines) { it.type.fitting(job.spec) })
 
     private companion object {
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -34,9 +34,9 @@
      * Of the cap, too, a team's other tasks would take each bit that comes free: while a gang waits
      * for its cap or for room, they leave what it needs. More urgent ones come before it.
      */
-    fun leavesCap(job: Job): Boolean {
+    fun leavesQuota(job: Job): Boolean {
         val gang = claims[job.spec.team] ?: return true
-        if (gang === job || gang.waiting == 0 || job.spec.urgency < gang.spec.urgency) return true
+        if (gang === job || gang.waiting == 0 || job.spec.priority < gang.spec.priority) return true
         return cluster.headroom(gang.spec, beside = job.spec) >= gang.waiting
     }
 
@@ -46,7 +46,7 @@
                 it.spec.isGang &&
                     !it.isFailing &&
                     it.isBlockedLong(context.now) &&
-                    !placement.neverWritten(it)
+                    !placement.canNeverBeStored(it)
             }
             .sortedByDescending { it.acceptedAt.value }
             .associateBy { it.spec.team }
@@ -106,7 +106,7 @@
 
     /** Where its pages hold only few machines, one that these can't serve lets the next come. */
     private fun hasMachinesFor(job: Job): Boolean {
-        if (!PageSizeEstimate.needsFewMachines(job, placement.mostBytes)) return true
+        if (!PageSizeEstimate.requiresDensePacking(job, placement.maxBytes)) return true
         val usable =
             cluster.machines.values.filter {
                 eligibility.usable(it) && eligibility.allowed(job.spec, it)
@@ -121,7 +121,7 @@
         return mayGo &&
             job.blockedSince != null &&
             !cluster.hasOrphans(job) &&
-            !placement.neverWritten(job) &&
+            !placement.canNeverBeStored(job) &&
             cluster.headroom(job.spec) >= job.waiting
     }
 
@@ -133,15 +133,15 @@
     private fun breakSpoiltAttempts(ready: List<Job>) {
         for (job in ready) {
             val isOut = job.spec.isGang && job.placements.isNotEmpty()
-            if (isOut && !mayReplaceLost(job)) cluster.breakAttempt(job)
+            if (isOut && !mayReplaceLost(job)) cluster.abortGangAttempt(job)
         }
     }
 
-    fun mayReplaceLost(job: Job) = job.gang?.let { mayReplaceIn(it) } == true
+    fun mayReplaceLost(job: Job) = job.gangAttempt?.let { mayReplaceIn(it) } == true
 
     private fun mayReplaceIn(gang: GangAttempt): Boolean {
         val longest = (workers.gangWaitS * REPLACED_PART).seconds
-        return !gang.broken && !gang.ran && context.now - gang.since < longest
+        return !gang.isAborted && !gang.hasRun && context.now - gang.startedAt < longest
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/scheduling/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -38,7 +38,7 @@
         types.sortedBy { priceOf(it, spot) * (1 + it.bootS / USUAL_USE_S) }
 
     /** The price of a kind, where the cheapest of the pool costs 1. */
-    fun dearness(type: MachineType, spot: Boolean): Double =
+    fun relativeCost(type: MachineType, spot: Boolean): Double =
         priceOf(type, spot) / maxOf(types.minOf { priceOf(it, true) }, LEAST_PRICE)
 
     /** The time that the soonest of its machines takes to boot, in seconds. */
@@ -85,7 +85,7 @@
     /** When open work was last seen for which a type is the smallest, by its label. */
     private val neededAt = HashMap<String, Micros>()
     private var knownTypes: List<MachineType> = emptyList()
-    private var observeAt = Micros.LONG_AGO
+    private var refreshAt = Micros.LONG_AGO
 
     /** All pools; each known type is in one of them. */
     var pools: List<MachinePool> = emptyList()
@@ -94,13 +94,13 @@
     private var poolByLabel: Map<String, MachinePool> = emptyMap()
 
     /** Looks again at what is needed, if that was not done lately or the types have changed. */
-    fun observe(jobs: Collection<Job>) {
-        if (types() != knownTypes || context.now >= observeAt) observeNow(jobs)
+    fun refreshIfDue(jobs: Collection<Job>) {
+        if (types() != knownTypes || context.now >= refreshAt) refresh(jobs)
     }
 
     /** Looks again at what is needed: [jobs] may be quite others than before. */
-    fun observeNow(jobs: Collection<Job>) {
-        observeAt = context.now + PERIOD
+    fun refresh(jobs: Collection<Job>) {
+        refreshAt = context.now + PERIOD
         knownTypes = types()
         val open = jobs.filter { !it.hasEnded && !it.allTasksDone }
         val demands = HashMap<String, ResourceDemand>()
@@ -120,15 +120,15 @@
     fun poolFor(spec: JobSpec): MachinePool? = smallestFor(spec)?.let { poolByLabel[it.label] }
 
     /** The types that a task like this fits exactly. */
-    fun exactFor(spec: JobSpec): Set<String> {
+    fun exactTypesFor(spec: JobSpec): Set<String> {
         val smallest = smallestFor(spec) ?: return emptySet()
         val pool = poolByLabel[smallest.label] ?: return setOf(smallest.label)
         return pool.types.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
     }
 
     /** What a machine costs for its work, where the cheapest kind of its pool costs 1. */
-    fun dearness(type: MachineType, spot: Boolean): Double =
-        poolByLabel[type.label]?.dearness(type, spot) ?: 1.0
+    fun relativeCost(type: MachineType, spot: Boolean): Double =
+        poolByLabel[type.label]?.relativeCost(type, spot) ?: 1.0
 
     private fun divide(demands: Map<String, ResourceDemand>) {
         val bySize = knownTypes.sortedBy { it.cpus }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -5,7 +5,7 @@
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Placement
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
 import wardmux.serialization.jsonBytes
 
@@ -16,9 +16,9 @@
  * Counts what a page takes as tasks are placed on it, never too little: a page that is larger than
  * a value may be can't be written, and neither can the starts on it.
  */
-class PageSizeEstimate(job: Job, page: Int, private val mostBytes: Int) {
+class PageSizeEstimate(job: Job, page: Int, private val maxBytes: Int) {
     private val size =
-        RecordSize(jsonBytes(TaskPageCodec.encode(job, page, mostBytes - PLANNED).data))
+        RecordSize(jsonBytes(TaskPageCodec.encode(job, page, maxBytes - PLANNED).data))
 
     /** Tasks of the page that may end in any order; none of them may make it too large for good. */
     private var open = job.triedNotDoneOn(page)
@@ -26,9 +26,9 @@
     private var placed = job.placementsOn(page).size
 
     fun hasRoom(job: Job, task: Int): Boolean =
-        size.bytes + MOST_A_PLACEMENT <= mostBytes &&
+        size.bytes + MOST_A_PLACEMENT <= maxBytes &&
             // What was tried before adds nothing; and where nothing is out, nothing is waited for.
-            (job.nextAttempt(task) > 1 || placed == 0 || mostLeft(job, task) <= mostBytes)
+            (job.nextAttempt(task) > 1 || placed == 0 || mostLeft(job, task) <= maxBytes)
 
     /** Those that were open before may stand between done ones, of those placed now each second. */
     private fun mostLeft(job: Job, task: Int): Int =
@@ -36,9 +36,9 @@
 
     /** About how many more tasks it takes for now, [together] of them on each further machine. */
     fun roomFor(together: Int): Int {
-        if (size.bytes + MOST_A_PLACEMENT > mostBytes) return 0
+        if (size.bytes + MOST_A_PLACEMENT > maxBytes) return 0
         val each = USUAL_A_TASK + USUAL_A_MACHINE / together.coerceAtLeast(1)
-        return 1 + (mostBytes - size.bytes - MOST_A_PLACEMENT) / each
+        return 1 + (maxBytes - size.bytes - MOST_A_PLACEMENT) / each
     }
 
     fun add(placement: Placement) {
@@ -55,7 +55,7 @@
         return (2 * name + name + ATTEMPT + 1) / 2
     }
 
-    /** The bytes of placements as [StoredPage] writes them. */
+    /** The bytes of placements as [StoredTaskPage] writes them. */
     private class RecordSize(var bytes: Int) {
         private val machines = HashSet<Pair<MachineId, Long>>()
         private val zones = HashSet<String>()
@@ -114,40 +114,39 @@
          * About how many waiting tasks of the job its pages take for now, [together] of them on a
          * machine. The others wait for those that are out to end, however much room there is.
          */
-        fun placeable(job: Job, together: Int, mostBytes: Int): Int {
-            if (fitsAlways(job, mostBytes)) return job.waiting
-            val room =
-                job.pages.all.sumOf { PageSizeEstimate(job, it, mostBytes).roomFor(together) }
+        fun placeableTasks(job: Job, together: Int, maxBytes: Int): Int {
+            if (fitsAlways(job, maxBytes)) return job.waiting
+            val room = job.pages.all.sumOf { PageSizeEstimate(job, it, maxBytes).roomFor(together) }
             return minOf(job.waiting, room)
         }
 
         /** A page with so few tasks is never too large. */
-        fun fitsAlways(job: Job, mostBytes: Int) =
+        fun fitsAlways(job: Job, maxBytes: Int) =
             minOf(job.pages.tasksPerPage, job.spec.tasks).toLong() * MOST_AS_A_RULE + FRAME <=
-                mostBytes ||
-                job.pages.tasksPerPage.toLong() * TaskPageCodec.BYTES_PER_TASK <= mostBytes
+                maxBytes ||
+                job.pages.tasksPerPage.toLong() * TaskPageCodec.BYTES_PER_TASK <= maxBytes
 
         /**
          * True if all tasks have to be out at the same time and their pages hold them only on few
          * machines: what names its machine once takes a third of what names one for itself.
          */
-        fun needsFewMachines(job: Job, mostBytes: Int) =
+        fun requiresDensePacking(job: Job, maxBytes: Int) =
             job.sharesCharge &&
-                !fitsAlways(job, mostBytes) &&
+                !fitsAlways(job, maxBytes) &&
                 minOf(job.pages.tasksPerPage, job.spec.tasks) * MOST_CHARGED_ALIKE + FRAME >
-                    mostBytes
+                    maxBytes
 
         /** True if pages may hold a whole attempt with so many tasks on each machine. */
-        fun mayHold(job: Job, onEach: Int, mostBytes: Int): Boolean {
+        fun mayHold(job: Job, onEach: Int, maxBytes: Int): Boolean {
             if (onEach <= 0) return false
             val tasks = minOf(job.pages.tasksPerPage, job.spec.tasks)
             val machines = (tasks + onEach - 1) / onEach
             val numbers = (0 until tasks).sumOf { RecordSize.number(it.toLong()) + LEAST_A_TASK }
-            return FRAME + numbers + machines * LEAST_A_MACHINE <= mostBytes
+            return FRAME + numbers + machines * LEAST_A_MACHINE <= maxBytes
         }
 
         /** True if the pages surely hold a whole attempt, its tasks in their order on [shares]. */
-        fun holds(job: Job, shares: List<GangShare>, mostBytes: Int): Boolean {
+        fun holds(job: Job, shares: List<GangShare>, maxBytes: Int): Boolean {
             var task = 0
             var size = RecordSize(FRAME)
             for (share in shares) {
@@ -156,7 +155,7 @@
                     size.machine(share.machine.id, share.machine.incarnation, share.machine.zone)
                     size.task(task++, job.nextGangAttempt)
                     size.charge(null)
-                    if (size.bytes + MOST_A_PLACEMENT > mostBytes) return false
+                    if (size.bytes + MOST_A_PLACEMENT > maxBytes) return false
                 }
             }
             return true
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -28,7 +28,7 @@
 import wardmux.store.WriteOperation
 
 /** The pages that one write still takes, for the planner: what can't be written isn't placed. */
-class Admission(private val most: Int, val mostBytes: Int = Int.MAX_VALUE) {
+class PageWriteBudget(private val most: Int, val maxBytes: Int = Int.MAX_VALUE) {
     private var left = most
     private val pages = HashMap<JobId, IntOpenHashSet>()
 
@@ -36,13 +36,13 @@
     private val fills = HashMap<JobId, Int2ObjectOpenHashMap<PageSizeEstimate>>()
 
     /** True if no task of the job can be admitted, whichever it is, as none of its pages is. */
-    fun closedTo(job: Job) = left <= 0 && job.id !in pages
+    fun isExhaustedFor(job: Job) = left <= 0 && job.id !in pages
 
     /**
      * Takes all pages of a gang, or none. One that needs more than a write holds is written in
      * several, before any of its starts goes out; it begins only where nothing else was taken yet.
      */
-    fun admitsWhole(job: Job): Boolean {
+    fun tryReserveGang(job: Job): Boolean {
         val own = pages.getOrPut(job.id) { IntOpenHashSet() }
         val needed = job.pages.all.filter { it !in own }
         if (needed.size > left && left < most) return false
@@ -52,12 +52,12 @@
     }
 
     /** Nothing of the gang is placed after all: others may take what it took. */
-    fun withdraw(job: Job) {
+    fun releaseGang(job: Job) {
         fills.remove(job.id)
         left = minOf(most, left + (pages.remove(job.id)?.size ?: 0))
     }
 
-    fun admits(job: Job, task: Int): Boolean {
+    fun tryReserve(job: Job, task: Int): Boolean {
         val page = job.pages.pageOf(task)
         val own = pages[job.id]
         val open = own != null && own.contains(page)
@@ -69,20 +69,21 @@
     }
 
     /** True if its page can't take it, though others of the job may. */
-    fun isFull(job: Job, task: Int) = fill(job, job.pages.pageOf(task))?.hasRoom(job, task) == false
+    fun isPageFull(job: Job, task: Int) =
+        fill(job, job.pages.pageOf(task))?.hasRoom(job, task) == false
 
     /** It is placed as it was admitted. */
-    fun took(placement: Placement) {
+    fun onPlaced(placement: Placement) {
         val job = placement.job
         fill(job, job.pages.pageOf(placement.task.index))?.add(placement)
     }
 
     /** Null if the page fits whatever is placed on it. */
     private fun fill(job: Job, page: Int): PageSizeEstimate? {
-        if (PageSizeEstimate.fitsAlways(job, mostBytes)) return null
+        if (PageSizeEstimate.fitsAlways(job, maxBytes)) return null
         return fills
             .getOrPut(job.id) { Int2ObjectOpenHashMap() }
-            .getOrPut(page) { PageSizeEstimate(job, page, mostBytes) }
+            .getOrPut(page) { PageSizeEstimate(job, page, maxBytes) }
     }
 }
 
@@ -100,19 +101,19 @@
     private val listener: Listener,
 ) {
     interface Listener {
-        fun written()
+        fun onCommitted()
 
-        fun fenced()
+        fun onFenced()
 
         /** What is stored is no longer known for sure. */
-        fun lost()
+        fun onStateUnknown()
 
-        fun finished(job: Job)
+        fun onJobDone(job: Job)
 
         /** The job's record is no longer as it was when it was accepted. */
-        fun changed(job: Job)
+        fun onJobRecordChanged(job: Job)
 
-        fun decommissioned(machine: Machine)
+        fun onDecommissionRecorded(machine: Machine)
     }
 
     private class WrittenPage(
@@ -160,7 +161,7 @@
     var tagsVersion = 0L
     private var nextAt = Micros.LONG_AGO
 
-    val ready: Boolean
+    val isReady: Boolean
         get() = !inFlight && context.now >= nextAt
 
     /** Recorded before the machine is deleted, so that no later leader uses it. */
@@ -176,7 +177,7 @@
     /**
      * Pages that one write may still take, for the planner: it places no more than can be written.
      */
-    fun admission(): Admission {
+    fun pageBudget(): PageWriteBudget {
         // One change is kept for the tags.
         // Where a transaction holds few, ends never take all that a start needs.
         val ends = minOf(finishing().take(2).count() * 2, store.maxChanges - 2)
@@ -184,14 +185,14 @@
         // many are lost at once, as with a zone, these must not wait behind all that can be placed.
         val mostLost = maxOf(1, store.maxChanges / DECOMMISSIONS_PART)
         val others = minOf(decommissioning.size, mostLost) + ends
-        return Admission(maxOf(1, store.maxChanges - 1 - others), store.maxValueBytes)
+        return PageWriteBudget(maxOf(1, store.maxChanges - 1 - others), store.maxValueBytes)
     }
 
     private fun finishing() =
         cluster.jobs.values.asSequence().filter { it.allTasksDone && !it.isDone && !it.hasEnded }
 
     fun flush() {
-        if (!ready) return
+        if (!isReady) return
         val draft = Draft()
         addPlanned(draft)
         addFinished(draft)
@@ -203,7 +204,7 @@
         draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
         draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
         inFlight = true
-        store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { settle(draft, it) }
+        store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { onResult(draft, it) }
         nextAt = context.now + period
     }
 
@@ -217,7 +218,7 @@
                 } else {
                     // No start goes out without its record.
                     for (placement in job.placementsOn(page)) {
-                        if (!placement.committed) cluster.undo(placement)
+                        if (!placement.committed) cluster.rollBack(placement)
                     }
                 }
             }
@@ -238,7 +239,7 @@
     private fun addDecommissioned(draft: Draft) {
         for (machine in decommissioning) {
             if (!draft.room(1, 0)) return
-            draft.put(machineKey(machine), JsonPrimitive(machine.decommissionReason))
+            draft.put(decommissionKey(machine), JsonPrimitive(machine.decommissionReason))
             draft.decommissioning.add(machine)
         }
     }
@@ -271,7 +272,7 @@
                 draft.changes.add(WriteOperation(remove = key))
                 draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
             }
-            if (job.isDone || job.unlisted || pages.isNotEmpty()) continue
+            if (job.isDone || job.isCancelledKeyRemoved || pages.isNotEmpty()) continue
             if (!draft.room(1, 0) || draft.changes.size >= store.writesToSpare) return
             draft.changes.add(WriteOperation(remove = JobRecord.cancelledKey(job.id)))
             draft.unlisting.add(job)
@@ -281,7 +282,7 @@
     private fun addExpiredDecommissions(draft: Draft) {
         for (machine in expiredDecommissions) {
             if (!draft.room(1, 0)) return
-            draft.changes.add(WriteOperation(remove = machineKey(machine)))
+            draft.changes.add(WriteOperation(remove = decommissionKey(machine)))
             draft.expiredDecommissions.add(machine)
         }
     }
@@ -307,13 +308,13 @@
         return true
     }
 
-    private fun settle(draft: Draft, result: StoreResult<Long>) {
+    private fun onResult(draft: Draft, result: StoreResult<Long>) {
         inFlight = false
         when (result) {
             is StoreResult.Ok -> committed(draft, result.value)
             is StoreResult.Conflict -> conflict(draft, result.failed)
             is StoreResult.Refused -> {
-                takeBack(draft)
+                rollBack(draft)
                 nextAt = context.now + REFUSED_PAUSE
             }
             is StoreResult.Invalid,
@@ -322,12 +323,12 @@
                     "a write was found invalid: {}",
                     draft.changes.map { it.put ?: it.remove },
                 )
-                takeBack(draft)
+                rollBack(draft)
                 nextAt = context.now + INVALID_PAUSE
             }
             is StoreResult.Indeterminate -> {
                 log.info("a write got no response; reading again what is stored")
-                listener.lost()
+                listener.onStateUnknown()
             }
         }
     }
@@ -341,39 +342,39 @@
         }
         for (job in draft.finishing) {
             cluster.finish(job)
-            listener.finished(job)
+            listener.onJobDone(job)
         }
         for (machine in draft.decommissioning) {
             decommissioning.remove(machine)
-            listener.decommissioned(machine)
+            listener.onDecommissionRecorded(machine)
         }
         expiredDecommissions.removeAll(draft.expiredDecommissions.toSet())
-        for (job in draft.unlisting) job.unlisted = true
-        listener.written()
+        for (job in draft.unlisting) job.isCancelledKeyRemoved = true
+        listener.onCommitted()
     }
 
     private fun conflict(draft: Draft, failed: List<String>) {
-        if (LeaderElection.KEY in failed) return listener.fenced()
+        if (LeaderElection.KEY in failed) return listener.onFenced()
         val changed =
             (draft.pages.map { it.job } + draft.finishing).filter { JobRecord.key(it.id) in failed }
         if (changed.isEmpty() || FairQueue.KEY in failed) {
             log.info("stored pages are not as they were last seen: {}", failed)
-            return listener.lost()
+            return listener.onStateUnknown()
         }
-        takeBack(draft)
-        for (job in changed.distinct()) listener.changed(job)
+        rollBack(draft)
+        for (job in changed.distinct()) listener.onJobRecordChanged(job)
     }
 
     /** Surely not written: planned placements are undone, the rest is tried again. */
-    private fun takeBack(draft: Draft) {
+    private fun rollBack(draft: Draft) {
         for (written in draft.pages) {
             if (!written.removed) written.job.pages.markDirty(written.page, context.wall)
-            for (placement in written.planned) cluster.undo(placement)
+            for (placement in written.planned) cluster.rollBack(placement)
         }
     }
 
     companion object {
-        const val MACHINES = "m/"
+        const val DECOMMISSIONED_PREFIX = "m/"
 
         /** Part of a write, the inverse, that is kept for machines given up. */
         private const val DECOMMISSIONS_PART = 2
@@ -390,6 +391,6 @@
         private val TOO_LARGE_PAUSE = 1.seconds
         private val INVALID_PAUSE = 5.seconds
 
-        fun machineKey(machine: Machine) = "$MACHINES${machine.id.value}"
+        fun decommissionKey(machine: Machine) = "$DECOMMISSIONED_PREFIX${machine.id.value}"
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -38,11 +38,11 @@
     private val log = logger<Planner>()
 
     /** Machines looked at so far: what decisions cost. */
-    var looks = 0L
+    var machinesExamined = 0L
         private set
 
     /** The largest value that a page may be. */
-    private var mostBytes = Int.MAX_VALUE
+    private var maxBytes = Int.MAX_VALUE
 
     /** Which machines tasks may go to. */
     val eligibility = Eligibility(context, operators, workers, pools)
@@ -50,35 +50,39 @@
 
     /** Room and cap that are kept for gangs. */
     val gangReservations = GangReservations(context, cluster, eligibility, gangPlacement, workers)
-    private val order = TeamOrder(objectives, cluster.estimates, operators.longestWaitS.seconds)
+    private val order = TeamJobOrder(objectives, cluster.estimates, operators.longestWaitS.seconds)
 
-    /** Places what it can while [admission] has room for the job's page in the write to come. */
-    fun plan(admission: Admission) {
-        mostBytes = admission.mostBytes
-        gangPlacement.mostBytes = mostBytes
+    /** Places what it can while [budget] has room for the job's page in the write to come. */
+    fun plan(budget: PageWriteBudget) {
+        maxBytes = budget.maxBytes
+        gangPlacement.maxBytes = maxBytes
         val ready = cluster.jobs.values.filter { it.waiting > 0 && context.wall >= it.backoffUntil }
         if (ready.isEmpty()) {
-            if (cluster.jobs.values.all { it.placements.isEmpty() }) cluster.queue.idle()
+            if (cluster.jobs.values.all { it.placements.isEmpty() })
+                cluster.queue.advanceToHighestTag()
             return
         }
         gangReservations.update(ready)
-        pools.observe(cluster.jobs.values)
-        held = ready.filter { isOverdue(it) }.flatMapTo(HashSet()) { eligibility.exactFor(it.spec) }
-        val round = Round(cluster.machines.values.filter { eligibility.usable(it) }, admission)
+        pools.refreshIfDue(cluster.jobs.values)
+        heldTypes =
+            ready
+                .filter { isOverdue(it) }
+                .flatMapTo(HashSet()) { eligibility.exactTypesFor(it.spec) }
+        val round = Round(cluster.machines.values.filter { eligibility.usable(it) }, budget)
         val scarce = cluster.jobs.values.any { isShortOfRoom(it) }
         val queues =
             ready
-                .groupBy { it.spec.urgency }
+                .groupBy { it.spec.priority }
                 .mapValues { (_, jobs) ->
                     jobs
                         .groupBy { it.spec.team }
                         .mapValues { (team, own) ->
-                            order.sort(own, counted(team, scarce), context.wall)
+                            order.sort(own, reachableCpus(team, scarce), context.wall)
                         }
                 }
         for (exact in listOf(true, false)) {
-            for (urgency in PriorityClass.entries) {
-                queues[urgency]?.let { place(it, Pass(round, exact)) }
+            for (priority in PriorityClass.entries) {
+                queues[priority]?.let { place(it, Pass(round, exact)) }
             }
         }
         for (job in ready) {
@@ -88,37 +92,37 @@
     }
 
     /** What one plan looks at: the machines with room, and what the write to come takes. */
-    private class Round(usable: List<Machine>, val admission: Admission) {
+    private class Round(usable: List<Machine>, val budget: PageWriteBudget) {
         val usable = usable.size
         val open = usable.filter { it.freeCpus > MachineType.EPSILON }
     }
 
     /** One look over the machines, for exact fits or for any. */
     private inner class Pass(val round: Round, val exact: Boolean) {
-        private val seats = HashMap<JobId, Seats>()
+        private val candidates = HashMap<JobId, NodeCandidates>()
 
         /** What no machine has room for: room only shrinks within a plan. */
-        private val hopeless = HashSet<ResourceRequest>()
+        private val unplaceableRequests = HashSet<ResourceRequest>()
 
-        fun seatsFor(job: Job): Seats? {
-            seats[job.id]?.let {
+        fun candidatesFor(job: Job): NodeCandidates? {
+            candidates[job.id]?.let {
                 return it
             }
-            if (job.resourceRequest in hopeless) return null
-            val found = Seats(job, candidates(job))
+            if (job.resourceRequest in unplaceableRequests) return null
+            val found = NodeCandidates(job, eligibleMachines(job))
             if (found.isEmpty && job.failedMachines.isEmpty() && !job.isZoneBound)
-                hopeless.add(job.resourceRequest)
-            seats[job.id] = found
+                unplaceableRequests.add(job.resourceRequest)
+            candidates[job.id] = found
             return found
         }
 
-        fun candidates(job: Job): List<Machine> {
+        fun eligibleMachines(job: Job): List<Machine> {
             val spec = job.spec
-            val own = eligibility.exactFor(spec)
-            looks += round.open.size
+            val own = eligibility.exactTypesFor(spec)
+            machinesExamined += round.open.size
             return round.open.filter { machine ->
                 val label = machine.type.label
-                (label in own || (!exact && label !in held)) &&
+                (label in own || (!exact && label !in heldTypes)) &&
                     !gangReservations.isReservedFromJob(job, machine) &&
                     eligibility.allowed(spec, machine) &&
                     machine.fits(spec) &&
@@ -131,26 +135,26 @@
      * The machines that a job's tasks may go to, the best first. They are looked over once for all
      * its tasks; what others take meanwhile shows when a machine's turn comes.
      */
-    private inner class Seats(private val job: Job, machines: List<Machine>) {
-        private inner class Seat(val machine: Machine, val score: Double)
+    private inner class NodeCandidates(private val job: Job, machines: List<Machine>) {
+        private inner class NodeCandidate(val machine: Machine, val score: Double)
 
-        private val few = PageSizeEstimate.needsFewMachines(job, mostBytes)
+        private val packsDensely = PageSizeEstimate.requiresDensePacking(job, maxBytes)
         private val used =
-            if (few) job.placements.values.mapTo(HashSet()) { it.machine } else HashSet()
+            if (packsDensely) job.placements.values.mapTo(HashSet()) { it.machine } else HashSet()
 
         private val queue =
-            PriorityQueue<Seat>(maxOf(1, machines.size), compareBy { it.score }).apply {
-                for (machine in machines) add(seat(machine))
+            PriorityQueue<NodeCandidate>(maxOf(1, machines.size), compareBy { it.score }).apply {
+                for (machine in machines) add(candidate(machine))
             }
         val isEmpty: Boolean
             get() = queue.isEmpty()
 
-        private fun seat(machine: Machine) = Seat(machine, scoreOf(machine))
+        private fun candidate(machine: Machine) = NodeCandidate(machine, scoreOf(machine))
 
         /** Where its page holds all only on few machines, these are filled one by one. */
         private fun scoreOf(machine: Machine): Double {
-            if (!few) return eligibility.score(job.spec, machine) + zoneShare(machine)
-            return if (machine.id in used) -MOST_ROOM else -machine.roomFor(job.spec).toDouble()
+            if (!packsDensely) return eligibility.score(job.spec, machine) + zoneShare(machine)
+            return if (machine.id in used) -MAX_ROOM else -machine.roomFor(job.spec).toDouble()
         }
 
         /** What is spread loses least with a zone if all zones have as much of it. */
@@ -163,27 +167,27 @@
         fun best(): Machine? {
             val zones = eligibility.zonesOf(job)
             while (true) {
-                val seat = queue.peek() ?: return null
-                looks++
-                val machine = seat.machine
+                val candidate = queue.peek() ?: return null
+                machinesExamined++
+                val machine = candidate.machine
                 if (
                     !machine.fits(job.spec) || !eligibility.mayGoTo(machine.zone, job.spec, zones)
                 ) {
                     queue.poll()
                     continue
                 }
-                val now = seat(machine)
-                if (now.score <= seat.score + MachineType.EPSILON) return machine
+                val now = candidate(machine)
+                if (now.score <= candidate.score + MachineType.EPSILON) return machine
                 queue.poll()
                 queue.add(now)
             }
         }
 
         /** One more task of the job goes to the [best]; the next may go there too. */
-        fun taken(machine: Machine) {
+        fun onPlaced(machine: Machine) {
             queue.poll()
-            if (few) used.add(machine.id)
-            if (machine.fits(job.spec)) queue.add(seat(machine))
+            if (packsDensely) used.add(machine.id)
+            if (machine.fits(job.spec)) queue.add(candidate(machine))
         }
     }
 
@@ -207,7 +211,7 @@
      * Machine types that are held for jobs which wait too long and fit no smaller one. Smaller
      * tasks would go on taking what room comes free there, and never leave enough of it at once.
      */
-    private var held: Set<String> = emptySet()
+    private var heldTypes: Set<String> = emptySet()
 
     private fun isOverdue(job: Job) =
         !job.hasStarted &&
@@ -215,18 +219,18 @@
             context.wall - job.acceptedAt > operators.longestWaitS.seconds
 
     /** True if machines of this type are held, and for other work than this. */
-    fun isHeldFrom(spec: JobSpec, type: MachineType) =
-        type.label in held && type.label !in eligibility.exactFor(spec)
+    fun isTypeHeldFrom(spec: JobSpec, type: MachineType) =
+        type.label in heldTypes && type.label !in eligibility.exactTypesFor(spec)
 
     private fun isShortOfRoom(job: Job) =
         job.isBlockedLong(context.now) &&
             cluster.headroom(job.spec) > 0 &&
-            !gangPlacement.neverWritten(job)
+            !gangPlacement.canNeverBeStored(job)
 
     /**
      * What a team can count on: its cap, or, where room is scarce, what it has or is guaranteed.
      */
-    private fun counted(team: String, scarce: Boolean): Double {
+    private fun reachableCpus(team: String, scarce: Boolean): Double {
         val deployment = cluster.teams[team] ?: return 0.0
         if (!scarce) return deployment.cpusMax
         return minOf(deployment.cpusMax, maxOf(deployment.cpus, cluster.usedCpus(team)))
@@ -234,41 +238,41 @@
 
     private fun placeOne(job: Job, pass: Pass): Boolean {
         // The machines that it fits exactly hold the fewest of its tasks.
-        if (pass.exact && PageSizeEstimate.needsFewMachines(job, mostBytes)) return false
-        if (!gangReservations.leavesCap(job)) return false
-        if (job.spec.shape == JobKind.GANG) return placeGang(job, pass)
+        if (pass.exact && PageSizeEstimate.requiresDensePacking(job, maxBytes)) return false
+        if (!gangReservations.leavesQuota(job)) return false
+        if (job.spec.kind == JobKind.GANG) return placeGang(job, pass)
         if (job.waiting <= 0 || cluster.headroom(job.spec) < 1) return false
         return placeNext(job, pass) != null
     }
 
     private fun placeNext(job: Job, pass: Pass): Placement? {
-        if (pass.round.admission.closedTo(job)) return null
-        return placeNext(job, pass, pass.seatsFor(job) ?: return null)
+        if (pass.round.budget.isExhaustedFor(job)) return null
+        return placeNext(job, pass, pass.candidatesFor(job) ?: return null)
     }
 
-    private fun placeNext(job: Job, pass: Pass, seats: Seats): Placement? {
-        val admission = pass.round.admission
-        val machine = seats.best() ?: return null
-        val task = nextAdmitted(job, admission)
+    private fun placeNext(job: Job, pass: Pass, candidates: NodeCandidates): Placement? {
+        val budget = pass.round.budget
+        val machine = candidates.best() ?: return null
+        val task = nextTaskWithin(job, budget)
         if (task < 0) return null
         val placement = cluster.place(job, task, machine)
-        admission.took(placement)
-        seats.taken(machine)
+        budget.onPlaced(placement)
+        candidates.onPlaced(machine)
         log.debug("{} try {} goes to {}", placement.task, placement.attempt, machine.id)
         return placement
     }
 
     /** The next waiting task that the write to come takes, or -1. */
-    private fun nextAdmitted(job: Job, admission: Admission): Int {
-        repeat(minOf(job.waiting, MOST_ASIDE)) {
-            val task = job.takeWaiting()
+    private fun nextTaskWithin(job: Job, budget: PageWriteBudget): Int {
+        repeat(minOf(job.waiting, MAX_DEFERRED_TASKS)) {
+            val task = job.pollWaitingTask()
             if (task < 0) return -1
-            if (admission.admits(job, task)) return task
-            if (!admission.isFull(job, task)) {
-                job.putBack(task)
+            if (budget.tryReserve(job, task)) return task
+            if (!budget.isPageFull(job, task)) {
+                job.requeueFirst(task)
                 return -1
             }
-            job.setAside(task)
+            job.deferRestOfPage(task)
         }
         return -1
     }
@@ -285,25 +289,25 @@
         // What is left of an attempt without a record holds back the next one too: it is stopped by
         // the answer to the report that shows it.
         if (cluster.hasOrphans(job)) return false
-        val machines = gangPlacement.machinesFor(job, pass.candidates(job)) ?: return false
-        if (!pass.round.admission.admitsWhole(job)) return false
-        if (!out) job.beginAttempt(context.now)
-        val seats = Seats(job, machines)
+        val machines = gangPlacement.machinesFor(job, pass.eligibleMachines(job)) ?: return false
+        if (!pass.round.budget.tryReserveGang(job)) return false
+        if (!out) job.startGangAttempt(context.now)
+        val candidates = NodeCandidates(job, machines)
         val placed = ArrayList<Placement>()
-        while (job.waiting > 0) placed.add(placeNext(job, pass, seats) ?: break)
+        while (job.waiting > 0) placed.add(placeNext(job, pass, candidates) ?: break)
         if (job.waiting > 0) {
-            for (placement in placed) cluster.undo(placement)
-            if (!out) pass.round.admission.withdraw(job)
+            for (placement in placed) cluster.rollBack(placement)
+            if (!out) pass.round.budget.releaseGang(job)
         }
         return false
     }
 
     /** Jobs that wait for room although their team may use more. */
-    fun shortOfRoom(): List<Job> = cluster.jobs.values.filter { isShortOfRoom(it) }
+    fun jobsShortOfRoom(): List<Job> = cluster.jobs.values.filter { isShortOfRoom(it) }
 
     private companion object {
         /** More tasks than any machine has room for. */
-        const val MOST_ROOM = 1e6
+        const val MAX_ROOM = 1e6
 
         /**
          * A quarter of the tasks in one zone more outweighs what an ordinary machine costs more.
@@ -311,6 +315,6 @@
         const val SPREAD_WEIGHT = 5.0
 
         /** Tasks that are passed over in one look, as their pages are full. */
-        const val MOST_ASIDE = 600
+        const val MAX_DEFERRED_TASKS = 600
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -21,7 +21,7 @@
     private val operators: OperatorSettings,
 ) {
     /** Placements looked at so far: what it costs. */
-    var looks = 0L
+    var placementsExamined = 0L
         private set
 
     /**
@@ -39,7 +39,7 @@
                     context.now - since >= patience(job)
             }
         if (blocked.isEmpty()) return
-        val highest = blocked.minOf { it.spec.urgency }
+        val highest = blocked.minOf { it.spec.priority }
         val beyond = cluster.teams.values.any { cluster.usedCpus(it.name) > it.cpus }
         val callBack = beyond && blocked.any { mayCallBack(it) }
         val leaving = ArrayList<Placement>()
@@ -48,7 +48,7 @@
             if (machine.placements.isEmpty()) continue
             val usable = planner.eligibility.usable(machine)
             for (placement in machine.placements.values) {
-                val other = placement.job.spec.urgency
+                val other = placement.job.spec.priority
                 if (placement.isStopping) leaving.add(placement)
                 else if (!usable || !placement.committed || placement.status == null) continue
                 else if (other > highest || (callBack && other == highest)) stoppable.add(placement)
@@ -63,7 +63,7 @@
             placement.job.spec.cpus,
             Double::plus,
         )
-        for (job in blocked.sortedWith(compareBy({ it.spec.urgency }, { it.acceptedAt.value }))) {
+        for (job in blocked.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAt.value }))) {
             val spec = job.spec
             val wanted = minOf(job.waiting, MOST_AT_ONCE) * spec.cpus
             // What its team's cap leaves, and what the team's own less urgent work takes of it.
@@ -81,7 +81,7 @@
 
     /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
     private fun patience(job: Job): Micros =
-        if (job.spec.shape == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
+        if (job.spec.kind == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
 
     /**
      * What may be stopped for whom, the cheapest first. For most jobs that is only what is less
@@ -92,15 +92,15 @@
         private val lists = HashMap<Pair<PriorityClass, Boolean>, List<Placement>>()
 
         fun of(job: Job): List<Placement> {
-            val urgency = job.spec.urgency
+            val priority = job.spec.priority
             val callsBack = mayCallBack(job)
-            return lists.getOrPut(urgency to callsBack) {
+            return lists.getOrPut(priority to callsBack) {
                 sorted
                     .map { it.first }
                     .filter {
                         val other = it.job.spec
-                        other.urgency > urgency ||
-                            (callsBack && other.urgency == urgency && other.savable)
+                        other.priority > priority ||
+                            (callsBack && other.priority == priority && other.isCheckpointable)
                     }
             }
         }
@@ -118,10 +118,10 @@
         val zones = HashMap(planner.eligibility.zonesOf(job))
         for (victim in orderedFor(job, victims.of(job))) {
             if (freed >= wanted) break
-            looks++
+            placementsExamined++
             if (!among(victim) || !helps(job, victim, zones, wanted - freed)) continue
-            stopper.stop(victim, "room for ${job.id}")
-            if (victim.job.spec.urgency == job.spec.urgency) calledBack = true
+            stopper.evict(victim, "room for ${job.id}")
+            if (victim.job.spec.priority == job.spec.priority) calledBack = true
             freed += victim.job.spec.cpus
             if (job.isZoneBound) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
         }
@@ -150,7 +150,7 @@
     private fun isRoomFor(job: Job, machine: Machine, zones: Map<String, Int>): Boolean {
         val spec = job.spec
         val fits = planner.eligibility.allowed(spec, machine) && machine.type.holds(spec)
-        if (!fits || planner.isHeldFrom(spec, machine.type)) return false
+        if (!fits || planner.isTypeHeldFrom(spec, machine.type)) return false
         // Where its zone has its share of the job already, it is of no use.
         if (!planner.eligibility.mayGoTo(machine.zone, spec, zones)) return false
         // Room that comes free elsewhere is of no use to a gang, and what is stopped comes back.
@@ -163,7 +163,7 @@
 
     /** What has no end goes where most like it is: other machines come free for good. */
     private fun orderedFor(job: Job, victims: List<Placement>): List<Placement> {
-        if (job.spec.shape != JobKind.SERVICE) return victims
+        if (job.spec.kind != JobKind.SERVICE) return victims
         val held = HashMap<MachineId, Double>()
         fun servicesAt(machine: MachineId) =
             held.getOrPut(machine) { cluster.machines[machine]?.serviceCpus ?: 0.0 }
@@ -173,12 +173,12 @@
     private fun mayStop(job: Job, victim: Placement): Boolean {
         val other = victim.job.spec
         // One task of a gang takes the others with it.
-        if (other.shape == JobKind.GANG) return false
-        if (other.urgency > job.spec.urgency) return true
+        if (other.kind == JobKind.GANG) return false
+        if (other.priority > job.spec.priority) return true
         // A guarantee is called back only from work that keeps what it has done, and never from
         // more urgent work: otherwise two teams below theirs stop each other without end.
-        if (other.team == job.spec.team || other.urgency < job.spec.urgency) return false
-        if (!other.savable || !mayCallBack(job)) return false
+        if (other.team == job.spec.team || other.priority < job.spec.priority) return false
+        if (!other.isCheckpointable || !mayCallBack(job)) return false
         // Only for the team that the room would go to.
         if (cluster.queue.startTag(job.spec.team) > cluster.queue.startTag(other.team)) return false
         val theirs = cluster.teams[other.team] ?: return false
@@ -215,7 +215,7 @@
     private fun loss(victim: Placement): Double {
         val spec = victim.job.spec
         val since = victim.runningSince ?: return 0.0
-        val lost = if (spec.savable) spec.saveS else (context.now - since).inSeconds
+        val lost = if (spec.isCheckpointable) spec.saveS else (context.now - since).inSeconds
         return (lost + RESTART_S) * spec.cpus
     }
 
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -13,26 +13,27 @@
     private val log = logger<TaskEvictor>()
 
     /** Of a gang all are stopped: those not told in time spoil what the others save. */
-    fun stop(victim: Placement, why: String) {
-        if (victim.job.spec.isGang) return stopGang(victim.job, why)
+    fun evict(victim: Placement, reason: String) {
+        if (victim.job.spec.isGang) return evictGang(victim.job, reason)
         val spec = victim.job.spec
-        val save = spec.savable && victim.status == TaskStatus.RUNNING
-        halt(victim, if (save) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
-        log.info("stopping {} on {}: {}", victim.task, victim.machine, why)
+        val save = spec.isCheckpointable && victim.status == TaskStatus.RUNNING
+        requestStop(victim, if (save) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
+        log.info("stopping {} on {}: {}", victim.task, victim.machine, reason)
     }
 
-    private fun stopGang(job: Job, why: String) {
+    private fun evictGang(job: Job, reason: String) {
         val spec = job.spec
-        val save = spec.savable && job.placements.values.all { it.status == TaskStatus.RUNNING }
-        if (!save) cluster.breakAttempt(job)
+        val save =
+            spec.isCheckpointable && job.placements.values.all { it.status == TaskStatus.RUNNING }
+        if (!save) cluster.abortGangAttempt(job)
         else {
             val within = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).seconds
-            for (placement in job.placements.values) halt(placement, within)
+            for (placement in job.placements.values) requestStop(placement, within)
         }
-        log.info("stopping all {} tasks of {}: {}", job.placements.size, job.id, why)
+        log.info("stopping all {} tasks of {}: {}", job.placements.size, job.id, reason)
     }
 
-    private fun halt(victim: Placement, within: Micros) {
+    private fun requestStop(victim: Placement, within: Micros) {
         victim.gracePeriod = within
         victim.stopSent = false
         cluster.machines[victim.machine]?.let { cluster.machinesWithCommands.add(it) }
--- a/src/main/kotlin/wardmux/scheduling/TeamOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
@@ -15,9 +15,9 @@
  * that is at fault comes last. Being put behind is bounded: what has not begun for [longestWait]
  * goes before all else, so that the largest jobs are not held up for ever by smaller ones.
  */
-class TeamOrder(
+class TeamJobOrder(
     private val objectives: List<ServiceLevelObjective>,
-    private val estimates: Estimates,
+    private val estimates: RuntimeEstimates,
     private val longestWait: Micros,
 ) {
     private class Entry(val job: Job, val work: Double, val run: Double, val due: DoubleArray) {
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -68,7 +68,7 @@
         queue().also {
             val first = it.charge("batch", Cost(160_000_000), Micros(TAGS_AT))
             it.charge("batch", Cost(40_000_000), Micros(TAGS_AT))
-            it.correct("batch", first, Cost(200_000_000), Micros(TAGS_AT))
+            it.settle("batch", first, Cost(200_000_000), Micros(TAGS_AT))
             it.charge("web", Cost(8_000_000), Micros(TAGS_AT))
         }
 
@@ -80,8 +80,8 @@
             id = "job-000412",
             jobClass = "train",
             team = "batch",
-            shape = JobKind.ARRAY,
-            urgency = PriorityClass.HIGH,
+            kind = JobKind.ARRAY,
+            priority = PriorityClass.HIGH,
             tasks = 40,
             cpus = 2.5,
             gpus = 1.0,
@@ -103,8 +103,8 @@
     val DAEMON_SPEC =
         BATCH_SPEC.copy(
             id = "job-000413",
-            shape = JobKind.SERVICE,
-            urgency = PriorityClass.PROD,
+            kind = JobKind.SERVICE,
+            priority = PriorityClass.PROD,
             tasks = 3,
             gpus = 0.0,
             types = null,
@@ -119,13 +119,13 @@
     val GANG_SPEC =
         BATCH_SPEC.copy(
             id = "job-000414",
-            shape = JobKind.GANG,
-            urgency = PriorityClass.NORMAL,
+            kind = JobKind.GANG,
+            priority = PriorityClass.NORMAL,
             types = null,
             deadlineS = null,
         )
     val IDLE_SPEC =
-        DAEMON_SPEC.copy(id = "job-000415", shape = JobKind.ARRAY, urgency = PriorityClass.IDLE)
+        DAEMON_SPEC.copy(id = "job-000415", kind = JobKind.ARRAY, priority = PriorityClass.IDLE)
     val GANG_AGAIN_SPEC = GANG_SPEC.copy(id = "job-000416", tasks = 8)
     val GANG_DONE_SPEC = GANG_SPEC.copy(id = "job-000417", tasks = 8)
     val SPECS = listOf(BATCH_SPEC, DAEMON_SPEC, GANG_SPEC, IDLE_SPEC)
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -20,7 +20,7 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.jsonBytes
@@ -78,13 +78,13 @@
     fun `records of jobs, also as they are cancelled or done`() {
         val records = samples.stored.keys.filter { it.first() in "jqc" && it[1] == '/' }
         assertEquals(13, records.size)
-        for (key in records) rewritten(key) { assertNotNull(JobRecord.of(it)).toJson() }
+        for (key in records) rewritten(key) { assertNotNull(JobRecord.decode(it)).toJson() }
         for (spec in FormatContents.SPECS) {
-            val open = assertNotNull(JobRecord.of(samples.stored.getValue("q/${spec.id}")))
+            val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
             val cancelled = samples.stored.getValue("c/${spec.id}")
             assertEquals(
                 cancelled.toString(),
-                open.cancelled(mostBytes = 2_000).toJson().toString(),
+                open.toCancelled(maxBytes = 2_000).toJson().toString(),
             )
         }
     }
@@ -93,14 +93,14 @@
     @Test
     fun `a record that is shortened keeps each field that must be there`() {
         for (spec in FormatContents.SPECS) {
-            val open = assertNotNull(JobRecord.of(samples.stored.getValue("q/${spec.id}")))
-            val whole = open.cancelled(mostBytes = 2_000).toJson()
-            val short = open.cancelled(jsonBytes(whole) - 1).toJson()
+            val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
+            val whole = open.toCancelled(maxBytes = 2_000).toJson()
+            val short = open.toCancelled(jsonBytes(whole) - 1).toJson()
             assertTrue(jsonBytes(short) < jsonBytes(whole), spec.id)
             val lost = fields(whole) - fields(short)
             assertTrue(lost.all { it in OPTIONAL }, "$lost of ${spec.id}")
             assertEquals(whole.jsonObject.getValue("state"), short.jsonObject["state"])
-            assertEquals(spec.team, assertNotNull(JobRecord.of(short)).spec?.team)
+            assertEquals(spec.team, assertNotNull(JobRecord.decode(short)).spec?.team)
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     private fun load(job: Job, number: Int, json: JsonElement) {
-        val stored = lenientJson.decodeFromJsonElement(StoredPage.serializer(), json)
+        val stored = lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), json)
         TaskPageCodec.restore(job, number, KeyVersion(99), stored)
     }
 
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -32,7 +32,7 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.lenientJson
@@ -190,28 +190,30 @@
     fun `job records are read in each state and shape, under each of their keys`() {
         for (spec in FormatContents.SPECS) {
             for (key in listOf("j/${spec.id}", "q/${spec.id}")) {
-                eachStored(key) { assertEquals(FormatContents.accepted(spec), JobRecord.of(it)) }
+                eachStored(key) {
+                    assertEquals(FormatContents.accepted(spec), JobRecord.decode(it))
+                }
             }
             eachStored("c/${spec.id}") {
-                assertEquals(FormatContents.cancelled(spec), JobRecord.of(it))
+                assertEquals(FormatContents.cancelled(spec), JobRecord.decode(it))
             }
         }
-        eachStored("j/job-000001") { assertEquals(FormatContents.DONE, JobRecord.of(it)) }
+        eachStored("j/job-000001") { assertEquals(FormatContents.DONE, JobRecord.decode(it)) }
     }
 
     /** Spelled out once, so that a field that is read in another's place is noticed. */
     @Test
     fun `each field of a job record is read`() =
         eachStored("c/job-000412") {
-            val record = assertNotNull(JobRecord.of(it))
+            val record = assertNotNull(JobRecord.decode(it))
             assertEquals(JobState.CANCELLED, record.state)
             assertEquals(1_790_000_000_123_456, record.acceptedAt)
             val spec = assertNotNull(record.spec)
             assertEquals(JobId("job-000412"), spec.jobId)
             assertEquals("train", spec.jobClass)
             assertEquals("batch", spec.team)
-            assertEquals(JobKind.ARRAY, spec.shape)
-            assertEquals(PriorityClass.HIGH, spec.urgency)
+            assertEquals(JobKind.ARRAY, spec.kind)
+            assertEquals(PriorityClass.HIGH, spec.priority)
             assertEquals(40, spec.tasks)
             assertEquals(2.5, spec.cpus)
             assertEquals(1.0, spec.gpus)
@@ -230,7 +232,7 @@
         }
 
     private fun page(json: JsonElement) =
-        lenientJson.decodeFromJsonElement(StoredPage.serializer(), json)
+        lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), json)
 
     @Test
     fun `a page is read with its placements, their zones and charges`() =
@@ -275,7 +277,7 @@
                 assertEquals(last + 1, job.nextAttempt(task), "next attempt of $task")
             }
             // What came back waits behind what was never tried.
-            val waiting = generateSequence { job.takeWaiting().takeIf { it >= 0 } }.toList()
+            val waiting = generateSequence { job.pollWaitingTask().takeIf { it >= 0 } }.toList()
             assertEquals(FormatContents.TRIED.keys.toList(), waiting.takeLast(3))
             assertEquals(40 - 8 - 5, waiting.size)
         }
@@ -288,13 +290,13 @@
             assertEquals(wanted, read.map { it.task to it.machine })
             assertEquals(setOf(FormatContents.GANG_ATTEMPT), read.map { it.attempt }.toSet())
             assertEquals(setOf("east"), read.map { it.zone }.toSet())
-            assertEquals(FormatContents.GANG_ATTEMPT, gang.gang?.number)
+            assertEquals(FormatContents.GANG_ATTEMPT, gang.gangAttempt?.number)
             assertEquals(0, gang.doneCount)
         }
         eachGangPages(FormatContents.GANG_AGAIN_SPEC, 0..0) { gang, read ->
             assertEquals(0, read.size)
             assertEquals(8, gang.waiting)
-            gang.beginAttempt(Micros.ZERO)
+            gang.startGangAttempt(Micros.ZERO)
             assertEquals(FormatContents.GANG_ATTEMPT + 1, gang.nextAttempt(0))
         }
         eachGangPages(FormatContents.GANG_DONE_SPEC, 0..0) { gang, read ->
--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
@@ -10,7 +10,7 @@
 import wardmux.model.MachineType
 import wardmux.model.PriorityClass
 import wardmux.model.seconds
-import wardmux.scheduling.Admission
+import wardmux.scheduling.PageWriteBudget
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
@@ -30,8 +30,8 @@
     private val service =
         plainJob(2, "job-000001")
             .copy(
-                shape = JobKind.SERVICE,
-                urgency = PriorityClass.PROD,
+                kind = JobKind.SERVICE,
+                priority = PriorityClass.PROD,
                 spot = false,
                 estimateS = 0.0,
             )
@@ -43,7 +43,7 @@
     }
 
     private fun adjust(surplus: Double) {
-        harness.pools.observeNow(harness.cluster.jobs.values)
+        harness.pools.refresh(harness.cluster.jobs.values)
         val pool = harness.pools.pools.single()
         drainer.adjust(pool, harness.cluster.machines.values.toList(), surplus)
         drainer.moveReplicas()
@@ -104,7 +104,7 @@
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
         adjust(1.0)
         val waits = harness.job(plainJob(1, "job-000003"))
-        harness.planner.plan(Admission(7))
+        harness.planner.plan(PageWriteBudget(7))
         assertEquals(0, waits.placements.size)
     }
 }
--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -82,7 +82,7 @@
     fun `a service gets ordinary machines, however many spot machines there are`() {
         val service =
             plainJob(64, "job-000003")
-                .copy(shape = JobKind.SERVICE, spot = false, spread = true, estimateS = 0.0)
+                .copy(kind = JobKind.SERVICE, spot = false, spread = true, estimateS = 0.0)
         val asked = kindsAskedFor(smallTasks, service)
         assertEquals(setOf("large spot", "large"), asked)
     }
--- a/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
@@ -27,7 +27,7 @@
     private val disruptions =
         Disruptions(harness.context, harness.cluster, DrainSettings(budget = budget), 6.seconds)
     private val machine = harness.machine(1, type)
-    private val job = harness.job(plainJob(4).copy(shape = JobKind.SERVICE))
+    private val job = harness.job(plainJob(4).copy(kind = JobKind.SERVICE))
 
     init {
         repeat(4) { harness.run(job, it, machine) }
@@ -102,7 +102,7 @@
         disruptions.stopped(first)
         assertNull(disruptions.refusal(job, 1))
         assertIs<BudgetRefusal.NotNow>(disruptions.refusal(job, 2))
-        val small = harness.job(plainJob(2, "job-000002").copy(shape = JobKind.SERVICE))
+        val small = harness.job(plainJob(2, "job-000002").copy(kind = JobKind.SERVICE))
         assertIs<BudgetRefusal.Never>(disruptions.refusal(small, 1), "two replicas must stay up")
     }
 
@@ -122,7 +122,7 @@
 
     @Test
     fun `replicas of one service are limited beside the team`() {
-        val other: Job = harness.job(plainJob(3, "job-000003").copy(shape = JobKind.SERVICE))
+        val other: Job = harness.job(plainJob(3, "job-000003").copy(kind = JobKind.SERVICE))
         repeat(3) { harness.run(other, it, harness.machine(2 + it, type)) }
         disruptions.count()
         disruptions.stopped(other.placements.get(0))
--- a/src/test/kotlin/wardmux/drain/DrainDay.kt
+++ b/src/test/kotlin/wardmux/drain/DrainDay.kt
@@ -44,8 +44,8 @@
             .randomJob()
             .copy(
                 team = "team-$team",
-                shape = JobKind.SERVICE,
-                urgency = PriorityClass.NORMAL,
+                kind = JobKind.SERVICE,
+                priority = PriorityClass.NORMAL,
                 tasks = replicas,
                 cpus = cpus,
                 zone = null,
@@ -61,7 +61,7 @@
     fun array(team: Int, tasks: Int, inSeconds: Double, cpus: Double = 2.0): JobSpec =
         service(team, tasks, cpus)
             .copy(
-                shape = JobKind.ARRAY,
+                kind = JobKind.ARRAY,
                 spot = true,
                 estimateS = inSeconds,
                 checkpointS = 5.0,
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -155,7 +155,7 @@
     fun `a drain yields to urgent work that waits for room, and says so`() {
         val day = DrainDay(5, capacity = 1)
         day.begin(day.service(0, 2, cpus = 6.0), day.service(1, 2, cpus = 6.0))
-        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = PriorityClass.HIGH)
+        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(priority = PriorityClass.HIGH)
         day.submit(urgent)
         day.simulation.run(day.clock.now + 5.seconds)
         day.start()
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -48,7 +48,7 @@
             plainJob(REPLICAS, "job-%06d".format(number + 1))
                 .copy(
                     team = "team-${number % 3}",
-                    shape = JobKind.SERVICE,
+                    kind = JobKind.SERVICE,
                     cpus = 8.0,
                     spot = false,
                     estimateS = 0.0,
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -176,8 +176,8 @@
         val most = 3
         val budget = BudgetSettings(mostDisrupted = most, stepPauseS = 1.0)
         val day = DrainDay(14, DrainSettings(budget = budget))
-        val small = day.array(0, 3, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
-        val large = day.array(1, 4, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
+        val small = day.array(0, 3, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
+        val large = day.array(1, 4, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
         day.simulation.gangs.lengths[small.id] = 300.seconds
         day.simulation.gangs.lengths[large.id] = 300.seconds
         day.begin(small, large).start(ordinary.copy(graceS = 0.0))
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -64,8 +64,8 @@
         day.simulation.randomJob().let { job ->
             val isEndless = job.estimateS == 0.0
             val spec = if (isEndless) job.copy(estimateS = 8.0) else job
-            val plain = spec.copy(urgency = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
-            if (isEndless) plain.copy(shape = JobKind.ARRAY) else plain
+            val plain = spec.copy(priority = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
+            if (isEndless) plain.copy(kind = JobKind.ARRAY) else plain
         }
 
     private companion object {
--- a/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/OddRequestsTest.kt
@@ -150,7 +150,7 @@
             val long = text("x".repeat(600))
             val body = submission("boxkinds" to manyKinds, "bundle" to long, "jobclass" to long)
             assertEquals(201, harness.call("POST", "/submissions", body)?.first)
-            val kept = JobRecord.of(harness.stored(JobRecord.key(id))!!)?.spec
+            val kept = JobRecord.decode(harness.stored(JobRecord.key(id))!!)?.spec
             assertEquals(600 to 600, kept?.let { it.image.length to it.jobClass.length })
             assertEquals(listOf("mid"), kept?.types)
             val abort = harness.call("POST", "/submissions/${id.value}/abort")
--- a/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -52,7 +52,7 @@
     fun `a good submission is read whole`() {
         val good = assertIs<Submission.Good>(SubmissionReader.read(submission()))
         assertEquals(16, good.spec.tasks)
-        assertEquals(PriorityClass.HIGH, good.spec.urgency)
+        assertEquals(PriorityClass.HIGH, good.spec.priority)
         assertNull(good.spec.types)
         assertEquals(900.0, good.spec.deadlineS)
     }
@@ -129,16 +129,16 @@
         }
         val named = good(arrayOf("bundle" to long, "jobclass" to long, "boxkinds" to twice))
         val useful = setOf("kind-007", "kind-200")
-        val kept = JobRecord.fitting(named, useful, 2048)
+        val kept = JobRecord.shortened(named, useful, 2048)
         assertEquals(named.copy(types = listOf("kind-007", "kind-200")), kept)
-        assertTrue(JobRecord.takes(kept!!) <= 2048)
-        assertEquals(kept, JobRecord.fitting(named, useful, 16_384))
+        assertTrue(JobRecord.maxBytes(kept!!) <= 2048)
+        assertEquals(kept, JobRecord.shortened(named, useful, 16_384))
         // As it was named where that is short, with types unknown so far.
         val short = good(arrayOf("boxkinds" to JsonArray(kinds.take(60))))
-        assertEquals(short, JobRecord.fitting(short, useful, 2048))
+        assertEquals(short, JobRecord.shortened(short, useful, 2048))
         val beyond = good(arrayOf("bundle" to JsonPrimitive("x".repeat(2_000))))
-        assertNull(JobRecord.fitting(beyond, useful, 2048))
-        assertEquals(beyond, JobRecord.fitting(beyond, useful, 8192))
+        assertNull(JobRecord.shortened(beyond, useful, 2048))
+        assertEquals(beyond, JobRecord.shortened(beyond, useful, 8192))
     }
 
     @Test
@@ -150,19 +150,19 @@
             assertIs<Submission.Good>(read).spec
         }
         val unescaped = accented(200)
-        assertTrue(JobRecord.takes(unescaped) > 2048)
-        assertEquals(unescaped, JobRecord.fitting(unescaped, emptySet(), 2048))
-        assertNull(JobRecord.fitting(accented(500), emptySet(), 2048))
+        assertTrue(JobRecord.maxBytes(unescaped) > 2048)
+        assertEquals(unescaped, JobRecord.shortened(unescaped, emptySet(), 2048))
+        assertNull(JobRecord.shortened(accented(500), emptySet(), 2048))
     }
 
     @Test
     fun `a larger one that was accepted before can still be cancelled`() {
         val good = SubmissionReader.read(submission()) as Submission.Good
         val large = good.spec.copy(types = List(400) { "kind-$it" })
-        val small = JobRecord(JobState.ACCEPTED, 1, large).cancelled(2048)
+        val small = JobRecord(JobState.ACCEPTED, 1, large).toCancelled(2048)
         assertTrue(small.toJson().toString().length < 2048)
         assertEquals(JobState.CANCELLED, small.state)
         assertEquals(large.tasks to large.cpus, small.spec?.let { it.tasks to it.cpus })
-        assertEquals(large, JobRecord(JobState.ACCEPTED, 1, large).cancelled(16_384).spec)
+        assertEquals(large, JobRecord(JobState.ACCEPTED, 1, large).toCancelled(16_384).spec)
     }
 }
--- a/src/test/kotlin/wardmux/leader/TakeOverTest.kt
+++ b/src/test/kotlin/wardmux/leader/TakeOverTest.kt
@@ -75,7 +75,7 @@
     @Test
     fun `a cancellation that a sibling tells while the new leader reads is not lost`() {
         val harness = ControllerHarness(peers = listOf("n1"))
-        val gang = plainJob(2).copy(shape = JobKind.GANG)
+        val gang = plainJob(2).copy(kind = JobKind.GANG)
         harness.accept(gang)
         val page =
             """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001","i-000002"],""" +
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -7,9 +7,9 @@
 import wardmux.jobs.Submission
 import wardmux.jobs.SubmissionReader
 import wardmux.jobs.submission
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
-import wardmux.scheduling.Admission
+import wardmux.scheduling.PageWriteBudget
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
 
@@ -32,7 +32,7 @@
             }
             val stored =
                 lenientJson.decodeFromJsonElement(
-                    StoredPage.serializer(),
+                    StoredTaskPage.serializer(),
                     TaskPageCodec.encode(job, 0),
                 )
             val again = Job(spec, KeyVersion(1), Micros.ZERO, size)
@@ -50,13 +50,13 @@
                     Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
                 // What two rounds admit, ended in between as badly as can be.
                 repeat(2) {
-                    val admission = Admission(7, limit)
+                    val budget = PageWriteBudget(7, limit)
                     for (task in 0 until spec.tasks) {
                         if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
-                        if (!admission.admits(job, task)) continue
+                        if (!budget.tryReserve(job, task)) continue
                         val placement = widest(job, task, job.nextAttempt(task), task / perMachine)
                         job.place(placement, Micros.ZERO)
-                        admission.took(placement)
+                        budget.onPlaced(placement)
                     }
                     assertTrue(job.placements.size > 4, "too few for $limit: $perMachine")
                     assertFits(job, limit)
@@ -85,19 +85,19 @@
         val tasks = 1024 until 1280
         val from = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
         val tried = tasks.filter { it % 2 == 1 }.flatMap { listOf(it, 2) }
-        var stored = decode(StoredPage.of(from, emptyList(), tried))
+        var stored = decode(StoredTaskPage.of(from, emptyList(), tried))
         assertTrue(bytes(stored) > LOWERED)
         var job = loaded(spec, stored, number)
         // What a machine was told to forget.
         val forgotten = tasks.filterTo(HashSet()) { job.isRecorded(it) }
         for (round in 0 until 200) {
-            val admission = Admission(7, LOWERED)
+            val budget = PageWriteBudget(7, LOWERED)
             for (task in tasks) {
                 if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
-                if (!admission.admits(job, task)) continue
+                if (!budget.tryReserve(job, task)) continue
                 val placement = widest(job, task, job.nextAttempt(task), task)
                 job.place(placement, Micros.ZERO)
-                admission.took(placement)
+                budget.onPlaced(placement)
             }
             assertTrue(job.placements.isNotEmpty(), "nothing can be placed in round $round")
             stored = write(job, number)
@@ -124,7 +124,7 @@
         error("the page did not come to its end")
     }
 
-    private fun write(job: Job, page: Int): StoredPage {
+    private fun write(job: Job, page: Int): StoredTaskPage {
         val content = TaskPageCodec.encode(job, page, LOWERED)
         assertTrue(jsonBytes(content.data) <= LOWERED, "${jsonBytes(content.data)} bytes")
         job.pages.onWritten(page, KeyVersion(1), content.done)
@@ -132,12 +132,12 @@
     }
 
     private fun decode(data: JsonElement) =
-        lenientJson.decodeFromJsonElement(StoredPage.serializer(), data)
+        lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), data)
 
-    private fun bytes(page: StoredPage) =
-        jsonBytes(lenientJson.encodeToJsonElement(StoredPage.serializer(), page))
+    private fun bytes(page: StoredTaskPage) =
+        jsonBytes(lenientJson.encodeToJsonElement(StoredTaskPage.serializer(), page))
 
-    private fun loaded(spec: JobSpec, stored: StoredPage, page: Int) =
+    private fun loaded(spec: JobSpec, stored: StoredTaskPage, page: Int) =
         Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024)).also {
             TaskPageCodec.restore(it, page, KeyVersion(1), stored)
         }
--- a/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
@@ -55,7 +55,7 @@
         val queue = FairQueue(mapOf("a" to 4.0), 600.seconds, normSeconds = 10.0)
         val charge = queue.charge("a", Cost(40_000_000), Micros.ZERO)
         assertEquals(10_000_000, queue.startTag("a"))
-        queue.correct("a", charge, Cost(80_000_000), Micros.ZERO)
+        queue.settle("a", charge, Cost(80_000_000), Micros.ZERO)
         assertEquals(20_000_000, queue.startTag("a"))
     }
 
@@ -65,9 +65,9 @@
         repeat(5) { queue.charge("a", second, Micros.ZERO) }
         val before = queue.clock
         val charge = queue.charge("a", second, Micros.ZERO)
-        queue.correct("a", charge, Cost(0), Micros.ZERO)
+        queue.settle("a", charge, Cost(0), Micros.ZERO)
         assertTrue(queue.clock >= before)
-        queue.idle()
+        queue.advanceToHighestTag()
         assertEquals(5_000_000, queue.startTag("b"))
         queue.charge("b", second, Micros.ZERO)
         assertEquals(5_000_000, queue.clock)
@@ -79,7 +79,7 @@
         queue.charge("a", second, Micros.ZERO)
         queue.charge("b", Cost(7_000_000), Micros.ZERO)
         val next = plain("a" to 2.0, "b" to 1.0)
-        next.load(queue.toJson(Micros.ZERO, mostBytes = 2048))
+        next.load(queue.toJson(Micros.ZERO, maxBytes = 2048))
         assertEquals(queue.clock, next.clock)
         for (team in listOf("a", "b")) {
             assertEquals(queue.startTag(team), next.startTag(team))
@@ -93,7 +93,7 @@
         queue.charge("a", second, Micros.ZERO)
         val before = queue.startTag("a")
         val charge = queue.charge("a", Cost(9_000_000), Micros.ZERO)
-        queue.undo("a", charge, Micros.ZERO)
+        queue.refund("a", charge, Micros.ZERO)
         assertEquals(before, queue.startTag("a"))
     }
 
@@ -106,7 +106,7 @@
             Cost(10_000_000L * (i + 1)),
             Micros.ZERO,
         )
-        val json = many.toJson(Micros.ZERO, mostBytes = 2048).toString()
+        val json = many.toJson(Micros.ZERO, maxBytes = 2048).toString()
         assertTrue(json.length in 1_800..2048, "${json.length} bytes")
         assertTrue("team-99" in json && "\"team-3\"" !in json, json)
     }
--- a/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -20,7 +20,7 @@
         imageReady(spec.image, spec.imageGb, harness.context.now)
 
     private fun placesOf(job: Job): Set<MachineId> {
-        harness.planner.plan(Admission(7))
+        harness.planner.plan(PageWriteBudget(7))
         return job.placements.values.mapTo(HashSet()) { it.machine }
     }
 
--- a/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
@@ -18,7 +18,7 @@
 
     private fun Machine.occupy(cpus: Double) = harness.occupy(this, cpus)
 
-    private fun plan() = harness.planner.plan(Admission(7))
+    private fun plan() = harness.planner.plan(PageWriteBudget(7))
 
     @Test
     fun `a gang gathers from the first plan without room for it, and on more than one machine`() {
@@ -42,12 +42,12 @@
         val gang = harness.job(spec)
         plan()
         assertEquals(8, gang.placements.size)
-        harness.cluster.undo(gang.placements.values.first())
-        harness.cluster.book(spec.copy(cpus = 700.0 - 7 * spec.cpus), 1)
+        harness.cluster.rollBack(gang.placements.values.first())
+        harness.cluster.adjustQuotaUsage(spec.copy(cpus = 700.0 - 7 * spec.cpus), 1)
         val later = harness.context.now + 60.seconds
         harness.context.at(later, later)
         plan()
-        assertEquals(true, gang.gang?.broken)
+        assertEquals(true, gang.gangAttempt?.isAborted)
         assertEquals(setOf(Micros.ZERO), gang.placements.values.map { it.gracePeriod }.toSet())
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
@@ -41,7 +41,7 @@
 
     private fun observe(at: Micros, vararg specs: JobSpec) {
         context.at(at, at)
-        pools.observe(specs.map { job(it) })
+        pools.refreshIfDue(specs.map { job(it) })
     }
 
     private val smallTask = plainJob(100).copy(cpus = 2.0, memoryGb = 2.0)
@@ -50,19 +50,19 @@
     @Test
     fun `a larger type that nothing needs for its size is an exact fit too`() {
         observe(0.seconds, smallTask)
-        assertEquals(setOf("small", "large"), pools.exactFor(smallTask))
+        assertEquals(setOf("small", "large"), pools.exactTypesFor(smallTask))
         assertEquals(listOf(large, small), pools.pools.single().cheapestFirst(spot = true))
     }
 
     @Test
     fun `one that some work needs stays for that work, also for a while after it`() {
         observe(0.seconds, smallTask, largeTask)
-        assertEquals(setOf("small"), pools.exactFor(smallTask))
-        assertEquals(setOf("large"), pools.exactFor(largeTask))
+        assertEquals(setOf("small"), pools.exactTypesFor(smallTask))
+        assertEquals(setOf("large"), pools.exactTypesFor(largeTask))
         observe(300.seconds, smallTask)
-        assertEquals(setOf("small"), pools.exactFor(smallTask))
+        assertEquals(setOf("small"), pools.exactTypesFor(smallTask))
         observe(1_000.seconds, smallTask)
-        assertEquals(setOf("small", "large"), pools.exactFor(smallTask))
+        assertEquals(setOf("small", "large"), pools.exactTypesFor(smallTask))
     }
 
     @Test
@@ -79,15 +79,17 @@
     @Test
     fun `dear kinds are measured against the cheapest of their pool`() {
         observe(0.seconds, smallTask)
-        assertEquals(1.0, pools.dearness(large, spot = true))
-        assertTrue(pools.dearness(small, spot = true) in 1.5..1.7)
-        assertTrue(pools.dearness(large, spot = false) < pools.dearness(small, spot = false))
+        assertEquals(1.0, pools.relativeCost(large, spot = true))
+        assertTrue(pools.relativeCost(small, spot = true) in 1.5..1.7)
+        assertTrue(
+            pools.relativeCost(large, spot = false) < pools.relativeCost(small, spot = false)
+        )
     }
 
     @Test
     fun `a type that holds no task of the kind is no exact fit for it`() {
         val wide = smallTask.copy(types = listOf("small"))
         observe(0.seconds, wide)
-        assertEquals(setOf("small"), pools.exactFor(wide))
+        assertEquals(setOf("small"), pools.exactTypesFor(wide))
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
@@ -15,20 +15,20 @@
     private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
 
-    private fun placeable(job: Job, together: Int) =
-        PageSizeEstimate.placeable(job, together, MOST_BYTES)
+    private fun placeableTasks(job: Job, together: Int) =
+        PageSizeEstimate.placeableTasks(job, together, MOST_BYTES)
 
-    private fun planAll() = repeat(20) { harness.planner.plan(Admission(7, MOST_BYTES)) }
+    private fun planAll() = repeat(20) { harness.planner.plan(PageWriteBudget(7, MOST_BYTES)) }
 
     private fun check(cpus: Double, together: Int) {
         val job = harness.job(plainJob(120).copy(cpus = cpus, memoryGb = 1.0))
-        val expected = placeable(job, together)
+        val expected = placeableTasks(job, together)
         repeat(120) { harness.machine(it, type) }
         planAll()
         val placed = job.placements.size
         assertTrue(placed < 120, "the page took all, so that nothing is shown")
         assertTrue(expected in placed * 3 / 4..placed * 5 / 4, "$expected expected, $placed placed")
-        assertEquals(0, placeable(job, together), "of a full page")
+        assertEquals(0, placeableTasks(job, together), "of a full page")
     }
 
     @Test fun `tasks with a machine each`() = check(cpus = 16.0, together = 1)
@@ -38,7 +38,7 @@
     @Test
     fun `of a job that always fits all that wait count`() {
         val job = harness.job(plainJob(19).copy(cpus = 16.0))
-        assertEquals(19, placeable(job, 1))
+        assertEquals(19, placeableTasks(job, 1))
     }
 
     private companion object {
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -46,10 +46,10 @@
     }
 
     fun job(spec: JobSpec, acceptedAt: Micros = Micros.ZERO): Job =
-        unlisted(spec, acceptedAt).also { cluster.jobs[it.id] = it }
+        untrackedJob(spec, acceptedAt).also { cluster.jobs[it.id] = it }
 
     /** One that only takes room. */
-    fun unlisted(spec: JobSpec, acceptedAt: Micros = Micros.ZERO) =
+    fun untrackedJob(spec: JobSpec, acceptedAt: Micros = Micros.ZERO) =
         Job(spec, KeyVersion(1), acceptedAt, 128)
 
     fun placement(job: Job, task: Int, machine: Machine) =
@@ -61,7 +61,7 @@
         placement.committed = true
         placement.status = TaskStatus.RUNNING
         job.place(placement, context.wall)
-        cluster.restore(placement, machine)
+        cluster.addPlacement(placement, machine)
     }
 
     /** What stops work for other work, with the usual settings. */
@@ -69,7 +69,7 @@
 
     /** Room on the machine is taken by work that no plan looks at. */
     fun occupy(machine: Machine, cpus: Double) {
-        val other = unlisted(plainJob(1, "job-999999").copy(cpus = cpus))
+        val other = untrackedJob(plainJob(1, "job-999999").copy(cpus = cpus))
         machine.add(placement(other, 0, machine))
     }
 
@@ -87,6 +87,6 @@
             )
 
         fun gang(tasks: Int): JobSpec =
-            plainJob(tasks, "job-000001").copy(shape = JobKind.GANG, image = "gang-image")
+            plainJob(tasks, "job-000001").copy(kind = JobKind.GANG, image = "gang-image")
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
@@ -14,13 +14,13 @@
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = List(10) { TeamQuota("team-$it", 700.0, 12_000.0) }
 
-    private class Plan(val looks: Long, val placed: Int)
+    private class Plan(val machinesExamined: Long, val placed: Int)
 
     /** [jobs] jobs of [tasks] tasks on [machines] machines of which [open] have room. */
     private fun plan(machines: Int, open: Int, jobs: Int, tasks: Int, pages: Int): Plan {
         val random = Random(3)
         val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
-        val full = harness.unlisted(plainJob(1, "job-999999").copy(cpus = 16.0))
+        val full = harness.untrackedJob(plainJob(1, "job-999999").copy(cpus = 16.0))
         repeat(machines) {
             val machine = harness.machine(it, type)
             if (it >= open) machine.add(harness.placement(full, it, machine))
@@ -29,9 +29,9 @@
             val team = teams[random.nextInt(teams.size)].name
             harness.job(plainJob(tasks, "job-%06d".format(it)).copy(team = team))
         }
-        harness.planner.plan(Admission(pages))
+        harness.planner.plan(PageWriteBudget(pages))
         val placed = harness.cluster.jobs.values.sumOf { it.placements.size }
-        return Plan(harness.planner.looks, placed)
+        return Plan(harness.planner.machinesExamined, placed)
     }
 
     @Test
@@ -40,14 +40,14 @@
         val harness = PlannerHarness(teams, listOf(type, large), now = 200.seconds)
         val machine = harness.machine(1, large)
         // Room for one small task is there, and not for the large one.
-        val full = harness.unlisted(plainJob(1, "job-999999").copy(cpus = 40.0))
+        val full = harness.untrackedJob(plainJob(1, "job-999999").copy(cpus = 40.0))
         machine.add(harness.placement(full, 0, machine))
         val waits = harness.job(plainJob(1, "job-000001").copy(cpus = 32.0), 10.seconds)
         val small = harness.job(plainJob(1, "job-000002").copy(cpus = 2.0), 190.seconds)
-        harness.planner.plan(Admission(7))
+        harness.planner.plan(PageWriteBudget(7))
         assertEquals(0, small.placements.size, "it took what the large one waits for")
         harness.cluster.jobs.remove(waits.id)
-        harness.planner.plan(Admission(7))
+        harness.planner.plan(PageWriteBudget(7))
         assertEquals(1, small.placements.size)
     }
 
@@ -55,7 +55,7 @@
     fun `without room, what waits costs no look at any machine`() {
         val plan = plan(machines = 1500, open = 0, jobs = 300, tasks = 300, pages = 7)
         assertEquals(0, plan.placed)
-        assertEquals(0, plan.looks)
+        assertEquals(0, plan.machinesExamined)
     }
 
     @Test
@@ -63,7 +63,10 @@
         val few = plan(machines = 150, open = 100, jobs = 300, tasks = 30, pages = 7)
         val many = plan(machines = 1500, open = 100, jobs = 300, tasks = 300, pages = 7)
         assertTrue(few.placed >= 210 && many.placed >= few.placed)
-        assertTrue(many.looks < 3 * few.looks, "${few.looks} and ${many.looks}")
+        assertTrue(
+            many.machinesExamined < 3 * few.machinesExamined,
+            "${few.machinesExamined} and ${many.machinesExamined}",
+        )
     }
 
     @Test
@@ -71,6 +74,6 @@
         val plan = plan(machines = 1500, open = 1500, jobs = 300, tasks = 128, pages = 7)
         assertEquals(7 * 128, plan.placed)
         // Seven jobs look over all machines; then it is two looks for a task.
-        assertTrue(plan.looks < 7 * 1500 + 4 * plan.placed, "${plan.looks}")
+        assertTrue(plan.machinesExamined < 7 * 1500 + 4 * plan.placed, "${plan.machinesExamined}")
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
@@ -21,8 +21,8 @@
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val preemption = harness.preemption()
 
-    private fun job(id: Int, urgency: PriorityClass, tasks: Int) =
-        harness.job(plainJob(tasks, "job-%06d".format(id)).copy(urgency = urgency))
+    private fun job(id: Int, priority: PriorityClass, tasks: Int) =
+        harness.job(plainJob(tasks, "job-%06d".format(id)).copy(priority = priority))
 
     private fun running(job: Job, machines: IntRange) {
         var task = 0
@@ -41,6 +41,9 @@
         val stopped =
             harness.cluster.jobs.values.sumOf { j -> j.placements.values.count { it.isStopping } }
         assertEquals(80, stopped)
-        assertTrue(preemption.looks <= 2 * 100 * 80, "${preemption.looks} looks")
+        assertTrue(
+            preemption.placementsExamined <= 2 * 100 * 80,
+            "${preemption.placementsExamined} looks",
+        )
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
@@ -18,7 +18,7 @@
     private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val preemption = harness.preemption()
-    private val idle = harness.job(plainJob(64, "job-000900").copy(urgency = PriorityClass.IDLE))
+    private val idle = harness.job(plainJob(64, "job-000900").copy(priority = PriorityClass.IDLE))
 
     private fun waiting(spec: JobSpec) =
         harness.job(spec).also { it.blockedSince = harness.context.now }
@@ -31,8 +31,8 @@
     private fun service(tasks: Int) =
         plainJob(tasks, "job-000001")
             .copy(
-                shape = JobKind.SERVICE,
-                urgency = PriorityClass.PROD,
+                kind = JobKind.SERVICE,
+                priority = PriorityClass.PROD,
                 spread = true,
                 spot = false,
                 estimateS = 0.0,
@@ -48,7 +48,7 @@
     fun `lower work makes room for a service at once, and for others after a wait`() {
         fullMachine(1, "a")
         fullMachine(2, "b")
-        val array = waiting(service(4).copy(id = "job-000002", shape = JobKind.ARRAY))
+        val array = waiting(service(4).copy(id = "job-000002", kind = JobKind.ARRAY))
         preemption.preempt()
         assertEquals(0, stoppedIn("a") + stoppedIn("b"))
         harness.cluster.jobs.remove(array.id)
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -512,7 +512,7 @@
         }
     }
 
-    private fun plain() = randomJob().copy(shape = JobKind.ARRAY, zone = null)
+    private fun plain() = randomJob().copy(kind = JobKind.ARRAY, zone = null)
 
     private fun unfit(): JobSpec =
         when (clock.random.nextInt(6)) {
@@ -522,7 +522,7 @@
             3 -> plain().copy(gpus = 1.0)
             4 -> plain().copy(zone = "z")
             // More than the team's limit, all tasks together.
-            else -> plain().copy(shape = JobKind.SERVICE, tasks = 6, cpus = 8.0, estimateS = 0.0)
+            else -> plain().copy(kind = JobKind.SERVICE, tasks = 6, cpus = 8.0, estimateS = 0.0)
         }
 
     private fun lacking(): JsonObject {
@@ -547,17 +547,17 @@
     fun randomJob(): JobSpec {
         val random = clock.random
         val urgent = random.nextBoolean()
-        val kind = random.nextDouble()
-        val shape =
-            if (kind < 0.1) JobKind.SERVICE else if (kind < 0.15) JobKind.GANG else JobKind.ARRAY
-        val tasks = if (shape != JobKind.ARRAY) 2 else 1 + random.nextInt(if (urgent) 90 else 12)
+        val draw = random.nextDouble()
+        val kind =
+            if (draw < 0.1) JobKind.SERVICE else if (draw < 0.15) JobKind.GANG else JobKind.ARRAY
+        val tasks = if (kind != JobKind.ARRAY) 2 else 1 + random.nextInt(if (urgent) 90 else 12)
         val job =
             JobSpec(
                 id = "job-%06d".format(++lastJob),
                 jobClass = if (urgent) "quick" else "long",
                 team = teams[random.nextInt(teams.size)].name,
-                shape = shape,
-                urgency = if (urgent) PriorityClass.HIGH else PriorityClass.NORMAL,
+                kind = kind,
+                priority = if (urgent) PriorityClass.HIGH else PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = if (urgent) 2.0 else 8.0,
                 gpus = 0.0,
@@ -566,16 +566,16 @@
                 imageGb = 0.5,
                 types = null,
                 zone = if (clock.chance(0.1)) "b" else null,
-                oneZone = shape == JobKind.ARRAY && clock.chance(0.1),
+                oneZone = kind == JobKind.ARRAY && clock.chance(0.1),
                 spread = clock.chance(0.1),
                 spot = clock.chance(0.8),
-                estimateS = if (shape == JobKind.SERVICE) 0.0 else if (urgent) 4.0 else 15.0,
+                estimateS = if (kind == JobKind.SERVICE) 0.0 else if (urgent) 4.0 else 15.0,
                 checkpointS = if (urgent) 0.0 else 5.0,
                 saveS = if (urgent) 0.0 else 2.0,
                 deadlineS = 60.0,
             )
         // Tasks that need each other and may not all be in the one zone can never run.
-        val never = shape != JobKind.ARRAY && job.zone != null
+        val never = kind != JobKind.ARRAY && job.zone != null
         return if (never) job.copy(spread = false) else job
     }
 
@@ -583,9 +583,9 @@
     fun plainService(team: String, tasks: Int): JobSpec =
         randomJob()
             .copy(
-                shape = JobKind.SERVICE,
+                kind = JobKind.SERVICE,
                 team = team,
-                urgency = PriorityClass.NORMAL,
+                priority = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = 2.0,
                 zone = null,
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -199,7 +199,7 @@
         private fun lose(exitAt: () -> Micros) {
             if (broken || safe || complete) return
             broken = true
-            if (spec.savable) {
+            if (spec.isCheckpointable) {
                 val step = spec.checkpointS.seconds.value
                 val checkpoint = Micros(progress.value / step * step)
                 saved[spec.id] = maxOf(savedOf(spec.id), checkpoint)
@@ -216,7 +216,7 @@
             when {
                 !member.running || broken -> exit(member, "stopped")
                 saving && within > 0 -> return
-                !saving && spec.savable && within >= spec.saveS -> {
+                !saving && spec.isCheckpointable && within >= spec.saveS -> {
                     member.toldAt = clock.now
                     if (firstHaltAt == null) firstHaltAt = clock.now
                 }
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -319,7 +319,7 @@
         task.status = "running"
         changed = true
         rules.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
-        if (spec.shape == JobKind.GANG) {
+        if (spec.kind == JobKind.GANG) {
             task.status = "gathering"
             return gangs.join(Seat(task).also { task.seat = it }, spec)
         }
@@ -368,7 +368,7 @@
         when {
             task.status == "ended" -> return
             seat != null -> gangs.halt(seat, within)
-            task.status == "running" && spec.savable && within >= spec.saveS -> {
+            task.status == "running" && spec.isCheckpointable && within >= spec.saveS -> {
                 task.status = "saving"
                 rules.losses.lost(clock.now, task.name, causeOfStop())
                 clock.after(spec.saveS.seconds) {
--- a/src/test/kotlin/wardmux/sim/GangDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangDay.kt
@@ -37,8 +37,8 @@
             .copy(
                 jobClass = "gang",
                 team = "team-$team",
-                shape = JobKind.GANG,
-                urgency = PriorityClass.NORMAL,
+                kind = JobKind.GANG,
+                priority = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 zone = null,
@@ -55,8 +55,8 @@
         gang(tasks, cpus, team)
             .copy(
                 jobClass = "small",
-                shape = JobKind.ARRAY,
-                urgency = PriorityClass.HIGH,
+                kind = JobKind.ARRAY,
+                priority = PriorityClass.HIGH,
                 estimateS = estimate,
                 checkpointS = 0.0,
                 saveS = 0.0,
@@ -73,7 +73,7 @@
 
     fun stored(prefix: String, job: JobSpec) = simulation.state.value("$prefix/${job.id}")
 
-    fun recordOf(job: JobSpec) = JobRecord.of(stored("j", job)!!)!!.state
+    fun recordOf(job: JobSpec) = JobRecord.decode(stored("j", job)!!)!!.state
 
     /** The controller that leads ends, and is back soon. */
     fun changeLeader(latest: Micros) {
--- a/src/test/kotlin/wardmux/sim/GangFaultDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultDay.kt
@@ -16,7 +16,7 @@
 import wardmux.model.TaskId
 import wardmux.model.milliseconds
 import wardmux.model.seconds
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
 import wardmux.records.TaskPageCodec
 import wardmux.serialization.lenientJson
 
@@ -49,8 +49,8 @@
                 .copy(
                     jobClass = "gang",
                     team = "team-0",
-                    shape = JobKind.GANG,
-                    urgency = PriorityClass.HIGH,
+                    kind = JobKind.GANG,
+                    priority = PriorityClass.HIGH,
                     tasks = tasks,
                     cpus = cpus,
                     memoryGb = 0.1,
@@ -97,7 +97,7 @@
         return pages
             .mapNotNull { simulation.state.value(TaskPageCodec.key(gang.jobId, it)) }
             .flatMap {
-                val page = lenientJson.decodeFromJsonElement(StoredPage.serializer(), it)
+                val page = lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), it)
                 page.placementsOf(job).orEmpty()
             }
             .associateBy { it.task.index }
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -222,7 +222,7 @@
     @Test
     fun `a task without a record holds back the next attempt until it is gone`() {
         val harness = ControllerHarness()
-        harness.accept(plainJob(tasks = 2, oneZone = true).copy(shape = JobKind.GANG))
+        harness.accept(plainJob(tasks = 2, oneZone = true).copy(kind = JobKind.GANG))
         harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000099").token()
         val machines =
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -148,7 +148,7 @@
     @ValueSource(ints = [4])
     fun `the rest of a done gang keeps its room until it is proven gone`(count: Int) {
         val harness = ControllerHarness()
-        harness.accept(plainJob(2, "job-000001").copy(shape = JobKind.GANG, cpus = 16.0))
+        harness.accept(plainJob(2, "job-000001").copy(kind = JobKind.GANG, cpus = 16.0))
         harness.run(2.seconds)
         val machines = List(count) { ManualWorker(harness, "i-00000$it") }
         val token = machines.map { it.token() }.last()
@@ -178,7 +178,7 @@
         done(first)
         // It goes on reporting what it had.
         reports(5)
-        assertEquals(JobState.DONE, JobRecord.of(harness.stored("j/job-000001")!!)!!.state)
+        assertEquals(JobState.DONE, JobRecord.decode(harness.stored("j/job-000001")!!)!!.state)
         assertEquals(3, on(others.id).size, "${held}")
         assertFalse(rest in on(others.id))
         done(rest)
@@ -215,7 +215,7 @@
     }
 
     /** How long each job took, until its user was told that it is done. */
-    private fun shortOfRoom(seed: Long, urgency: PriorityClass): Map<JobSpec, Micros> {
+    private fun shortOfRoom(seed: Long, priority: PriorityClass): Map<JobSpec, Micros> {
         val day = GangDay(seed, capacity = 1)
         val since = LinkedHashMap<JobSpec, Micros>()
         fun submit(job: JobSpec) {
@@ -223,7 +223,7 @@
             day.simulation.submit(job)
         }
         for (second in 2..80) day.at(second.seconds) {
-            submit(day.small(team = 1, tasks = 6).copy(urgency = urgency))
+            submit(day.small(team = 1, tasks = 6).copy(priority = priority))
             submit(day.small(team = 2, tasks = 12))
         }
         // One zone has two machines: room for one of these gangs.
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -28,8 +28,8 @@
                 .randomJob()
                 .copy(
                     jobClass = "gang",
-                    shape = JobKind.GANG,
-                    urgency = if (clock.chance(0.5)) PriorityClass.HIGH else PriorityClass.NORMAL,
+                    kind = JobKind.GANG,
+                    priority = if (clock.chance(0.5)) PriorityClass.HIGH else PriorityClass.NORMAL,
                     tasks = tasks,
                     cpus = 2.0,
                     oneZone = clock.chance(0.7),
@@ -43,11 +43,11 @@
         private fun submit() {
             val gang = clock.chance(0.5)
             val spec =
-                if (gang) gang() else simulation.randomJob().takeIf { it.shape != JobKind.GANG }
+                if (gang) gang() else simulation.randomJob().takeIf { it.kind != JobKind.GANG }
             if (spec == null) return
             if (gang) gangs.add(spec.id)
             simulation.submit(spec)
-            if (spec.shape == JobKind.SERVICE || clock.chance(0.1)) {
+            if (spec.kind == JobKind.SERVICE || clock.chance(0.1)) {
                 clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(spec.id) }
             }
         }
@@ -110,8 +110,8 @@
             .copy(
                 jobClass = "gang",
                 team = team,
-                shape = JobKind.GANG,
-                urgency = PriorityClass.NORMAL,
+                kind = JobKind.GANG,
+                priority = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 zone = zone,
@@ -147,8 +147,8 @@
             .randomJob()
             .copy(
                 team = "team-1",
-                shape = JobKind.ARRAY,
-                urgency = PriorityClass.HIGH,
+                kind = JobKind.ARRAY,
+                priority = PriorityClass.HIGH,
                 tasks = 4,
                 cpus = 1.0,
                 zone = null,
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -43,7 +43,7 @@
         simulation
             .randomJob()
             .copy(
-                shape = JobKind.ARRAY,
+                kind = JobKind.ARRAY,
                 tasks = MACHINES,
                 cpus = FakeWorker.CPUS,
                 zone = null,
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -34,8 +34,8 @@
         randomJob()
             .copy(
                 team = "team-$team",
-                shape = JobKind.ARRAY,
-                urgency = PriorityClass.NORMAL,
+                kind = JobKind.ARRAY,
+                priority = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 zone = null,
@@ -191,7 +191,7 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         // Two whole machines: no third task is within the team's limit. A service runs on and on.
-        val running = simulation.job(2, 0.0, cpus = 16.0).copy(shape = JobKind.SERVICE)
+        val running = simulation.job(2, 0.0, cpus = 16.0).copy(kind = JobKind.SERVICE)
         val waiting = simulation.job(2, 5.0, cpus = 16.0)
         clock.after(6.seconds) { simulation.submit(running) }
         clock.after(20.seconds) { simulation.submit(waiting) }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -27,8 +27,8 @@
 
         fun submit(alwaysWide: Boolean = false) {
             val random = simulation.randomJob()
-            val spec = if (alwaysWide) random.copy(shape = JobKind.ARRAY) else random
-            val wide = alwaysWide || spec.shape == JobKind.ARRAY && clock.chance(0.5)
+            val spec = if (alwaysWide) random.copy(kind = JobKind.ARRAY) else random
+            val wide = alwaysWide || spec.kind == JobKind.ARRAY && clock.chance(0.5)
             // So many on one page that its record is larger than a value may be later.
             val job =
                 if (!wide) spec
@@ -43,11 +43,11 @@
                         oneZone = false,
                         spread = false,
                         estimateS = clock.between(4.seconds, 25.seconds).inSeconds,
-                        urgency = PriorityClass.PROD,
+                        priority = PriorityClass.PROD,
                     )
             jobs.add(job.id)
             simulation.submit(job)
-            val daemon = spec.shape == JobKind.SERVICE
+            val daemon = spec.kind == JobKind.SERVICE
             if (daemon || clock.chance(0.2)) {
                 clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(job.id) }
             }
@@ -140,7 +140,7 @@
         val gang = wideGang(simulation, tasks = 60, cpus = 0.5)
         val service =
             wideGang(simulation, tasks = 60, cpus = 0.1)
-                .copy(shape = JobKind.SERVICE, estimateS = 0.0)
+                .copy(kind = JobKind.SERVICE, estimateS = 0.0)
         simulation.submit(gang)
         simulation.submit(service)
         val others = ArrayList<JobSpec>()
@@ -172,8 +172,8 @@
             .copy(
                 jobClass = "gang",
                 team = "team-0",
-                shape = JobKind.GANG,
-                urgency = PriorityClass.NORMAL,
+                kind = JobKind.GANG,
+                priority = PriorityClass.NORMAL,
                 tasks = tasks,
                 cpus = cpus,
                 gpus = 0.0,
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -33,8 +33,8 @@
                 .randomJob()
                 .copy(
                     team = "team-$team",
-                    shape = if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
-                    urgency = PriorityClass.NORMAL,
+                    kind = if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
+                    priority = PriorityClass.NORMAL,
                     tasks = tasks,
                     cpus = 9.0,
                     zone = null,
@@ -274,7 +274,7 @@
             val urgent = day.clock.chance(0.5)
             val team = day.clock.random.nextInt(3)
             val job =
-                if (urgent) day.array(team, 15).copy(urgency = PriorityClass.HIGH)
+                if (urgent) day.array(team, 15).copy(priority = PriorityClass.HIGH)
                 else day.large(team, 2, short = 20.0).copy(checkpointS = 3.0, saveS = 2.0)
             jobs.add(job)
             simulation.submit(job)
--- a/src/test/kotlin/wardmux/sim/Rules.kt
+++ b/src/test/kotlin/wardmux/sim/Rules.kt
@@ -94,7 +94,7 @@
         val spec =
             specs[job] ?: return breaks("invented", "$job/$task runs and nobody submitted it")
         val own = on.getOrPut(job) { HashMap() }
-        if (spec.shape == JobKind.GANG) checkRemains(spec, task, zone, attempt, own)
+        if (spec.kind == JobKind.GANG) checkRemains(spec, task, zone, attempt, own)
         else begun.add(job)
         own[task]?.let { breaks("ran_twice", "$job/$task on ${it.machine} and $machine") }
         if (spec.types != null && type !in spec.types) breaks("wrong_place", "$job on $type")
@@ -252,7 +252,7 @@
                 (0 until spec.tasks) - own.map { it.first }.toSet() - completed[job].orEmpty()
             if (waiting.isEmpty()) continue
             // A group and a service need room for all that waits of them.
-            val together = if (spec.shape == JobKind.ARRAY) 1 else waiting.size
+            val together = if (spec.kind == JobKind.ARRAY) 1 else waiting.size
             val need = spec.cpus * together
             val limit = teams[spec.team]?.cpusMax ?: 0.0
             if ((used[spec.team] ?: 0.0) + need > limit + 1e-6) continue
@@ -381,7 +381,7 @@
     /** One task of a gang that is done means that all are. */
     fun allDone(job: String): Boolean {
         val spec = specs.getValue(job)
-        return completedOf(job) >= if (spec.shape == JobKind.GANG) 1 else spec.tasks
+        return completedOf(job) >= if (spec.kind == JobKind.GANG) 1 else spec.tasks
     }
 
     /** Which machine each task of [job] is on. */
--- a/src/test/kotlin/wardmux/sim/RulesTest.kt
+++ b/src/test/kotlin/wardmux/sim/RulesTest.kt
@@ -291,7 +291,7 @@
         assertEquals(emptyList(), watchRooms(bound, room(), elsewhere))
         val half = room(8.0, job to 0)
         assertEquals(emptyList(), watchRooms(spec(2).copy(spread = true), half))
-        val replicas = spec(2).copy(spread = true, shape = JobKind.SERVICE)
+        val replicas = spec(2).copy(spread = true, kind = JobKind.SERVICE)
         assertEquals(emptyList(), watchRooms(replicas, room()))
     }
 
@@ -373,7 +373,7 @@
         assertEquals(listOf(job), ended)
     }
 
-    private fun gang(tasks: Int = 3) = spec(tasks).copy(shape = JobKind.GANG, cpus = 1.0)
+    private fun gang(tasks: Int = 3) = spec(tasks).copy(kind = JobKind.GANG, cpus = 1.0)
 
     @Test
     fun `a gang started over the remains of its last attempt, by its task`() {
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -14,8 +14,8 @@
             simulation
                 .randomJob()
                 .copy(
-                    shape = JobKind.ARRAY,
-                    urgency = PriorityClass.NORMAL,
+                    kind = JobKind.ARRAY,
+                    priority = PriorityClass.NORMAL,
                     tasks = 1,
                     cpus = 1.0,
                     zone = zone,
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -96,11 +96,11 @@
                     allNew && kind < 0.3 -> gang(random)
                     // So many on one page that its record is larger than a value may be later.
                     kind < 0.5 -> wide(random)
-                    else -> random.takeIf { it.shape != JobKind.GANG } ?: wide(random)
+                    else -> random.takeIf { it.kind != JobKind.GANG } ?: wide(random)
                 }
             jobs.add(job)
             simulation.submit(job)
-            if (job.shape == JobKind.SERVICE || clock.chance(0.2)) {
+            if (job.kind == JobKind.SERVICE || clock.chance(0.2)) {
                 clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(job.id) }
             }
         }
@@ -108,7 +108,7 @@
         private fun gang(like: JobSpec) =
             like.copy(
                 jobClass = "gang",
-                shape = JobKind.GANG,
+                kind = JobKind.GANG,
                 tasks = 2 + clock.random.nextInt(5),
                 cpus = 2.0,
                 zone = null,
@@ -121,8 +121,8 @@
 
         private fun wide(like: JobSpec) =
             like.copy(
-                shape = JobKind.ARRAY,
-                urgency = PriorityClass.PROD,
+                kind = JobKind.ARRAY,
+                priority = PriorityClass.PROD,
                 tasks = 120,
                 cpus = 0.25,
                 memoryGb = 0.1,
@@ -209,7 +209,7 @@
             assertTrue(allNew, "some are still old")
             assertTrue(simulation.rules.starts > 0, "nothing ran")
             val open = jobs.filter { simulation.rules.finalOf(it.id) == null }
-            assertEquals(emptyList(), open.map { "${it.id} ${it.shape}" })
+            assertEquals(emptyList(), open.map { "${it.id} ${it.kind}" })
         }
     }
 
