--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -327,7 +327,7 @@
 
     private fun load(state: StoredState, askedAt: Micros) {
         state.tags?.let { queue.load(it.data) }
-        placementStore.tagsVersion = state.tags?.version ?: 0
+        placementStore.tagsVersion = state.tags?.let { KeyVersion(it.version) } ?: KeyVersion.ABSENT
         for (item in state.openJobs.items) addJob(item.data ?: continue, KeyVersion(item.version))
         for (item in state.cancelledJobs) loadCancelled(item)
         cancellations.shown(askedAt)
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -1,396 +1,225 @@
 package wardmux.scheduling
 
-import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
-import it.unimi.dsi.fastutil.ints.IntOpenHashSet
-import java.util.BitSet
-import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.core.CoreContext
 import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.logging.logger
 import wardmux.model.Job
-import wardmux.model.JobId
 import wardmux.model.JobState
 import wardmux.model.KeyVersion
 import wardmux.model.Machine
 import wardmux.model.Micros
-import wardmux.model.Placement
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.JobRecord
-import wardmux.records.TaskPageCodec
-import wardmux.serialization.jsonBytes
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
 import wardmux.store.StoreResult
-import wardmux.store.VersionCondition
-import wardmux.store.WriteOperation
-
-/** The pages that one write still takes, for the planner: what can't be written isn't placed. */
-class PageWriteBudget(private val most: Int, val maxBytes: Int = Int.MAX_VALUE) {
-    private var left = most
-    private val pages = HashMap<JobId, IntOpenHashSet>()
-
-    /** How full the pages are that could become larger than a value may be. */
-    private val fills = HashMap<JobId, Int2ObjectOpenHashMap<PageSizeEstimate>>()
-
-    /** True if no task of the job can be admitted, whichever it is, as none of its pages is. */
-    fun isExhaustedFor(job: Job) = left <= 0 && job.id !in pages
-
-    /**
-     * Takes all pages of a gang, or none. One that needs more than a write holds is written in
-     * several, before any of its starts goes out; it begins only where nothing else was taken yet.
-     */
-    fun tryReserveGang(job: Job): Boolean {
-        val own = pages.getOrPut(job.id) { IntOpenHashSet() }
-        val needed = job.pages.all.filter { it !in own }
-        if (needed.size > left && left < most) return false
-        left = maxOf(0, left - needed.size)
-        own.addAll(needed)
-        return true
-    }
-
-    /** Nothing of the gang is placed after all: others may take what it took. */
-    fun releaseGang(job: Job) {
-        fills.remove(job.id)
-        left = minOf(most, left + (pages.remove(job.id)?.size ?: 0))
-    }
-
-    fun tryReserve(job: Job, task: Int): Boolean {
-        val page = job.pages.pageOf(task)
-        val own = pages[job.id]
-        val open = own != null && own.contains(page)
-        if (!open && left <= 0) return false
-        if (fill(job, page)?.hasRoom(job, task) == false) return false
-        if (open) return true
-        left--
-        return pages.getOrPut(job.id) { IntOpenHashSet() }.add(page)
-    }
-
-    /** True if its page can't take it, though others of the job may. */
-    fun isPageFull(job: Job, task: Int) =
-        fill(job, job.pages.pageOf(task))?.hasRoom(job, task) == false
-
-    /** It is placed as it was admitted. */
-    fun onPlaced(placement: Placement) {
-        val job = placement.job
-        fill(job, job.pages.pageOf(placement.task.index))?.add(placement)
-    }
-
-    /** Null if the page fits whatever is placed on it. */
-    private fun fill(job: Job, page: Int): PageSizeEstimate? {
-        if (PageSizeEstimate.fitsAlways(job, maxBytes)) return null
-        return fills
-            .getOrPut(job.id) { Int2ObjectOpenHashMap() }
-            .getOrPut(page) { PageSizeEstimate(job, page, maxBytes) }
-    }
-}
 
 /**
- * Writes what the leader decides, one transaction at a time. Each holds only while the leader key
- * is as this leader wrote it, and a page only while it is as it was last seen: a transaction that
- * is applied late, after it was given up on, therefore changes nothing.
+ * Writes what the leader decides, one transaction at a time. Each commits only while the leader key
+ * is as this leader wrote it, and a page only while it is as it was last read: a transaction that
+ * is applied late, after its request timed out, therefore changes nothing.
  */
 class PlacementStore(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val cluster: ClusterState,
     private val role: Role.Leader,
+    /** The least time between two transactions. */
     private val period: Micros,
     private val listener: Listener,
 ) {
+    /** Learns what became of transactions. */
     interface Listener {
+        /** A transaction was committed: starts that waited for it may go out. */
         fun onCommitted()
 
+        /** The leader key has changed: this controller no longer leads. */
         fun onFenced()
 
-        /** What is stored is no longer known for sure. */
+        /** What is stored is not known any more, and has to be read again. */
         fun onStateUnknown()
 
+        /** The record of [job] says that it is done. */
         fun onJobDone(job: Job)
 
-        /** The job's record is no longer as it was when it was accepted. */
+        /** The record of [job] is no longer as it was when the job was accepted. */
         fun onJobRecordChanged(job: Job)
 
+        /** It is recorded that [machine] is decommissioned, so it may be deleted. */
         fun onDecommissionRecorded(machine: Machine)
     }
 
-    private class WrittenPage(
-        val job: Job,
-        val page: Int,
-        val done: BitSet,
-        val planned: List<Placement>,
-        val removed: Boolean,
-    )
-
-    private inner class Draft {
-        val conditions = arrayListOf(role.condition)
-        val changes = ArrayList<WriteOperation>()
-        val pages = ArrayList<WrittenPage>()
-        val finishing = ArrayList<Job>()
-        val decommissioning = ArrayList<Machine>()
-        val expiredDecommissions = ArrayList<Machine>()
-        val unlisting = ArrayList<Job>()
-        private var bytes = 0
-
-        fun room(changesNeeded: Int, conditionsNeeded: Int) =
-            changes.size + changesNeeded < store.maxChanges &&
-                conditions.size + conditionsNeeded < store.maxConditions &&
-                bytes < MAX_BYTES
-
-        fun put(key: String, data: JsonElement) {
-            bytes += key.length + data.toString().length
-            changes.add(WriteOperation(put = key, data = data))
-        }
-    }
-
     private val log = logger<PlacementStore>()
-    private val decommissioning = LinkedHashSet<Machine>()
+    private val pages = TaskPageWriter(context, store, cluster)
+    private val decommissions = LinkedHashSet<Machine>()
     private val expiredDecommissions = LinkedHashSet<Machine>()
     private var inFlight = false
-
-    /** Pages that were too large to be written, and when they are looked at again. */
-    private val tooLargeUntil = HashMap<String, Micros>()
+    private var nextAt = Micros.LONG_AGO
 
     /**
-     * Every write replaces the tags and holds only while they are as last seen. Pages alone do not
-     * order two writes to different jobs: one that is applied late, after it was given up on, would
-     * add its placements to those made since, and together they could pass a team's cap.
+     * The version of the tags as last read or written. Every transaction replaces them and commits
+     * only if they have this version: conditions on pages alone do not order two writes to
+     * different jobs, so that one applied late could add placements beyond a team's quota limit.
      */
-    var tagsVersion = 0L
-    private var nextAt = Micros.LONG_AGO
+    var tagsVersion = KeyVersion.ABSENT
 
+    /** True if a transaction could be sent now. */
     val isReady: Boolean
         get() = !inFlight && context.now >= nextAt
 
-    /** Recorded before the machine is deleted, so that no later leader uses it. */
+    /** Records that [machine] is decommissioned before it is deleted, so that no leader uses it. */
     fun decommission(machine: Machine) {
-        decommissioning.add(machine)
+        decommissions.add(machine)
     }
 
-    /** Deleted long enough ago: its record is of no more use. */
+    /** Removes the decommission record of [machine], which was deleted long enough ago. */
     fun dropDecommissionRecord(machine: Machine) {
         expiredDecommissions.add(machine)
     }
 
-    /**
-     * Pages that one write may still take, for the planner: it places no more than can be written.
-     */
+    /** The pages that the next transaction can write beside what else it has to hold. */
     fun pageBudget(): PageWriteBudget {
         // One change is kept for the tags.
         // Where a transaction holds few, ends never take all that a start needs.
-        val ends = minOf(finishing().take(2).count() * 2, store.maxChanges - 2)
+        val ends =
+            minOf(jobsToComplete().take(2).count() * WRITES_PER_COMPLETION, store.maxChanges - 2)
         // A lost machine keeps its tasks from running elsewhere until its record is written: where
         // many are lost at once, as with a zone, these must not wait behind all that can be placed.
-        val mostLost = maxOf(1, store.maxChanges / DECOMMISSIONS_PART)
-        val others = minOf(decommissioning.size, mostLost) + ends
+        val maxDecommissions = maxOf(1, store.maxChanges / DECOMMISSIONS_PART)
+        val others = minOf(decommissions.size, maxDecommissions) + ends
         return PageWriteBudget(maxOf(1, store.maxChanges - 1 - others), store.maxValueBytes)
     }
 
-    private fun finishing() =
+    private fun jobsToComplete() =
         cluster.jobs.values.asSequence().filter { it.allTasksDone && !it.isDone && !it.hasEnded }
 
+    /** Sends a transaction if one may be sent and there is something to write. */
     fun flush() {
         if (!isReady) return
-        val draft = Draft()
-        addPlanned(draft)
-        addFinished(draft)
-        addDecommissioned(draft)
-        addDirty(draft)
-        addRemovals(draft)
-        addExpiredDecommissions(draft)
-        if (draft.changes.isEmpty()) return
-        draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
-        draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
+        val transaction = PlacementTransaction(store, role.condition)
+        pages.addUncommitted(transaction)
+        addCompletedJobs(transaction)
+        addDecommissions(transaction)
+        pages.addDirty(transaction)
+        pages.addRemovals(transaction)
+        addExpiredDecommissions(transaction)
+        if (transaction.operations.isEmpty()) return
+        transaction.requireVersion(FairQueue.KEY, tagsVersion)
+        transaction.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
         inFlight = true
-        store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { onResult(draft, it) }
-        nextAt = context.now + period
-    }
-
-    private fun addPlanned(draft: Draft) {
-        for (job in cluster.jobs.values) {
-            for (page in job.pages.dirtyPages()) {
-                if (!job.pages.hasUncommitted(page)) continue
-                if (!draft.room(1, 2)) return
-                if (addPage(draft, job, page)) {
-                    draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
-                } else {
-                    // No start goes out without its record.
-                    for (placement in job.placementsOn(page)) {
-                        if (!placement.committed) cluster.rollBack(placement)
-                    }
-                }
-            }
+        store.multi(transaction.conditions, transaction.operations, RequestPriority.LEADER) {
+            onResult(transaction, it)
         }
+        nextAt = context.now + period
     }
 
-    private fun addFinished(draft: Draft) {
-        for (job in finishing()) {
-            if (!draft.room(2, 1)) return
-            draft.conditions.add(VersionCondition(JobRecord.key(job.id), job.version.value))
+    private fun addCompletedJobs(transaction: PlacementTransaction) {
+        for (job in jobsToComplete()) {
+            if (!transaction.hasRoomFor(WRITES_PER_COMPLETION, conditions = 1)) return
+            transaction.requireVersion(JobRecord.key(job.id), job.version)
             val record = JobRecord(JobState.DONE, job.acceptedAt.value)
-            draft.put(JobRecord.key(job.id), record.toJson())
-            draft.changes.add(WriteOperation(remove = JobRecord.openKey(job.id)))
-            draft.finishing.add(job)
-        }
-    }
-
-    private fun addDecommissioned(draft: Draft) {
-        for (machine in decommissioning) {
-            if (!draft.room(1, 0)) return
-            draft.put(decommissionKey(machine), JsonPrimitive(machine.decommissionReason))
-            draft.decommissioning.add(machine)
-        }
-    }
-
-    private fun addDirty(draft: Draft) {
-        for (job in cluster.jobs.values) {
-            val since = job.pages.dirtySince ?: continue
-            if (job.hasEnded || job.allTasksDone || context.wall - since < PATIENCE) continue
-            for (page in job.pages.dirtyPages()) {
-                if (job.pages.hasUncommitted(page)) continue
-                val key = TaskPageCodec.key(job.id, page)
-                if (tooLargeUntil[key]?.let { context.now < it } == true) continue
-                if (!draft.room(1, 1)) return
-                addPage(draft, job, page)
-            }
+            transaction.put(JobRecord.key(job.id), record.toJson())
+            transaction.remove(JobRecord.openKey(job.id))
+            transaction.completedJobs.add(job)
         }
     }
 
-    /** Pages of jobs that are over go once nothing of them is left on a machine. */
-    private fun addRemovals(draft: Draft) {
-        for (job in cluster.jobs.values) {
-            if (!job.hasEnded || job.placements.isNotEmpty()) continue
-            val pages = job.pages.storedPages()
-            for (page in pages) {
-                // Nobody waits for it, so it never takes what a start or an end needs.
-                if (!draft.room(1, 1) || draft.changes.size >= store.writesToSpare) return
-                val key = TaskPageCodec.key(job.id, page)
-                tooLargeUntil.remove(key)
-                draft.conditions.add(VersionCondition(key, job.pages.version(page).value))
-                draft.changes.add(WriteOperation(remove = key))
-                draft.pages.add(WrittenPage(job, page, BitSet(), emptyList(), removed = true))
-            }
-            if (job.isDone || job.isCancelledKeyRemoved || pages.isNotEmpty()) continue
-            if (!draft.room(1, 0) || draft.changes.size >= store.writesToSpare) return
-            draft.changes.add(WriteOperation(remove = JobRecord.cancelledKey(job.id)))
-            draft.unlisting.add(job)
+    private fun addDecommissions(transaction: PlacementTransaction) {
+        for (machine in decommissions) {
+            if (!transaction.hasRoomFor(writes = 1, conditions = 0)) return
+            transaction.put(decommissionKey(machine), JsonPrimitive(machine.decommissionReason))
+            transaction.decommissioned.add(machine)
         }
     }
 
-    private fun addExpiredDecommissions(draft: Draft) {
+    private fun addExpiredDecommissions(transaction: PlacementTransaction) {
         for (machine in expiredDecommissions) {
-            if (!draft.room(1, 0)) return
-            draft.changes.add(WriteOperation(remove = decommissionKey(machine)))
-            draft.expiredDecommissions.add(machine)
-        }
-    }
-
-    /**
-     * False if it is larger than a value may be now: an earlier leader wrote it under higher
-     * limits. It waits until enough of its tasks ended. Until then the machines keep how they
-     * ended, and the job is done by its record, which needs no page.
-     */
-    private fun addPage(draft: Draft, job: Job, page: Int): Boolean {
-        val key = TaskPageCodec.key(job.id, page)
-        val content = TaskPageCodec.encode(job, page, store.maxValueBytes)
-        if (jsonBytes(content.data) > store.maxValueBytes) {
-            tooLargeUntil[key] = context.now + TOO_LARGE_PAUSE
-            return false
+            if (!transaction.hasRoomFor(writes = 1, conditions = 0)) return
+            transaction.remove(decommissionKey(machine))
+            transaction.expiredDecommissions.add(machine)
         }
-        tooLargeUntil.remove(key)
-        draft.conditions.add(VersionCondition(key, job.pages.version(page).value))
-        draft.put(key, content.data)
-        val planned = job.placementsOn(page).filter { !it.committed }
-        draft.pages.add(WrittenPage(job, page, content.done, planned, removed = false))
-        job.pages.markClean(page)
-        return true
     }
 
-    private fun onResult(draft: Draft, result: StoreResult<Long>) {
+    private fun onResult(transaction: PlacementTransaction, result: StoreResult<Long>) {
         inFlight = false
         when (result) {
-            is StoreResult.Ok -> committed(draft, result.value)
-            is StoreResult.Conflict -> conflict(draft, result.failed)
+            is StoreResult.Ok -> onCommitted(transaction, KeyVersion(result.value))
+            is StoreResult.Conflict -> onConflict(transaction, result.failed)
             is StoreResult.Refused -> {
-                rollBack(draft)
-                nextAt = context.now + REFUSED_PAUSE
+                rollBack(transaction)
+                nextAt = context.now + REFUSED_RETRY
             }
             is StoreResult.Invalid,
             is StoreResult.Absent -> {
                 log.error(
-                    "a write was found invalid: {}",
-                    draft.changes.map { it.put ?: it.remove },
+                    "the store rejected a transaction as invalid: {}",
+                    transaction.operations.map { it.put ?: it.remove },
                 )
-                rollBack(draft)
-                nextAt = context.now + INVALID_PAUSE
+                rollBack(transaction)
+                nextAt = context.now + INVALID_RETRY
             }
             is StoreResult.Indeterminate -> {
-                log.info("a write got no response; reading again what is stored")
+                log.info("a transaction got no response; reading the stored state again")
                 listener.onStateUnknown()
             }
         }
     }
 
-    private fun committed(draft: Draft, version: Long) {
+    private fun onCommitted(transaction: PlacementTransaction, version: KeyVersion) {
         tagsVersion = version
-        for (written in draft.pages) {
-            if (written.removed) written.job.pages.onRemoved(written.page)
-            else written.job.pages.onWritten(written.page, KeyVersion(version), written.done)
-            for (placement in written.planned) written.job.commit(placement)
+        for (written in transaction.writtenPages) {
+            written.job.pages.onWritten(written.page, version, written.done)
+            for (placement in written.placements) written.job.commit(placement)
         }
-        for (job in draft.finishing) {
+        for (removed in transaction.removedPages) removed.job.pages.onRemoved(removed.page)
+        for (job in transaction.completedJobs) {
             cluster.finish(job)
             listener.onJobDone(job)
         }
-        for (machine in draft.decommissioning) {
-            decommissioning.remove(machine)
+        for (machine in transaction.decommissioned) {
+            decommissions.remove(machine)
             listener.onDecommissionRecorded(machine)
         }
-        expiredDecommissions.removeAll(draft.expiredDecommissions.toSet())
-        for (job in draft.unlisting) job.isCancelledKeyRemoved = true
+        expiredDecommissions.removeAll(transaction.expiredDecommissions.toSet())
+        for (job in transaction.removedCancelledKeys) job.isCancelledKeyRemoved = true
         listener.onCommitted()
     }
 
-    private fun conflict(draft: Draft, failed: List<String>) {
+    private fun onConflict(transaction: PlacementTransaction, failed: List<String>) {
         if (LeaderElection.KEY in failed) return listener.onFenced()
-        val changed =
-            (draft.pages.map { it.job } + draft.finishing).filter { JobRecord.key(it.id) in failed }
-        if (changed.isEmpty() || FairQueue.KEY in failed) {
-            log.info("stored pages are not as they were last seen: {}", failed)
+        val changedJobs =
+            transaction.jobs().filter { JobRecord.key(it.id) in failed }.distinct().toList()
+        if (changedJobs.isEmpty() || FairQueue.KEY in failed) {
+            log.info("stored keys have other versions than expected: {}", failed)
             return listener.onStateUnknown()
         }
-        rollBack(draft)
-        for (job in changed.distinct()) listener.onJobRecordChanged(job)
+        rollBack(transaction)
+        for (job in changedJobs) listener.onJobRecordChanged(job)
     }
 
-    /** Surely not written: planned placements are undone, the rest is tried again. */
-    private fun rollBack(draft: Draft) {
-        for (written in draft.pages) {
-            if (!written.removed) written.job.pages.markDirty(written.page, context.wall)
-            for (placement in written.planned) cluster.rollBack(placement)
+    /** The transaction was surely not applied: its placements are undone, the rest is retried. */
+    private fun rollBack(transaction: PlacementTransaction) {
+        for (written in transaction.writtenPages) {
+            written.job.pages.markDirty(written.page, context.wall)
+            for (placement in written.placements) cluster.rollBack(placement)
         }
     }
 
     companion object {
+        /** Prefix of the keys that record decommissioned machines. */
         const val DECOMMISSIONED_PREFIX = "m/"
 
-        /** Part of a write, the inverse, that is kept for machines given up. */
-        private const val DECOMMISSIONS_PART = 2
-
-        /** Well below the 64 KiB that a transaction may hold. */
-        private const val MAX_BYTES = 40_000
-        private val REFUSED_PAUSE = 300.milliseconds
+        /** The job's record, and the key among the open jobs. */
+        private const val WRITES_PER_COMPLETION = 2
 
-        /**
-         * How tasks ended is written for many at once: until then the machines keep it, and a later
-         * leader is told again.
-         */
-        private val PATIENCE = 3.seconds
-        private val TOO_LARGE_PAUSE = 1.seconds
-        private val INVALID_PAUSE = 5.seconds
+        /** The inverse of the part of a transaction that is kept for decommissioned machines. */
+        private const val DECOMMISSIONS_PART = 2
+        private val REFUSED_RETRY = 300.milliseconds
+        private val INVALID_RETRY = 5.seconds
 
-        fun decommissionKey(machine: Machine) = "$DECOMMISSIONED_PREFIX${machine.id.value}"
+        private fun decommissionKey(machine: Machine) = DECOMMISSIONED_PREFIX + machine.id.value
     }
 }
