--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -164,14 +164,15 @@
             cluster.machines.values.filter {
                 !it.isUp && !it.decommissioned && it.placements.isNotEmpty()
             }
-        val unknown = cluster.unknownMachines().toList()
+        val unknown = cluster.unknownMachines.machines.toList()
         // How long ago the cancellation was is not known, so these get one report's time.
         val since = watchedSince ?: context.now
         if (context.now - since >= REPORT_TIME + askAfter) {
             for (machine in unheard) {
                 if (machine.holdsCancelled) decommission(machine, "cancelled tasks, never reported")
             }
-            for (id in unknown) if (cluster.holdsCancelled(id)) decommissionUnknown(id)
+            for (id in unknown) if (cluster.unknownMachines.holdsCancelled(id))
+                decommissionUnknown(id)
         }
         // Where most machines have found this leader, it is not for it that the rest are silent.
         // Not before a lease is over: one that is back by then is worth more than its tasks' time.
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -86,9 +86,7 @@
         LeaderCancellationView(context, cluster, cancellations, role.token, deployment.workers)
     private val pools = MachinePools(context) { types.types.orEmpty() }
     private val planner =
-        Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools) {
-            types.types.orEmpty()
-        }
+        Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools)
     private val stopper = TaskEvictor(cluster, deployment.workers)
     private val preemption = Preemption(context, cluster, planner, stopper, operators)
     private val placementStore =
--- a/src/main/kotlin/wardmux/model/Charge.kt
+++ b/src/main/kotlin/wardmux/model/Charge.kt
@@ -1,7 +1,10 @@
 package wardmux.model
 
-/** CPU-microseconds: the largest booked share in CPUs, times the run time. */
+/** The cost of a task in CPU-microseconds: its largest share of a machine in CPUs, by its time. */
 @JvmInline value class Cost(val value: Long)
 
-/** What a dispatch was charged; kept with the placement, so that a finish can correct it. */
+/**
+ * The cost that a team was charged for a placement, and its weight then; kept with the placement,
+ * so that it can be corrected when the task has completed.
+ */
 data class Charge(val cost: Cost, val weight: Double)
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -6,8 +6,9 @@
 import java.util.BitSet
 
 /**
- * A job with its tasks: one class of like work. Waiting tasks are those never tried, in order, and
- * then those that came back; a large job costs no more here than a small one.
+ * A job with the state of its tasks, which are numbered from 0 and alike. Waiting tasks are taken
+ * in this order: those never tried, then those that are to be tried again. Only tasks that were
+ * tried take memory each.
  */
 class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, tasksPerPage: Int) {
     val id: JobId = spec.jobId
@@ -15,21 +16,22 @@
     /** How its tasks are stored. */
     val pages = TaskPages(tasksPerPage, spec.tasks)
 
-    /** Jobs with the same need find the same machines. */
+    /** What each task requires of its machine. */
     val resourceRequest =
         ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
 
-    /** Where its tasks may go depends on where its others are. */
+    /** True if the zones that its tasks may go to depend on where its others are. */
     val isZoneBound: Boolean
         get() = spec.oneZone || spec.spread
 
+    /** The placement of each task that is, or may be, on a machine. */
     val placements = Int2ObjectOpenHashMap<Placement>()
     private val done = BitSet()
     private val attempts = Int2IntOpenHashMap()
     private val requeued = IntArrayFIFOQueue()
     private var nextUntried = 0
 
-    /** Tasks that were reported as running, for display. */
+    /** How many tasks are reported as running, for display. */
     val running: Int
         get() = placements.values.count { it.runningSince != null }
 
@@ -42,18 +44,19 @@
 
     /**
      * The earliest moment at which a user may have been told that it is cancelled. Not when this
-     * leader learned of it: a succession of leaders must not begin the time anew.
+     * leader learned of it: a failover must not start the time anew.
      */
     var cancelledSince = Micros.LONG_AGO
 
-    /** The job's record says that it is done. */
+    /** True if the job's record says that it is done. */
     val isDone: Boolean
         get() = phase == JobPhase.DONE
 
+    /** True if the job's record says that it is cancelled. */
     val isCancelled: Boolean
         get() = phase == JobPhase.CANCELLED
 
-    /** Nothing that is stored of it says any more that something may be on a machine. */
+    /** True if nothing of it is on a machine, and nothing stored says that something may be. */
     val isRemovable: Boolean
         get() =
             hasEnded &&
@@ -61,54 +64,61 @@
                 pages.noneStored &&
                 (isDone || isCancelledKeyRemoved)
 
-    /** No longer listed among the cancelled jobs of which something is left. */
+    /** True if the store no longer lists it among the cancelled jobs with tasks on machines. */
     var isCancelledKeyRemoved = false
 
     /** Machines on which tasks of this job failed since one of them last completed. */
     val failedMachines = HashSet<MachineId>()
+
+    /** None of its tasks is placed before this time of day. */
     var backoffUntil = Micros.LONG_AGO
 
     /** Since when a task that could run has not been placed; null while none waits for room. */
     var blockedSince: Micros? = null
 
-    /** It has waited for room for longer than what comes free as a matter of course. */
+    /** True if it has waited for room for longer than it takes some to come free by itself. */
     fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > LONG_BLOCKED_AFTER } == true
 
-    /** When others were last stopped to give its team the guarantee. */
+    /** When tasks of other teams were last stopped for it, to reclaim its team's share. */
     var lastReclaimAt = Micros.LONG_AGO
 
+    /** How many tasks are done. */
     val doneCount: Int
         get() = done.cardinality()
 
+    /** How many tasks wait to be placed; none once the job has ended. */
     val waiting: Int
         get() =
             if (hasEnded) 0
             // Of a gang all are done at once, those on their machines too.
             else (spec.tasks - done.cardinality() - placements.size).coerceAtLeast(0)
 
-    /** The gang's attempt that is out, or was last. */
+    /** The current or last attempt of a gang; null before the first, and for other jobs. */
     var gangAttempt: GangAttempt? = null
         private set
 
     /**
-     * Its stored placements name one charge for all. A gang's tasks are placed together and cost
-     * the same; those of a service never complete, so what they were charged is never corrected.
+     * True if its stored placements name one charge for all. A gang's tasks are placed together and
+     * cost the same; those of a service never complete, so their charge is never corrected.
      */
     val sharesCharge: Boolean
         get() = spec.kind != JobKind.ARRAY
 
-    /** Larger than any before. */
+    /** The number of a gang's next attempt, larger than any before. */
     val nextGangAttempt: Int
         get() = (attempts.values.maxOrNull() ?: 0) + 1
 
-    /** All tasks of a gang get one number, and are placed in their order: each page's together. */
+    /**
+     * Starts an attempt of a gang: all its tasks get one attempt number and are placed in their
+     * order, so that those of a page are placed together.
+     */
     fun startGangAttempt(now: Micros) {
         gangAttempt = GangAttempt(nextGangAttempt, now)
         requeued.clear()
         nextUntried = 0
     }
 
-    /** What would be started without the others is not started: all have to be recorded. */
+    /** False for a gang until the placements of all its tasks are committed. */
     val mayStart: Boolean
         get() =
             !spec.isGang ||
@@ -116,14 +126,15 @@
                     placements.size == spec.tasks &&
                     placements.values.all { it.committed })
 
+    /** True if all tasks are done, whether or not the job's record says so. */
     val allTasksDone: Boolean
         get() = done.cardinality() == spec.tasks
 
-    /** Failing on several machines: the job is at fault, and stands behind its team's others. */
+    /** True if it fails on several machines: it is at fault, and comes after its team's others. */
     val isFailing: Boolean
         get() = failedMachines.size >= MIN_FAILING_MACHINES
 
-    /** A task of it was started once. */
+    /** True if a task of it was placed once. */
     val hasStarted: Boolean
         get() = !placements.isEmpty() || !attempts.isEmpty()
 
@@ -135,11 +146,13 @@
                 .filter { it.intValue > 0 && needsPlacement(it.intKey) }
                 .map { it.intKey }
 
+    /** True if [task] is done. */
     fun isTaskDone(task: Int) = done.get(task)
 
+    /** True if the store says that [task] is done. */
     fun isRecorded(task: Int) = isDone || pages.isRecordedDone(task)
 
-    /** The next waiting task, or -1. */
+    /** Takes the next waiting task from the queue; -1 if there is none. */
     fun pollWaitingTask(): Int {
         while (nextUntried < spec.tasks) {
             val task = nextUntried++
@@ -152,7 +165,7 @@
         return -1
     }
 
-    /** Its page is full for now: its turn comes after that of all others, with its page's rest. */
+    /** The page of [task] is full: it and the rest of the page come after all other tasks. */
     fun deferRestOfPage(task: Int) {
         requeued.enqueue(task)
         val end = pages.lastTaskBeside(task) + 1
@@ -163,20 +176,23 @@
         }
     }
 
+    /** [task] is the next to be taken again. */
     fun requeueFirst(task: Int) = requeued.enqueueFirst(task)
 
     private fun needsPlacement(task: Int) = !done.get(task) && !placements.containsKey(task)
 
+    /** The number that an attempt of [task] gets if it is placed now. */
     fun nextAttempt(task: Int) = gangAttempt?.number ?: (attempts.get(task) + 1)
 
+    /** [placement] was made at time of day [wall]. */
     fun place(placement: Placement, wall: Micros) {
         placements.put(placement.task.index, placement)
         attempts.put(placement.task.index, placement.attempt)
         pages.addUncommitted(placement.task.index)
-        markDirty(placement.task.index, wall)
+        pages.markTaskDirty(placement.task.index, wall)
     }
 
-    /** Its record is written. */
+    /** The record of [placement] is written. */
     fun commit(placement: Placement) {
         if (placement.committed) return
         placement.committed = true
@@ -184,30 +200,29 @@
         if (placements.get(task) === placement) pages.removeUncommitted(task)
     }
 
-    /** Proven gone; the task waits again unless it is done. */
+    /** [placement] is proven gone; its task waits again unless it is done. */
     fun release(placement: Placement, wall: Micros) {
         val task = placement.task.index
         if (placements.get(task) !== placement) return
         placements.remove(task)
         if (!placement.committed) pages.removeUncommitted(task)
-        markDirty(task, wall)
+        pages.markTaskDirty(task, wall)
         if (!done.get(task)) requeued.enqueue(task)
     }
 
-    /** The placement was never written, so its attempt number is free again. */
+    /** [placement] was never written, so its attempt number is used again. */
     fun rollBack(placement: Placement, wall: Micros) {
         attempts.put(placement.task.index, placement.attempt - 1)
         release(placement, wall)
     }
 
+    /** [task] is done since time of day [wall]. */
     fun complete(task: Int, wall: Micros) {
         if (done.get(task)) return
         done.set(task)
-        markDirty(task, wall)
+        pages.markTaskDirty(task, wall)
     }
 
-    private fun markDirty(task: Int, wall: Micros) = pages.markDirty(pages.pageOf(task), wall)
-
     /** The placements of the tasks on [page]. */
     fun placementsOn(page: Int): List<Placement> {
         val size = pages.tasksPerPage
@@ -219,10 +234,6 @@
         }
     }
 
-    /** How many tasks on [page] were tried and are not done. */
-    fun triedNotDoneOn(page: Int): Int =
-        pages.tasksOn(page).count { !done.get(it) && attempts.get(it) > 0 }
-
     /** The runs of consecutive done tasks on [page], ascending. */
     fun doneRunsOn(page: Int): List<IntRange> {
         val from = page * pages.tasksPerPage
@@ -261,13 +272,14 @@
         placement.restored = true
         placements.put(placement.task.index, placement)
         attempts.put(placement.task.index, placement.attempt)
-        // How far it came is not known, so nothing of it is replaced.
+        // How far the attempt came is not known, so none of its tasks is replaced.
         if (spec.isGang)
             gangAttempt = GangAttempt(placement.attempt, Micros.LONG_AGO, hasRun = true)
     }
 
-    companion object {
+    private companion object {
+        /** A job that failed on so many machines is failing. */
         const val MIN_FAILING_MACHINES = 2
-        private val LONG_BLOCKED_AFTER = 4.seconds
+        val LONG_BLOCKED_AFTER = 4.seconds
     }
 }
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -3,7 +3,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A job as its user described it; also the form in which records keep it. */
+/**
+ * A job as its user submitted it, and the form in which records keep it. Resources are those of one
+ * task; times are in seconds.
+ */
 @Serializable
 data class JobSpec(
     @SerialName("name_id") val id: String,
@@ -27,15 +30,19 @@
     @SerialName("dump_s") val saveS: Double,
     @SerialName("due_s") val deadlineS: Double? = null,
 ) {
+    /** The id as a type of its own. */
     val jobId: JobId
         get() = JobId(id)
 
+    /** How long its user expects a task to run. */
     val estimate: Micros
         get() = estimateS.seconds
 
+    /** True if its tasks run only all at the same time. */
     val isGang: Boolean
         get() = kind == JobKind.GANG
 
+    /** True if a stopped task can write a checkpoint, from which its next attempt goes on. */
     val isCheckpointable: Boolean
         get() = checkpointS > 0
 
--- a/src/main/kotlin/wardmux/model/TaskPages.kt
+++ b/src/main/kotlin/wardmux/model/TaskPages.kt
@@ -68,6 +68,8 @@
         if (dirtySince == null) dirtySince = wall
     }
 
+    internal fun markTaskDirty(task: Int, wall: Micros) = markDirty(pageOf(task), wall)
+
     /** [page] is as it is stored, or is being written as it is. */
     fun markClean(page: Int) {
         dirty.remove(page)
--- a/src/main/kotlin/wardmux/records/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -11,8 +11,8 @@
 import wardmux.serialization.lenientJson
 
 /**
- * The only truth on whether a job is accepted, cancelled or done. It stays for ever; a done job's
- * record needs no more than its state.
+ * The stored record of a job: the only truth on whether it is accepted, cancelled or done. It is
+ * never removed; a done job's record needs no more than its state.
  */
 @Serializable
 data class JobRecord(
@@ -21,11 +21,13 @@
     @SerialName("acceptedAt") val acceptedAt: Long,
     @SerialName("spec") val spec: JobSpec? = null,
 ) {
+    /** The stored form. */
     fun toJson(): JsonElement = lenientJson.encodeToJsonElement(serializer(), this)
 
     /**
-     * Cancelled. A record that the version before accepted may be larger than a value may be now:
-     * what is left of the job is found and taken down by less.
+     * The record of the job once it is cancelled. Where that takes more than [maxBytes], as the job
+     * was accepted under higher limits, it leaves out what is not needed to stop what is left of
+     * the job.
      */
     fun toCancelled(maxBytes: Int): JobRecord {
         val whole = copy(state = JobState.CANCELLED)
@@ -34,11 +36,11 @@
     }
 
     companion object {
-        /** The most bytes that a job's record takes. */
+        /** The most bytes that the record of a job with this specification takes. */
         fun maxBytes(spec: JobSpec): Int =
             jsonBytes(JobRecord(JobState.CANCELLED, Long.MAX_VALUE, spec).toJson())
 
-        /** What it takes where the service keeps all characters as they are. */
+        /** The bytes that it takes where the store escapes no characters. */
         private fun minBytes(spec: JobSpec): Int =
             JobRecord(JobState.CANCELLED, Long.MAX_VALUE, spec)
                 .toJson()
@@ -46,14 +48,14 @@
                 .encodeToByteArray()
                 .size
 
-        /** A larger one holds a list of types that is dear to look through, if nothing else. */
+        /** A larger record has a long list of types, or other long names. */
         private const val USUAL_BYTES = 2_000
 
         /**
-         * What is recorded of a job so that its record takes [maxBytes], or null if it can't. A
-         * type that none of its tasks can go to, or that is named twice, is of no use to anybody;
-         * all else is kept as its user named it. If it fits only where nothing is escaped, the
-         * service tells: the record is not written again for as long as the job is open.
+         * The specification to record for a job so that its record fits [maxBytes], or null if none
+         * does. Of its types only those in [usefulTypes] are kept, each once; all else is kept as
+         * its user gave it. Whether a record fits that does so only unescaped, the store decides
+         * when it is written.
          */
         fun shortened(spec: JobSpec, usefulTypes: Set<String>, maxBytes: Int): JobSpec? {
             if (maxBytes(spec) <= minOf(maxBytes, USUAL_BYTES)) return spec
@@ -61,32 +63,34 @@
             return shorter.takeIf { minBytes(it) <= maxBytes }
         }
 
+        /** Prefix of the keys of all job records. */
         const val PREFIX = "j/"
 
-        /**
-         * Holds the record of each job that is not over yet, for the leader to watch and reload.
-         */
+        /** Prefix of the copies of open jobs' records, for the leader to read and watch. */
         const val OPEN_PREFIX = "q/"
 
         /**
-         * Holds the record of each cancelled job of which something may still be on a machine.
-         * Pages of a job that is neither here nor open are of one that is done: a new leader need
-         * not ask for its record.
+         * Prefix of the copies of cancelled jobs' records, while something of the job may be on a
+         * machine. Pages of a job that is neither here nor open are of one that is done: a new
+         * leader need not read its record.
          */
         const val CANCELLED_PREFIX = "c/"
 
+        /** The key of a job's record. */
         fun key(job: JobId) = PREFIX + job.value
 
+        /** The key of the copy of an open job's record. */
         fun openKey(job: JobId) = OPEN_PREFIX + job.value
 
+        /** The key of the copy of a cancelled job's record. */
         fun cancelledKey(job: JobId) = CANCELLED_PREFIX + job.value
 
-        /** Null if what is stored is no record: it must not end or stop a controller. */
+        /** The record in [json]; null, which is logged, if it is none. */
         fun decode(json: JsonElement): JobRecord? =
             try {
                 lenientJson.decodeFromJsonElement(serializer(), json)
             } catch (e: IllegalArgumentException) {
-                logger<JobRecord>().error("a stored job can't be read: {}", e.message)
+                logger<JobRecord>().error("a stored job record can't be decoded: {}", e.message)
                 null
             }
     }
--- a/src/main/kotlin/wardmux/records/StoredTaskPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredTaskPage.kt
@@ -12,27 +12,27 @@
 import wardmux.serialization.lenientJson
 
 /**
- * A stretch of a job's tasks, as it is kept. Bytes and changes of the state service are what limits
- * how many tasks can start, so what placements share is written once: those that were placed
- * together have one charge, those on one machine name it once.
+ * The stored form of a task page: the state of a range of a job's tasks. How many tasks can start
+ * is limited by the bytes and writes of the key-value store, so what placements share is written
+ * once: those that were placed together have one charge, those on one machine name it once.
  */
 @Serializable
 class StoredTaskPage(
-    /** First and last of each run of done tasks. */
+    /** First and last task of each run of done tasks. */
     @SerialName("d") val done: List<Int> = emptyList(),
     @SerialName("c") private val costs: List<Long> = emptyList(),
     @SerialName("w") private val weights: List<Double> = emptyList(),
     @SerialName("z") private val zones: List<String> = emptyList(),
     @SerialName("m") private val machines: List<String> = emptyList(),
     /**
-     * For each machine its session, the place of its zone and the number of its placements; then,
-     * for each of these, the task, the attempt and the place of its charge.
+     * For each machine its incarnation, the index of its zone and the number of its placements;
+     * then, for each of these, the task, the attempt and the index of its charge.
      */
     @SerialName("n") private val numbers: List<Long> = emptyList(),
     /** Task and last attempt, for those that are neither done nor placed. */
     @SerialName("a") val tried: List<Int> = emptyList(),
 ) {
-    /** Null if what is stored is no page of this job. */
+    /** The placements of tasks of [job]; null if this is no valid page of the job. */
     fun placementsOf(job: Job): List<Placement>? =
         try {
             if (done.size % 2 == 0 && tried.size % 2 == 0) placements(job) else null
@@ -64,22 +64,25 @@
         /** Weights are kept to three digits after the point. */
         private const val WEIGHT_STEPS = 1e3
 
-        /** The page that holds this. */
-        fun of(done: List<Int>, placed: List<Placement>, tried: List<Int>): JsonElement {
+        /**
+         * The encoded page with [placements]; [done] holds the first and last task of each run, and
+         * [tried] holds tasks with their last attempts.
+         */
+        fun encode(done: List<Int>, placements: List<Placement>, tried: List<Int>): JsonElement {
             val charges = LinkedHashMap<Charge, Long>()
-            val shared = placed.firstOrNull()?.takeIf { it.job.sharesCharge }?.let(::chargeOf)
+            val shared = placements.firstOrNull()?.takeIf { it.job.sharesCharge }?.let(::chargeOf)
             val zones = LinkedHashMap<String, Long>()
             val machines = ArrayList<String>()
             val numbers = ArrayList<Long>()
-            for ((place, there) in placed.groupBy { it.machine to it.incarnation }) {
-                machines.add(place.first.value)
-                numbers.add(place.second)
-                numbers.add(zones.place(there.first().zone))
+            for ((host, there) in placements.groupBy { Host(it.machine, it.incarnation) }) {
+                machines.add(host.machine.value)
+                numbers.add(host.incarnation)
+                numbers.add(zones.indexOf(there.first().zone))
                 numbers.add(there.size.toLong())
                 for (placement in there) {
                     numbers.add(placement.task.index.toLong())
                     numbers.add(placement.attempt.toLong())
-                    numbers.add(charges.place(shared ?: chargeOf(placement)))
+                    numbers.add(charges.indexOf(shared ?: chargeOf(placement)))
                 }
             }
             val page =
@@ -95,12 +98,15 @@
             return lenientJson.encodeToJsonElement(serializer(), page)
         }
 
-        /** Rounded before it is compared: each dispatch moves its team's weight by a trifle. */
+        /** Rounded before it is compared: each dispatch changes its team's weight a little. */
         private fun chargeOf(placement: Placement): Charge {
             val charge = placement.charge
             return charge.copy(weight = Math.round(charge.weight * WEIGHT_STEPS) / WEIGHT_STEPS)
         }
 
-        private fun <K> MutableMap<K, Long>.place(key: K): Long = getOrPut(key) { size.toLong() }
+        /** The index of [key], which is the next one if it is new. */
+        private fun <K> MutableMap<K, Long>.indexOf(key: K): Long = getOrPut(key) { size.toLong() }
+
+        private data class Host(val machine: MachineId, val incarnation: Long)
     }
 }
--- a/src/main/kotlin/wardmux/records/TaskPageCodec.kt
+++ b/src/main/kotlin/wardmux/records/TaskPageCodec.kt
@@ -79,7 +79,10 @@
         }
         val done = BitSet().apply { for (run in kept) set(run.first, run.last + 1) }
         val doneBounds = kept.flatMap { listOf(it.first, it.last) }
-        return EncodedTaskPage(StoredTaskPage.of(doneBounds, job.placementsOn(page), tried), done)
+        return EncodedTaskPage(
+            StoredTaskPage.encode(doneBounds, job.placementsOn(page), tried),
+            done,
+        )
     }
 
     /** A task that was read as done has no attempt on record. */
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -1,6 +1,5 @@
 package wardmux.scheduling
 
-import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap
 import wardmux.config.TeamQuota
 import wardmux.core.CoreContext
 import wardmux.logging.logger
@@ -18,8 +17,8 @@
 import wardmux.model.seconds
 
 /**
- * What the leader knows of jobs, machines and who is where. Whatever may be on a machine counts
- * against its room and its team's cap until it is proven gone.
+ * The jobs, machines and placements that the leader knows. Whatever may be on a machine counts
+ * against the machine's room and its team's quota until it is proven gone.
  */
 class ClusterState(private val context: CoreContext, teams: List<TeamQuota>, val queue: FairQueue) {
     private val log = logger<ClusterState>()
@@ -27,17 +26,16 @@
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
     val estimates = RuntimeEstimates()
+    internal val quotaUsage = QuotaUsage(this.teams)
+    private val orphans = Orphans(quotaUsage)
 
-    /** Read from records, on machines that have not been heard of yet. */
-    private val placementsOnUnknownMachines = HashMap<MachineId, LinkedHashSet<Placement>>()
+    /** Placements on machines that records name and that have sent no heartbeat yet. */
+    val unknownMachines = PlacementsOnUnknownMachines()
 
-    /** How many orphans of each job there are on all machines. */
-    private val orphanCounts = HashMap<JobId, Int>()
-
-    /** Machines that may have orders to be sent to them directly. */
+    /** Machines that may have commands to be sent to them directly. */
     val machinesWithCommands = LinkedHashSet<Machine>()
 
-    /** Operators' drains are not over: only these move what would run on elsewhere. */
+    /** Drains are active: only these move tasks that would run on elsewhere. */
     var hasDrains = false
 
     /** Counts the jobs that were found cancelled. */
@@ -48,34 +46,18 @@
     var changeCount = 0L
         private set
 
-    private val cpus = Object2DoubleOpenHashMap<String>()
-    private val gpus = Object2DoubleOpenHashMap<String>()
-
-    fun usedCpus(team: String) = cpus.getDouble(team)
+    /** The machine type that costs are measured by; null until the types are known. */
+    var referenceType: MachineType? = null
 
-    /** How many more tasks like this the team's cap allows, once one like [beside] has started. */
-    fun headroom(spec: JobSpec, beside: JobSpec? = null): Int {
-        val team = teams[spec.team] ?: return 0
-        val slack = MachineType.EPSILON
-        val byCpu =
-            if (spec.cpus > 0) {
-                val used = cpus.getDouble(spec.team) + (beside?.cpus ?: 0.0)
-                (team.cpusMax - used + slack) / spec.cpus
-            } else Double.MAX_VALUE
-        val byGpu =
-            if (spec.gpus > 0) {
-                val used = gpus.getDouble(spec.team) + (beside?.gpus ?: 0.0)
-                (team.gpusMax - used + slack) / spec.gpus
-            } else Double.MAX_VALUE
-        return minOf(byCpu, byGpu, 1e6).toInt().coerceAtLeast(0)
-    }
+    /** The CPUs that tasks of [team] take of its quota. */
+    fun usedCpus(team: String) = quotaUsage.usedCpus(team)
 
-    /** Room and cap are taken by orphans too: tasks that a machine reports without a record. */
-    fun adjustQuotaUsage(spec: JobSpec, sign: Int) {
-        cpus.addTo(spec.team, sign * spec.cpus)
-        gpus.addTo(spec.team, sign * spec.gpus)
-    }
+    /**
+     * How many more tasks like this the team's quota allows, once one like [beside] has started.
+     */
+    fun headroom(spec: JobSpec, beside: JobSpec? = null): Int = quotaUsage.headroom(spec, beside)
 
+    /** Places [task] of [job] on [machine] and charges its team. */
     fun place(job: Job, task: Int, machine: Machine): Placement {
         val cost = cost(job.spec, estimates.runTime(job.spec))
         val charge = queue.charge(job.spec.team, cost, context.wall)
@@ -95,42 +77,34 @@
         return placement
     }
 
-    /** A placement read from a record. */
+    /** Counts [placement] on its [machine], which is null if it has sent no heartbeat yet. */
     fun addPlacement(placement: Placement, machine: Machine?) {
         if (machine != null) {
             machine.add(placement)
             machinesWithCommands.add(machine)
         } else {
-            placementsOnUnknownMachines
-                .getOrPut(placement.machine) { LinkedHashSet() }
-                .add(placement)
+            unknownMachines.add(placement)
         }
-        adjustQuotaUsage(placement.job.spec, 1)
+        quotaUsage.adjust(placement.job.spec, 1)
     }
 
-    /** A machine is heard of; what the records say of it was read before. */
+    /** Adds a machine, with the placements that records name on it. */
     fun add(machine: Machine) {
         machines[machine.id] = machine
-        placementsOnUnknownMachines.remove(machine.id)?.forEach { machine.add(it) }
+        unknownMachines.removeAll(machine.id).forEach { machine.add(it) }
         markChanged()
     }
 
-    /** Machines that records name and that nothing else has told of. */
-    fun unknownMachines(): Set<MachineId> = placementsOnUnknownMachines.keys
-
-    /** All that may be on the machine, whether it has been heard of or not. */
+    /** All placements on a machine, known or unknown. */
     fun placementsOn(id: MachineId): Collection<Placement> =
-        machines[id]?.placements?.values ?: placementsOnUnknownMachines[id].orEmpty()
-
-    fun holdsCancelled(id: MachineId) =
-        placementsOnUnknownMachines[id].orEmpty().any { it.job.isCancelled }
+        machines[id]?.placements?.values ?: unknownMachines.on(id)
 
     /** Something happened that may let a waiting task start. */
     fun markChanged() {
         changeCount++
     }
 
-    /** Its user may have been told from [since] on that the job is cancelled. */
+    /** [job] is cancelled; its user may have been told so from [since] on. */
     fun cancel(job: Job, since: Micros) {
         if (!job.hasEnded) {
             job.phase = JobPhase.CANCELLED
@@ -140,24 +114,23 @@
         scheduleStops(job)
     }
 
-    /** The job's record says done. */
+    /** The record of [job] says that it is done. */
     fun finish(job: Job) {
         job.phase = JobPhase.DONE
         scheduleStops(job)
     }
 
-    /** Nothing of the job is to go on: what is left of it is taken down. */
     private fun scheduleStops(job: Job) {
-        for (placement in job.placements.values) machines[placement.machine]?.let {
-            machinesWithCommands.add(it)
+        for (placement in job.placements.values) {
+            machines[placement.machine]?.let { machinesWithCommands.add(it) }
         }
     }
 
-    /** The placement is proven gone from its machine. */
+    /** [placement] is proven gone from its machine, for [reason]; its task waits unless done. */
     fun release(placement: Placement, reason: String) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         log.debug(
-            "{} try {} is off {}: {}",
+            "released {} attempt {} from {}: {}",
             placement.task,
             placement.attempt,
             placement.machine,
@@ -166,14 +139,15 @@
         removePlacement(placement)
         placement.job.release(placement, context.wall)
         val gang = placement.job.gangAttempt
-        if (gang != null && gang.hasRun && !placement.job.allTasksDone)
+        if (gang != null && gang.hasRun && !placement.job.allTasksDone) {
             abortGangAttempt(placement.job)
+        }
         markChanged()
     }
 
     /**
-     * Nothing comes of the gang's attempt any more. What is left of it is stopped: its tasks would
-     * find out by themselves, but later.
+     * The gang's attempt can't be completed any more. What is left of it is stopped: its tasks
+     * would find out by themselves, but later.
      */
     fun abortGangAttempt(job: Job) {
         val gang = job.gangAttempt ?: return
@@ -186,7 +160,7 @@
         }
     }
 
-    /** The placement's record was surely not written. */
+    /** The record of [placement] was surely not written: it is undone, and its charge refunded. */
     fun rollBack(placement: Placement) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         removePlacement(placement)
@@ -198,116 +172,73 @@
     private fun removePlacement(placement: Placement) {
         val machine = machines[placement.machine]
         if (machine != null) machine.remove(placement, context.now)
-        else removeFromUnknownMachine(placement)
+        else unknownMachines.remove(placement)
         val image = placement.job.spec.image
         if (placement.runningSince == null && machine?.needs(image) == false) {
             machine.fetchGivenUp(image, context.now)
         }
-        adjustQuotaUsage(placement.job.spec, -1)
-    }
-
-    private fun removeFromUnknownMachine(placement: Placement) {
-        val there = placementsOnUnknownMachines[placement.machine] ?: return
-        there.remove(placement)
-        if (there.isEmpty()) placementsOnUnknownMachines.remove(placement.machine)
+        quotaUsage.adjust(placement.job.spec, -1)
     }
 
-    /** The task has completed; its team's tag is corrected by what it really cost. */
+    /** The task of [placement] has completed; its charge is corrected by what it really cost. */
     fun complete(placement: Placement) {
         val job = placement.job
         val since = placement.runningSince
         if (since != null) {
-            val hasRun = context.now - since
-            estimates.record(job.spec, hasRun)
-            queue.settle(job.spec.team, placement.charge, cost(job.spec, hasRun), context.wall)
+            val runTime = context.now - since
+            estimates.record(job.spec, runTime)
+            queue.settle(job.spec.team, placement.charge, cost(job.spec, runTime), context.wall)
         }
         complete(job, placement.task.index)
         release(placement, "done")
     }
 
-    /** The tasks of a gang complete together: one that is done says it of all. */
+    /** [task] has completed; the tasks of a gang complete together, so one says it of all. */
     fun complete(job: Job, task: Int) {
         if (!job.spec.isGang) return job.complete(task, context.wall)
         for (each in 0 until job.spec.tasks) job.complete(each, context.wall)
     }
 
-    /** Everything on the machine is proven gone. */
+    /** Everything on [machine] is proven gone, for [reason]. */
     fun releaseAll(machine: Machine, reason: String) {
         for (placement in machine.placements.values.toList()) release(placement, reason)
         setOrphans(machine, emptyList())
     }
 
+    /** [machine] reports tasks of these jobs that no record names. */
     fun setOrphans(machine: Machine, orphans: List<JobSpec>) {
-        if (machine.orphans.isEmpty() && orphans.isEmpty()) return
-        for (spec in machine.orphans) adjustOrphanUsage(spec, -1)
-        machine.orphans = orphans
-        for (spec in orphans) adjustOrphanUsage(spec, 1)
-        markChanged()
-    }
-
-    private fun adjustOrphanUsage(spec: JobSpec, sign: Int) {
-        adjustQuotaUsage(spec, sign)
-        orphanCounts.merge(spec.jobId, sign) { a, b -> (a + b).takeIf { it != 0 } }
+        if (this.orphans.set(machine, orphans)) markChanged()
     }
 
-    /** A machine reports a task of the job that no record tells of. */
-    fun hasOrphans(job: Job) = job.id in orphanCounts
+    /** True if a machine reports a task of [job] that no record names. */
+    fun hasOrphans(job: Job) = orphans.has(job)
 
-    /** Before everything is read again. */
+    /** Forgets all jobs and placements, before everything is read again. */
     fun removeAllJobs() {
         for (machine in machines.values) {
             setOrphans(machine, emptyList())
-            for (placement in machine.placements.values.toList()) machine.remove(
-                placement,
-                context.now,
-            )
+            for (placement in machine.placements.values.toList()) {
+                machine.remove(placement, context.now)
+            }
         }
         jobs.clear()
-        placementsOnUnknownMachines.clear()
+        unknownMachines.clear()
         machinesWithCommands.clear()
-        cpus.clear()
-        gpus.clear()
+        quotaUsage.clear()
     }
 
-    /** The largest booked share of CPU, GPU or memory, in CPUs of the largest machine type. */
-    private fun cost(spec: JobSpec, run: Micros): Cost {
+    /** The largest share of CPU, GPU or memory, in CPUs of the reference type, by the run time. */
+    private fun cost(spec: JobSpec, runTime: Micros): Cost {
         val type = referenceType
         var share = spec.cpus
         if (type != null) {
             share = maxOf(share, spec.memoryGb * type.cpus / type.memoryGb)
             if (type.gpus > 0) share = maxOf(share, spec.gpus * type.cpus / type.gpus)
         }
-        return Cost((share * maxOf(run, 1.seconds).value).toLong())
-    }
-
-    /** The type that shares are measured by. */
-    var referenceType: MachineType? = null
-}
-
-/** Owners' estimates are often wrong in one direction for a whole class; what ran corrects them. */
-class RuntimeEstimates {
-    private class Ratio {
-        var value = 1.0
-        var seen = 0
-    }
-
-    private val ratios = HashMap<String, Ratio>()
-
-    fun runTime(spec: JobSpec): Micros {
-        val ratio = ratios[spec.jobClass]?.value ?: 1.0
-        return spec.estimate * ratio
-    }
-
-    fun record(spec: JobSpec, hasRun: Micros) {
-        if (spec.estimate <= Micros.ZERO) return
-        val ratio = ratios.getOrPut(spec.jobClass) { Ratio() }
-        ratio.seen++
-        val part = maxOf(1.0 / (ratio.seen + 1), SMALLEST_PART)
-        val seen = (hasRun.value.toDouble() / spec.estimate.value).coerceIn(0.2, 5.0)
-        ratio.value += (seen - ratio.value) * part
+        return Cost((share * maxOf(runTime, MIN_CHARGED_TIME).value).toLong())
     }
 
     private companion object {
-        const val SMALLEST_PART = 0.02
+        val MIN_CHARGED_TIME = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -12,17 +12,19 @@
 import wardmux.model.PriorityClass
 import wardmux.model.seconds
 
-/** Which machines a task may go to, and which of them suits it best. */
+/** Decides which machines a task may be placed on, and scores them. */
 class Eligibility(
     private val context: CoreContext,
     private val operators: OperatorSettings,
     private val workers: WorkerTiming,
     private val pools: MachinePools,
 ) {
-    /** True if new tasks may go to the machine. */
+    /**
+     * True if new tasks may be placed on [machine]: it is up, confirmed, not cordoned or leaving.
+     */
     fun usable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        val quiet = (workers.reportS * operators.quietReports).seconds
+        val maxSilence = (workers.reportS * operators.quietReports).seconds
         return machine.confirmed &&
             !machine.decommissioned &&
             !machine.isScalingIn &&
@@ -30,24 +32,25 @@
             !machine.hasUnansweredStart &&
             !machine.isUnreachable &&
             machine.preemptionNoticeAt == null &&
-            !(machine.isCommandInFlight && context.now - machine.commandSentAt > UNANSWERED) &&
-            context.now - lastHeartbeatAt < quiet &&
-            // One that only answers gets no lease: what it took would die with its session.
-            context.now - machine.renewedAt < quiet &&
+            !(machine.isCommandInFlight &&
+                context.now - machine.commandSentAt > MAX_COMMAND_WAIT) &&
+            context.now - lastHeartbeatAt < maxSilence &&
+            // A machine that only responds to probes gets no lease: its tasks would die with it.
+            context.now - machine.renewedAt < maxSilence &&
             context.now >= machine.pausedUntil
     }
 
-    /** The machine types that a task like this fits exactly. */
+    /** The labels of the machine types that a task like this fits exactly. */
     fun exactTypesFor(spec: JobSpec): Set<String> = pools.exactTypesFor(spec)
 
-    /** True if the job allows this machine's kind, type and zone. */
+    /** True if a task like this may run on [machine] by its type, zone and maintenance state. */
     fun allowed(spec: JobSpec, machine: Machine): Boolean =
         (spec.spot || !machine.spot) &&
             (spec.types == null || machine.type.label in spec.types) &&
             (spec.zone == null || spec.zone == machine.zone) &&
             (machine.maintenance != Maintenance.YIELDING || spec.priority <= PriorityClass.HIGH)
 
-    /** True if a machine of this kind could take a task of the job, were it empty. */
+    /** True if an empty machine of [type], in [zone], could take a task of [job]. */
     fun suits(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
         val spec = job.spec
         if (!type.allowedFor(spec) || (spot && !spec.spot)) return false
@@ -55,13 +58,13 @@
         return mayGoTo(zone, spec, zonesOf(job))
     }
 
-    /** Whether one more task may be in a zone, with the job's others in [zones]. */
+    /** True if one more task may be in [zone], with the job's others in [zones]. */
     fun mayGoTo(zone: String, spec: JobSpec, zones: Map<String, Int>): Boolean {
         if (spec.oneZone && zones.isNotEmpty() && zone !in zones) return false
         return !spec.spread || (zones[zone] ?: 0) < spec.zoneLimit
     }
 
-    /** Where the tasks of a job that is bound to zones are or may be, with how many. */
+    /** How many tasks of a zone-bound [job] are or may be in each zone; empty for other jobs. */
     fun zonesOf(job: Job): Map<String, Int> {
         if (!job.isZoneBound) return emptyMap()
         val zones = HashMap<String, Int>()
@@ -72,14 +75,15 @@
     }
 
     /**
-     * Seconds until the task could start, what the machine costs beyond the cheapest kind of its
-     * pool, and how much room would be left over: so that dear machines come free first. What has
-     * no end goes where most like it is, since only that keeps other machines from coming free.
+     * The score of [machine] for a task like this, the smaller the better: the wait for its image,
+     * the price beyond the cheapest of its pool, and the room left over, so that expensive machines
+     * come free first. Services go where most services are, since only they keep machines from
+     * coming free.
      */
     fun score(spec: JobSpec, machine: Machine): Double {
-        val fetch = machine.imageWait(spec.image, spec.imageGb, context.now)
-        return fetch.inSeconds * FETCH_WEIGHT +
-            (pools.relativeCost(machine.type, machine.spot) - 1) * DEAR_WEIGHT +
+        val imageWait = machine.imageWait(spec.image, spec.imageGb, context.now)
+        return imageWait.inSeconds * IMAGE_WAIT_WEIGHT +
+            (pools.relativeCost(machine.type, machine.spot) - 1) * PRICE_WEIGHT +
             leftOver(spec, machine) / machine.type.cpus
     }
 
@@ -88,10 +92,10 @@
         else machine.freeCpus - spec.cpus
 
     private companion object {
-        const val FETCH_WEIGHT = 0.5
-        const val DEAR_WEIGHT = 0.5
+        const val IMAGE_WAIT_WEIGHT = 0.5
+        const val PRICE_WEIGHT = 0.5
 
-        /** A direct command that is open for longer keeps new tasks from the machine. */
-        val UNANSWERED = 1.seconds
+        /** A direct command without a response for longer keeps new tasks from the machine. */
+        val MAX_COMMAND_WAIT = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -4,62 +4,62 @@
 import wardmux.model.Job
 import wardmux.model.JobSpec
 import wardmux.model.Machine
-import wardmux.model.MachineType
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Where a gang can go as a whole: with room for all of it, and pages that can be written. */
+/** Finds where a gang can go as a whole: with room for all of it, and pages that can be written. */
 class GangPlacement(
     private val context: CoreContext,
     private val eligibility: Eligibility,
-    private val types: () -> List<MachineType>,
+    private val pools: MachinePools,
 ) {
-    /** The largest value that a page may be. */
+    /** The largest value of a key, in bytes. */
     var maxBytes = Int.MAX_VALUE
+        internal set
 
     /** Machines that a gang could go to together. */
-    private class GangPlaces(
+    private class GangCandidate(
         /** How long the last of the gang's tasks waits for its image there. */
         val imageWait: Micros,
-        /** What the tasks' places score together. */
+        /** The sum of the scores of the tasks' machines; the smaller the better. */
         val score: Double,
         val machines: List<Machine>,
     )
 
     /**
-     * Machines with room for all that waits of the gang, in one zone if they have to be. A gang
-     * begins when its last image is there, so the places are chosen by the slowest of them, and
-     * then by what they cost. Null if there is not enough room together.
+     * Machines with room for all waiting tasks of a gang, in one zone if they have to be; null if
+     * there is not enough room. A gang starts when its last image is there, so the machines are
+     * chosen by the slowest of them, and then by their score.
      */
-    fun machinesFor(job: Job, candidates: List<Machine>): List<Machine>? {
+    fun machinesFor(job: Job, machines: List<Machine>): List<Machine>? {
         val spec = job.spec
         val zones = eligibility.zonesOf(job)
-        val open = candidates.filter { eligibility.mayGoTo(it.zone, spec, zones) }
+        val open = machines.filter { eligibility.mayGoTo(it.zone, spec, zones) }
         val groups = if (spec.oneZone) open.groupBy { it.zone }.values else listOf(open)
         if (job.placements.isEmpty() && PageSizeEstimate.requiresDensePacking(job, maxBytes)) {
             return groups.firstOrNull { group -> pagesHold(job, group) { it.roomFor(spec) } }
         }
         return groups
-            .mapNotNull { placesAmong(job, it) }
-            .minWithOrNull(compareBy<GangPlaces> { it.imageWait }.thenBy { it.score })
+            .mapNotNull { candidateAmong(job, it) }
+            .minWithOrNull(compareBy<GangCandidate> { it.imageWait }.thenBy { it.score })
             ?.machines
     }
 
-    /** Of these machines, those where all of the gang starts soonest, or null if it doesn't fit. */
-    private fun placesAmong(job: Job, machines: List<Machine>): GangPlaces? {
-        val waits = machines.groupBy { imageWait(job.spec, it) }
-        val near = ArrayList<Machine>()
-        for (wait in waits.keys.sorted()) {
-            near.addAll(waits.getValue(wait))
-            if (near.sumOf { it.roomFor(job.spec) } < job.waiting) continue
-            totalScore(job, near)?.let {
-                return GangPlaces(wait, it, near)
+    /** Of [machines] those where all of the gang starts soonest, or null if it doesn't fit. */
+    private fun candidateAmong(job: Job, machines: List<Machine>): GangCandidate? {
+        val byWait = machines.groupBy { imageWait(job.spec, it) }
+        val soonest = ArrayList<Machine>()
+        for (wait in byWait.keys.sorted()) {
+            soonest.addAll(byWait.getValue(wait))
+            if (soonest.sumOf { it.roomFor(job.spec) } < job.waiting) continue
+            totalScore(job, soonest)?.let {
+                return GangCandidate(wait, it, soonest)
             }
         }
         return null
     }
 
-    /** Of estimates that differ by less than this, neither is known to be the sooner. */
+    /** Of estimates that differ by less than a step, neither is known to be the sooner. */
     private fun imageWait(spec: JobSpec, machine: Machine): Micros {
         val wait = machine.imageWait(spec.image, spec.imageGb, context.now)
         val steps = (wait.value + IMAGE_WAIT_STEP.value - 1) / IMAGE_WAIT_STEP.value
@@ -67,8 +67,9 @@
     }
 
     /**
-     * True if its pages can be written with all its tasks on the roomiest of these machines. A gang
-     * too large for that is as good as not there: it must not keep room, cap or hires from others.
+     * True if the gang's pages can be written with all its tasks on those of [machines] with the
+     * most [room]. A gang too large for that must not keep machines, quota or new capacity from
+     * others.
      */
     private fun pagesHold(job: Job, machines: List<Machine>, room: (Machine) -> Int): Boolean {
         var left = job.spec.tasks
@@ -86,33 +87,39 @@
         return false
     }
 
-    /** What its tasks' places score together, or null if they do not all fit. */
+    /** The sum of the scores of the tasks' machines, or null if they do not all fit. */
     private fun totalScore(job: Job, machines: List<Machine>): Double? {
         var left = job.waiting
         var total = 0.0
         val zones = HashMap(eligibility.zonesOf(job))
-        for ((machine, score) in
-            machines.map { it to eligibility.score(job.spec, it) }.sortedBy { it.second }) {
+        val scored = machines.map { ScoredMachine(it, eligibility.score(job.spec, it)) }
+        for (candidate in scored.sortedBy { it.score }) {
+            val machine = candidate.machine
             val there = zones.getOrDefault(machine.zone, 0)
             val allowed = if (job.spec.spread) job.spec.zoneLimit - there else left
             val here = minOf(left, machine.roomFor(job.spec), allowed)
             zones[machine.zone] = there + here
-            total += score * here
+            total += candidate.score * here
             left -= here
             if (left == 0) return total
         }
         return null
     }
 
+    private class ScoredMachine(val machine: Machine, val score: Double)
+
     /** True of a gang whose pages can't be written even if it has the largest machines alone. */
     fun canNeverBeStored(job: Job): Boolean {
         if (!job.spec.isGang || !PageSizeEstimate.requiresDensePacking(job, maxBytes)) return false
-        val most = types().filter { it.allowedFor(job.spec) }.maxOfOrNull { it.fitting(job.spec) }
-        return !PageSizeEstimate.mayHold(job, most ?: 0, maxBytes)
+        val tasksPerMachine =
+            pools.offeredTypes
+                .filter { it.allowedFor(job.spec) }
+                .maxOfOrNull { it.fitting(job.spec) }
+        return !PageSizeEstimate.mayHold(job, tasksPerMachine ?: 0, maxBytes)
     }
 
-    /** These machines, were they empty, would take all of the gang. */
-    fun holdsAll(job: Job, machines: List<Machine>) =
+    /** True if [machines], were they empty, would take all of the gang. */
+    fun wouldHoldAll(job: Job, machines: List<Machine>) =
         machines.sumOf { it.type.fitting(job.spec) } >= job.spec.tasks &&
             (!PageSizeEstimate.requiresDensePacking(job, maxBytes) ||
                 pagesHold(job, machines) { it.type.fitting(job.spec) })
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -10,8 +10,8 @@
 import wardmux.model.seconds
 
 /**
- * Keeps room and cap for gangs that wait: a gang needs all of both at once, and small tasks would
- * take each bit that comes free.
+ * Reserves machines and quota for gangs that wait: a gang needs all of both at once, and small
+ * tasks would take each bit that comes free.
  */
 class GangReservations(
     private val context: CoreContext,
@@ -20,27 +20,32 @@
     private val placement: GangPlacement,
     private val workers: WorkerTiming,
 ) {
+    /** Of each team the gang that has waited longest, if that is too long. */
+    private var quotaClaims: Map<String, Job> = emptyMap()
+
+    /** Machines that are reserved for one gang: nothing else is placed there. */
+    private var reservedMachines: Set<MachineId> = emptySet()
+    private var reservedFor: JobId? = null
+
     /** Decides anew, before each plan, for the jobs that are [ready] to start. */
-    fun update(ready: List<Job>) {
-        breakSpoiltAttempts(ready)
-        reserve(ready)
-        claims = claims(ready)
+    internal fun update(ready: List<Job>) {
+        abortHopelessAttempts(ready)
+        reserveMachines(ready)
+        quotaClaims = quotaClaims(ready)
     }
 
-    /** Of each team the gang that has waited longest, if that is too long. */
-    private var claims: Map<String, Job> = emptyMap()
-
     /**
-     * Of the cap, too, a team's other tasks would take each bit that comes free: while a gang waits
-     * for its cap or for room, they leave what it needs. More urgent ones come before it.
+     * True if a task of [job] leaves the quota that its team's longest waiting gang needs, or comes
+     * before that gang by its priority.
      */
     fun leavesQuota(job: Job): Boolean {
-        val gang = claims[job.spec.team] ?: return true
-        if (gang === job || gang.waiting == 0 || job.spec.priority < gang.spec.priority) return true
+        val gang = quotaClaims[job.spec.team] ?: return true
+        val comesFirst = gang === job || job.spec.priority < gang.spec.priority
+        if (comesFirst || gang.waiting == 0) return true
         return cluster.headroom(gang.spec, beside = job.spec) >= gang.waiting
     }
 
-    private fun claims(ready: List<Job>): Map<String, Job> =
+    private fun quotaClaims(ready: List<Job>): Map<String, Job> =
         ready
             .filter {
                 it.spec.isGang &&
@@ -51,74 +56,73 @@
             .sortedByDescending { it.acceptedAt.value }
             .associateBy { it.spec.team }
 
-    /** Machines where a gang that waits too long gathers room: nothing else goes there. */
-    private var reserved: Set<MachineId> = emptySet()
-    private var reservedFor: JobId? = null
-
-    /** True if another gang gathers room on this machine. */
+    /** True if [machine] is reserved for another gang than [job]. */
     fun isReservedFromJob(job: Job, machine: Machine) =
-        machine.id in reserved && job.id != reservedFor
+        machine.id in reservedMachines && job.id != reservedFor
 
-    /** True if the gang gathers room on this machine, with others that together hold all of it. */
-    fun isReservedFor(job: Job, machine: Machine) = job.id == reservedFor && machine.id in reserved
+    /** True if [machine] is reserved for [job], with others that together hold all of it. */
+    fun isReservedFor(job: Job, machine: Machine) =
+        job.id == reservedFor && machine.id in reservedMachines
 
     /**
-     * Of room that comes free bit by bit small tasks would take each bit. The gang that has waited
-     * longest gets machines for it alone, in one zone if it has to be, those that have the most
-     * room and where the most tasks end; one gang at a time, so that two never hold what the other
-     * lacks. It gathers as soon as a plan found no room for it, and on more machines than it needs,
-     * as its room comes the sooner the more tasks may end for it.
+     * Reserves machines for the gang that has waited longest, in one zone if it has to be: those
+     * with the most room and where the most tasks end. It is one gang at a time, so that two never
+     * hold what the other lacks. It gets them as soon as a plan found no room for it, and more than
+     * it needs, as its room comes the sooner the more tasks may end for it.
      */
-    private fun reserve(ready: List<Job>) {
+    private fun reserveMachines(ready: List<Job>) {
         val waiting = ready.filter { it.spec.isGang && awaitsRoom(it) && hasMachinesFor(it) }
         val gang = waiting.minByOrNull { it.acceptedAt.value }
         if (gang == null) {
-            reserved = emptySet()
+            reservedMachines = emptySet()
             reservedFor = null
             return
         }
-        val usable =
-            cluster.machines.values.filter {
-                eligibility.usable(it) && eligibility.allowed(gang.spec, it)
-            }
-        val kept = usable.filter { it.id in reserved }
-        if (gang.id == reservedFor && placement.holdsAll(gang, kept)) return
+        val usable = usableFor(gang)
+        val kept = usable.filter { it.id in reservedMachines }
+        if (gang.id == reservedFor && placement.wouldHoldAll(gang, kept)) return
         reservedFor = gang.id
-        val groups = if (gang.spec.oneZone) usable.groupBy { it.zone }.values else listOf(usable)
-        val choices =
-            groups.mapNotNull { group ->
-                val sorted =
-                    group.sortedWith(
-                        compareByDescending<Machine> { it.roomFor(gang.spec) }
-                            .thenByDescending { it.placements.size }
-                    )
-                val count =
-                    (1..sorted.size).firstOrNull { placement.holdsAll(gang, sorted.take(it)) }
-                count?.let { sorted.take(it * GATHER_WIDTH) }
-            }
         // Where the least has to come free.
-        reserved =
-            choices
+        reservedMachines =
+            groupsFor(gang, usable)
+                .mapNotNull { reservationAmong(gang, it) }
                 .maxByOrNull { chosen -> chosen.sumOf { it.roomFor(gang.spec) } }
                 .orEmpty()
                 .mapTo(HashSet()) { it.id }
     }
 
+    /** The machines of [group] to reserve, or null if all of them would not hold the gang. */
+    private fun reservationAmong(gang: Job, group: List<Machine>): List<Machine>? {
+        val sorted =
+            group.sortedWith(
+                compareByDescending<Machine> { it.roomFor(gang.spec) }
+                    .thenByDescending { it.placements.size }
+            )
+        val count =
+            (1..sorted.size).firstOrNull { placement.wouldHoldAll(gang, sorted.take(it)) }
+                ?: return null
+        return sorted.take(count * RESERVATION_FACTOR)
+    }
+
+    private fun usableFor(job: Job): List<Machine> =
+        cluster.machines.values.filter {
+            eligibility.usable(it) && eligibility.allowed(job.spec, it)
+        }
+
+    /** The machines among which all of the gang has to be. */
+    private fun groupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
+        if (job.spec.oneZone) machines.groupBy { it.zone }.values else listOf(machines)
+
     /** Where its pages hold only few machines, one that these can't serve lets the next come. */
     private fun hasMachinesFor(job: Job): Boolean {
         if (!PageSizeEstimate.requiresDensePacking(job, placement.maxBytes)) return true
-        val usable =
-            cluster.machines.values.filter {
-                eligibility.usable(it) && eligibility.allowed(job.spec, it)
-            }
-        val groups = if (job.spec.oneZone) usable.groupBy { it.zone }.values else listOf(usable)
-        return groups.any { placement.holdsAll(job, it) }
+        return groupsFor(job, usableFor(job)).any { placement.wouldHoldAll(job, it) }
     }
 
     /** A gang that only the lack of room on machines holds back. */
     private fun awaitsRoom(job: Job): Boolean {
-        val mayGo = job.placements.isEmpty() || mayReplaceLost(job)
-        return mayGo &&
+        val mayPlace = job.placements.isEmpty() || canReplaceLostTasks(job)
+        return mayPlace &&
             job.blockedSince != null &&
             !cluster.hasOrphans(job) &&
             !placement.canNeverBeStored(job) &&
@@ -126,31 +130,33 @@
     }
 
     /**
-     * What is left of an attempt that comes to nothing is stopped whether or not there is room or
-     * cap for the next: two gangs of a team that each hold what the other waits for would wait for
-     * ever.
+     * What is left of an attempt that can't be completed is stopped whether or not there is room or
+     * quota for the next: two gangs of a team that each hold what the other waits for would wait
+     * for ever.
      */
-    private fun breakSpoiltAttempts(ready: List<Job>) {
+    private fun abortHopelessAttempts(ready: List<Job>) {
         for (job in ready) {
-            val isOut = job.spec.isGang && job.placements.isNotEmpty()
-            if (isOut && !mayReplaceLost(job)) cluster.abortGangAttempt(job)
+            val isPlaced = job.spec.isGang && job.placements.isNotEmpty()
+            if (isPlaced && !canReplaceLostTasks(job)) cluster.abortGangAttempt(job)
         }
     }
 
-    fun mayReplaceLost(job: Job) = job.gangAttempt?.let { mayReplaceIn(it) } == true
+    /** True if lost tasks of the gang's attempt can still be placed in time for the others. */
+    fun canReplaceLostTasks(job: Job) = job.gangAttempt?.let { canBeCompleted(it) } == true
 
-    private fun mayReplaceIn(gang: GangAttempt): Boolean {
-        val longest = (workers.gangWaitS * REPLACED_PART).seconds
-        return !gang.isAborted && !gang.hasRun && context.now - gang.startedAt < longest
+    private fun canBeCompleted(attempt: GangAttempt): Boolean {
+        val maxAge = (workers.gangWaitS * REPLACEMENT_SHARE).seconds
+        return !attempt.isAborted && !attempt.hasRun && context.now - attempt.startedAt < maxAge
     }
 
     private companion object {
         /**
-         * Of the time that a gang's tasks wait for each other: in the rest an image has to come.
+         * The share of the time that a gang's tasks wait for each other in which lost ones are
+         * replaced: in the rest an image has to come.
          */
-        const val REPLACED_PART = 0.4
+        const val REPLACEMENT_SHARE = 0.4
 
-        /** Machines where a gang gathers room, in those that would hold it if they were empty. */
-        const val GATHER_WIDTH = 3
+        /** Machines that are reserved, in those that would hold the gang if they were empty. */
+        const val RESERVATION_FACTOR = 3
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -22,45 +22,43 @@
     private val weights =
         types.associate { it.label to demand.machinesOf(base) / demand.machinesOf(it) }
 
-    /** The pool's machines are of this type among others. */
+    /** True if [type] is one of the pool's. */
     fun holds(type: MachineType): Boolean = type.label in weights
 
-    /** How many machines of the base type do the work of one of this type. */
+    /** How many machines of the base type do the work of one of [type]. */
     fun weightOf(type: MachineType): Double = weights.getValue(type.label)
 
-    /** What a machine costs an hour for each machine of the base type that it stands for. */
+    /** The price an hour of a machine of [type], for each base machine that it stands for. */
     fun priceOf(type: MachineType, spot: Boolean): Double = price(type, spot) / weightOf(type)
 
-    /**
-     * The types by what they cost for the work that they do and, on that account, for their boot.
-     */
+    /** The types by their price for the work that they do, the time of their boot included. */
     fun cheapestFirst(spot: Boolean): List<MachineType> =
-        types.sortedBy { priceOf(it, spot) * (1 + it.bootS / USUAL_USE_S) }
+        types.sortedBy { priceOf(it, spot) * (1 + it.bootS / USUAL_RENTAL_S) }
 
-    /** The price of a kind, where the cheapest of the pool costs 1. */
+    /** The price of a machine of [type] for its work, relative to the cheapest of the pool. */
     fun relativeCost(type: MachineType, spot: Boolean): Double =
-        priceOf(type, spot) / maxOf(types.minOf { priceOf(it, true) }, LEAST_PRICE)
+        priceOf(type, spot) / maxOf(types.minOf { priceOf(it, true) }, MIN_PRICE)
 
-    /** The time that the soonest of its machines takes to boot, in seconds. */
+    /** The shortest time that a machine of the pool takes to boot, in seconds. */
     val shortestBootS: Double = types.minOf { it.bootS }
 
     private fun price(type: MachineType, spot: Boolean) = if (spot) type.spotPrice else type.price
 
     private companion object {
-        const val LEAST_PRICE = 1e-6
+        const val MIN_PRICE = 1e-6
 
         /** For how long a machine is rented as a rule; its boot is paid once in that time. */
-        const val USUAL_USE_S = 300.0
+        const val USUAL_RENTAL_S = 300.0
     }
 }
 
-/** What the open jobs of a pool ask for together. */
+/** The resources that the open jobs of a pool request together. */
 class ResourceDemand {
     private var cpus = 0.0
     private var gpus = 0.0
     private var memoryGb = 0.0
 
-    /** Counts [tasks] tasks more. */
+    /** Counts [tasks] tasks more like this. */
     fun add(spec: JobSpec, tasks: Int) {
         cpus += spec.cpus * tasks
         gpus += spec.gpus * tasks
@@ -75,33 +73,43 @@
     }
 }
 
+/** Where the machine types that the cloud offers are read. */
+fun interface MachineTypeSource {
+    /** The types that are offered now; none while they are not known. */
+    fun types(): List<MachineType>
+}
+
 /**
- * Tells which machine types a task counts as an exact fit for. As a rule that is the smallest one
+ * Tells which machine types a task counts as an exact fit for. Usually that is the smallest one
  * that holds it, so that large machines stay free for large tasks. A type that nothing open needs
  * for its size has nothing to stay free for: it joins the pool of the next smaller type that is
  * needed, and what fits that fits it exactly too.
  */
-class MachinePools(private val context: CoreContext, private val types: () -> List<MachineType>) {
-    /** When open work was last seen for which a type is the smallest, by its label. */
+class MachinePools(private val context: CoreContext, private val types: MachineTypeSource) {
+    /** When a type was last the smallest for an open job, by its label. */
     private val neededAt = HashMap<String, Micros>()
-    private var knownTypes: List<MachineType> = emptyList()
+    private var dividedTypes: List<MachineType> = emptyList()
     private var refreshAt = Micros.LONG_AGO
 
-    /** All pools; each known type is in one of them. */
+    /** The machine types that the cloud offers now. */
+    val offeredTypes: List<MachineType>
+        get() = types.types()
+
+    /** All pools; each type is in one of them. */
     var pools: List<MachinePool> = emptyList()
         private set
 
     private var poolByLabel: Map<String, MachinePool> = emptyMap()
 
-    /** Looks again at what is needed, if that was not done lately or the types have changed. */
+    /** Divides the types anew if that was not done lately or the types have changed. */
     fun refreshIfDue(jobs: Collection<Job>) {
-        if (types() != knownTypes || context.now >= refreshAt) refresh(jobs)
+        if (offeredTypes != dividedTypes || context.now >= refreshAt) refresh(jobs)
     }
 
-    /** Looks again at what is needed: [jobs] may be quite others than before. */
+    /** Divides the types anew by what the open ones of [jobs] need. */
     fun refresh(jobs: Collection<Job>) {
-        refreshAt = context.now + PERIOD
-        knownTypes = types()
+        refreshAt = context.now + REFRESH_PERIOD
+        dividedTypes = offeredTypes
         val open = jobs.filter { !it.hasEnded && !it.allTasksDone }
         val demands = HashMap<String, ResourceDemand>()
         for (job in open) {
@@ -114,24 +122,24 @@
 
     /** The smallest machine type that a task like this fits, or null. */
     fun smallestFor(spec: JobSpec): MachineType? =
-        types().filter { it.allowedFor(spec) }.minByOrNull { it.cpus }
+        offeredTypes.filter { it.allowedFor(spec) }.minByOrNull { it.cpus }
 
     /** The pool that a task like this is counted in, or null if it fits no machine. */
     fun poolFor(spec: JobSpec): MachinePool? = smallestFor(spec)?.let { poolByLabel[it.label] }
 
-    /** The types that a task like this fits exactly. */
+    /** The labels of the types that a task like this fits exactly. */
     fun exactTypesFor(spec: JobSpec): Set<String> {
         val smallest = smallestFor(spec) ?: return emptySet()
         val pool = poolByLabel[smallest.label] ?: return setOf(smallest.label)
         return pool.types.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
     }
 
-    /** What a machine costs for its work, where the cheapest kind of its pool costs 1. */
+    /** The price of a machine for its work, relative to the cheapest of its pool. */
     fun relativeCost(type: MachineType, spot: Boolean): Double =
         poolByLabel[type.label]?.relativeCost(type, spot) ?: 1.0
 
     private fun divide(demands: Map<String, ResourceDemand>) {
-        val bySize = knownTypes.sortedBy { it.cpus }
+        val bySize = dividedTypes.sortedBy { it.cpus }
         val groups = ArrayList<ArrayList<MachineType>>()
         for (type in bySize) {
             if (groups.isEmpty() || isNeeded(type)) groups.add(arrayListOf(type))
@@ -145,14 +153,14 @@
     }
 
     private fun isNeeded(type: MachineType): Boolean {
-        val at = neededAt[type.label] ?: return false
-        return context.now - at <= REMEMBERED
+        val lastNeeded = neededAt[type.label] ?: return false
+        return context.now - lastNeeded <= NEED_RETENTION
     }
 
     private companion object {
-        val PERIOD = 250.milliseconds
+        val REFRESH_PERIOD = 250.milliseconds
 
-        /** Work of a kind that was there comes again: its machines are not filled up meanwhile. */
-        val REMEMBERED = 600.seconds
+        /** Work that was there comes again: its machines are not filled up meanwhile. */
+        val NEED_RETENTION = 600.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -21,7 +21,8 @@
         PlacementsSize(jsonBytes(TaskPageCodec.encode(job, page, maxBytes - RESERVED_BYTES).data))
 
     /** Tried tasks of the page that are not done, and may end in any order. */
-    private var triedTasks = job.triedNotDoneOn(page)
+    private var triedTasks =
+        job.pages.tasksOn(page).count { !job.isTaskDone(it) && job.lastAttempt(it) > 0 }
     private val triedBefore = triedTasks
     private var placedTasks = job.placementsOn(page).size
 
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -1,6 +1,5 @@
 package wardmux.scheduling
 
-import java.util.PriorityQueue
 import wardmux.config.OperatorSettings
 import wardmux.config.ServiceLevelObjective
 import wardmux.config.WorkerTiming
@@ -8,8 +7,6 @@
 import wardmux.logging.logger
 import wardmux.model.Job
 import wardmux.model.JobId
-import wardmux.model.JobKind
-import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineType
 import wardmux.model.Placement
@@ -18,71 +15,59 @@
 import wardmux.model.seconds
 
 /**
- * Decides what goes where. Of the waiting tasks that fit, exact fits come first; then the more
- * urgent (they could stop the less urgent at once, so it is decided here and not by a start and a
- * stop); then the team with the lowest start tag; within a team, the order of submission.
+ * Decides which waiting task goes to which machine. Exact fits come first; then the higher priority
+ * class (its jobs could preempt the others at once, so it is decided here and not by a start and a
+ * stop); then the team with the lowest start tag; within a team, [TeamJobOrder].
  *
- * Tasks of one job are alike, and so are jobs that need the same: the machines are looked over once
- * for all of them, and once one finds none, no other is tried in that pass. A decision costs what
- * it places plus one look for each kind of work that waits.
+ * Tasks of one job are alike, and so are jobs with the same [ResourceRequest]: machines are
+ * filtered and scored once for all of them, and once none is found, no other such job is tried in
+ * that pass. A plan costs what it places plus one examination of the machines for each kind of
+ * waiting work.
  */
 class Planner(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val operators: OperatorSettings,
+    operators: OperatorSettings,
     workers: WorkerTiming,
     objectives: List<ServiceLevelObjective>,
     private val pools: MachinePools,
-    types: () -> List<MachineType>,
 ) {
     private val log = logger<Planner>()
+    private val examined = ExaminedMachines()
 
-    /** Machines looked at so far: what decisions cost. */
-    var machinesExamined = 0L
-        private set
-
-    /** The largest value that a page may be. */
-    private var maxBytes = Int.MAX_VALUE
+    /** Machines examined so far: what decisions cost. */
+    val machinesExamined: Long
+        get() = examined.count
 
     /** Which machines tasks may go to. */
     val eligibility = Eligibility(context, operators, workers, pools)
-    private val gangPlacement = GangPlacement(context, eligibility, types)
+    private val gangPlacement = GangPlacement(context, eligibility, pools)
 
-    /** Room and cap that are kept for gangs. */
+    /** Machines and quota that are reserved for gangs. */
     val gangReservations = GangReservations(context, cluster, eligibility, gangPlacement, workers)
+
+    /** Machine types that are reserved for jobs which have waited too long. */
+    val typeReservations = TypeReservations(context, eligibility, operators.longestWaitS.seconds)
     private val order = TeamJobOrder(objectives, cluster.estimates, operators.longestWaitS.seconds)
 
-    /** Places what it can while [budget] has room for the job's page in the write to come. */
+    /** Places what it can while [budget] has room for the job's page in the next transaction. */
     fun plan(budget: PageWriteBudget) {
-        maxBytes = budget.maxBytes
-        gangPlacement.maxBytes = maxBytes
+        gangPlacement.maxBytes = budget.maxBytes
         val ready = cluster.jobs.values.filter { it.waiting > 0 && context.wall >= it.backoffUntil }
         if (ready.isEmpty()) {
-            if (cluster.jobs.values.all { it.placements.isEmpty() })
+            if (cluster.jobs.values.all { it.placements.isEmpty() }) {
                 cluster.queue.advanceToHighestTag()
+            }
             return
         }
         gangReservations.update(ready)
         pools.refreshIfDue(cluster.jobs.values)
-        heldTypes =
-            ready
-                .filter { isOverdue(it) }
-                .flatMapTo(HashSet()) { eligibility.exactTypesFor(it.spec) }
+        typeReservations.update(ready)
         val round = Round(cluster.machines.values.filter { eligibility.usable(it) }, budget)
-        val scarce = cluster.jobs.values.any { isShortOfRoom(it) }
-        val queues =
-            ready
-                .groupBy { it.spec.priority }
-                .mapValues { (_, jobs) ->
-                    jobs
-                        .groupBy { it.spec.team }
-                        .mapValues { (team, own) ->
-                            order.sort(own, reachableCpus(team, scarce), context.wall)
-                        }
-                }
-        for (exact in listOf(true, false)) {
+        val queues = queuesOf(ready)
+        for (exactFitsOnly in listOf(true, false)) {
             for (priority in PriorityClass.entries) {
-                queues[priority]?.let { place(it, Pass(round, exact)) }
+                queues[priority]?.let { place(it, Pass(round, exactFitsOnly)) }
             }
         }
         for (job in ready) {
@@ -91,14 +76,28 @@
         }
     }
 
-    /** What one plan looks at: the machines with room, and what the write to come takes. */
-    private class Round(usable: List<Machine>, val budget: PageWriteBudget) {
-        val usable = usable.size
-        val open = usable.filter { it.freeCpus > MachineType.EPSILON }
+    /** Of each priority class and team the jobs in their order. */
+    private fun queuesOf(ready: List<Job>): Map<PriorityClass, Map<String, List<Job>>> {
+        val isRoomScarce = cluster.jobs.values.any { isShortOfRoom(it) }
+        return ready
+            .groupBy { it.spec.priority }
+            .mapValues { (_, jobs) ->
+                jobs
+                    .groupBy { it.spec.team }
+                    .mapValues { (team, own) ->
+                        order.sort(own, reachableCpus(team, isRoomScarce), context.wall)
+                    }
+            }
+    }
+
+    /** What one plan has: the machines with room, and what the next transaction can write. */
+    private class Round(schedulable: List<Machine>, val budget: PageWriteBudget) {
+        val schedulableCount = schedulable.size
+        val withRoom = schedulable.filter { it.freeCpus > MachineType.EPSILON }
     }
 
-    /** One look over the machines, for exact fits or for any. */
-    private inner class Pass(val round: Round, val exact: Boolean) {
+    /** One go over the jobs of a priority class, for exact fits or for any. */
+    private inner class Pass(val round: Round, val exactFitsOnly: Boolean) {
         private val candidates = HashMap<JobId, NodeCandidates>()
 
         /** What no machine has room for: room only shrinks within a plan. */
@@ -109,145 +108,84 @@
                 return it
             }
             if (job.resourceRequest in unplaceableRequests) return null
-            val found = NodeCandidates(job, eligibleMachines(job))
+            val found = candidatesAmong(job, eligibleMachines(job))
             if (found.isEmpty && job.failedMachines.isEmpty() && !job.isZoneBound)
                 unplaceableRequests.add(job.resourceRequest)
             candidates[job.id] = found
             return found
         }
 
+        fun candidatesAmong(job: Job, machines: List<Machine>) =
+            NodeCandidates(job, machines, eligibility, requiresDensePacking(job), examined)
+
+        fun requiresDensePacking(job: Job) =
+            PageSizeEstimate.requiresDensePacking(job, round.budget.maxBytes)
+
         fun eligibleMachines(job: Job): List<Machine> {
             val spec = job.spec
-            val own = eligibility.exactTypesFor(spec)
-            machinesExamined += round.open.size
-            return round.open.filter { machine ->
+            val exactTypes = eligibility.exactTypesFor(spec)
+            examined.count += round.withRoom.size
+            return round.withRoom.filter { machine ->
                 val label = machine.type.label
-                (label in own || (!exact && label !in heldTypes)) &&
+                (label in exactTypes || (!exactFitsOnly && !typeReservations.isReserved(label))) &&
                     !gangReservations.isReservedFromJob(job, machine) &&
                     eligibility.allowed(spec, machine) &&
                     machine.fits(spec) &&
-                    (machine.id !in job.failedMachines || round.usable <= job.failedMachines.size)
-            }
-        }
-    }
-
-    /**
-     * The machines that a job's tasks may go to, the best first. They are looked over once for all
-     * its tasks; what others take meanwhile shows when a machine's turn comes.
-     */
-    private inner class NodeCandidates(private val job: Job, machines: List<Machine>) {
-        private inner class NodeCandidate(val machine: Machine, val score: Double)
-
-        private val packsDensely = PageSizeEstimate.requiresDensePacking(job, maxBytes)
-        private val used =
-            if (packsDensely) job.placements.values.mapTo(HashSet()) { it.machine } else HashSet()
-
-        private val queue =
-            PriorityQueue<NodeCandidate>(maxOf(1, machines.size), compareBy { it.score }).apply {
-                for (machine in machines) add(candidate(machine))
-            }
-        val isEmpty: Boolean
-            get() = queue.isEmpty()
-
-        private fun candidate(machine: Machine) = NodeCandidate(machine, scoreOf(machine))
-
-        /** Where its page holds all only on few machines, these are filled one by one. */
-        private fun scoreOf(machine: Machine): Double {
-            if (!packsDensely) return eligibility.score(job.spec, machine) + zoneShare(machine)
-            return if (machine.id in used) -MAX_ROOM else -machine.roomFor(job.spec).toDouble()
-        }
-
-        /** What is spread loses least with a zone if all zones have as much of it. */
-        private fun zoneShare(machine: Machine): Double {
-            if (!job.spec.spread) return 0.0
-            val there = eligibility.zonesOf(job)[machine.zone] ?: 0
-            return SPREAD_WEIGHT * there / job.spec.tasks
-        }
-
-        fun best(): Machine? {
-            val zones = eligibility.zonesOf(job)
-            while (true) {
-                val candidate = queue.peek() ?: return null
-                machinesExamined++
-                val machine = candidate.machine
-                if (
-                    !machine.fits(job.spec) || !eligibility.mayGoTo(machine.zone, job.spec, zones)
-                ) {
-                    queue.poll()
-                    continue
-                }
-                val now = candidate(machine)
-                if (now.score <= candidate.score + MachineType.EPSILON) return machine
-                queue.poll()
-                queue.add(now)
+                    mayRetryOn(machine, job)
             }
         }
 
-        /** One more task of the job goes to the [best]; the next may go there too. */
-        fun onPlaced(machine: Machine) {
-            queue.poll()
-            if (packsDensely) used.add(machine.id)
-            if (machine.fits(job.spec)) queue.add(candidate(machine))
-        }
+        /**
+         * A job goes back to a machine where it failed only if it failed on as many as there are.
+         */
+        private fun mayRetryOn(machine: Machine, job: Job) =
+            machine.id !in job.failedMachines || round.schedulableCount <= job.failedMachines.size
     }
 
-    private fun place(sorted: Map<String, List<Job>>, pass: Pass) {
-        if (pass.round.open.isEmpty()) return
-        val byTeam = sorted.mapValues { ArrayDeque(it.value) }
-        val teams = byTeam.keys.toHashSet()
+    private fun place(jobsByTeam: Map<String, List<Job>>, pass: Pass) {
+        if (pass.round.withRoom.isEmpty()) return
+        val queues = jobsByTeam.mapValues { ArrayDeque(it.value) }
+        val teams = queues.keys.toHashSet()
         while (teams.isNotEmpty()) {
             val team = teams.minWith(compareBy({ cluster.queue.startTag(it) }, { it }))
-            val own = byTeam.getValue(team)
-            val job = own.firstOrNull()
+            val queue = queues.getValue(team)
+            val job = queue.firstOrNull()
             if (job == null) {
                 teams.remove(team)
                 continue
             }
-            if (!placeOne(job, pass)) own.removeFirst()
+            if (!placeOne(job, pass)) queue.removeFirst()
         }
     }
 
-    /**
-     * Machine types that are held for jobs which wait too long and fit no smaller one. Smaller
-     * tasks would go on taking what room comes free there, and never leave enough of it at once.
-     */
-    private var heldTypes: Set<String> = emptySet()
-
-    private fun isOverdue(job: Job) =
-        !job.hasStarted &&
-            !job.isFailing &&
-            context.wall - job.acceptedAt > operators.longestWaitS.seconds
-
-    /** True if machines of this type are held, and for other work than this. */
-    fun isTypeHeldFrom(spec: JobSpec, type: MachineType) =
-        type.label in heldTypes && type.label !in eligibility.exactTypesFor(spec)
-
     private fun isShortOfRoom(job: Job) =
         job.isBlockedLong(context.now) &&
             cluster.headroom(job.spec) > 0 &&
             !gangPlacement.canNeverBeStored(job)
 
     /**
-     * What a team can count on: its cap, or, where room is scarce, what it has or is guaranteed.
+     * The CPUs that a team can count on: its quota limit, or, where room is scarce, what it uses or
+     * is guaranteed.
      */
-    private fun reachableCpus(team: String, scarce: Boolean): Double {
-        val deployment = cluster.teams[team] ?: return 0.0
-        if (!scarce) return deployment.cpusMax
-        return minOf(deployment.cpusMax, maxOf(deployment.cpus, cluster.usedCpus(team)))
+    private fun reachableCpus(team: String, isRoomScarce: Boolean): Double {
+        val quota = cluster.teams[team] ?: return 0.0
+        if (!isRoomScarce) return quota.cpusMax
+        return minOf(quota.cpusMax, maxOf(quota.cpus, cluster.usedCpus(team)))
     }
 
+    /** Places one task, or a whole gang; false if no more of the job can be placed in this pass. */
     private fun placeOne(job: Job, pass: Pass): Boolean {
         // The machines that it fits exactly hold the fewest of its tasks.
-        if (pass.exact && PageSizeEstimate.requiresDensePacking(job, maxBytes)) return false
+        if (pass.exactFitsOnly && pass.requiresDensePacking(job)) return false
         if (!gangReservations.leavesQuota(job)) return false
-        if (job.spec.kind == JobKind.GANG) return placeGang(job, pass)
+        if (job.spec.isGang) {
+            placeGang(job, pass)
+            return false
+        }
         if (job.waiting <= 0 || cluster.headroom(job.spec) < 1) return false
-        return placeNext(job, pass) != null
-    }
-
-    private fun placeNext(job: Job, pass: Pass): Placement? {
-        if (pass.round.budget.isExhaustedFor(job)) return null
-        return placeNext(job, pass, pass.candidatesFor(job) ?: return null)
+        if (pass.round.budget.isExhaustedFor(job)) return false
+        val candidates = pass.candidatesFor(job) ?: return false
+        return placeNext(job, pass, candidates) != null
     }
 
     private fun placeNext(job: Job, pass: Pass, candidates: NodeCandidates): Placement? {
@@ -258,11 +196,11 @@
         val placement = cluster.place(job, task, machine)
         budget.onPlaced(placement)
         candidates.onPlaced(machine)
-        log.debug("{} try {} goes to {}", placement.task, placement.attempt, machine.id)
+        log.debug("placed {} attempt {} on {}", placement.task, placement.attempt, machine.id)
         return placement
     }
 
-    /** The next waiting task that the write to come takes, or -1. */
+    /** The next waiting task whose page the next transaction can write, or -1. */
     private fun nextTaskWithin(job: Job, budget: PageWriteBudget): Int {
         repeat(minOf(job.waiting, MAX_DEFERRED_TASKS)) {
             val task = job.pollWaitingTask()
@@ -278,43 +216,34 @@
     }
 
     /**
-     * A gang goes as one unit, once room and cap fit all of it. A task that was lost before the
-     * others began is replaced while they still wait long enough; otherwise the whole gang begins
-     * again, once nothing of its last attempt can be on a machine any more.
+     * Places a gang as one unit, once machines and quota have room for all of it. A task that was
+     * lost before the others ran is replaced while they still wait long enough; otherwise the whole
+     * gang starts again, once nothing of its last attempt can be on a machine any more.
      */
-    private fun placeGang(job: Job, pass: Pass): Boolean {
-        if (job.waiting <= 0 || cluster.headroom(job.spec) < job.waiting) return false
-        val out = job.placements.isNotEmpty()
-        if (out && !gangReservations.mayReplaceLost(job)) return false
+    private fun placeGang(job: Job, pass: Pass) {
+        if (job.waiting <= 0 || cluster.headroom(job.spec) < job.waiting) return
+        val isReplacement = job.placements.isNotEmpty()
+        if (isReplacement && !gangReservations.canReplaceLostTasks(job)) return
         // What is left of an attempt without a record holds back the next one too: it is stopped by
-        // the answer to the report that shows it.
-        if (cluster.hasOrphans(job)) return false
-        val machines = gangPlacement.machinesFor(job, pass.eligibleMachines(job)) ?: return false
-        if (!pass.round.budget.tryReserveGang(job)) return false
-        if (!out) job.startGangAttempt(context.now)
-        val candidates = NodeCandidates(job, machines)
+        // the response to the heartbeat that shows it.
+        if (cluster.hasOrphans(job)) return
+        val machines = gangPlacement.machinesFor(job, pass.eligibleMachines(job)) ?: return
+        if (!pass.round.budget.tryReserveGang(job)) return
+        if (!isReplacement) job.startGangAttempt(context.now)
+        val candidates = pass.candidatesAmong(job, machines)
         val placed = ArrayList<Placement>()
         while (job.waiting > 0) placed.add(placeNext(job, pass, candidates) ?: break)
         if (job.waiting > 0) {
             for (placement in placed) cluster.rollBack(placement)
-            if (!out) pass.round.budget.releaseGang(job)
+            if (!isReplacement) pass.round.budget.releaseGang(job)
         }
-        return false
     }
 
     /** Jobs that wait for room although their team may use more. */
     fun jobsShortOfRoom(): List<Job> = cluster.jobs.values.filter { isShortOfRoom(it) }
 
     private companion object {
-        /** More tasks than any machine has room for. */
-        const val MAX_ROOM = 1e6
-
-        /**
-         * A quarter of the tasks in one zone more outweighs what an ordinary machine costs more.
-         */
-        const val SPREAD_WEIGHT = 5.0
-
-        /** Tasks that are passed over in one look, as their pages are full. */
+        /** Tasks that are deferred in one search, as their pages are full. */
         const val MAX_DEFERRED_TASKS = 600
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -4,6 +4,7 @@
 import wardmux.core.CoreContext
 import wardmux.model.Job
 import wardmux.model.JobKind
+import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineId
 import wardmux.model.Micros
@@ -12,120 +13,151 @@
 import wardmux.model.TaskStatus
 import wardmux.model.seconds
 
-/** Stops work to make room for other work. */
+/**
+ * Stops running tasks to make room for blocked jobs: for a job of a higher priority class, or to
+ * reclaim a team's guaranteed share from what another team runs beyond its own.
+ */
 class Preemption(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val planner: Planner,
-    private val stopper: TaskEvictor,
+    private val evictor: TaskEvictor,
     private val operators: OperatorSettings,
 ) {
-    /** Placements looked at so far: what it costs. */
+    /** Placements examined so far: what preemption costs. */
     var placementsExamined = 0L
         private set
 
     /**
-     * Stops work to make room: for a job of higher urgency, or to give a team its guarantee at the
-     * cost of what another team runs beyond its own. Sized by class: as much as the job's waiting
-     * tasks need and no more, counting what is on its way out already.
+     * Stops as much as the waiting tasks of each blocked job need and no more, counting what is
+     * being stopped already.
      */
     fun preempt() {
-        val blocked =
-            cluster.jobs.values.filter { job ->
-                val since = job.blockedSince
-                since != null &&
-                    job.waiting > 0 &&
-                    !job.isFailing &&
-                    context.now - since >= patience(job)
-            }
+        val blocked = cluster.jobs.values.filter { mayPreempt(it) }
         if (blocked.isEmpty()) return
+        val round = roundFor(blocked)
+        for (job in blocked.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAt.value }))) {
+            preemptFor(job, round)
+        }
+    }
+
+    private fun mayPreempt(job: Job): Boolean {
+        val since = job.blockedSince ?: return false
+        return job.waiting > 0 && !job.isFailing && context.now - since >= patience(job)
+    }
+
+    /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
+    private fun patience(job: Job): Micros =
+        if (job.spec.kind == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
+
+    /** What is being stopped, and what may be stopped, when one round of preemption starts. */
+    private inner class Round(stopping: List<Placement>, val victims: Victims) {
+        /** CPUs that come free and that no job has been given yet. */
+        var freedCpus = stopping.sumOf { it.job.spec.cpus }
+            private set
+
+        /** Of each team the CPUs of its quota that come free; negative once more is given. */
+        private val freedQuota = HashMap<String, Double>()
+
+        init {
+            for (placement in stopping) {
+                val spec = placement.job.spec
+                freedQuota.merge(spec.team, spec.cpus, Double::plus)
+            }
+        }
+
+        fun freedQuotaOf(team: String) = freedQuota[team] ?: 0.0
+
+        fun adjustQuota(team: String, freed: Double, taken: Double) {
+            freedQuota[team] = freedQuotaOf(team) + freed - taken
+        }
+
+        fun addFreed(cpus: Double) {
+            freedCpus += cpus
+        }
+
+        fun take(cpus: Double) {
+            freedCpus -= minOf(freedCpus, cpus)
+        }
+    }
+
+    private fun roundFor(blocked: List<Job>): Round {
         val highest = blocked.minOf { it.spec.priority }
-        val beyond = cluster.teams.values.any { cluster.usedCpus(it.name) > it.cpus }
-        val callBack = beyond && blocked.any { mayCallBack(it) }
-        val leaving = ArrayList<Placement>()
+        val isShareExceeded = cluster.teams.values.any { cluster.usedCpus(it.name) > it.cpus }
+        val reclaims = isShareExceeded && blocked.any { mayReclaim(it) }
+        val stopping = ArrayList<Placement>()
         val stoppable = ArrayList<Placement>()
         for (machine in cluster.machines.values) {
             if (machine.placements.isEmpty()) continue
             val usable = planner.eligibility.usable(machine)
             for (placement in machine.placements.values) {
                 val other = placement.job.spec.priority
-                if (placement.isStopping) leaving.add(placement)
+                if (placement.isStopping) stopping.add(placement)
                 else if (!usable || !placement.committed || placement.status == null) continue
-                else if (other > highest || (callBack && other == highest)) stoppable.add(placement)
+                else if (other > highest || (reclaims && other == highest)) stoppable.add(placement)
             }
         }
-        // Sorted once for all that wait: what is lost by a stop does not depend on for whom.
-        val victims = Victims(stoppable.map { it to loss(it) }.sortedBy { it.second })
-        var room = leaving.sumOf { it.job.spec.cpus }
-        val cap = HashMap<String, Double>()
-        for (placement in leaving) cap.merge(
-            placement.job.spec.team,
-            placement.job.spec.cpus,
-            Double::plus,
-        )
-        for (job in blocked.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAt.value }))) {
-            val spec = job.spec
-            val wanted = minOf(job.waiting, MOST_AT_ONCE) * spec.cpus
-            // What its team's cap leaves, and what the team's own less urgent work takes of it.
-            val free = cluster.headroom(spec) * spec.cpus + (cap[spec.team] ?: 0.0)
-            var own = 0.0
-            if (wanted > free)
-                own = makeRoom(job, wanted - free, victims) { it.job.spec.team == spec.team }
-            cap[spec.team] = (cap[spec.team] ?: 0.0) + own - minOf(wanted, free + own)
-            val rest = minOf(wanted, free + own) - own
-            room += own
-            if (rest > room) room += makeRoom(job, rest - room, victims) { true }
-            room -= minOf(room, minOf(wanted, free + own))
-        }
+        return Round(stopping, Victims(stoppable))
     }
 
-    /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
-    private fun patience(job: Job): Micros =
-        if (job.spec.kind == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
+    private fun preemptFor(job: Job, round: Round) {
+        val spec = job.spec
+        val wanted = minOf(job.waiting, MAX_TASKS_AT_ONCE) * spec.cpus
+        // What its team's quota leaves, and what the team's own work of lower priority takes of it.
+        val free = cluster.headroom(spec) * spec.cpus + round.freedQuotaOf(spec.team)
+        var own = 0.0
+        if (wanted > free) own = makeRoom(job, wanted - free, round.victims, ownTeamOnly = true)
+        round.adjustQuota(spec.team, freed = own, taken = minOf(wanted, free + own))
+        val rest = minOf(wanted, free + own) - own
+        round.addFreed(own)
+        if (rest > round.freedCpus) {
+            val missing = rest - round.freedCpus
+            round.addFreed(makeRoom(job, missing, round.victims, ownTeamOnly = false))
+        }
+        round.take(minOf(wanted, free + own))
+    }
 
     /**
-     * What may be stopped for whom, the cheapest first. For most jobs that is only what is less
-     * urgent: of a thousand placements like their own, not one is looked at for each job that
-     * waits.
+     * What may be stopped for whom, that with the least loss first. For most jobs that is only what
+     * has a lower priority: of a thousand placements like their own, not one is examined for each
+     * job that waits.
      */
-    private inner class Victims(private val sorted: List<Pair<Placement, Double>>) {
-        private val lists = HashMap<Pair<PriorityClass, Boolean>, List<Placement>>()
+    private inner class Victims(stoppable: List<Placement>) {
+        // Sorted once for all that wait: what is lost by a stop does not depend on for whom.
+        private val sorted =
+            stoppable.map { Victim(it, loss(it)) }.sortedBy { it.loss }.map { it.placement }
+        private val byRequest = HashMap<VictimRequest, List<Placement>>()
 
         fun of(job: Job): List<Placement> {
-            val priority = job.spec.priority
-            val callsBack = mayCallBack(job)
-            return lists.getOrPut(priority to callsBack) {
-                sorted
-                    .map { it.first }
-                    .filter {
-                        val other = it.job.spec
-                        other.priority > priority ||
-                            (callsBack && other.priority == priority && other.isCheckpointable)
-                    }
-            }
+            val request = VictimRequest(job.spec.priority, mayReclaim(job))
+            return byRequest.getOrPut(request) { sorted.filter { request.mayConcern(it.job.spec) } }
         }
     }
 
-    /** Stops as much as is wanted, the cheapest first; gives the CPUs that come free. */
-    private fun makeRoom(
-        job: Job,
-        wanted: Double,
-        victims: Victims,
-        among: (Placement) -> Boolean,
-    ): Double {
+    private class Victim(val placement: Placement, val loss: Double)
+
+    private data class VictimRequest(val priority: PriorityClass, val reclaims: Boolean) {
+        fun mayConcern(other: JobSpec) =
+            other.priority > priority ||
+                (reclaims && other.priority == priority && other.isCheckpointable)
+    }
+
+    /** Stops as much as is wanted, that with the least loss first; gives the CPUs it frees. */
+    private fun makeRoom(job: Job, wanted: Double, victims: Victims, ownTeamOnly: Boolean): Double {
         var freed = 0.0
-        var calledBack = false
+        var reclaimed = false
         val zones = HashMap(planner.eligibility.zonesOf(job))
         for (victim in orderedFor(job, victims.of(job))) {
             if (freed >= wanted) break
             placementsExamined++
-            if (!among(victim) || !helps(job, victim, zones, wanted - freed)) continue
-            stopper.evict(victim, "room for ${job.id}")
-            if (victim.job.spec.priority == job.spec.priority) calledBack = true
+            if (ownTeamOnly && victim.job.spec.team != job.spec.team) continue
+            if (!helps(job, victim, zones, wanted - freed)) continue
+            evictor.evict(victim, "preempted for ${job.id}")
+            if (victim.job.spec.priority == job.spec.priority) reclaimed = true
             freed += victim.job.spec.cpus
             if (job.isZoneBound) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
         }
-        if (calledBack) job.lastReclaimAt = context.now
+        if (reclaimed) job.lastReclaimAt = context.now
         return freed
     }
 
@@ -139,18 +171,18 @@
         if (victim.isStopping || !mayStop(job, victim)) return false
         val machine = cluster.machines[victim.machine] ?: return false
         return isRoomFor(job, machine, zones) &&
-            !fetchesAlone(victim) &&
+            !isOnlyFetcher(victim) &&
             // Nearly done: its room comes by itself.
-            remaining(victim) >= SOON &&
+            remaining(victim) >= NEARLY_DONE &&
             // Much larger than what is needed: it would destroy more than it pays for.
-            victim.job.spec.cpus <= wanted * MOST_WASTE
+            victim.job.spec.cpus <= wanted * MAX_OVERSIZE
     }
 
     /** True if room that comes free on the machine is of use to the job. */
     private fun isRoomFor(job: Job, machine: Machine, zones: Map<String, Int>): Boolean {
         val spec = job.spec
         val fits = planner.eligibility.allowed(spec, machine) && machine.type.holds(spec)
-        if (!fits || planner.isTypeHeldFrom(spec, machine.type)) return false
+        if (!fits || planner.typeReservations.isReservedFromTask(spec, machine.type)) return false
         // Where its zone has its share of the job already, it is of no use.
         if (!planner.eligibility.mayGoTo(machine.zone, spec, zones)) return false
         // Room that comes free elsewhere is of no use to a gang, and what is stopped comes back.
@@ -161,44 +193,57 @@
     private fun tasksInRoomOf(victim: Placement, job: Job): Int =
         if (job.spec.cpus <= 0) 1 else maxOf(1, (victim.job.spec.cpus / job.spec.cpus).toInt())
 
-    /** What has no end goes where most like it is: other machines come free for good. */
+    /** Services go where most services are: other machines then come free for good. */
     private fun orderedFor(job: Job, victims: List<Placement>): List<Placement> {
         if (job.spec.kind != JobKind.SERVICE) return victims
-        val held = HashMap<MachineId, Double>()
-        fun servicesAt(machine: MachineId) =
-            held.getOrPut(machine) { cluster.machines[machine]?.serviceCpus ?: 0.0 }
-        return victims.sortedByDescending { servicesAt(it.machine) }
+        val serviceCpus = HashMap<MachineId, Double>()
+        return victims.sortedByDescending { victim ->
+            serviceCpus.getOrPut(victim.machine) {
+                cluster.machines[victim.machine]?.serviceCpus ?: 0.0
+            }
+        }
     }
 
     private fun mayStop(job: Job, victim: Placement): Boolean {
         val other = victim.job.spec
-        // One task of a gang takes the others with it.
-        if (other.kind == JobKind.GANG) return false
-        if (other.priority > job.spec.priority) return true
-        // A guarantee is called back only from work that keeps what it has done, and never from
-        // more urgent work: otherwise two teams below theirs stop each other without end.
+        return when {
+            // One task of a gang takes the others with it.
+            other.isGang -> false
+            other.priority > job.spec.priority -> true
+            else -> mayReclaimFrom(job, other)
+        }
+    }
+
+    /**
+     * A guaranteed share is reclaimed only from work that keeps what it has done, and never from
+     * work of a higher priority: otherwise two teams below their shares stop each other without
+     * end.
+     */
+    private fun mayReclaimFrom(job: Job, other: JobSpec): Boolean {
         if (other.team == job.spec.team || other.priority < job.spec.priority) return false
-        if (!other.isCheckpointable || !mayCallBack(job)) return false
+        if (!other.isCheckpointable || !mayReclaim(job)) return false
         // Only for the team that the room would go to.
         if (cluster.queue.startTag(job.spec.team) > cluster.queue.startTag(other.team)) return false
-        val theirs = cluster.teams[other.team] ?: return false
-        return cluster.usedCpus(other.team) - other.cpus >= theirs.cpus
+        val otherQuota = cluster.teams[other.team] ?: return false
+        return cluster.usedCpus(other.team) - other.cpus >= otherQuota.cpus
     }
 
     /**
-     * Its team is below its guarantee. After each call-back it waits again, for the room to come.
+     * True if the team of [job] is below its guaranteed share and the job has waited for long
+     * enough; after each time it waits again, for the room to come.
      */
-    private fun mayCallBack(job: Job): Boolean {
+    private fun mayReclaim(job: Job): Boolean {
         val pause = operators.callBackAfterS.seconds
         val own = cluster.teams[job.spec.team] ?: return false
         if (cluster.usedCpus(own.name) + job.spec.cpus > own.cpus) return false
-        return waited(job) >= pause && context.now - job.lastReclaimAt >= pause
+        return blockedTime(job) >= pause && context.now - job.lastReclaimAt >= pause
     }
 
-    private fun waited(job: Job): Micros = job.blockedSince?.let { context.now - it } ?: Micros.ZERO
+    private fun blockedTime(job: Job): Micros =
+        job.blockedSince?.let { context.now - it } ?: Micros.ZERO
 
     /** Stopping the last task that waits for an image throws the fetch away. */
-    private fun fetchesAlone(victim: Placement): Boolean {
+    private fun isOnlyFetcher(victim: Placement): Boolean {
         if (victim.status != TaskStatus.FETCHING) return false
         val machine = cluster.machines[victim.machine] ?: return false
         return machine.placements.values.none {
@@ -207,11 +252,12 @@
     }
 
     private fun remaining(victim: Placement): Micros {
-        val since = victim.runningSince ?: return cluster.estimates.runTime(victim.job.spec)
-        return cluster.estimates.runTime(victim.job.spec) - (context.now - since)
+        val expected = cluster.estimates.runTime(victim.job.spec)
+        val since = victim.runningSince ?: return expected
+        return expected - (context.now - since)
     }
 
-    /** CPU-seconds that stopping it throws away. */
+    /** CPU-seconds that stopping [victim] throws away. */
     private fun loss(victim: Placement): Double {
         val spec = victim.job.spec
         val since = victim.runningSince ?: return 0.0
@@ -220,9 +266,11 @@
     }
 
     private companion object {
-        const val MOST_AT_ONCE = 64
-        const val MOST_WASTE = 2.0
+        const val MAX_TASKS_AT_ONCE = 64
+
+        /** How many times what is needed a stopped task may be. */
+        const val MAX_OVERSIZE = 2.0
         const val RESTART_S = 3.0
-        val SOON = 3.seconds
+        val NEARLY_DONE = 3.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/scheduling/RuntimeEstimates.kt
@@ -0,0 +1,36 @@
+package wardmux.scheduling
+
+import wardmux.model.JobSpec
+import wardmux.model.Micros
+
+/**
+ * Expected run times of tasks. Owners' estimates are often wrong in one direction for a whole job
+ * class, so that they are corrected by how long its tasks ran.
+ */
+class RuntimeEstimates {
+    private class Correction {
+        var factor = 1.0
+        var samples = 0
+    }
+
+    private val corrections = HashMap<String, Correction>()
+
+    /** How long a task like this is expected to run. */
+    fun runTime(spec: JobSpec): Micros = spec.estimate * (corrections[spec.jobClass]?.factor ?: 1.0)
+
+    /** A task like this ran for [runTime]. */
+    fun record(spec: JobSpec, runTime: Micros) {
+        if (spec.estimate <= Micros.ZERO) return
+        val correction = corrections.getOrPut(spec.jobClass) { Correction() }
+        correction.samples++
+        val weight = maxOf(1.0 / (correction.samples + 1), MIN_SAMPLE_WEIGHT)
+        val ratio = runTime.value.toDouble() / spec.estimate.value
+        correction.factor += (ratio.coerceIn(MIN_RATIO, MAX_RATIO) - correction.factor) * weight
+    }
+
+    private companion object {
+        const val MIN_SAMPLE_WEIGHT = 0.02
+        const val MIN_RATIO = 0.2
+        const val MAX_RATIO = 5.0
+    }
+}
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -8,33 +8,40 @@
 import wardmux.model.TaskStatus
 import wardmux.model.seconds
 
-/** Stops tasks so that what can be saved is saved. The halts go out with the next commands. */
+/**
+ * Stops tasks with a grace period, so that they can write a checkpoint. The stop commands go out
+ * with the next commands to their machines.
+ */
 class TaskEvictor(private val cluster: ClusterState, private val workers: WorkerTiming) {
     private val log = logger<TaskEvictor>()
 
-    /** Of a gang all are stopped: those not told in time spoil what the others save. */
+    /**
+     * Stops [victim] for [reason]. Of a gang all tasks are stopped: those not told in time would
+     * spoil what the others save.
+     */
     fun evict(victim: Placement, reason: String) {
         if (victim.job.spec.isGang) return evictGang(victim.job, reason)
         val spec = victim.job.spec
-        val save = spec.isCheckpointable && victim.status == TaskStatus.RUNNING
-        requestStop(victim, if (save) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
+        val canSave = spec.isCheckpointable && victim.status == TaskStatus.RUNNING
+        requestStop(victim, if (canSave) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
         log.info("stopping {} on {}: {}", victim.task, victim.machine, reason)
     }
 
     private fun evictGang(job: Job, reason: String) {
         val spec = job.spec
-        val save =
+        val canSave =
             spec.isCheckpointable && job.placements.values.all { it.status == TaskStatus.RUNNING }
-        if (!save) cluster.abortGangAttempt(job)
-        else {
-            val within = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).seconds
-            for (placement in job.placements.values) requestStop(placement, within)
+        if (canSave) {
+            val gracePeriod = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).seconds
+            for (placement in job.placements.values) requestStop(placement, gracePeriod)
+        } else {
+            cluster.abortGangAttempt(job)
         }
         log.info("stopping all {} tasks of {}: {}", job.placements.size, job.id, reason)
     }
 
-    private fun requestStop(victim: Placement, within: Micros) {
-        victim.gracePeriod = within
+    private fun requestStop(victim: Placement, gracePeriod: Micros) {
+        victim.gracePeriod = gracePeriod
         victim.stopSent = false
         cluster.machines[victim.machine]?.let { cluster.machinesWithCommands.add(it) }
     }
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/model/JobPageTest.kt
@@ -85,7 +85,7 @@
         val tasks = 1024 until 1280
         val from = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
         val tried = tasks.filter { it % 2 == 1 }.flatMap { listOf(it, 2) }
-        var stored = decode(StoredTaskPage.of(from, emptyList(), tried))
+        var stored = decode(StoredTaskPage.encode(from, emptyList(), tried))
         assertTrue(bytes(stored) > LOWERED)
         var job = loaded(spec, stored, number)
         // What a machine was told to forget.
--- a/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
@@ -43,7 +43,7 @@
         plan()
         assertEquals(8, gang.placements.size)
         harness.cluster.rollBack(gang.placements.values.first())
-        harness.cluster.adjustQuotaUsage(spec.copy(cpus = 700.0 - 7 * spec.cpus), 1)
+        harness.cluster.quotaUsage.adjust(spec.copy(cpus = 700.0 - 7 * spec.cpus), 1)
         val later = harness.context.now + 60.seconds
         harness.context.at(later, later)
         plan()
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -32,8 +32,7 @@
     private val workers = WorkerTiming(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
     val stopper = TaskEvictor(cluster, workers)
     val pools = MachinePools(context) { types }
-    val planner =
-        Planner(context, cluster, OperatorSettings(), workers, emptyList(), pools) { types }
+    val planner = Planner(context, cluster, OperatorSettings(), workers, emptyList(), pools)
 
     /** One that is up and may be used. */
     fun machine(number: Int, type: MachineType, zone: String = "a", spot: Boolean = true): Machine {
