--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -7,11 +7,8 @@
 import wardmux.model.JobSpec
 import wardmux.model.Machine
 import wardmux.model.MachineId
-import wardmux.model.Micros
 import wardmux.model.Placement
 import wardmux.model.PriorityClass
-import wardmux.model.TaskStatus
-import wardmux.model.seconds
 
 /**
  * Stops running tasks to make room for blocked jobs: for a job of a higher priority class, or to
@@ -22,8 +19,10 @@
     private val cluster: ClusterState,
     private val planner: Planner,
     private val evictor: TaskEvictor,
-    private val operators: OperatorSettings,
+    operators: OperatorSettings,
 ) {
+    private val policy = PreemptionPolicy(context, cluster, operators)
+
     /** Placements examined so far: what preemption costs. */
     var placementsExamined = 0L
         private set
@@ -33,7 +32,7 @@
      * being stopped already.
      */
     fun preempt() {
-        val blocked = cluster.jobs.values.filter { mayPreempt(it) }
+        val blocked = cluster.jobs.values.filter { policy.mayPreempt(it) }
         if (blocked.isEmpty()) return
         val round = roundFor(blocked)
         for (job in blocked.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAt.value }))) {
@@ -41,17 +40,8 @@
         }
     }
 
-    private fun mayPreempt(job: Job): Boolean {
-        val since = job.blockedSince ?: return false
-        return job.waiting > 0 && !job.isFailing && context.now - since >= patience(job)
-    }
-
-    /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
-    private fun patience(job: Job): Micros =
-        if (job.spec.kind == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
-
     /** What is being stopped, and what may be stopped, when one round of preemption starts. */
-    private inner class Round(stopping: List<Placement>, val victims: Victims) {
+    private class Round(stopping: List<Placement>, val victims: Victims) {
         /** CPUs that come free and that no job has been given yet. */
         var freedCpus = stopping.sumOf { it.job.spec.cpus }
             private set
@@ -84,7 +74,7 @@
     private fun roundFor(blocked: List<Job>): Round {
         val highest = blocked.minOf { it.spec.priority }
         val isShareExceeded = cluster.teams.values.any { cluster.usedCpus(it.name) > it.cpus }
-        val reclaims = isShareExceeded && blocked.any { mayReclaim(it) }
+        val reclaims = isShareExceeded && blocked.any { policy.mayReclaim(it) }
         val stopping = ArrayList<Placement>()
         val stoppable = ArrayList<Placement>()
         for (machine in cluster.machines.values) {
@@ -125,11 +115,11 @@
     private inner class Victims(stoppable: List<Placement>) {
         // Sorted once for all that wait: what is lost by a stop does not depend on for whom.
         private val sorted =
-            stoppable.map { Victim(it, loss(it)) }.sortedBy { it.loss }.map { it.placement }
+            stoppable.map { Victim(it, policy.loss(it)) }.sortedBy { it.loss }.map { it.placement }
         private val byRequest = HashMap<VictimRequest, List<Placement>>()
 
         fun of(job: Job): List<Placement> {
-            val request = VictimRequest(job.spec.priority, mayReclaim(job))
+            val request = VictimRequest(job.spec.priority, policy.mayReclaim(job))
             return byRequest.getOrPut(request) { sorted.filter { request.mayConcern(it.job.spec) } }
         }
     }
@@ -168,12 +158,10 @@
         zones: Map<String, Int>,
         wanted: Double,
     ): Boolean {
-        if (victim.isStopping || !mayStop(job, victim)) return false
+        if (victim.isStopping || !policy.mayStop(job, victim)) return false
         val machine = cluster.machines[victim.machine] ?: return false
         return isRoomFor(job, machine, zones) &&
-            !isOnlyFetcher(victim) &&
-            // Nearly done: its room comes by itself.
-            remaining(victim) >= NEARLY_DONE &&
+            policy.isWorthStopping(victim) &&
             // Much larger than what is needed: it would destroy more than it pays for.
             victim.job.spec.cpus <= wanted * MAX_OVERSIZE
     }
@@ -204,73 +192,10 @@
         }
     }
 
-    private fun mayStop(job: Job, victim: Placement): Boolean {
-        val other = victim.job.spec
-        return when {
-            // One task of a gang takes the others with it.
-            other.isGang -> false
-            other.priority > job.spec.priority -> true
-            else -> mayReclaimFrom(job, other)
-        }
-    }
-
-    /**
-     * A guaranteed share is reclaimed only from work that keeps what it has done, and never from
-     * work of a higher priority: otherwise two teams below their shares stop each other without
-     * end.
-     */
-    private fun mayReclaimFrom(job: Job, other: JobSpec): Boolean {
-        if (other.team == job.spec.team || other.priority < job.spec.priority) return false
-        if (!other.isCheckpointable || !mayReclaim(job)) return false
-        // Only for the team that the room would go to.
-        if (cluster.queue.startTag(job.spec.team) > cluster.queue.startTag(other.team)) return false
-        val otherQuota = cluster.teams[other.team] ?: return false
-        return cluster.usedCpus(other.team) - other.cpus >= otherQuota.cpus
-    }
-
-    /**
-     * True if the team of [job] is below its guaranteed share and the job has waited for long
-     * enough; after each time it waits again, for the room to come.
-     */
-    private fun mayReclaim(job: Job): Boolean {
-        val pause = operators.callBackAfterS.seconds
-        val own = cluster.teams[job.spec.team] ?: return false
-        if (cluster.usedCpus(own.name) + job.spec.cpus > own.cpus) return false
-        return blockedTime(job) >= pause && context.now - job.lastReclaimAt >= pause
-    }
-
-    private fun blockedTime(job: Job): Micros =
-        job.blockedSince?.let { context.now - it } ?: Micros.ZERO
-
-    /** Stopping the last task that waits for an image throws the fetch away. */
-    private fun isOnlyFetcher(victim: Placement): Boolean {
-        if (victim.status != TaskStatus.FETCHING) return false
-        val machine = cluster.machines[victim.machine] ?: return false
-        return machine.placements.values.none {
-            it !== victim && !it.isStopping && it.job.spec.image == victim.job.spec.image
-        }
-    }
-
-    private fun remaining(victim: Placement): Micros {
-        val expected = cluster.estimates.runTime(victim.job.spec)
-        val since = victim.runningSince ?: return expected
-        return expected - (context.now - since)
-    }
-
-    /** CPU-seconds that stopping [victim] throws away. */
-    private fun loss(victim: Placement): Double {
-        val spec = victim.job.spec
-        val since = victim.runningSince ?: return 0.0
-        val lost = if (spec.isCheckpointable) spec.saveS else (context.now - since).inSeconds
-        return (lost + RESTART_S) * spec.cpus
-    }
-
     private companion object {
         const val MAX_TASKS_AT_ONCE = 64
 
         /** How many times what is needed a stopped task may be. */
         const val MAX_OVERSIZE = 2.0
-        const val RESTART_S = 3.0
-        val NEARLY_DONE = 3.seconds
     }
 }
