--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
@@ -25,7 +25,7 @@
             harness.context,
             harness.cluster,
             harness.planner.eligibility,
-            harness.stopper,
+            harness.evictor,
         )
     private val service =
         plainJob(2, "job-000001")
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
@@ -1,4 +1,4 @@
-package wardmux.model
+package wardmux.records
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
@@ -7,17 +7,25 @@
 import wardmux.jobs.Submission
 import wardmux.jobs.SubmissionReader
 import wardmux.jobs.submission
-import wardmux.records.StoredTaskPage
-import wardmux.records.TaskPageCodec
+import wardmux.model.Charge
+import wardmux.model.Cost
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskId
 import wardmux.scheduling.PageWriteBudget
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
 
-class JobPageTest {
+/** Task pages are as small as a value may be, and are read as they were written. */
+class TaskPageCodecTest {
     @Test
-    fun `the fullest page of the largest job fits a value, on small and large limits`() {
-        val read = SubmissionReader.read(submission()) as Submission.Good
-        val spec = read.spec.copy(tasks = SubmissionReader.MAX_TASKS)
+    fun `the fullest page of the largest job fits a value, under small and large limits`() {
+        val submitted = SubmissionReader.read(submission()) as Submission.Good
+        val spec = submitted.spec.copy(tasks = SubmissionReader.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
             val size = TaskPageCodec.tasksPerPage(limit)
             val job = Job(spec, KeyVersion(1), Micros.ZERO, size)
@@ -41,14 +49,14 @@
     }
 
     @Test
-    fun `no more goes onto a page than a smaller value holds`() {
-        val read = SubmissionReader.read(submission()) as Submission.Good
-        val spec = read.spec.copy(tasks = 300)
+    fun `no more tasks are placed than a page of a smaller value holds`() {
+        val submitted = SubmissionReader.read(submission()) as Submission.Good
+        val spec = submitted.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
             for (perMachine in listOf(1, 3, 16)) {
                 val job =
                     Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
-                // What two rounds admit, ended in between as badly as can be.
+                // What two rounds place, ended in between so that the page gets as large as can be.
                 repeat(2) {
                     val budget = PageWriteBudget(7, limit)
                     for (task in 0 until spec.tasks) {
@@ -73,25 +81,25 @@
     }
 
     /**
-     * As the version before may leave it under its higher limits: every second task of a page
-     * beyond number 1,000 is done, the others came back. Each round writes what it can of it, and
-     * now and then a later leader goes on from what is stored.
+     * As it may be left under higher limits: every second task of a page beyond number 1,000 is
+     * done, the others were interrupted. Each round writes what it can of it, and now and then a
+     * later leader goes on from what is stored.
      */
     @Test
-    fun `a page of which every second task is done is written again, to its end`() {
-        val read = SubmissionReader.read(submission()) as Submission.Good
-        val spec = read.spec.copy(tasks = 1280)
-        val number = 4
+    fun `a page of which every second task is done is written until all are done`() {
+        val submitted = SubmissionReader.read(submission()) as Submission.Good
+        val spec = submitted.spec.copy(tasks = 1280)
+        val page = 4
         val tasks = 1024 until 1280
-        val from = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
+        val done = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
         val tried = tasks.filter { it % 2 == 1 }.flatMap { listOf(it, 2) }
-        var stored = decode(StoredTaskPage.encode(from, emptyList(), tried))
-        assertTrue(bytes(stored) > LOWERED)
-        var job = loaded(spec, stored, number)
-        // What a machine was told to forget.
+        var stored = decode(StoredTaskPage.encode(done, emptyList(), tried))
+        assertTrue(bytes(stored) > LOWERED_LIMIT)
+        var job = restored(spec, stored, page)
+        // What machines were told to forget.
         val forgotten = tasks.filterTo(HashSet()) { job.isRecorded(it) }
         for (round in 0 until 200) {
-            val budget = PageWriteBudget(7, LOWERED)
+            val budget = PageWriteBudget(7, LOWERED_LIMIT)
             for (task in tasks) {
                 if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
                 if (!budget.tryReserve(job, task)) continue
@@ -100,33 +108,33 @@
                 budget.onPlaced(placement)
             }
             assertTrue(job.placements.isNotEmpty(), "nothing can be placed in round $round")
-            stored = write(job, number)
+            stored = write(job, page)
             for (placement in job.placements.values.toList()) {
                 job.commit(placement)
                 job.complete(placement.task.index, Micros.ZERO)
                 job.release(placement, Micros.ZERO)
             }
-            stored = write(job, number)
+            stored = write(job, page)
             tasks.filterTo(forgotten) { job.isRecorded(it) }
             val known = tasks.filter { job.isTaskDone(it) }
             if (known.size == tasks.count()) return
             if (round % 4 == 3) {
                 val before = job
-                job = loaded(spec, stored, number)
+                job = restored(spec, stored, page)
                 for (task in known) {
                     assertEquals(before.isRecorded(task), job.isTaskDone(task), "$task")
                     assertTrue(job.isTaskDone(task) || job.nextAttempt(task) > 1, "$task")
-                    // Its machine still has the result, and tells it; else it runs once more.
+                    // Its machine still has the result, and reports it; else it runs once more.
                     if (task !in forgotten) job.complete(task, Micros.ZERO)
                 }
             }
         }
-        error("the page did not come to its end")
+        error("not all tasks of the page are done")
     }
 
     private fun write(job: Job, page: Int): StoredTaskPage {
-        val content = TaskPageCodec.encode(job, page, LOWERED)
-        assertTrue(jsonBytes(content.data) <= LOWERED, "${jsonBytes(content.data)} bytes")
+        val content = TaskPageCodec.encode(job, page, LOWERED_LIMIT)
+        assertTrue(jsonBytes(content.data) <= LOWERED_LIMIT, "${jsonBytes(content.data)} bytes")
         job.pages.onWritten(page, KeyVersion(1), content.done)
         return decode(content.data)
     }
@@ -137,7 +145,7 @@
     private fun bytes(page: StoredTaskPage) =
         jsonBytes(lenientJson.encodeToJsonElement(StoredTaskPage.serializer(), page))
 
-    private fun loaded(spec: JobSpec, stored: StoredTaskPage, page: Int) =
+    private fun restored(spec: JobSpec, stored: StoredTaskPage, page: Int) =
         Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024)).also {
             TaskPageCodec.restore(it, page, KeyVersion(1), stored)
         }
@@ -172,6 +180,6 @@
         )
 
     private companion object {
-        const val LOWERED = 2048
+        const val LOWERED_LIMIT = 2048
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/FewMachinesTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/DensePackingTest.kt
@@ -13,8 +13,8 @@
 import wardmux.serialization.lenientJson
 import wardmux.sim.plainJob
 
-/** Jobs whose tasks have to be out together, on pages that hold them on few machines only. */
-class FewMachinesTest {
+/** Jobs whose tasks have to be placed together, on pages that hold them only on few machines. */
+class DensePackingTest {
     private val small = MachineType("small", 2.0, memoryGb = 16.0, zones = listOf("a"))
     private val large = MachineType("large", 64.0, memoryGb = 256.0, zones = listOf("a"))
     private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
@@ -37,9 +37,9 @@
     fun `a gang goes to as few machines as its page holds`() {
         smallAndLarge()
         val gang = job(JobKind.GANG, 110)
-        harness.planner.plan(PageWriteBudget(7, LOWERED))
+        harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT))
         assertEquals(110, gang.placements.size)
-        assertTrue(bytesOf(gang) <= LOWERED, "${bytesOf(gang)} bytes")
+        assertTrue(bytesOf(gang) <= LOWERED_LIMIT, "${bytesOf(gang)} bytes")
         val stored =
             lenientJson.decodeFromJsonElement(
                 StoredTaskPage.serializer(),
@@ -49,12 +49,12 @@
     }
 
     @Test
-    fun `so do the replicas of a service`() {
+    fun `the replicas of a service go to as few machines as their page holds`() {
         smallAndLarge()
         val service = job(JobKind.SERVICE, 125)
-        repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED)) }
+        repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT)) }
         assertEquals(125, service.placements.size)
-        assertTrue(bytesOf(service) <= LOWERED, "${bytesOf(service)} bytes")
+        assertTrue(bytesOf(service) <= LOWERED_LIMIT, "${bytesOf(service)} bytes")
     }
 
     @Test
@@ -62,10 +62,10 @@
         repeat(200) { harness.machine(it, small) }
         val service = job(JobKind.SERVICE, 120, cpus = 2.0)
         val other = job(JobKind.ARRAY, 5, id = 2)
-        repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED)) }
+        repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT)) }
         assertTrue(service.placements.size >= 50, "${service.placements.size} replicas")
         assertTrue(service.placements.size < 120)
-        assertTrue(bytesOf(service) <= LOWERED, "${bytesOf(service)} bytes")
+        assertTrue(bytesOf(service) <= LOWERED_LIMIT, "${bytesOf(service)} bytes")
         assertEquals(5, other.placements.size)
     }
 
@@ -73,36 +73,38 @@
     @Test
     fun `a gang that no page holds takes nothing from others`() {
         repeat(150) { harness.machine(it, small) }
-        val never = job(JobKind.GANG, 120, cpus = 2.0)
+        val oversized = job(JobKind.GANG, 120, cpus = 2.0)
         val gang = job(JobKind.GANG, 3, id = 2)
         val other = job(JobKind.ARRAY, 5, id = 3)
-        harness.planner.plan(PageWriteBudget(2, LOWERED))
-        assertEquals(0, never.placements.size)
+        harness.planner.plan(PageWriteBudget(2, LOWERED_LIMIT))
+        assertEquals(0, oversized.placements.size)
         assertEquals(3, gang.placements.size)
         assertEquals(5, other.placements.size)
     }
 
     @Test
-    fun `nor does it keep room, hires or stops for itself`() {
-        val only = PlannerHarness(teams, listOf(small), now = 100.seconds)
-        repeat(150) { only.machine(it, small) }
-        val full = only.untrackedJob(plainJob(1, "job-999999").copy(cpus = 2.0))
-        for (machine in only.cluster.machines.values) machine.add(only.placement(full, 0, machine))
+    fun `a gang that no page holds reserves no machines and is not short of room`() {
+        val smallOnly = PlannerHarness(teams, listOf(small), now = 100.seconds)
+        repeat(150) { smallOnly.machine(it, small) }
+        val full = smallOnly.untrackedJob(plainJob(1, "job-999999").copy(cpus = 2.0))
+        for (machine in smallOnly.cluster.machines.values) machine.add(
+            smallOnly.placement(full, 0, machine)
+        )
         val spec = plainJob(120, "job-000001").copy(kind = JobKind.GANG, cpus = 2.0)
-        val never = only.job(spec, acceptedAt = 1.seconds)
-        val gang = only.job(spec.copy(id = "job-000002", tasks = 3), acceptedAt = 2.seconds)
-        for (job in listOf(never, gang)) job.blockedSince = 10.seconds
-        only.planner.plan(PageWriteBudget(7, LOWERED))
-        assertEquals(listOf(gang), only.planner.jobsShortOfRoom())
+        val oversized = smallOnly.job(spec, acceptedAt = 1.seconds)
+        val gang = smallOnly.job(spec.copy(id = "job-000002", tasks = 3), acceptedAt = 2.seconds)
+        for (job in listOf(oversized, gang)) job.blockedSince = 10.seconds
+        smallOnly.planner.plan(PageWriteBudget(7, LOWERED_LIMIT))
+        assertEquals(listOf(gang), smallOnly.planner.jobsShortOfRoom())
         assertTrue(
-            only.cluster.machines.values.any {
-                only.planner.gangReservations.isReservedFor(gang, it)
+            smallOnly.cluster.machines.values.any {
+                smallOnly.planner.gangReservations.isReservedFor(gang, it)
             }
         )
     }
 
     private companion object {
         /** The largest value after the limits are lowered on either site. */
-        const val LOWERED = 2048
+        const val LOWERED_LIMIT = 2048
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
@@ -10,8 +10,8 @@
 class FairQueueTest {
     private val second = Cost(1_000_000)
 
-    /** No memory: the usage that would halve a weight is out of reach. */
-    private fun plain(vararg teams: Pair<String, Double>) =
+    /** The usage that would halve a weight is out of reach. */
+    private fun withoutDecay(vararg teams: Pair<String, Double>) =
         FairQueue(mapOf(*teams), 600.seconds, normSeconds = 1e9)
 
     private fun FairQueue.next(teams: List<String>, wall: Micros): String {
@@ -23,7 +23,7 @@
 
     @Test
     fun `the paper's worked example runs sixteen gold and two free jobs in eighteen`() {
-        val queue = plain("gold" to 8.0, "free" to 1.0)
+        val queue = withoutDecay("gold" to 8.0, "free" to 1.0)
         val order = List(18) { queue.next(listOf("gold", "free"), Micros.ZERO) }
         assertEquals(16, order.count { it == "gold" })
         assertEquals(listOf(1, 10), order.indices.filter { order[it] == "free" })
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `a finish is corrected by the weight at dispatch, not by the present one`() {
+    fun `a charge is settled with the weight at dispatch, not with the present one`() {
         val queue = FairQueue(mapOf("a" to 4.0), 600.seconds, normSeconds = 10.0)
         val charge = queue.charge("a", Cost(40_000_000), Micros.ZERO)
         assertEquals(10_000_000, queue.startTag("a"))
@@ -61,7 +61,7 @@
 
     @Test
     fun `the clock never goes back and an idle team starts at it`() {
-        val queue = plain("a" to 1.0, "b" to 1.0)
+        val queue = withoutDecay("a" to 1.0, "b" to 1.0)
         repeat(5) { queue.charge("a", second, Micros.ZERO) }
         val before = queue.clock
         val charge = queue.charge("a", second, Micros.ZERO)
@@ -74,11 +74,11 @@
     }
 
     @Test
-    fun `what is written is what a successor reads`() {
-        val queue = plain("a" to 2.0, "b" to 1.0)
+    fun `what is stored is what the next leader reads`() {
+        val queue = withoutDecay("a" to 2.0, "b" to 1.0)
         queue.charge("a", second, Micros.ZERO)
         queue.charge("b", Cost(7_000_000), Micros.ZERO)
-        val next = plain("a" to 2.0, "b" to 1.0)
+        val next = withoutDecay("a" to 2.0, "b" to 1.0)
         next.load(queue.toJson(Micros.ZERO, maxBytes = 2048))
         assertEquals(queue.clock, next.clock)
         for (team in listOf("a", "b")) {
@@ -88,8 +88,8 @@
     }
 
     @Test
-    fun `a dispatch taken back leaves the tag as it was`() {
-        val queue = plain("a" to 3.0)
+    fun `a refunded charge leaves the tag as it was`() {
+        val queue = withoutDecay("a" to 3.0)
         queue.charge("a", second, Micros.ZERO)
         val before = queue.startTag("a")
         val charge = queue.charge("a", Cost(9_000_000), Micros.ZERO)
@@ -98,7 +98,7 @@
     }
 
     @Test
-    fun `of more teams than a value holds the least ahead are left out`() {
+    fun `of more teams than a value holds those that lead the least are left out`() {
         val names = List(100) { "team-$it" }
         val many = FairQueue(names.associateWith { 10.0 }, 600.seconds, 600.0)
         for ((i, name) in names.withIndex()) many.charge(
--- a/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -7,7 +7,7 @@
 import wardmux.model.Machine
 import wardmux.model.MachineId
 
-/** Where the tasks of a gang go: it begins when the last of them has its image. */
+/** Where the tasks of a gang are placed: it starts when the last of them has its image. */
 class GangPlacementTest {
     private val type = PlannerHarness.MID
     private val harness = PlannerHarness.ofOneTeam()
@@ -19,7 +19,7 @@
     private fun Machine.hold(spec: JobSpec) =
         imageReady(spec.image, spec.imageGb, harness.context.now)
 
-    private fun placesOf(job: Job): Set<MachineId> {
+    private fun machinesOf(job: Job): Set<MachineId> {
         harness.planner.plan(PageWriteBudget(7))
         return job.placements.values.mapTo(HashSet()) { it.machine }
     }
@@ -29,11 +29,11 @@
         val fuller = harness.machine(1, type).also { it.occupy(cpus = 8.0) }
         val holds = harness.machine(2, type).also { it.hold(gang(4)) }
         val job = harness.job(gang(tasks = 4))
-        assertEquals(setOf(holds.id), placesOf(job), "$fuller lacks the image")
+        assertEquals(setOf(holds.id), machinesOf(job), "$fuller lacks the image")
     }
 
     @Test
-    fun `the zone where the last image comes soonest goes before the one with the most at hand`() {
+    fun `the zone where the last image comes soonest goes before the one with the most images`() {
         val spec = gang(tasks = 8).copy(oneZone = true)
         val holds = harness.machine(1, type, zone = "a").also { it.hold(spec) }
         holds.occupy(cpus = 2.0)
@@ -42,7 +42,7 @@
         late.useImage("another", 10 * spec.imageGb, harness.context.now)
         val soon = harness.machine(3, type, zone = "b")
         val job = harness.job(spec)
-        assertEquals(setOf(soon.id), placesOf(job))
+        assertEquals(setOf(soon.id), machinesOf(job))
     }
 
     @Test
@@ -52,7 +52,7 @@
         holds.occupy(cpus = 12.0)
         val lacks = harness.machine(2, type)
         val job = harness.job(spec)
-        assertEquals(setOf(holds.id, lacks.id), placesOf(job))
+        assertEquals(setOf(holds.id, lacks.id), machinesOf(job))
         assertEquals(8, job.placements.size)
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangReservationsTest.kt
@@ -7,8 +7,8 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** Room for gangs: it is gathered and kept, as small tasks would take each bit that comes free. */
-class GangRoomTest {
+/** Machines are reserved for gangs, as small tasks would take each bit that comes free. */
+class GangReservationsTest {
     private val type = PlannerHarness.MID
     private val harness = PlannerHarness.ofOneTeam()
 
@@ -21,22 +21,22 @@
     private fun plan() = harness.planner.plan(PageWriteBudget(7))
 
     @Test
-    fun `a gang gathers from the first plan without room for it, and on more than one machine`() {
+    fun `machines are reserved from the first plan without room for the gang, and more than one`() {
         for (number in 1..2) harness.machine(number, type).occupy(cpus = 14.0)
         val gang = harness.job(gang(tasks = 3))
         plan()
         val small = array(tasks = 2)
         plan()
-        assertEquals(0, small.placements.size, "it took a bit of what the gang gathers")
+        assertEquals(0, small.placements.size, "it took room on a reserved machine")
         harness.machine(3, type)
         plan()
         assertEquals(3, gang.placements.size)
         assertEquals(2, small.placements.size)
     }
 
-    /** A later write of an attempt was refused, and others have taken the cap since. */
+    /** A later write of an attempt was refused, and others have used up the quota since. */
     @Test
-    fun `what is left of a spoilt attempt is stopped also where there is no cap for the next`() {
+    fun `what is left of an aborted attempt is stopped even without quota for the next`() {
         for (number in 1..2) harness.machine(number, type).occupy(cpus = 8.0)
         val spec = gang(tasks = 8)
         val gang = harness.job(spec)
--- a/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
@@ -12,7 +12,7 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** Which types stand in for each other: only those that nothing open needs for their size. */
+/** Types stand in for each other only if no open job needs them for their size. */
 class MachinePoolsTest {
     private val small =
         MachineType(
@@ -39,7 +39,7 @@
 
     private fun job(spec: JobSpec) = Job(spec, KeyVersion(1), Micros.ZERO, 128)
 
-    private fun observe(at: Micros, vararg specs: JobSpec) {
+    private fun refresh(at: Micros, vararg specs: JobSpec) {
         context.at(at, at)
         pools.refreshIfDue(specs.map { job(it) })
     }
@@ -49,36 +49,36 @@
 
     @Test
     fun `a larger type that nothing needs for its size is an exact fit too`() {
-        observe(0.seconds, smallTask)
+        refresh(0.seconds, smallTask)
         assertEquals(setOf("small", "large"), pools.exactTypesFor(smallTask))
         assertEquals(listOf(large, small), pools.pools.single().cheapestFirst(spot = true))
     }
 
     @Test
-    fun `one that some work needs stays for that work, also for a while after it`() {
-        observe(0.seconds, smallTask, largeTask)
+    fun `a type that some work needs stays for that work, also for a while after it`() {
+        refresh(0.seconds, smallTask, largeTask)
         assertEquals(setOf("small"), pools.exactTypesFor(smallTask))
         assertEquals(setOf("large"), pools.exactTypesFor(largeTask))
-        observe(300.seconds, smallTask)
+        refresh(300.seconds, smallTask)
         assertEquals(setOf("small"), pools.exactTypesFor(smallTask))
-        observe(1_000.seconds, smallTask)
+        refresh(1_000.seconds, smallTask)
         assertEquals(setOf("small", "large"), pools.exactTypesFor(smallTask))
     }
 
     @Test
-    fun `what a machine stands for follows from the resource that runs out first`() {
-        observe(0.seconds, smallTask)
+    fun `the weight of a machine follows from the resource that runs out first`() {
+        refresh(0.seconds, smallTask)
         assertEquals(4.0, pools.pools.single().weightOf(large))
         // Of tasks that need their memory the large one, which has no more, takes no more.
         val memoryTask = smallTask.copy(memoryGb = 16.0)
-        observe(10.seconds, memoryTask)
+        refresh(10.seconds, memoryTask)
         assertEquals(1.0, pools.pools.single().weightOf(large))
         assertEquals(listOf(small, large), pools.pools.single().cheapestFirst(spot = true))
     }
 
     @Test
-    fun `dear kinds are measured against the cheapest of their pool`() {
-        observe(0.seconds, smallTask)
+    fun `prices are relative to the cheapest of the pool`() {
+        refresh(0.seconds, smallTask)
         assertEquals(1.0, pools.relativeCost(large, spot = true))
         assertTrue(pools.relativeCost(small, spot = true) in 1.5..1.7)
         assertTrue(
@@ -87,9 +87,9 @@
     }
 
     @Test
-    fun `a type that holds no task of the kind is no exact fit for it`() {
+    fun `a type that holds no such task is no exact fit for it`() {
         val wide = smallTask.copy(types = listOf("small"))
-        observe(0.seconds, wide)
+        refresh(0.seconds, wide)
         assertEquals(setOf("small"), pools.exactTypesFor(wide))
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
@@ -9,39 +9,39 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** What a page takes for now bounds what hiring counts of the tasks that wait. */
+/** Scaling out counts only waiting tasks that pages hold for now. */
 class PageSizeEstimateTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
 
-    private fun placeableTasks(job: Job, together: Int) =
-        PageSizeEstimate.placeableTasks(job, together, MOST_BYTES)
+    private fun placeableTasks(job: Job, tasksPerMachine: Int) =
+        PageSizeEstimate.placeableTasks(job, tasksPerMachine, MAX_BYTES)
 
-    private fun planAll() = repeat(20) { harness.planner.plan(PageWriteBudget(7, MOST_BYTES)) }
+    private fun planAll() = repeat(20) { harness.planner.plan(PageWriteBudget(7, MAX_BYTES)) }
 
-    private fun check(cpus: Double, together: Int) {
+    private fun check(cpus: Double, tasksPerMachine: Int) {
         val job = harness.job(plainJob(120).copy(cpus = cpus, memoryGb = 1.0))
-        val expected = placeableTasks(job, together)
+        val expected = placeableTasks(job, tasksPerMachine)
         repeat(120) { harness.machine(it, type) }
         planAll()
         val placed = job.placements.size
-        assertTrue(placed < 120, "the page took all, so that nothing is shown")
+        assertTrue(placed < 120, "the page holds all tasks, so that nothing is shown")
         assertTrue(expected in placed * 3 / 4..placed * 5 / 4, "$expected expected, $placed placed")
-        assertEquals(0, placeableTasks(job, together), "of a full page")
+        assertEquals(0, placeableTasks(job, tasksPerMachine), "of a full page")
     }
 
-    @Test fun `tasks with a machine each`() = check(cpus = 16.0, together = 1)
+    @Test fun `tasks with a machine each`() = check(cpus = 16.0, tasksPerMachine = 1)
 
-    @Test fun `two tasks to a machine`() = check(cpus = 8.0, together = 2)
+    @Test fun `two tasks to a machine`() = check(cpus = 8.0, tasksPerMachine = 2)
 
     @Test
-    fun `of a job that always fits all that wait count`() {
+    fun `all waiting tasks count of a job whose pages always fit`() {
         val job = harness.job(plainJob(19).copy(cpus = 16.0))
         assertEquals(19, placeableTasks(job, 1))
     }
 
     private companion object {
-        const val MOST_BYTES = 2000
+        const val MAX_BYTES = 2000
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -20,7 +20,7 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** A planner with all that it needs, for decisions set up by hand. */
+/** A planner with its collaborators, for cluster states set up by hand. */
 class PlannerHarness(teams: List<TeamQuota>, types: List<MachineType>, now: Micros) {
     val context = CoreContext().also { it.at(now, now) }
     val cluster =
@@ -30,11 +30,11 @@
             FairQueue(teams.associate { it.name to it.cpus }, 600.seconds, 600.0),
         )
     private val workers = WorkerTiming(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
-    val stopper = TaskEvictor(cluster, workers)
+    val evictor = TaskEvictor(cluster, workers)
     val pools = MachinePools(context) { types }
     val planner = Planner(context, cluster, OperatorSettings(), workers, emptyList(), pools)
 
-    /** One that is up and may be used. */
+    /** Adds a machine that is up and schedulable. */
     fun machine(number: Int, type: MachineType, zone: String = "a", spot: Boolean = true): Machine {
         val machine = Machine(MachineId("i-%06d".format(number)), type, zone, spot)
         machine.confirmed = true
@@ -44,17 +44,19 @@
         return machine
     }
 
+    /** Adds a job to the cluster state. */
     fun job(spec: JobSpec, acceptedAt: Micros = Micros.ZERO): Job =
         untrackedJob(spec, acceptedAt).also { cluster.jobs[it.id] = it }
 
-    /** One that only takes room. */
+    /** A job that is not planned, for tasks that only take room. */
     fun untrackedJob(spec: JobSpec, acceptedAt: Micros = Micros.ZERO) =
         Job(spec, KeyVersion(1), acceptedAt, 128)
 
+    /** A placement that is neither on the machine nor in the job yet. */
     fun placement(job: Job, task: Int, machine: Machine) =
         Placement(job, TaskId(job.id, task), 1, machine.id, 1, machine.zone, Charge(Cost(1), 1.0))
 
-    /** The task runs on the machine, and is recorded there. */
+    /** Lets [task] run on [machine], committed. */
     fun run(job: Job, task: Int, machine: Machine) {
         val placement = placement(job, task, machine)
         placement.committed = true
@@ -63,21 +65,21 @@
         cluster.addPlacement(placement, machine)
     }
 
-    /** What stops work for other work, with the usual settings. */
-    fun preemption() = Preemption(context, cluster, planner, stopper, OperatorSettings())
+    /** Preemption with the default settings. */
+    fun preemption() = Preemption(context, cluster, planner, evictor, OperatorSettings())
 
-    /** Room on the machine is taken by work that no plan looks at. */
+    /** Takes [cpus] of [machine] by a job that is not planned. */
     fun occupy(machine: Machine, cpus: Double) {
         val other = untrackedJob(plainJob(1, "job-999999").copy(cpus = cpus))
         machine.add(placement(other, 0, machine))
     }
 
     companion object {
-        /** A machine type of two zones. */
+        /** A machine type that is offered in two zones. */
         val MID =
             MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 100.0, zones = listOf("a", "b"))
 
-        /** One team, machines of one type, and tasks of a gang that share an image. */
+        /** One team, and machines of one type. */
         fun ofOneTeam() =
             PlannerHarness(
                 listOf(TeamQuota("team-0", 700.0, 700.0)),
@@ -85,6 +87,7 @@
                 now = 100.seconds,
             )
 
+        /** A gang whose tasks share an image. */
         fun gang(tasks: Int): JobSpec =
             plainJob(tasks, "job-000001").copy(kind = JobKind.GANG, image = "gang-image")
     }
--- a/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
@@ -9,14 +9,14 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** At the size of the grown deployments: what a decision costs, counted and not timed. */
+/** What a plan costs at the size of large deployments, counted and not timed. */
 class PlannerScaleTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = List(10) { TeamQuota("team-$it", 700.0, 12_000.0) }
 
     private class Plan(val machinesExamined: Long, val placed: Int)
 
-    /** [jobs] jobs of [tasks] tasks on [machines] machines of which [open] have room. */
+    /** Plans [jobs] jobs of [tasks] tasks on [machines] machines of which [open] have room. */
     private fun plan(machines: Int, open: Int, jobs: Int, tasks: Int, pages: Int): Plan {
         val random = Random(3)
         val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
@@ -45,14 +45,14 @@
         val waits = harness.job(plainJob(1, "job-000001").copy(cpus = 32.0), 10.seconds)
         val small = harness.job(plainJob(1, "job-000002").copy(cpus = 2.0), 190.seconds)
         harness.planner.plan(PageWriteBudget(7))
-        assertEquals(0, small.placements.size, "it took what the large one waits for")
+        assertEquals(0, small.placements.size, "it took room on a reserved machine")
         harness.cluster.jobs.remove(waits.id)
         harness.planner.plan(PageWriteBudget(7))
         assertEquals(1, small.placements.size)
     }
 
     @Test
-    fun `without room, what waits costs no look at any machine`() {
+    fun `without room, waiting tasks cost no examination of any machine`() {
         val plan = plan(machines = 1500, open = 0, jobs = 300, tasks = 300, pages = 7)
         assertEquals(0, plan.placed)
         assertEquals(0, plan.machinesExamined)
@@ -70,10 +70,10 @@
     }
 
     @Test
-    fun `a placement costs a few looks, and each kind of work that waits one pass`() {
+    fun `a placement examines a few machines, and each kind of waiting work all machines once`() {
         val plan = plan(machines = 1500, open = 1500, jobs = 300, tasks = 128, pages = 7)
         assertEquals(7 * 128, plan.placed)
-        // Seven jobs look over all machines; then it is two looks for a task.
+        // Seven jobs examine all machines; then each task examines two.
         assertTrue(plan.machinesExamined < 7 * 1500 + 4 * plan.placed, "${plan.machinesExamined}")
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
@@ -11,10 +11,7 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/**
- * With a hundred jobs that wait and thousands of tasks like theirs that run, a leader once spent
- * more than its processor share on asking of each for each whether it may be stopped. Counted.
- */
+/** What preemption costs with a hundred blocked jobs and thousands of tasks like theirs. */
 class PreemptionScaleTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = List(4) { TeamQuota("team-$it", 7_000.0, 20_000.0) }
@@ -33,7 +30,7 @@
     }
 
     @Test
-    fun `a job that waits looks only at what may be stopped for it`() {
+    fun `for a blocked job only tasks that may be stopped for it are examined`() {
         running(job(900, PriorityClass.HIGH, 8_000), 0 until 1_000)
         running(job(901, PriorityClass.NORMAL, 80), 1_000 until 1_010)
         repeat(100) { job(it, PriorityClass.HIGH, 50).blockedSince = Micros.ZERO }
@@ -43,7 +40,7 @@
         assertEquals(80, stopped)
         assertTrue(
             preemption.placementsExamined <= 2 * 100 * 80,
-            "${preemption.placementsExamined} looks",
+            "${preemption.placementsExamined} examined",
         )
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
@@ -12,7 +12,7 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** A replica that waits is down: what may be stopped for it is stopped at once, where it helps. */
+/** A replica that waits is down, so tasks are stopped for it at once, where that helps. */
 class ServicePreemptionTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a", "b"))
     private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `lower work makes room for a service at once, and for others after a wait`() {
+    fun `work of lower priority makes room for a service at once, for others after a wait`() {
         fullMachine(1, "a")
         fullMachine(2, "b")
         val array = waiting(service(4).copy(id = "job-000002", kind = JobKind.ARRAY))
