--- a/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -85,6 +85,6 @@
         log.info("{} is up", machine.id)
         machine.adoptToken(context.now)
         cluster.machinesWithCommands.add(machine)
-        cluster.changed()
+        cluster.markChanged()
     }
 }
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -30,7 +30,7 @@
     fun observeRunning(machine: Machine, placement: Placement) {
         val job = placement.job
         val since = placement.runningSince ?: return
-        if (job.failedMachines.isEmpty() || job.spec.shape != JobKind.SERVICE) return
+        if (job.failedMachines.isEmpty() || job.spec.kind != JobKind.SERVICE) return
         val isSound = machine.id !in job.failedMachines && context.now - since >= SOUND_RUN
         if (isSound && placement.status == TaskStatus.RUNNING) job.failedMachines.clear()
     }
--- a/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -71,7 +71,7 @@
     private fun handleProgress(machine: Machine, placement: Placement, status: TaskStatus) {
         if (status == TaskStatus.RUNNING && placement.runningSince == null) {
             placement.runningSince = context.now
-            placement.job.gang?.ran = true
+            placement.job.gangAttempt?.hasRun = true
             log.debug("{} runs on {}", placement.task, machine.id)
         }
         placement.status = status
@@ -79,8 +79,8 @@
         val spec = placement.job.spec
         if (status != TaskStatus.FETCHING)
             machine.images.markReady(spec.image, spec.imageGb, context.now)
-        if (machine.preemptionNoticeAt != null && !placement.isStopping && spec.savable) {
-            evictor.stop(placement, "its machine is preempted by the provider")
+        if (machine.preemptionNoticeAt != null && !placement.isStopping && spec.isCheckpointable) {
+            evictor.evict(placement, "its machine is preempted by the provider")
         }
     }
 
@@ -95,7 +95,7 @@
         // A copy from before this leader's time frees nothing; what is done stays done.
         if (cause != TaskEndCause.DONE && heartbeat.token != token.value) return
         // The other tasks of its gang wait or run for nothing.
-        if (cause != TaskEndCause.DONE && !job.allTasksDone) cluster.breakAttempt(job)
+        if (cause != TaskEndCause.DONE && !job.allTasksDone) cluster.abortGangAttempt(job)
         when (cause) {
             TaskEndCause.DONE -> {
                 failures.recordCompletion(machine, job)
@@ -130,7 +130,7 @@
         if (task.index !in 0 until job.spec.tasks) return
         if (job.placements.containsKey(task.index)) return
         cluster.complete(job, task.index)
-        cluster.changed()
+        cluster.markChanged()
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
@@ -33,7 +33,7 @@
             cluster.machines.values.filter {
                 !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
             }
-        val unknown = cluster.unheardOf().toList()
+        val unknown = cluster.unknownMachines.machines.toList()
         // How long ago the cancellation was is not known, so these get one heartbeat's time.
         if (context.now - reachableSince >= HEARTBEAT_TIME + timeouts.overdue) {
             decommissionCancelled(unconfirmed, unknown)
@@ -50,7 +50,7 @@
             if (!machine.holdsCancelled) continue
             decommissioner.decommission(machine, DecommissionReason.CANCELLED_TASKS_UNREPORTED)
         }
-        for (id in unknown) if (cluster.holdsCancelled(id)) decommissionUnknown(id)
+        for (id in unknown) if (cluster.unknownMachines.holdsCancelled(id)) decommissionUnknown(id)
     }
 
     /**
--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -73,7 +73,7 @@
     /** What can't be recorded can never run. */
     private fun acceptFitting(call: Long, spec: JobSpec, known: List<MachineType>) {
         val usefulTypes = known.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
-        val fitting = JobRecord.fitting(spec, usefulTypes, maxRecordBytes)
+        val fitting = JobRecord.shortened(spec, usefulTypes, maxRecordBytes)
         if (fitting == null) refuseTooLarge(call, spec.jobId) else accept(call, fitting)
     }
 
@@ -101,7 +101,7 @@
                 is StoreResult.Indeterminate -> answerKnownOrUnavailable(call, job)
                 // The store counts the record as too large; it is not sent that again.
                 is StoreResult.InvalidRequest ->
-                    if (JobRecord.takes(spec) > maxRecordBytes) refuseTooLarge(call, job)
+                    if (JobRecord.maxBytes(spec) > maxRecordBytes) refuseTooLarge(call, job)
                     else responder.answerUnavailable(call)
                 else -> responder.answerUnavailable(call)
             }
--- a/src/main/kotlin/wardmux/jobs/JobCancellation.kt
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -28,7 +28,7 @@
         store.get(JobRecord.key(job)) { result ->
             when (result) {
                 is StoreResult.Ok -> {
-                    val record = JobRecord.of(result.value.data)
+                    val record = JobRecord.decode(result.value.data)
                     if (record?.state == JobState.ACCEPTED)
                         write(call, job, result.value, record, retries)
                     else responder.answerRecord(call, job, result.value)
@@ -40,7 +40,7 @@
     }
 
     private fun write(call: Long, job: JobId, item: KeyValue, record: JobRecord, retries: Int) {
-        val cancelled = record.cancelled(store.maxValueBytes).toJson()
+        val cancelled = record.toCancelled(store.maxValueBytes).toJson()
         val changes =
             listOf(
                 WriteOperation(put = JobRecord.key(job), data = cancelled),
--- a/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
+++ b/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
@@ -26,14 +26,14 @@
      * can't give to those that may not all be in one.
      */
     private fun hasTooFewZones(spec: JobSpec, allowed: List<MachineType>): Boolean {
-        if (spec.shape == JobKind.ARRAY || !spec.spread) return false
+        if (spec.kind == JobKind.ARRAY || !spec.spread) return false
         val zones =
             if (spec.zone != null || spec.oneZone) 1 else allowed.flatMap { it.zones }.toSet().size
         return spec.zoneLimit * zones < spec.tasks
     }
 
     private fun exceedsQuota(spec: JobSpec, team: TeamQuota): Boolean {
-        val tasks = if (spec.shape == JobKind.ARRAY) 1 else spec.tasks
+        val tasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         val slack = MachineType.EPSILON
         return spec.cpus * tasks > team.cpusMax + slack || spec.gpus * tasks > team.gpusMax + slack
     }
--- a/src/main/kotlin/wardmux/jobs/JobResponder.kt
+++ b/src/main/kotlin/wardmux/jobs/JobResponder.kt
@@ -64,7 +64,7 @@
 
     /** Answers [call] with the state that the record of [job] holds, and remembers it. */
     fun answerRecord(call: Long, job: JobId, item: KeyValue) {
-        val state = JobRecord.of(item.data)?.state ?: return answerUnavailable(call)
+        val state = JobRecord.decode(item.data)?.state ?: return answerUnavailable(call)
         if (state == JobState.ACCEPTED) openVersions.record(job, item.version)
         finalStates.record(job, state)
         answerState(call, HttpStatus.OK, job, state)
--- a/src/main/kotlin/wardmux/leader/JobRegistry.kt
+++ b/src/main/kotlin/wardmux/leader/JobRegistry.kt
@@ -19,7 +19,7 @@
         if (spec.jobId in cluster.jobs) return null
         val job = Job(spec, version, Micros(record.acceptedAt), pageSize)
         cluster.jobs[spec.jobId] = job
-        cluster.changed()
+        cluster.markChanged()
         return job
     }
 
@@ -40,8 +40,8 @@
             id = id.value,
             jobClass = "",
             team = "",
-            shape = JobKind.ARRAY,
-            urgency = PriorityClass.IDLE,
+            kind = JobKind.ARRAY,
+            priority = PriorityClass.IDLE,
             tasks = JobSpec.MAX_TASKS,
             cpus = 0.0,
             gpus = 0.0,
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -28,8 +28,8 @@
 import wardmux.forwarding.ForwardingCoordinator
 import wardmux.forwarding.StoredBatchServer
 import wardmux.lease.LeaderCancellationView
-import wardmux.model.Job
 import wardmux.model.seconds
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.MachinePools
@@ -71,9 +71,7 @@
     val status = TermStatus(leadership, knowledge)
     val pools = MachinePools(context) { types.types.orEmpty() }
     val planner =
-        Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools) {
-            types.types.orEmpty()
-        }
+        Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools)
     private val stopper = TaskEvictor(cluster, deployment.workers)
     val preemption = Preemption(context, cluster, planner, stopper, operators)
     private val writeListener =
@@ -169,7 +167,7 @@
     /** Drains that operators asked for; null where these are switched off. */
     val drains: LeaderDrains? =
         operators.drain?.let { LeaderDrains(context, drainEnvironment(), it) }
-    val jobs = JobRegistry(cluster, Job.pageSize(store.pageLayoutBytes))
+    val jobs = JobRegistry(cluster, TaskPageCodec.tasksPerPage(store.pageLayoutBytes))
     val cancellationHandler = JobCancellationHandler(cluster, directCommands, cancellations)
     val resignationCheck = ResignationCheck(services, leadership, reachability, health)
     val openJobWatcher = OpenJobWatcher(services, this)
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -59,8 +59,8 @@
 
     /** Does what is due; to be called several times a second. */
     fun tick() {
-        cluster.reference = services.machineTypes.types?.maxByOrNull { it.cpus }
-        components.pools.observe(cluster.jobs.values)
+        cluster.referenceType = services.machineTypes.types?.maxByOrNull { it.cpus }
+        components.pools.refreshIfDue(cluster.jobs.values)
         components.relays.tick(status.isLoaded)
         components.storeRelay.tick()
         components.loader.tick()
--- a/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
+++ b/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
@@ -77,7 +77,7 @@
         val put = event.put
         val removed = event.remove
         if (put != null && event.data != null) {
-            JobRecord.of(event.data)?.let { components.jobs.add(it, event.version) }
+            JobRecord.decode(event.data)?.let { components.jobs.add(it, event.version) }
         } else if (removed != null) {
             // Of a job that is done it was this leader that removed it.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
--- a/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
+++ b/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
@@ -22,13 +22,13 @@
 ) : PlacementStore.Listener {
     private val log = logger<PlacementWriteListener>()
 
-    override fun written() = components.directCommands.sendDue()
+    override fun onCommitted() = components.directCommands.sendDue()
 
-    override fun fenced() = leadership.fenced()
+    override fun onFenced() = leadership.fenced()
 
-    override fun lost() = components.reload()
+    override fun onStateUnknown() = components.reload()
 
-    override fun finished(job: Job) {
+    override fun onJobDone(job: Job) {
         val turnaround = services.context.wall - job.acceptedAt
         log.info(
             "{} is done: {} {} tasks for {} took {} s, deadline: {} s",
@@ -42,9 +42,9 @@
         completionListener.jobCompleted(job.id)
     }
 
-    override fun changed(job: Job) = components.cancellationHandler.recordChanged(job)
+    override fun onJobRecordChanged(job: Job) = components.cancellationHandler.recordChanged(job)
 
-    override fun decommissioned(machine: Machine) {
+    override fun onDecommissionRecorded(machine: Machine) {
         machine.markDeletionDue()
     }
 }
--- a/src/main/kotlin/wardmux/leader/PlanningLoop.kt
+++ b/src/main/kotlin/wardmux/leader/PlanningLoop.kt
@@ -26,17 +26,17 @@
 
     /** Plans after a heartbeat: what has ended makes room, but not each heartbeat needs a plan. */
     fun planIfChanged() {
-        if (plannedChanges != cluster.changes && context.now >= nextPlanAt) planAndWrite()
+        if (plannedChanges != cluster.changeCount && context.now >= nextPlanAt) planAndWrite()
     }
 
     /** Plans and writes, unless the last write is still under way. */
     fun planAndWrite() {
         nextPlanAt = context.now + MIN_PLAN_PERIOD
-        if (!status.mayDecide || !placementStore.ready) return
-        if (plannedChanges != cluster.changes || context.now >= planUnchangedAt) {
-            plannedChanges = cluster.changes
+        if (!status.mayDecide || !placementStore.isReady) return
+        if (plannedChanges != cluster.changeCount || context.now >= planUnchangedAt) {
+            plannedChanges = cluster.changeCount
             planUnchangedAt = context.now + MAX_PLAN_PERIOD
-            planner.plan(placementStore.admission())
+            planner.plan(placementStore.pageBudget())
         }
         placementStore.flush()
     }
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -1,13 +1,14 @@
 package wardmux.leader
 
 import wardmux.logging.logger
-import wardmux.model.Job
 import wardmux.model.JobId
+import wardmux.model.KeyVersion
 import wardmux.model.MachineId
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.records.JobRecord
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.PlacementStore
 import wardmux.store.ScannedKey
 
@@ -49,7 +50,7 @@
         val sentAt = context.now
         // Also what an earlier load that failed half-way has added: a job that was cancelled since
         // would stay, and its tasks with it.
-        cluster.forgetJobs()
+        cluster.removeAllJobs()
         reader.read { result ->
             when (result) {
                 is StoredStateResult.Complete -> apply(result.state, sentAt)
@@ -60,7 +61,7 @@
 
     private fun apply(state: StoredState, sentAt: Micros) {
         state.tags?.let { components.queue.load(it.data) }
-        components.placementStore.tagsVersion = state.tags?.version?.value ?: 0
+        components.placementStore.tagsVersion = state.tags?.version ?: KeyVersion.ABSENT
         for (item in state.openJobs.items) {
             components.jobs.add(item.data ?: continue, item.version)
         }
@@ -68,9 +69,11 @@
         cancellations.storeReadAsOf(sentAt)
         for (item in state.pages) addPage(item)
         for (item in state.decommissionedMachines) {
-            markDecommissioned(MachineId(item.key.removePrefix(PlacementStore.MACHINES)))
+            markDecommissioned(
+                MachineId(item.key.removePrefix(PlacementStore.DECOMMISSIONED_PREFIX))
+            )
         }
-        components.pools.observeNow(cluster.jobs.values)
+        components.pools.refresh(cluster.jobs.values)
         components.openJobWatcher.start(state.openJobs.revision)
         components.status.markLoaded()
         log.info(
@@ -103,14 +106,17 @@
         machine.markDeletionDue()
     }
 
-    private fun addPage(item: ScannedKey<StoredPage>) {
-        val id = JobId(item.key.removePrefix(Job.PAGES).substringBefore('/'))
+    private fun addPage(item: ScannedKey<StoredTaskPage>) {
+        val id = JobId(item.key.removePrefix(TaskPageCodec.KEY_PREFIX).substringBefore('/'))
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         val job = components.jobs.getOrAddCompleted(id)
-        val placed = job.load(page, item.version.value, item.data)
+        val placed = TaskPageCodec.restore(job, page, item.version, item.data)
         // Nothing of a done job is on a machine; its pages are only to be removed.
         if (job.isDone) return job.placements.clear()
-        for (placement in placed) cluster.restore(placement, cluster.machines[placement.machine])
+        for (placement in placed) cluster.addPlacement(
+            placement,
+            cluster.machines[placement.machine],
+        )
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
-import wardmux.model.Job
 import wardmux.records.JobRecord
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.scheduling.PlacementStore
 import wardmux.store.KeyValue
@@ -20,7 +20,7 @@
     val tags: KeyValue?,
     /** Jobs that were open, with the revision from which changes to them are watched. */
     val openJobs: ScanResult<JobRecord>,
-    val pages: List<ScannedKey<StoredPage>>,
+    val pages: List<ScannedKey<StoredTaskPage>>,
     val decommissionedMachines: List<ScannedKey<JsonElement>>,
     val cancelledJobs: List<ScannedKey<JobRecord>>,
 )
@@ -63,7 +63,7 @@
     private inner class Reading(private val then: (StoredStateResult) -> Unit) {
         private var tags: KeyValue? = null
         private lateinit var openJobs: ScanResult<JobRecord>
-        private lateinit var pages: List<ScannedKey<StoredPage>>
+        private lateinit var pages: List<ScannedKey<StoredTaskPage>>
         private lateinit var decommissionedMachines: List<ScannedKey<JsonElement>>
 
         fun readTags() {
@@ -88,14 +88,14 @@
         }
 
         private fun readPages() {
-            scan(Job.PAGES, StoredPage.serializer()) { found ->
+            scan(TaskPageCodec.KEY_PREFIX, StoredTaskPage.serializer()) { found ->
                 pages = found.items
                 readDecommissionedMachines()
             }
         }
 
         private fun readDecommissionedMachines() {
-            scan(PlacementStore.MACHINES, JsonElement.serializer()) { found ->
+            scan(PlacementStore.DECOMMISSIONED_PREFIX, JsonElement.serializer()) { found ->
                 decommissionedMachines = found.items
                 readCancelledJobs()
             }
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -59,7 +59,7 @@
         }
 
     override val cancellationCount: Long
-        get() = cancellations.observedCount + cluster.cancelled
+        get() = cancellations.observedCount + cluster.cancelledJobCount
 
     override fun isCancelled(job: JobId): Boolean {
         if (job in cancellations) return true
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -1,72 +1,37 @@
 package wardmux.model
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
-import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntArrayFIFOQueue
-import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import java.util.BitSet
-import kotlinx.serialization.json.JsonElement
-import wardmux.logging.logger
-import wardmux.records.StoredPage
-import wardmux.serialization.jsonBytes
-
-/** What a task asks of its machine. */
-data class ResourceRequest(
-    val cpus: Double,
-    val gpus: Double,
-    val memoryGb: Double,
-    val types: List<String>?,
-    val zone: String?,
-    val spot: Boolean,
-)
-
-/** A page as it is to be written, and the tasks that it says are done. */
-class PageContent(val data: JsonElement, val done: BitSet)
-
-/** One try of a gang as a whole. */
-class GangAttempt(
-    val number: Int,
-    val since: Micros,
-    /** All had gathered once: without one of them the others can't go on. */
-    var ran: Boolean = false,
-) {
-    /** It comes to nothing any more: what is left of it has to be gone before the next. */
-    var broken = false
-}
 
 /**
- * A job with its tasks: one class of like work. Waiting tasks are those never tried, in order, and
- * then those that came back; a large job costs no more here than a small one.
+ * A job with the state of its tasks, which are numbered from 0 and alike. Waiting tasks are taken
+ * in this order: those never tried, then those that are to be tried again. Only tasks that were
+ * tried take memory each.
  */
-class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, val pageSize: Int) {
+class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, tasksPerPage: Int) {
     val id: JobId = spec.jobId
 
-    /** Jobs with the same need find the same machines. */
+    /** How its tasks are stored. */
+    val pages = TaskPages(tasksPerPage, spec.tasks)
+
+    /** What each task requires of its machine. */
     val resourceRequest =
         ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
 
-    /** Where its tasks may go depends on where its others are. */
+    /** True if the zones that its tasks may go to depend on where its others are. */
     val isZoneBound: Boolean
         get() = spec.oneZone || spec.spread
 
+    /** The placement of each task that is, or may be, on a machine. */
     val placements = Int2ObjectOpenHashMap<Placement>()
     private val done = BitSet()
-    private val recorded = BitSet()
     private val attempts = Int2IntOpenHashMap()
     private val requeued = IntArrayFIFOQueue()
     private var nextUntried = 0
-    private val pageVersions = Int2LongOpenHashMap()
-    private val dirty = IntOpenHashSet()
-
-    /** Placements of each page that no write holds yet. */
-    private val planned = Int2IntOpenHashMap()
 
-    /** Since when a page differs from what is stored of it in no more than how its tasks ended. */
-    var dirtySince: Micros? = null
-        private set
-
-    /** Tasks that were reported as running, for display. */
+    /** How many tasks are reported as running, for display. */
     val running: Int
         get() = placements.values.count { it.runningSince != null }
 
@@ -79,84 +44,97 @@
 
     /**
      * The earliest moment at which a user may have been told that it is cancelled. Not when this
-     * leader learned of it: a succession of leaders must not begin the time anew.
+     * leader learned of it: a failover must not start the time anew.
      */
     var cancelledSince = Micros.LONG_AGO
 
-    /** The job's record says that it is done. */
+    /** True if the job's record says that it is done. */
     val isDone: Boolean
         get() = phase == JobPhase.DONE
 
+    /** True if the job's record says that it is cancelled. */
     val isCancelled: Boolean
         get() = phase == JobPhase.CANCELLED
 
-    /** Nothing that is stored of it says any more that something may be on a machine. */
+    /** True if nothing of it is on a machine, and nothing stored says that something may be. */
     val isRemovable: Boolean
-        get() = hasEnded && placements.isEmpty() && pageVersions.isEmpty() && (isDone || unlisted)
+        get() =
+            hasEnded &&
+                placements.isEmpty() &&
+                pages.noneStored &&
+                (isDone || isCancelledKeyRemoved)
 
-    /** No longer listed among the cancelled jobs of which something is left. */
-    var unlisted = false
+    /** True if the store no longer lists it among the cancelled jobs with tasks on machines. */
+    var isCancelledKeyRemoved = false
 
     /** Machines on which tasks of this job failed since one of them last completed. */
     val failedMachines = HashSet<MachineId>()
+
+    /** None of its tasks is placed before this time of day. */
     var backoffUntil = Micros.LONG_AGO
 
     /** Since when a task that could run has not been placed; null while none waits for room. */
     var blockedSince: Micros? = null
 
-    /** It has waited for room for longer than what comes free as a matter of course. */
-    fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > SCARCE_AFTER } == true
+    /** True if it has waited for room for longer than it takes some to come free by itself. */
+    fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > LONG_BLOCKED_AFTER } == true
 
-    /** When others were last stopped to give its team the guarantee. */
+    /** When tasks of other teams were last stopped for it, to reclaim its team's share. */
     var lastReclaimAt = Micros.LONG_AGO
 
+    /** How many tasks are done. */
     val doneCount: Int
         get() = done.cardinality()
 
+    /** How many tasks wait to be placed; none once the job has ended. */
     val waiting: Int
         get() =
             if (hasEnded) 0
             // Of a gang all are done at once, those on their machines too.
             else (spec.tasks - done.cardinality() - placements.size).coerceAtLeast(0)
 
-    /** The gang's attempt that is out, or was last. */
-    var gang: GangAttempt? = null
+    /** The current or last attempt of a gang; null before the first, and for other jobs. */
+    var gangAttempt: GangAttempt? = null
         private set
 
     /**
-     * Its stored placements name one charge for all. A gang's tasks are placed together and cost
-     * the same; those of a service never complete, so what they were charged is never corrected.
+     * True if its stored placements name one charge for all. A gang's tasks are placed together and
+     * cost the same; those of a service never complete, so their charge is never corrected.
      */
     val sharesCharge: Boolean
-        get() = spec.shape != JobKind.ARRAY
+        get() = spec.kind != JobKind.ARRAY
 
-    /** Larger than any before. */
+    /** The number of a gang's next attempt, larger than any before. */
     val nextGangAttempt: Int
         get() = (attempts.values.maxOrNull() ?: 0) + 1
 
-    /** All tasks of a gang get one number, and are placed in their order: each page's together. */
-    fun beginAttempt(now: Micros) {
-        gang = GangAttempt(nextGangAttempt, now)
+    /**
+     * Starts an attempt of a gang: all its tasks get one attempt number and are placed in their
+     * order, so that those of a page are placed together.
+     */
+    fun startGangAttempt(now: Micros) {
+        gangAttempt = GangAttempt(nextGangAttempt, now)
         requeued.clear()
         nextUntried = 0
     }
 
-    /** What would be started without the others is not started: all have to be recorded. */
+    /** False for a gang until the placements of all its tasks are committed. */
     val mayStart: Boolean
         get() =
             !spec.isGang ||
-                (gang?.broken == false &&
+                (gangAttempt?.isAborted == false &&
                     placements.size == spec.tasks &&
                     placements.values.all { it.isCommitted })
 
+    /** True if all tasks are done, whether or not the job's record says so. */
     val allTasksDone: Boolean
         get() = done.cardinality() == spec.tasks
 
-    /** Failing on several machines: the job is at fault, and stands behind its team's others. */
+    /** True if it fails on several machines: it is at fault, and comes after its team's others. */
     val isFailing: Boolean
-        get() = failedMachines.size >= FAULTY_MACHINES
+        get() = failedMachines.size >= MIN_FAILING_MACHINES
 
-    /** A task of it was started once. */
+    /** True if a task of it was placed once. */
     val hasStarted: Boolean
         get() = !placements.isEmpty() || !attempts.isEmpty()
 
@@ -165,146 +143,101 @@
         get() =
             attempts
                 .int2IntEntrySet()
-                .filter { it.intValue > 0 && free(it.intKey) }
+                .filter { it.intValue > 0 && needsPlacement(it.intKey) }
                 .map { it.intKey }
 
+    /** True if [task] is done. */
     fun isTaskDone(task: Int) = done.get(task)
 
-    fun isRecorded(task: Int) = isDone || recorded.get(task)
+    /** True if the store says that [task] is done. */
+    fun isRecorded(task: Int) = isDone || pages.isRecordedDone(task)
 
-    /** The next waiting task, or -1. */
-    fun takeWaiting(): Int {
+    /** Takes the next waiting task from the queue; -1 if there is none. */
+    fun pollWaitingTask(): Int {
         while (nextUntried < spec.tasks) {
             val task = nextUntried++
-            if (free(task) && (spec.isGang || !attempts.containsKey(task))) return task
+            if (needsPlacement(task) && (spec.isGang || !attempts.containsKey(task))) return task
         }
         while (!requeued.isEmpty) {
             val task = requeued.dequeueInt()
-            if (free(task)) return task
+            if (needsPlacement(task)) return task
         }
         return -1
     }
 
-    /** Its page is full for now: its turn comes after that of all others, with its page's rest. */
-    fun setAside(task: Int) {
+    /** The page of [task] is full: it and the rest of the page come after all other tasks. */
+    fun deferRestOfPage(task: Int) {
         requeued.enqueue(task)
-        val end = lastOf(task) + 1
+        val end = pages.lastTaskBeside(task) + 1
         if (nextUntried <= task || nextUntried > end) return
         while (nextUntried < end) {
             val next = nextUntried++
-            if (free(next) && !attempts.containsKey(next)) requeued.enqueue(next)
+            if (needsPlacement(next) && !attempts.containsKey(next)) requeued.enqueue(next)
         }
     }
 
-    fun putBack(task: Int) = requeued.enqueueFirst(task)
+    /** [task] is the next to be taken again. */
+    fun requeueFirst(task: Int) = requeued.enqueueFirst(task)
 
-    private fun free(task: Int) = !done.get(task) && !placements.containsKey(task)
+    private fun needsPlacement(task: Int) = !done.get(task) && !placements.containsKey(task)
 
-    fun nextAttempt(task: Int) = gang?.number ?: (attempts.get(task) + 1)
+    /** The number that an attempt of [task] gets if it is placed now. */
+    fun nextAttempt(task: Int) = gangAttempt?.number ?: (attempts.get(task) + 1)
 
+    /** [placement] was made at time of day [wall]. */
     fun place(placement: Placement, wall: Micros) {
         placements.put(placement.task.index, placement)
         attempts.put(placement.task.index, placement.attempt)
-        planned.addTo(placement.task.index / pageSize, 1)
-        touch(placement.task.index, wall)
+        pages.addUncommitted(placement.task.index)
+        pages.markTaskDirty(placement.task.index, wall)
     }
 
-    /** Its record is written. */
+    /** The record of [placement] is written. */
     fun commit(placement: Placement) {
         if (placement.isCommitted) return
         placement.isCommitted = true
         val task = placement.task.index
-        if (placements.get(task) === placement) planned.addTo(task / pageSize, -1)
+        if (placements.get(task) === placement) pages.removeUncommitted(task)
     }
 
-    /** Proven gone; the task waits again unless it is done. */
+    /** [placement] is proven gone; its task waits again unless it is done. */
     fun release(placement: Placement, wall: Micros) {
         val task = placement.task.index
         if (placements.get(task) !== placement) return
         placements.remove(task)
-        if (!placement.isCommitted) planned.addTo(task / pageSize, -1)
-        touch(task, wall)
+        if (!placement.isCommitted) pages.removeUncommitted(task)
+        pages.markTaskDirty(task, wall)
         if (!done.get(task)) requeued.enqueue(task)
     }
 
-    /** The placement was never written, so its attempt number is free again. */
-    fun undo(placement: Placement, wall: Micros) {
+    /** [placement] was never written, so its attempt number is used again. */
+    fun rollBack(placement: Placement, wall: Micros) {
         attempts.put(placement.task.index, placement.attempt - 1)
         release(placement, wall)
     }
 
+    /** [task] is done since time of day [wall]. */
     fun complete(task: Int, wall: Micros) {
         if (done.get(task)) return
         done.set(task)
-        touch(task, wall)
-    }
-
-    private fun touch(task: Int, wall: Micros) {
-        dirty.add(task / pageSize)
-        if (dirtySince == null) dirtySince = wall
+        pages.markTaskDirty(task, wall)
     }
 
-    fun dirtyPages(): IntArray =
-        if (dirty.isEmpty()) NO_PAGES else dirty.toIntArray().also { it.sort() }
-
-    fun storedPages(): IntArray = pageVersions.keys.toIntArray().also { it.sort() }
-
-    fun pageVersion(page: Int): Long = pageVersions.get(page)
-
-    fun hasPlanned(page: Int): Boolean = planned.get(page) > 0
-
-    fun placementsOf(page: Int): List<Placement> {
-        val from = page * pageSize
-        return if (placements.size < pageSize) {
-            placements.values.filter { it.task.index / pageSize == page }
+    /** The placements of the tasks on [page]. */
+    fun placementsOn(page: Int): List<Placement> {
+        val size = pages.tasksPerPage
+        val first = page * size
+        return if (placements.size < size) {
+            placements.values.filter { pages.pageOf(it.task.index) == page }
         } else {
-            (from until from + pageSize).mapNotNull { placements.get(it) }
-        }
-    }
-
-    /** The last task on the page of [task]. */
-    fun lastOf(task: Int): Int = minOf((task / pageSize + 1) * pageSize, spec.tasks) - 1
-
-    /** Tasks of the page that were tried and are not done. */
-    fun openIn(page: Int): Int {
-        val from = page * pageSize
-        val to = minOf(from + pageSize, spec.tasks)
-        return (from until to).count { !done.get(it) && attempts.get(it) > 0 }
-    }
-
-    /** What the page holds now; the caller writes it and then calls [written]. */
-    fun page(page: Int): JsonElement = page(page, Int.MAX_VALUE).data
-
-    /**
-     * The same in [mostBytes], if leaving out some done tasks helps: those between tasks that are
-     * not, each of which takes two numbers. They stand among the tried ones until their neighbours
-     * end, and their machines keep the result until they are recorded. One that is recorded, and
-     * perhaps forgotten, is left out only where nothing of the page is out, as then nothing else
-     * would ever make room: after a change of leaders it runs once more.
-     */
-    fun page(page: Int, mostBytes: Int): PageContent {
-        val runs = doneRuns(page)
-        val whole = page(page, runs, BitSet())
-        var over = jsonBytes(whole.data) - mostBytes
-        if (over <= 0) return whole
-        val leftOut = BitSet()
-        val nothingOut = placementsOf(page).none { it.isCommitted }
-        val single =
-            runs
-                .filter { it.first == it.last && !placements.containsKey(it.first) }
-                .map { it.first }
-                .filter { nothingOut || !recorded.get(it) }
-        for (task in single.sortedBy { recorded.get(it) }) {
-            if (over + SEPARATORS <= 0) break
-            leftOut.set(task)
-            over -= task.toString().length - lastAttempt(task).toString().length
+            (first until first + size).mapNotNull { placements.get(it) }
         }
-        return page(page, runs, leftOut)
     }
 
-    private fun doneRuns(page: Int): List<IntRange> {
-        val from = page * pageSize
-        val to = minOf(from + pageSize, spec.tasks)
+    /** The runs of consecutive done tasks on [page], ascending. */
+    fun doneRunsOn(page: Int): List<IntRange> {
+        val from = page * pages.tasksPerPage
+        val to = pages.tasksOn(page).last + 1
         val runs = ArrayList<IntRange>()
         var start = done.nextSetBit(from)
         while (start in from until to) {
@@ -315,92 +248,38 @@
         return runs
     }
 
-    /** One that was read as done has no attempt on record. */
-    private fun lastAttempt(task: Int) = maxOf(1, attempts.get(task))
-
-    private fun page(page: Int, runs: List<IntRange>, leftOut: BitSet): PageContent {
-        val from = page * pageSize
-        val to = minOf(from + pageSize, spec.tasks)
-        val kept = runs.filter { !leftOut.get(it.first) }
-        val tried = ArrayList<Int>()
-        for (task in from until to) {
-            if (leftOut.get(task) || free(task) && attempts.get(task) > 0) {
-                tried.add(task)
-                tried.add(lastAttempt(task))
-            }
-        }
-        val done = BitSet().apply { for (run in kept) set(run.first, run.last + 1) }
-        val numbers = kept.flatMap { listOf(it.first, it.last) }
-        return PageContent(StoredPage.of(numbers, placementsOf(page), tried), done)
-    }
+    /** The number of the last attempt of [task], or 0 if none is known. */
+    fun lastAttempt(task: Int): Int = attempts.get(task)
 
-    /** The page as it was at [doneThen] is stored now. */
-    fun written(page: Int, version: Long, doneThen: BitSet) {
-        pageVersions.put(page, version)
-        recorded.clear(page * pageSize, (page + 1) * pageSize)
-        recorded.or(doneThen)
-    }
+    /** True if [task] was tried, is not done and is not placed now. */
+    fun isInterrupted(task: Int) = needsPlacement(task) && attempts.get(task) > 0
 
-    fun clean(page: Int) {
-        dirty.remove(page)
-        if (dirty.isEmpty()) dirtySince = null
+    /** From the store: the tasks [first] to [last] are done. */
+    fun restoreDone(first: Int, last: Int) {
+        done.set(first, last + 1)
+        pages.restoreDone(first, last)
     }
 
-    fun markDirty(page: Int, wall: Micros) {
-        dirty.add(page)
-        if (dirtySince == null) dirtySince = wall
-    }
-
-    fun forgetPage(page: Int) {
-        pageVersions.remove(page)
-        clean(page)
+    /** From the store: [task] was tried up to [lastAttempt], is not done and not placed. */
+    fun restoreInterrupted(task: Int, lastAttempt: Int) {
+        attempts.put(task, lastAttempt)
+        requeued.enqueue(task)
     }
 
-    /** At take-over: what a stored page says. */
-    fun load(page: Int, version: Long, stored: StoredPage?): List<Placement> {
-        pageVersions.put(page, version)
-        val placed = stored?.placementsOf(this)
-        if (placed == null) {
-            logger<Job>().error("page {} of {} can't be read", page, id)
-            return emptyList()
-        }
-        for (i in stored.done.indices step 2) {
-            done.set(stored.done[i], stored.done[i + 1] + 1)
-            recorded.set(stored.done[i], stored.done[i + 1] + 1)
-        }
-        for (i in stored.tried.indices step 2) {
-            attempts.put(stored.tried[i], stored.tried[i + 1])
-            requeued.enqueue(stored.tried[i])
-        }
-        return placed.onEach { placement ->
-            placement.isCommitted = true
-            placement.isRestored = true
-            placements.put(placement.task.index, placement)
-            attempts.put(placement.task.index, placement.attempt)
-            // How far it came is not known, so nothing of it is replaced.
-            if (spec.isGang) gang = GangAttempt(placement.attempt, Micros.LONG_AGO, ran = true)
-        }
+    /** From the store: [placement] is committed, and a start of it may have gone out. */
+    fun restore(placement: Placement) {
+        placement.isCommitted = true
+        placement.isRestored = true
+        placements.put(placement.task.index, placement)
+        attempts.put(placement.task.index, placement.attempt)
+        // How far the attempt came is not known, so none of its tasks is replaced.
+        if (spec.isGang)
+            gangAttempt = GangAttempt(placement.attempt, Micros.LONG_AGO, hasRun = true)
     }
 
-    companion object {
-        const val FAULTY_MACHINES = 2
-        private val SCARCE_AFTER = 4.seconds
-
-        /** Keeps the pages of all jobs; a page's key is `t/<job>/<page>`. */
-        const val PAGES = "t/"
-
-        /**
-         * A placement's record takes at most about this much, on a machine of its own and charged
-         * unlike all others, so that a page fits a value. As a rule it takes a quarter of that.
-         */
-        const val BYTES_A_TASK = 64
-
-        /** At the ends of the two lists that a task moves between. */
-        private const val SEPARATORS = 4
-        private val NO_PAGES = IntArray(0)
-
-        fun pageKey(job: JobId, page: Int) = "$PAGES${job.value}/$page"
-
-        fun pageSize(maxValueBytes: Int) = (maxValueBytes / BYTES_A_TASK).coerceAtLeast(1)
+    private companion object {
+        /** A job that failed on so many machines is failing. */
+        const val MIN_FAILING_MACHINES = 2
+        val LONG_BLOCKED_AFTER = 4.seconds
     }
 }
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -3,14 +3,17 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A job as its user described it; also the form in which records keep it. */
+/**
+ * A job as its user submitted it, and the form in which records keep it. Resources are those of one
+ * task; times are in seconds.
+ */
 @Serializable
 data class JobSpec(
     @SerialName("name_id") val id: String,
     @SerialName("jobclass") val jobClass: String,
     @SerialName("owner") val team: String,
-    @SerialName("shape") val shape: JobKind,
-    @SerialName("urgency") val urgency: PriorityClass,
+    @SerialName("shape") val kind: JobKind,
+    @SerialName("urgency") val priority: PriorityClass,
     @SerialName("pieces") val tasks: Int,
     @SerialName("cores") val cpus: Double,
     @SerialName("gpus") val gpus: Double,
@@ -27,16 +30,20 @@
     @SerialName("dump_s") val saveS: Double,
     @SerialName("due_s") val deadlineS: Double? = null,
 ) {
+    /** The id as a type of its own. */
     val jobId: JobId
         get() = JobId(id)
 
+    /** How long its user expects a task to run. */
     val estimate: Micros
         get() = estimateS.seconds
 
+    /** True if its tasks run only all at the same time. */
     val isGang: Boolean
-        get() = shape == JobKind.GANG
+        get() = kind == JobKind.GANG
 
-    val savable: Boolean
+    /** True if a stopped task can write a checkpoint, from which its next attempt goes on. */
+    val isCheckpointable: Boolean
         get() = checkpointS > 0
 
     /** At most this many tasks may be in one zone. */
--- a/src/main/kotlin/wardmux/model/MachineResources.kt
+++ b/src/main/kotlin/wardmux/model/MachineResources.kt
@@ -74,7 +74,7 @@
         usedCpus += sign * spec.cpus
         usedGpus += sign * spec.gpus
         usedMemoryGb += sign * spec.memoryGb
-        if (spec.shape == JobKind.SERVICE) serviceCpus += sign * spec.cpus
+        if (spec.kind == JobKind.SERVICE) serviceCpus += sign * spec.cpus
     }
 
     private companion object {
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -15,11 +15,13 @@
 import wardmux.model.Job
 import wardmux.model.JobId
 import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
 import wardmux.model.Micros
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
-import wardmux.records.StoredPage
+import wardmux.records.StoredTaskPage
+import wardmux.records.TaskPageCodec
 import wardmux.scheduling.FairQueue
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
@@ -76,13 +78,13 @@
     fun `records of jobs, also as they are cancelled or done`() {
         val records = samples.stored.keys.filter { it.first() in "jqc" && it[1] == '/' }
         assertEquals(13, records.size)
-        for (key in records) rewritten(key) { assertNotNull(JobRecord.of(it)).toJson() }
+        for (key in records) rewritten(key) { assertNotNull(JobRecord.decode(it)).toJson() }
         for (spec in FormatContents.SPECS) {
-            val open = assertNotNull(JobRecord.of(samples.stored.getValue("q/${spec.id}")))
+            val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
             val cancelled = samples.stored.getValue("c/${spec.id}")
             assertEquals(
                 cancelled.toString(),
-                open.cancelled(mostBytes = 2_000).toJson().toString(),
+                open.toCancelled(maxBytes = 2_000).toJson().toString(),
             )
         }
     }
@@ -91,14 +93,14 @@
     @Test
     fun `a record that is shortened keeps each field that must be there`() {
         for (spec in FormatContents.SPECS) {
-            val open = assertNotNull(JobRecord.of(samples.stored.getValue("q/${spec.id}")))
-            val whole = open.cancelled(mostBytes = 2_000).toJson()
-            val short = open.cancelled(jsonBytes(whole) - 1).toJson()
+            val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
+            val whole = open.toCancelled(maxBytes = 2_000).toJson()
+            val short = open.toCancelled(jsonBytes(whole) - 1).toJson()
             assertTrue(jsonBytes(short) < jsonBytes(whole), spec.id)
             val lost = fields(whole) - fields(short)
             assertTrue(lost.all { it in OPTIONAL }, "$lost of ${spec.id}")
             assertEquals(whole.jsonObject.getValue("state"), short.jsonObject["state"])
-            assertEquals(spec.team, assertNotNull(JobRecord.of(short)).spec?.team)
+            assertEquals(spec.team, assertNotNull(JobRecord.decode(short)).spec?.team)
         }
     }
 
@@ -106,14 +108,14 @@
         record.jsonObject.keys + (record.jsonObject["spec"] as JsonObject).keys
 
     private fun pagesAgain(spec: JobSpec, pages: IntRange) {
-        val keys = pages.associateWith { Job.pageKey(JobId(spec.id), it) }
+        val keys = pages.associateWith { TaskPageCodec.key(JobId(spec.id), it) }
         for (more in listOf(false, true)) {
             val first = FormatContents.emptyGang(spec)
             val second = FormatContents.emptyGang(spec)
             for ((number, key) in keys) {
                 val sample = samples.stored.getValue(key)
                 load(first, number, if (more) FormatTree.withMore(sample) else sample)
-                val again = first.page(number)
+                val again = TaskPageCodec.encode(first, number)
                 // The order of placements is free; the fields and all that they hold are not.
                 assertEquals(sample.jsonObject.keys.toList(), again.jsonObject.keys.toList(), key)
                 load(second, number, again)
@@ -124,7 +126,8 @@
     }
 
     private fun load(job: Job, number: Int, json: JsonElement) {
-        job.load(number, 99, lenientJson.decodeFromJsonElement(StoredPage.serializer(), json))
+        val stored = lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), json)
+        TaskPageCodec.restore(job, number, KeyVersion(99), stored)
     }
 
     private fun written(spec: JobSpec): Job =
--- a/src/test/kotlin/wardmux/model/JobPageTest.kt
+++ b/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
@@ -1,4 +1,4 @@
-package wardmux.model
+package wardmux.records
 
 import kotlin.test.Test
 import kotlin.test.assertEquals
@@ -7,46 +7,64 @@
 import wardmux.jobs.Submission
 import wardmux.jobs.SubmissionReader
 import wardmux.jobs.submission
-import wardmux.records.StoredPage
-import wardmux.scheduling.Admission
+import wardmux.model.Charge
+import wardmux.model.Cost
+import wardmux.model.Job
+import wardmux.model.JobSpec
+import wardmux.model.KeyVersion
+import wardmux.model.MachineId
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.TaskId
+import wardmux.scheduling.PageWriteBudget
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
 
-class JobPageTest {
+/** Task pages are as small as a value may be, and are read as they were written. */
+class TaskPageCodecTest {
     @Test
-    fun `the fullest page of the largest job fits a value, on small and large limits`() {
-        val read = SubmissionReader.read(submission()) as Submission.WellFormed
-        val spec = read.spec.copy(tasks = JobSpec.MAX_TASKS)
+    fun `the fullest page of the largest job fits a value, under small and large limits`() {
+        val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
+        val spec = submitted.spec.copy(tasks = JobSpec.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
-            val size = Job.pageSize(limit)
+            val size = TaskPageCodec.tasksPerPage(limit)
             val job = Job(spec, KeyVersion(1), Micros.ZERO, size)
             val last = (spec.tasks - 1) / size
             for (task in last * size until spec.tasks) job.place(widest(job, task), Micros.ZERO)
             for (task in 0 until size) job.place(widest(job, task), Micros.ZERO)
             for (page in listOf(0, last)) {
-                assertTrue(job.page(page).toString().length <= limit, "page $page of $size tasks")
+                assertTrue(
+                    TaskPageCodec.encode(job, page).toString().length <= limit,
+                    "page $page of $size tasks",
+                )
             }
-            val stored = lenientJson.decodeFromJsonElement(StoredPage.serializer(), job.page(0))
-            assertEquals(size, Job(spec, KeyVersion(1), Micros.ZERO, size).load(0, 1, stored).size)
+            val stored =
+                lenientJson.decodeFromJsonElement(
+                    StoredTaskPage.serializer(),
+                    TaskPageCodec.encode(job, 0),
+                )
+            val again = Job(spec, KeyVersion(1), Micros.ZERO, size)
+            assertEquals(size, TaskPageCodec.restore(again, 0, KeyVersion(1), stored).size)
         }
     }
 
     @Test
-    fun `no more goes onto a page than a smaller value holds`() {
-        val read = SubmissionReader.read(submission()) as Submission.WellFormed
-        val spec = read.spec.copy(tasks = 300)
+    fun `no more tasks are placed than a page of a smaller value holds`() {
+        val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
+        val spec = submitted.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
             for (perMachine in listOf(1, 3, 16)) {
-                val job = Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024))
-                // What two rounds admit, ended in between as badly as can be.
+                val job =
+                    Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
+                // What two rounds place, ended in between so that the page gets as large as can be.
                 repeat(2) {
-                    val admission = Admission(7, limit)
+                    val budget = PageWriteBudget(7, limit)
                     for (task in 0 until spec.tasks) {
                         if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
-                        if (!admission.admits(job, task)) continue
+                        if (!budget.tryReserve(job, task)) continue
                         val placement = widest(job, task, job.nextAttempt(task), task / perMachine)
                         job.place(placement, Micros.ZERO)
-                        admission.took(placement)
+                        budget.onPlaced(placement)
                     }
                     assertTrue(job.placements.size > 4, "too few for $limit: $perMachine")
                     assertFits(job, limit)
@@ -63,78 +81,78 @@
     }
 
     /**
-     * As the version before may leave it under its higher limits: every second task of a page
-     * beyond number 1,000 is done, the others came back. Each round writes what it can of it, and
-     * now and then a later leader goes on from what is stored.
+     * As it may be left under higher limits: every second task of a page beyond number 1,000 is
+     * done, the others were interrupted. Each round writes what it can of it, and now and then a
+     * later leader goes on from what is stored.
      */
     @Test
-    fun `a page of which every second task is done is written again, to its end`() {
-        val read = SubmissionReader.read(submission()) as Submission.WellFormed
-        val spec = read.spec.copy(tasks = 1280)
-        val number = 4
+    fun `a page of which every second task is done is written until all are done`() {
+        val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
+        val spec = submitted.spec.copy(tasks = 1280)
+        val page = 4
         val tasks = 1024 until 1280
-        val from = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
+        val done = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
         val tried = tasks.filter { it % 2 == 1 }.flatMap { listOf(it, 2) }
-        var stored = decode(StoredPage.of(from, emptyList(), tried))
-        assertTrue(bytes(stored) > LOWERED)
-        var job = loaded(spec, stored, number)
-        // What a machine was told to forget.
+        var stored = decode(StoredTaskPage.encode(done, emptyList(), tried))
+        assertTrue(bytes(stored) > LOWERED_LIMIT)
+        var job = isRestored(spec, stored, page)
+        // What machines were told to forget.
         val forgotten = tasks.filterTo(HashSet()) { job.isRecorded(it) }
         for (round in 0 until 200) {
-            val admission = Admission(7, LOWERED)
+            val budget = PageWriteBudget(7, LOWERED_LIMIT)
             for (task in tasks) {
                 if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
-                if (!admission.admits(job, task)) continue
+                if (!budget.tryReserve(job, task)) continue
                 val placement = widest(job, task, job.nextAttempt(task), task)
                 job.place(placement, Micros.ZERO)
-                admission.took(placement)
+                budget.onPlaced(placement)
             }
             assertTrue(job.placements.isNotEmpty(), "nothing can be placed in round $round")
-            stored = write(job, number)
+            stored = write(job, page)
             for (placement in job.placements.values.toList()) {
                 job.commit(placement)
                 job.complete(placement.task.index, Micros.ZERO)
                 job.release(placement, Micros.ZERO)
             }
-            stored = write(job, number)
+            stored = write(job, page)
             tasks.filterTo(forgotten) { job.isRecorded(it) }
             val known = tasks.filter { job.isTaskDone(it) }
             if (known.size == tasks.count()) return
             if (round % 4 == 3) {
                 val before = job
-                job = loaded(spec, stored, number)
+                job = isRestored(spec, stored, page)
                 for (task in known) {
                     assertEquals(before.isRecorded(task), job.isTaskDone(task), "$task")
                     assertTrue(job.isTaskDone(task) || job.nextAttempt(task) > 1, "$task")
-                    // Its machine still has the result, and tells it; else it runs once more.
+                    // Its machine still has the result, and reports it; else it runs once more.
                     if (task !in forgotten) job.complete(task, Micros.ZERO)
                 }
             }
         }
-        error("the page did not come to its end")
+        error("not all tasks of the page are done")
     }
 
-    private fun write(job: Job, page: Int): StoredPage {
-        val content = job.page(page, LOWERED)
-        assertTrue(jsonBytes(content.data) <= LOWERED, "${jsonBytes(content.data)} bytes")
-        job.written(page, 1, content.done)
+    private fun write(job: Job, page: Int): StoredTaskPage {
+        val content = TaskPageCodec.encode(job, page, LOWERED_LIMIT)
+        assertTrue(jsonBytes(content.data) <= LOWERED_LIMIT, "${jsonBytes(content.data)} bytes")
+        job.pages.onWritten(page, KeyVersion(1), content.done)
         return decode(content.data)
     }
 
     private fun decode(data: JsonElement) =
-        lenientJson.decodeFromJsonElement(StoredPage.serializer(), data)
+        lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), data)
 
-    private fun bytes(page: StoredPage) =
-        jsonBytes(lenientJson.encodeToJsonElement(StoredPage.serializer(), page))
+    private fun bytes(page: StoredTaskPage) =
+        jsonBytes(lenientJson.encodeToJsonElement(StoredTaskPage.serializer(), page))
 
-    private fun loaded(spec: JobSpec, stored: StoredPage, page: Int) =
-        Job(spec, KeyVersion(1), Micros.ZERO, Job.pageSize(16 * 1024)).also {
-            it.load(page, 1, stored)
+    private fun isRestored(spec: JobSpec, stored: StoredTaskPage, page: Int) =
+        Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024)).also {
+            TaskPageCodec.restore(it, page, KeyVersion(1), stored)
         }
 
     private fun assertFits(job: Job, limit: Int) {
         for (page in 0..1) {
-            val bytes = job.page(page).toString().length
+            val bytes = TaskPageCodec.encode(job, page).toString().length
             assertTrue(bytes <= limit, "page $page takes $bytes of $limit")
         }
     }
@@ -162,6 +180,6 @@
         )
 
     private companion object {
-        const val LOWERED = 2048
+        const val LOWERED_LIMIT = 2048
     }
 }
