--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -581,21 +581,7 @@
 
     /** A service whose replicas run until it is cancelled, on any machine in any zone. */
     fun plainService(team: String, tasks: Int): JobSpec =
-        randomJob()
-            .copy(
-                shape = JobKind.SERVICE,
-                team = team,
-                urgency = PriorityClass.NORMAL,
-                tasks = tasks,
-                cpus = 2.0,
-                zone = null,
-                oneZone = false,
-                spread = false,
-                spot = true,
-                estimateS = 0.0,
-                checkpointS = 0.0,
-                saveS = 0.0,
-            )
+        unconstrainedJob(JobKind.SERVICE, team, tasks, cpus = 2.0, estimateS = 0.0)
 
     fun run(until: Micros) = clock.run(until) { rules.check(clock.now) }
 
--- a/src/test/kotlin/wardmux/sim/GangDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangDay.kt
@@ -32,24 +32,9 @@
     }
 
     fun gang(tasks: Int, cpus: Double, team: Int = 0, length: Micros = 400.seconds): JobSpec =
-        simulation
-            .randomJob()
-            .copy(
-                jobClass = "gang",
-                team = "team-$team",
-                shape = JobKind.GANG,
-                urgency = PriorityClass.NORMAL,
-                tasks = tasks,
-                cpus = cpus,
-                zone = null,
-                oneZone = false,
-                spread = false,
-                spot = true,
-                estimateS = length.inSeconds,
-                checkpointS = 5.0,
-                saveS = 2.0,
-            )
-            .also { simulation.gangs.lengths[it.id] = length }
+        simulation.unconstrainedGang("team-$team", tasks, cpus, length.inSeconds).also {
+            simulation.gangs.lengths[it.id] = length
+        }
 
     fun small(team: Int, tasks: Int, cpus: Double = 1.0, estimate: Double = 4.0): JobSpec =
         gang(tasks, cpus, team)
--- a/src/test/kotlin/wardmux/sim/GangFaultDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultDay.kt
@@ -7,7 +7,6 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import wardmux.model.Job
-import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.KeyVersion
 import wardmux.model.Micros
@@ -44,22 +43,12 @@
     ) {
         gang =
             simulation
-                .randomJob()
+                .unconstrainedGang("team-0", tasks, cpus, estimateS)
                 .copy(
-                    jobClass = "gang",
-                    team = "team-0",
-                    shape = JobKind.GANG,
                     urgency = PriorityClass.HIGH,
-                    tasks = tasks,
-                    cpus = cpus,
                     memoryGb = 0.1,
-                    zone = null,
                     oneZone = oneZone,
-                    spread = false,
-                    spot = true,
-                    estimateS = estimateS,
                     checkpointS = CHECKPOINT_S,
-                    saveS = 2.0,
                 )
         simulation.startIsSent = ::checkStart
         clock.after(at) { simulation.submit(gang) }
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -106,22 +106,8 @@
         zone: String? = null,
     ): JobSpec =
         simulation
-            .randomJob()
-            .copy(
-                jobClass = "gang",
-                team = team,
-                shape = JobKind.GANG,
-                urgency = PriorityClass.NORMAL,
-                tasks = tasks,
-                cpus = cpus,
-                zone = zone,
-                oneZone = true,
-                spread = false,
-                spot = true,
-                estimateS = 10.0,
-                checkpointS = 5.0,
-                saveS = 2.0,
-            )
+            .unconstrainedGang(team, tasks, cpus, estimateS = 10.0)
+            .copy(zone = zone, oneZone = true)
 
     private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
         simulation.run(within)
@@ -143,22 +129,14 @@
     }
 
     private fun small(simulation: ClusterSimulation): JobSpec =
-        simulation
-            .randomJob()
-            .copy(
-                team = "team-1",
-                shape = JobKind.ARRAY,
-                urgency = PriorityClass.HIGH,
-                tasks = 4,
-                cpus = 1.0,
-                zone = null,
-                oneZone = false,
-                spread = false,
-                spot = true,
-                estimateS = 4.0,
-                checkpointS = 0.0,
-                saveS = 0.0,
-            )
+        simulation.unconstrainedJob(
+            JobKind.ARRAY,
+            "team-1",
+            tasks = 4,
+            cpus = 1.0,
+            estimateS = 4.0,
+            priority = PriorityClass.HIGH,
+        )
 
     /** Either needs more than half of what one zone may have. */
     @Test
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -42,14 +42,11 @@
     private fun longJob(simulation: ClusterSimulation) =
         simulation
             .randomJob()
+            .unconstrained()
             .copy(
                 shape = JobKind.ARRAY,
                 tasks = MACHINES,
                 cpus = FakeWorker.CPUS,
-                zone = null,
-                oneZone = false,
-                spread = false,
-                spot = true,
                 estimateS = 400.0,
                 deadlineS = 800.0,
             )
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -16,7 +16,6 @@
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
-import wardmux.model.PriorityClass
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.records.JobRecord
@@ -30,22 +29,7 @@
         estimateS: Double,
         cpus: Double = 2.0,
         team: Int = 0,
-    ) =
-        randomJob()
-            .copy(
-                team = "team-$team",
-                shape = JobKind.ARRAY,
-                urgency = PriorityClass.NORMAL,
-                tasks = tasks,
-                cpus = cpus,
-                zone = null,
-                oneZone = false,
-                spread = false,
-                spot = true,
-                estimateS = estimateS,
-                checkpointS = 0.0,
-                saveS = 0.0,
-            )
+    ) = unconstrainedJob(JobKind.ARRAY, "team-$team", tasks, cpus, estimateS)
 
     private fun ClusterSimulation.crashLeader(back: Micros) {
         leader()?.let { crash(it, back) }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -168,25 +168,8 @@
 
     private fun wideGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
         simulation
-            .randomJob()
-            .copy(
-                jobClass = "gang",
-                team = "team-0",
-                shape = JobKind.GANG,
-                urgency = PriorityClass.NORMAL,
-                tasks = tasks,
-                cpus = cpus,
-                gpus = 0.0,
-                memoryGb = 0.1,
-                types = null,
-                zone = null,
-                oneZone = false,
-                spread = false,
-                spot = true,
-                estimateS = 10.0,
-                checkpointS = 0.0,
-                saveS = 0.0,
-            )
+            .unconstrainedGang("team-0", tasks, cpus, estimateS = 10.0)
+            .copy(memoryGb = 0.1, checkpointS = 0.0, saveS = 0.0)
 
     private companion object {
         val LOWER = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -30,21 +30,14 @@
         /** A task of it takes most of a machine, and never ends by itself unless it is [short]. */
         fun large(team: Int, tasks: Int, short: Double = 0.0, oneZone: Boolean = false): JobSpec =
             simulation
-                .randomJob()
-                .copy(
-                    team = "team-$team",
-                    shape = if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
-                    urgency = PriorityClass.NORMAL,
-                    tasks = tasks,
+                .unconstrainedJob(
+                    if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
+                    "team-$team",
+                    tasks,
                     cpus = 9.0,
-                    zone = null,
-                    oneZone = oneZone,
-                    spread = false,
-                    spot = true,
                     estimateS = short,
-                    checkpointS = 0.0,
-                    saveS = 0.0,
                 )
+                .copy(oneZone = oneZone)
 
         /** A job of many short tasks. */
         fun array(team: Int, tasks: Int, zone: String? = null, oneZone: Boolean = false): JobSpec =
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -13,14 +13,13 @@
         val spec =
             simulation
                 .randomJob()
+                .unconstrained()
                 .copy(
                     shape = JobKind.ARRAY,
                     urgency = PriorityClass.NORMAL,
                     tasks = 1,
                     cpus = 1.0,
                     zone = zone,
-                    oneZone = false,
-                    spread = false,
                     spot = spot,
                     estimateS = 3.0,
                 )
