--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -158,18 +158,22 @@
                 for (worker in someWorkers(4)) mute(worker.id, clock.between(5.seconds, 50.seconds))
             },
             { deafZone(clock.between(5.seconds, 40.seconds)) },
-            { simulation.cancelNow(1 + clock.random.nextInt(6), Micros.ZERO) },
-            { simulation.cancelNow(6, clock.between(2.seconds, 30.seconds)) },
+            { simulation.users.cancelNow(1 + clock.random.nextInt(6), Micros.ZERO) },
+            { simulation.users.cancelNow(6, clock.between(2.seconds, 30.seconds)) },
             {
-                simulation.cancelAtEnd = 0.5
-                clock.after(30.seconds) { simulation.cancelAtEnd = 0.0 }
+                simulation.users.cancelAtEnd = 0.5
+                clock.after(30.seconds) { simulation.users.cancelAtEnd = 0.0 }
+            },
+            {
+                for (i in 1..25) clock.after((i * 1_300).milliseconds) {
+                    simulation.users.oddRequest()
+                }
             },
-            { for (i in 1..25) clock.after((i * 1_300).milliseconds) { simulation.oddRequest() } },
             {
                 // The leader is cut off, and jobs are cancelled through the next one.
                 simulation.leader()?.let { alone(it, clock.between(8.seconds, 50.seconds)) }
                 clock.after(clock.between(1.seconds, 12.seconds)) {
-                    simulation.cancelNow(6, Micros.ZERO)
+                    simulation.users.cancelNow(6, Micros.ZERO)
                 }
             },
             { gap(clock.between(5.seconds, 40.seconds)) },
@@ -187,7 +191,9 @@
     private fun gap(length: Micros) {
         val alone = clock.between(1.seconds, 14.seconds)
         simulation.leader()?.let { outage(it, alone + 3.seconds) }
-        clock.after(clock.between(Micros.ZERO, alone)) { simulation.cancelNow(6, Micros.ZERO) }
+        clock.after(clock.between(Micros.ZERO, alone)) {
+            simulation.users.cancelNow(6, Micros.ZERO)
+        }
         clock.after(alone) { outage(null, length) }
     }
 
