--- a/src/main/kotlin/wardmux/model/JobProgress.kt
+++ b/src/main/kotlin/wardmux/model/JobProgress.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** How far a job is, for display. */
+/** The progress of a job, for display: how many of its tasks are done and are running. */
 @Serializable
 data class JobProgress(
     @SerialName("job") val job: String,
--- a/src/main/kotlin/wardmux/records/StoredTaskPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredTaskPage.kt
@@ -36,8 +36,6 @@
     fun placementsOf(job: Job): List<Placement>? =
         try {
             if (done.size % 2 == 0 && tried.size % 2 == 0) placements(job) else null
-        } catch (e: IndexOutOfBoundsException) {
-            null
         } catch (e: NoSuchElementException) {
             null
         }
@@ -47,11 +45,11 @@
         val rest = numbers.iterator()
         for (machine in machines) {
             val incarnation = rest.next()
-            val zone = zones[rest.next().toInt()]
+            val zone = zones.at(rest.next())
             repeat(rest.next().toInt()) {
                 val task = TaskId(job.id, rest.next().toInt())
                 val attempt = rest.next().toInt()
-                val charge = rest.next().toInt().let { Charge(Cost(costs[it]), weights[it]) }
+                val charge = rest.next().let { Charge(Cost(costs.at(it)), weights.at(it)) }
                 placements.add(
                     Placement(job, task, attempt, MachineId(machine), incarnation, zone, charge)
                 )
@@ -60,6 +58,9 @@
         return placements
     }
 
+    private fun <T> List<T>.at(index: Long): T =
+        getOrElse(index.toInt()) { throw NoSuchElementException("index $index of $size") }
+
     companion object {
         /** Weights are kept to three digits after the point. */
         private const val WEIGHT_STEPS = 1e3
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -22,9 +22,17 @@
  */
 class ClusterState(private val context: CoreContext, teams: List<TeamQuota>, val queue: FairQueue) {
     private val log = logger<ClusterState>()
+
+    /** The quota of each team, by its name. */
     val teams = teams.associateBy { it.name }
+
+    /** All jobs that are open or of which something is left on machines or in the store. */
     val jobs = LinkedHashMap<JobId, Job>()
+
+    /** All machines that have sent a heartbeat or were listed by the cloud. */
     val machines = LinkedHashMap<MachineId, Machine>()
+
+    /** How long tasks are expected to run. */
     val estimates = RuntimeEstimates()
     internal val quotaUsage = QuotaUsage(this.teams)
     private val orphans = Orphans(quotaUsage)
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -221,12 +221,8 @@
      * gang starts again, once nothing of its last attempt can be on a machine any more.
      */
     private fun placeGang(job: Job, pass: Pass) {
-        if (job.waiting <= 0 || cluster.headroom(job.spec) < job.waiting) return
+        if (!mayPlaceGang(job)) return
         val isReplacement = job.placements.isNotEmpty()
-        if (isReplacement && !gangReservations.canReplaceLostTasks(job)) return
-        // What is left of an attempt without a record holds back the next one too: it is stopped by
-        // the response to the heartbeat that shows it.
-        if (cluster.hasOrphans(job)) return
         val machines = gangPlacement.machinesFor(job, pass.eligibleMachines(job)) ?: return
         if (!pass.round.budget.tryReserveGang(job)) return
         if (!isReplacement) job.startGangAttempt(context.now)
@@ -239,6 +235,14 @@
         }
     }
 
+    private fun mayPlaceGang(job: Job): Boolean {
+        if (job.waiting <= 0 || cluster.headroom(job.spec) < job.waiting) return false
+        if (job.placements.isNotEmpty() && !gangReservations.canReplaceLostTasks(job)) return false
+        // What is left of an attempt without a record holds back the next one too: it is stopped by
+        // the response to the heartbeat that shows it.
+        return !cluster.hasOrphans(job)
+    }
+
     /** Jobs that wait for room although their team may use more. */
     fun jobsShortOfRoom(): List<Job> = cluster.jobs.values.filter { isShortOfRoom(it) }
 
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -140,12 +140,13 @@
         for (victim in orderedFor(job, victims.of(job))) {
             if (freed >= wanted) break
             placementsExamined++
-            if (ownTeamOnly && victim.job.spec.team != job.spec.team) continue
-            if (!helps(job, victim, zones, wanted - freed)) continue
-            evictor.evict(victim, "preempted for ${job.id}")
-            if (victim.job.spec.priority == job.spec.priority) reclaimed = true
-            freed += victim.job.spec.cpus
-            if (job.isZoneBound) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
+            val isEligible = !ownTeamOnly || victim.job.spec.team == job.spec.team
+            if (isEligible && helps(job, victim, zones, wanted - freed)) {
+                evictor.evict(victim, "preempted for ${job.id}")
+                if (victim.job.spec.priority == job.spec.priority) reclaimed = true
+                freed += victim.job.spec.cpus
+                if (job.isZoneBound) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
+            }
         }
         if (reclaimed) job.lastReclaimAt = context.now
         return freed
--- a/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
@@ -66,23 +66,29 @@
     /** Removes the pages of ended jobs once nothing of them is left on a machine. */
     fun addRemovals(transaction: PlacementTransaction) {
         for (job in cluster.jobs.values) {
-            if (!job.hasEnded || job.placements.isNotEmpty()) continue
-            val pages = job.pages.storedPages()
-            for (page in pages) {
-                if (!hasRoomForRemoval(transaction, conditions = 1)) return
-                val key = TaskPageCodec.key(job.id, page)
-                oversizedUntil.remove(key)
-                transaction.requireVersion(key, job.pages.version(page))
-                transaction.remove(key)
-                transaction.removedPages.add(PlacementTransaction.RemovedPage(job, page))
-            }
-            if (job.isDone || job.isCancelledKeyRemoved || pages.isNotEmpty()) continue
-            if (!hasRoomForRemoval(transaction, conditions = 0)) return
-            transaction.remove(JobRecord.cancelledKey(job.id))
-            transaction.removedCancelledKeys.add(job)
+            val isGone = job.hasEnded && job.placements.isEmpty()
+            if (isGone && !addRemovals(transaction, job)) return
         }
     }
 
+    /** False if the transaction has no more room. */
+    private fun addRemovals(transaction: PlacementTransaction, job: Job): Boolean {
+        val pages = job.pages.storedPages()
+        for (page in pages) {
+            if (!hasRoomForRemoval(transaction, conditions = 1)) return false
+            val key = TaskPageCodec.key(job.id, page)
+            oversizedUntil.remove(key)
+            transaction.requireVersion(key, job.pages.version(page))
+            transaction.remove(key)
+            transaction.removedPages.add(PlacementTransaction.RemovedPage(job, page))
+        }
+        if (job.isDone || job.isCancelledKeyRemoved || pages.isNotEmpty()) return true
+        if (!hasRoomForRemoval(transaction, conditions = 0)) return false
+        transaction.remove(JobRecord.cancelledKey(job.id))
+        transaction.removedCancelledKeys.add(job)
+        return true
+    }
+
     /** Nobody waits for a removal, so it never takes what a start or an end needs. */
     private fun hasRoomForRemoval(transaction: PlacementTransaction, conditions: Int) =
         transaction.hasRoomFor(writes = 1, conditions) &&
