--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -73,21 +73,8 @@
             id = id,
             jobClass = text(json, "jobclass"),
             team = text(json, "owner"),
-            shape =
-                when (text(json, "shape")) {
-                    "batch" -> JobKind.ARRAY
-                    "daemon" -> JobKind.SERVICE
-                    "group" -> JobKind.GANG
-                    else -> throw InvalidFieldException("shape")
-                },
-            urgency =
-                when (text(json, "urgency")) {
-                    "prod" -> PriorityClass.PROD
-                    "high" -> PriorityClass.HIGH
-                    "normal" -> PriorityClass.NORMAL
-                    "idle" -> PriorityClass.IDLE
-                    else -> throw InvalidFieldException("urgency")
-                },
+            shape = jobKind(json),
+            urgency = priorityClass(json),
             tasks = count(json, "pieces"),
             cpus = amount(json, "cores"),
             gpus = amount(json, "gpus"),
@@ -105,6 +92,23 @@
             deadlineS = optional(json, "due_s")?.let { amount(json, "due_s") },
         )
 
+    private fun jobKind(json: JsonObject) =
+        when (text(json, "shape")) {
+            "batch" -> JobKind.ARRAY
+            "daemon" -> JobKind.SERVICE
+            "group" -> JobKind.GANG
+            else -> throw InvalidFieldException("shape")
+        }
+
+    private fun priorityClass(json: JsonObject) =
+        when (text(json, "urgency")) {
+            "prod" -> PriorityClass.PROD
+            "high" -> PriorityClass.HIGH
+            "normal" -> PriorityClass.NORMAL
+            "idle" -> PriorityClass.IDLE
+            else -> throw InvalidFieldException("urgency")
+        }
+
     private fun optional(json: JsonObject, field: String): JsonElement? =
         json[field]?.takeIf { it !is JsonNull }
 
