--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -17,10 +17,10 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** The leader's side: what batches prove, and what a grant leaves possible. */
+/** The leader's side: what follows from a batch, and what a grant leaves possible. */
 class ForwardingCoordinatorTest {
     private val harness = ControllerHarness(listOf("n1"), OperatorSettings(reportsPerCore = 0.0))
-    private val own = List(8) { ManualWorker(harness, "i-00001$it") }
+    private val directMachines = List(8) { ManualWorker(harness, "i-00001$it") }
     private var token = 0L
     private var echo = 0L
     private var echoAt = 0L
@@ -29,7 +29,7 @@
 
     init {
         harness.run(2.seconds)
-        token = own.first().token()
+        token = directMachines.first().token()
     }
 
     private fun send(batch: HeartbeatBatch): HeartbeatBatchResponse? {
@@ -53,131 +53,131 @@
         return answer
     }
 
-    private fun report(tasks: String = "", machine: String = "i-000001"): FullHeartbeat {
+    private fun full(tasks: String = "", machine: String = "i-000001"): FullHeartbeat {
         val body =
             """{"box":"$machine","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","loaners":""" +
                 """false,"shift":1,"tick":${++tick},"baton":$token,"pieces":[$tasks]}"""
         return FullHeartbeat(++number, body.encodeToByteArray())
     }
 
-    private fun ownReport() = own.forEach { it.report(token) }
+    private fun directHeartbeats() = directMachines.forEach { it.report(token) }
 
-    private fun heartbeat() =
+    private fun peerHeartbeat() =
         harness.call("POST", "/beat", PeerHeartbeatCodec.encode(PeerHeartbeat("n1")), Port.PEER)
 
     private fun starts(task: String) = harness.direct.count { "\"start\"" in it && task in it }
 
     @Test
-    fun `a machine that is heard through a relay gets work, directly and only so`() {
+    fun `a machine with a forwarded heartbeat gets starts, by direct commands only`() {
         harness.accept(plainJob(1))
         harness.directOutcome = Outcome.NoResponse
         val undelivered = ArrayList<UndeliveredCommands>()
-        undelivered += batch(listOf(report()))!!.undelivered
+        undelivered += batch(listOf(full()))!!.undelivered
         repeat(6) {
             undelivered += batch(unchanged = listOf(number, ++tick))!!.undelivered
             harness.run(1.seconds)
         }
         assertEquals(1, starts("job-000001/0"))
-        // Unanswered, it may still be carried out: it goes no second way.
+        // An unanswered start may still be executed: it is not sent another way.
         assertTrue(undelivered.flatMap { it.commands }.none { it.verb == "start" })
     }
 
     @Test
-    fun `what ended is forgotten once it is recorded, although the report stays the same`() {
+    fun `an ended task is forgotten once it is recorded, although the heartbeat is unchanged`() {
         harness.accept(plainJob(1))
-        batch(listOf(report()))
+        batch(listOf(full()))
         harness.run(1.seconds)
         val ended = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"done"}"""
-        batch(listOf(report(ended)))
+        batch(listOf(full(ended)))
         harness.run(2.seconds)
-        val answer = batch(unchanged = listOf(number, ++tick))!!
-        assertEquals("forget", answer.undelivered.single().commands.single().verb)
+        val response = batch(unchanged = listOf(number, ++tick))!!
+        assertEquals("forget", response.undelivered.single().commands.single().verb)
     }
 
     @Test
-    fun `an unknown number is asked for, and a late copy proves nothing`() {
-        val first = report()
+    fun `an unknown number is asked for, and a late copy changes nothing`() {
+        val first = full()
         batch(listOf(first))
         assertEquals(listOf(77L), batch(unchanged = listOf(77, 3))!!.unknownNumbers)
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        batch(listOf(report(running)))
-        // A copy of the first comes late: it frees nothing and brings nothing back.
+        batch(listOf(full(running)))
+        // A copy of the first comes late: it ends no task and brings none back.
         batch(listOf(first))
         harness.run(1.seconds)
         assertEquals(null, send(HeartbeatBatch("n1", "b", 1, token - 1, 0, 0)))
         assertEquals(400, harness.call("POST", "/relay", ByteArray(9) { -1 }, Port.PEER)?.first)
     }
 
-    private val many = List(6) { "i-00000${it + 1}" }
+    private val machines = List(6) { "i-00000${it + 1}" }
 
-    /** A task runs on one of several machines at the relay; so many that no one is given up. */
-    private fun oneRuns(): String {
-        val idle = many.map { report(machine = it) }
+    /** A task runs on one of the forwarder's machines; so many that none is decommissioned. */
+    private fun runOneTask(): String {
+        val idle = machines.map { full(machine = it) }
         batch(idle)
         harness.accept(plainJob(1))
         harness.run(1.seconds)
-        val machine = many.first { isOn(it) }
+        val machine = machines.first { isOn(it) }
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        batch(many.map { report(if (it == machine) running else "", it) })
+        batch(machines.map { full(if (it == machine) running else "", it) })
         return machine
     }
 
     private fun isOn(machine: String) = machine in harness.stored("t/job-000001/0").toString()
 
-    /** The machines are silent; the relay, if it [tells], has answered none. */
-    private fun pass(until: Micros, boot: String = "b", tells: Boolean) {
+    /** The machines are silent; the forwarder, if it [reports], has answered none. */
+    private fun runSilent(until: Micros, boot: String = "b", reports: Boolean) {
         while (harness.now < until) {
-            if (tells) batch(boot = boot)
-            heartbeat()
-            ownReport()
+            if (reports) batch(boot = boot)
+            peerHeartbeat()
+            directHeartbeats()
             harness.run(0.5.seconds)
         }
     }
 
     @Test
-    fun `a lease that a relay may still renew is not over, and a restart of it changes nothing`() {
-        val machine = oneRuns()
-        val lastSign = harness.now
-        // The relay falls silent with a grant that runs on: it may have renewed since.
-        pass(lastSign + 17.seconds, tells = false)
-        // A new process of the member tells nothing of what the former one answered.
+    fun `a lease that a forwarder may still renew is not expired, also if it is restarted`() {
+        val machine = runOneTask()
+        val lastHeartbeatAt = harness.now
+        // The forwarder falls silent with a valid grant: it may have renewed the lease since.
+        runSilent(lastHeartbeatAt + 17.seconds, reports = false)
+        // A new process of the member does not report what the former one answered.
         echo = 0
-        pass(lastSign + 20.seconds, boot = "c", tells = true)
-        assertTrue(isOn(machine), "the lease was taken for over while a grant may have run")
-        pass(lastSign + 26.seconds, boot = "c", tells = true)
-        assertFalse(isOn(machine), "its lease never ends")
+        runSilent(lastHeartbeatAt + 20.seconds, boot = "c", reports = true)
+        assertTrue(isOn(machine), "the lease was taken for expired while a grant was valid")
+        runSilent(lastHeartbeatAt + 26.seconds, boot = "c", reports = true)
+        assertFalse(isOn(machine), "its lease never expires")
     }
 
     @Test
-    fun `a relay that has told all lets a lease end as if the leader had heard itself`() {
-        val machine = oneRuns()
-        val lastSign = harness.now
-        pass(lastSign + 16.seconds, tells = true)
+    fun `where a forwarder has reported all, a lease expires as if the leader had answered`() {
+        val machine = runOneTask()
+        val lastHeartbeatAt = harness.now
+        runSilent(lastHeartbeatAt + 16.seconds, reports = true)
         assertTrue(isOn(machine))
-        pass(lastSign + 20.seconds, tells = true)
+        runSilent(lastHeartbeatAt + 20.seconds, reports = true)
         assertFalse(isOn(machine))
     }
 
     @Test
-    fun `a leader that hears its machines and reaches none of them lets another lead`() {
+    fun `a leader that gets heartbeats but reaches no machine lets another lead`() {
         harness.directOutcome = Outcome.NoResponse
-        batch(many.map { report(machine = it) })
+        batch(machines.map { full(machine = it) })
         harness.accept(plainJob(6).copy(cpus = 10.0))
         repeat(5) {
-            heartbeat()
+            peerHeartbeat()
             harness.run(1.seconds)
         }
-        assertTrue(harness.stored("leader") != null, "given up for machines that may be dead")
-        batch(many.map { report(machine = it) })
+        assertTrue(harness.stored("leader") != null, "abdicated for machines that may be dead")
+        batch(machines.map { full(machine = it) })
         harness.run(1.seconds)
         assertEquals(null, harness.stored("leader"))
     }
 
     @Test
-    fun `a batch left in the state service is answered there, one that can't be read passed over`() {
+    fun `a batch in the key-value store is answered there, one that can't be decoded ignored`() {
         harness.write("r/n2", JsonPrimitive("no such thing"))
         harness.write("r/n3", JsonPrimitive(42))
-        val batch = HeartbeatBatch("n1", "b", 9, token, 0, 0, listOf(report()))
+        val batch = HeartbeatBatch("n1", "b", 9, token, 0, 0, listOf(full()))
         harness.write("r/n1", JsonPrimitive(ForwardingCodec.pack(batch)))
         harness.run(2.seconds)
         val answer =
@@ -188,21 +188,21 @@
         assertTrue(answer.grantDuration > 0)
     }
 
-    /** Requests of 5 s in which each of the machines at the relay gives a sign of life a second. */
+    /** Store requests of 5 s in which each machine sends an unchanged heartbeat a second. */
     private fun requestsWith(machines: Int): Int {
         val numbers = ArrayList<Long>()
         repeat(machines) {
-            batch(listOf(report(machine = "i-%06d".format(1_000 + it))))
+            batch(listOf(full(machine = "i-%06d".format(1_000 + it))))
             numbers.add(number)
         }
         harness.run(1.seconds)
         harness.stateCalls.clear()
         harness.direct.clear()
         repeat(5) {
-            val answer = batch(unchanged = numbers.flatMap { n -> listOf(n, ++tick) })!!
-            assertTrue(answer.unknownNumbers.isEmpty() && answer.undelivered.isEmpty())
-            ownReport()
-            heartbeat()
+            val response = batch(unchanged = numbers.flatMap { n -> listOf(n, ++tick) })!!
+            assertTrue(response.unknownNumbers.isEmpty() && response.undelivered.isEmpty())
+            directHeartbeats()
+            peerHeartbeat()
             harness.run(1.seconds)
         }
         assertEquals(emptyList(), harness.direct)
@@ -210,28 +210,28 @@
     }
 
     @Test
-    fun `what says nothing new costs the state service nothing, however many say it`() {
+    fun `unchanged heartbeats cost the key-value store nothing, however many they are`() {
         val few = requestsWith(20)
         val many = requestsWith(2_000)
         assertTrue(many <= few + 2, "$few requests with 20 machines, $many with 2,000")
     }
 
     @Test
-    fun `a batch that was held up gives an old sign of life`() {
-        batch(listOf(report()))
+    fun `a batch that was delayed counts as of when it was sent`() {
+        batch(listOf(full()))
         harness.run(1.seconds)
         val old = echo
-        // Sent now, and held up for long.
+        // Sent now, and delayed for long.
         val late = HeartbeatBatch("n1", "b", 1, token, old, 0, emptyList(), listOf(number, ++tick))
         repeat(20) {
-            ownReport()
-            heartbeat()
+            directHeartbeats()
+            peerHeartbeat()
             harness.run(0.5.seconds)
         }
         send(late)
         repeat(3) {
-            ownReport()
-            heartbeat()
+            directHeartbeats()
+            peerHeartbeat()
             harness.run(0.5.seconds)
         }
         val deletions = harness.cloud.filter { it.startsWith("/machines/delete") }
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -15,15 +15,15 @@
 import wardmux.sim.ManualWorker
 import wardmux.worker.WorkerCommand
 
-/** A follower that takes reports for a leader, which is played here. */
+/** A follower that answers workers for a leader, which is simulated here. */
 class HeartbeatForwarderTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
     private val batches = ArrayList<HeartbeatBatch>()
     private val token = 7L
 
-    /** What the leader answers; null: it is not reached. */
-    private var answer: (HeartbeatBatch) -> HeartbeatBatchResponse? = { grant() }
+    /** The leader's response; null if it is not reached. */
+    private var respond: (HeartbeatBatch) -> HeartbeatBatchResponse? = { grant() }
 
     private fun grant(
         undelivered: List<UndeliveredCommands> = emptyList(),
@@ -46,42 +46,43 @@
             else {
                 val batch = ForwardingCodec.decodeBatch(body)!!
                 batches.add(batch)
-                answer(batch)?.let { ForwardingCodec.encode(it) }
+                respond(batch)?.let { ForwardingCodec.encode(it) }
             }
         }
         harness.run(1.seconds)
     }
 
-    /** The follower learns the token from the leader's heartbeat. */
-    private fun lead(number: Long = token, wants: Boolean = true) {
-        val heartbeat = PeerHeartbeat("n1", token = number, forwardingEnabled = wants)
+    /** The follower learns the fencing token from the leader's heartbeat. */
+    private fun leaderHeartbeat(number: Long = token, forwardingEnabled: Boolean = true) {
+        val heartbeat = PeerHeartbeat("n1", token = number, forwardingEnabled = forwardingEnabled)
         harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
         harness.run(1.seconds)
     }
 
-    private fun bodies() = batches.flatMap { b -> b.reports.map { it.body.decodeToString() } }
+    private fun forwardedBodies() =
+        batches.flatMap { b -> b.reports.map { it.body.decodeToString() } }
 
     @Test
-    fun `with a grant it answers under the leader's token and hands on what changed`() {
-        lead()
+    fun `with a grant it answers under the leader's token and forwards what changed`() {
+        leaderHeartbeat()
         assertContains(machine.handleHeartbeat(0), "\"baton\":$token")
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
-        val whole = bodies().size
+        val inFull = forwardedBodies().size
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
-        assertEquals(whole, bodies().size, "an unchanged report was handed on whole")
+        assertEquals(inFull, forwardedBodies().size, "an unchanged heartbeat was forwarded in full")
         assertTrue(batches.any { it.unchanged.isNotEmpty() && it.unchanged[1] == 3L })
         machine.handleHeartbeat(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
         harness.run(1.seconds)
-        assertContains(bodies().last(), "job-000001/0")
+        assertContains(forwardedBodies().last(), "job-000001/0")
     }
 
     @Test
-    fun `it stops by itself when its grant is over, and tells whom to go to`() {
-        lead()
+    fun `it stops by itself when its grant expires, and redirects to the leader`() {
+        leaderHeartbeat()
         machine.handleHeartbeat(token)
-        answer = { null }
+        respond = { null }
         harness.run(4.seconds)
         assertEquals(200, machine.report(token)?.first)
         harness.run(2.seconds)
@@ -92,71 +93,71 @@
 
     @Test
     fun `it answers nothing more under a token when a higher one was seen`() {
-        lead()
+        leaderHeartbeat()
         machine.handleHeartbeat(token)
         ManualWorker(harness, "i-000002").report(token + 1)
-        answer = { null }
+        respond = { null }
         assertFalse(machine.report(token)?.first == 200)
     }
 
     @Test
-    fun `a new leader's token drops the old grant and all that was left for machines`() {
-        val halt =
+    fun `a new leader's token ends the old grant and drops undelivered commands`() {
+        val undelivered =
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
-        answer = { grant(undelivered = listOf(halt)) }
-        lead()
+        respond = { grant(undelivered = listOf(undelivered)) }
+        leaderHeartbeat()
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
-        answer = { null }
-        lead(token + 5)
+        respond = { null }
+        leaderHeartbeat(token + 5)
         val late = machine.report(token)
         assertFalse(late?.first == 200, "answered under an old grant")
     }
 
     @Test
-    fun `what the leader left for a machine goes with the next answer, of the same session only`() {
-        val halt =
+    fun `undelivered commands go with the next answer, to the same incarnation only`() {
+        val undelivered =
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.halt("job-000001/0", 1, 0.0)))
         val other =
             UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.halt("job-000001/1", 1, 0.0)))
-        lead()
+        leaderHeartbeat()
         val second = ManualWorker(harness, "i-000002")
         machine.handleHeartbeat(token)
         second.handleHeartbeat(token)
-        answer = { grant(undelivered = listOf(halt, other)) }
+        respond = { grant(undelivered = listOf(undelivered, other)) }
         harness.run(2.seconds)
-        answer = { grant() }
+        respond = { grant() }
         harness.run(2.seconds)
         assertContains(machine.handleHeartbeat(token), "job-000001/0")
         assertFalse("job-000001/1" in second.handleHeartbeat(token))
     }
 
     @Test
-    fun `what a lost batch said is said again, and a batch that leaves out something says so`() {
-        lead()
+    fun `heartbeats of a lost batch are forwarded again, and those of unknown numbers in full`() {
+        leaderHeartbeat()
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
         machine.handleHeartbeat(token)
-        answer = { null }
+        respond = { null }
         harness.run(1.seconds)
         batches.clear()
-        answer = { grant() }
-        // The way by the state service, on which nobody answers here, is given up first.
+        respond = { grant() }
+        // Forwarding through the store, where nobody responds here, ends first.
         harness.run(12.seconds)
-        assertTrue(batches.any { b -> b.unchanged.isNotEmpty() }, "a sign of life was lost")
-        // An answer that the leader asks for by its number is sent whole once more.
+        assertTrue(batches.any { b -> b.unchanged.isNotEmpty() }, "an unchanged heartbeat was lost")
+        // A heartbeat that the leader asks for by its number is sent in full once more.
         val number = batches.first { it.unchanged.isNotEmpty() }.unchanged[0]
         batches.clear()
-        answer = { grant(unknownNumbers = listOf(number)) }
+        respond = { grant(unknownNumbers = listOf(number)) }
         harness.run(1.2.seconds)
-        answer = { grant() }
+        respond = { grant() }
         harness.run(2.seconds)
-        assertContains(bodies().joinToString(), "i-000001")
+        assertContains(forwardedBodies().joinToString(), "i-000001")
     }
 
     @Test
-    fun `with connections refused it goes by way of the state service, and on answering`() {
-        lead()
+    fun `when the leader can't be reached it forwards through the store and answers on`() {
+        leaderHeartbeat()
         machine.handleHeartbeat(token)
         harness.peer = { _, _ -> null }
         repeat(12) {
@@ -164,13 +165,13 @@
             val stored = harness.stored("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
             if (stored != null && stored.number > batches.last().number) {
                 batches.add(stored)
-                val all = StoredBatchResponses(mapOf("n0" to grant()))
-                harness.write("a/relays", JsonPrimitive(ForwardingCodec.pack(all)))
+                val responses = StoredBatchResponses(mapOf("n0" to grant()))
+                harness.write("a/relays", JsonPrimitive(ForwardingCodec.pack(responses)))
             }
             assertEquals(200, machine.report(token)?.first, "after $it s")
         }
-        assertTrue(batches.last().unchanged.isNotEmpty(), "signs of life are not handed on")
-        // A late answer is for a batch long past: it grants nothing.
+        assertTrue(batches.last().unchanged.isNotEmpty(), "unchanged heartbeats are not forwarded")
+        // A late response is for an earlier batch: it grants nothing.
         harness.run(10.seconds)
         harness.write(
             "a/relays",
@@ -181,8 +182,8 @@
     }
 
     @Test
-    fun `where the leader takes all reports itself, workers are sent to it`() {
-        answer = {
+    fun `where the leader answers all workers itself, they are redirected to it`() {
+        respond = {
             HeartbeatBatchResponse(
                 "rig",
                 it.number,
@@ -191,9 +192,9 @@
                 forwardingEnabled = false,
             )
         }
-        lead(wants = false)
-        val sent = machine.report(0)
-        assertEquals(421, sent?.first)
-        assertContains(sent!!.second, "n1")
+        leaderHeartbeat(forwardingEnabled = false)
+        val redirected = machine.report(0)
+        assertEquals(421, redirected?.first)
+        assertContains(redirected!!.second, "n1")
     }
 }
