--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -15,16 +15,16 @@
  *
  * How it came about: controllers ended again and again, so that six leaders followed each other in
  * those 56 s. The machine could be reached for moments only. Each time its first report, under an
- * older token, came to a relay. That answered at once, by the leader's general grant, without an
- * order and without telling the leader; before the next report the machine was cut off again.
+ * older token, came to a forwarder. That answered at once, by the leader's general grant, without
+ * an order and without telling the leader; before the next report the machine was cut off again.
  *
- * Cause: an answer renewed a lease on stale knowledge. The relay had the report, which listed the
- * task, and knew the cancellation, and held neither against the other. What else could have ended
- * the lease counted from the election of each leader, and so began anew with each.
+ * Cause: an answer renewed a lease on stale knowledge. The forwarder had the report, which listed
+ * the task, and knew the cancellation, and held neither against the other. What else could have
+ * ended the lease counted from the election of each leader, and so began anew with each.
  *
- * Proof: `a machine that only relays hear` plays just that. With relays that do not heed what they
- * and their leader know it fails on every seed, and so do days with other orders of the same
- * troubles; with relays that do, none fails.
+ * Proof: `a machine that only forwarders hear` plays just that. With forwarders that do not heed
+ * what they and their leader know it fails on every seed, and so do days with other orders of the
+ * same troubles; with forwarders that do, none fails.
  */
 class CancellationAcrossLeadersTest {
     private class Churn(seed: Long) {
@@ -43,7 +43,7 @@
 
         fun runFor(length: Micros) = simulation.run(clock.now + length)
 
-        /** [count] services run, and relays take reports. */
+        /** [count] services run, and forwarders take reports. */
         fun begin(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
@@ -74,7 +74,9 @@
             }
         }
 
-        /** The leader ends; another leads, has read what is stored and has granted its relays. */
+        /**
+         * The leader ends; another leads, has read what is stored and has granted its forwarders.
+         */
         fun changeLeader() {
             val former = simulation.leaderToken()
             simulation.leader()?.let { simulation.crash(it, 1.seconds) }
@@ -96,7 +98,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `a machine that only relays hear, for one report of each leader's time`(seed: Long) =
+    fun `a machine that only forwarders hear, for one report of each leader's time`(seed: Long) =
         Churn(seed).run {
             begin(count = 6)
             val job = jobs.last()
@@ -133,7 +135,7 @@
     fun `leaders change every few seconds while cancelled tasks are out`(seed: Long) =
         Churn(seed).run {
             begin(count = 8)
-            val churn = LeaderChurn(simulation)
+            val churn = LeaderChangeFaults(simulation)
             churn.begin(CHURN)
             for (job in jobs.shuffled(clock.random).take(4)) {
                 clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancel(job) }
@@ -163,7 +165,7 @@
 
         /** Others for a longer search: `-DargLine="-Dwardmux.churn=1-100"`. */
         @JvmStatic
-        fun days(): List<Long> {
+        fun scenarios(): List<Long> {
             val (first, last) = (System.getProperty("wardmux.churn") ?: "1-300").split('-')
             return (first.toLong()..last.toLong()).toList()
         }
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -81,11 +81,11 @@
     /** Those who submit jobs and ask about them. */
     val users = SimulatedUsers(clock, network, nodes, teams, rules, ::call) { workers[it] }
 
-    /** By machine: how long direct orders are held up on their way to it. */
+    /** By machine: how long direct commands are held up on their way to it. */
     val lateOrders = HashMap<String, Micros>()
 
     /**
-     * Told of each order to start when it is decided: by which controller, to which machine if it
+     * Told of each command to start when it is decided: by which controller, to which machine if it
      * is a direct one, and the task with its attempt.
      */
     var startIsSent: ((by: String, machine: String?, task: String, attempt: Int) -> Unit)? = null
@@ -380,7 +380,7 @@
         clock.after(1.seconds) { watchWaitingAgain() }
     }
 
-    /** The checks at the end of a day whose troubles were over at [calm]. */
+    /** The checks at the end of a scenario whose troubles were over at [calm]. */
     fun endOfDay(calm: Micros) = rules.endOfDay(clock.now, calm)
 
     fun problems(): List<String> = rules.broken + state.problems + cloud.problems
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -34,12 +34,12 @@
 import wardmux.records.MachineTypeList
 import wardmux.store.KeyValueStore
 
-/** One controller whose state service answers at once, for situations set up by hand. */
+/** One controller whose key-value store answers at once, for situations set up by hand. */
 class ControllerHarness(
     peers: List<String> = emptyList(),
     operators: OperatorSettings = OperatorSettings(),
     given: PlatformConfig = SETTINGS,
-    /** The limits of the state service that are to come. */
+    /** The limits of the key-value store that are to come. */
     told: AnnouncedStoreLimits? = given.deployment.state.next,
 ) {
     private val settings =
@@ -54,19 +54,19 @@
     private val bytes = HashMap<Long, ByteArray>()
     private var calls = 0L
 
-    /** Direct orders, as they were sent to workers. */
+    /** Direct commands, as they were sent to workers. */
     val direct = ArrayList<String>()
 
-    /** What becomes of direct orders: as a rule they get no connection. */
+    /** What becomes of direct commands: as a rule they get no connection. */
     var directOutcome: Outcome = Outcome.NotSent
 
-    /** What a sibling answers to the bytes it is sent on a path: as a rule it gets none. */
+    /** What a peer answers to the bytes it is sent on a path: as a rule it gets none. */
     var peer: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
 
     /** Requests to the cloud, which nobody answers. */
     val cloud = ArrayList<String>()
 
-    /** Requests to the state service, and whether their answers are held back for now. */
+    /** Requests to the key-value store, and whether their answers are held back for now. */
     val stateCalls = ArrayList<String>()
     var hold = false
     private val held = ArrayList<() -> Unit>()
@@ -78,7 +78,7 @@
         for (reply in all) reply()
     }
 
-    /** The state service serves nobody, and no lease ends. */
+    /** The key-value store serves nobody, and no lease ends. */
     fun outage() = state.outage(null)
 
     fun outageOver() = state.back(null)
@@ -86,7 +86,7 @@
     /** The limits are lower from now on. */
     fun lower(limits: AnnouncedStoreLimits) = state.lower(limits)
 
-    /** Requests to the state service that get 503. */
+    /** Requests to the key-value store that get 503. */
     var refuse: (String) -> Boolean = { false }
 
     init {
--- a/src/test/kotlin/wardmux/sim/FakeStateService.kt
+++ b/src/test/kotlin/wardmux/sim/FakeStateService.kt
@@ -48,7 +48,7 @@
         }
 }
 
-/** The state service, written from PROTOCOL. */
+/** The key-value store, written from PROTOCOL. */
 class FakeStateService(private val clock: SimulatedClock, private val deployment: StoreLimits) {
     private class Entry(val data: JsonElement, val version: Long, val lease: Long?)
 
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -140,7 +140,7 @@
         tasks.clear()
     }
 
-    /** It ends with its machine or its session. */
+    /** It ends with its machine or its incarnation. */
     private fun lose(task: Task) {
         leave(task, done = false)
         if (task.status != "ended") rules.losses.lost(clock.now, task.name, LossCause.CRASHED)
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -187,7 +187,7 @@
             },
         )
 
-    /** The state service refuses the leader alone, jobs are cancelled, then it refuses all. */
+    /** The key-value store refuses the leader alone, jobs are cancelled, then it refuses all. */
     private fun gap(length: Micros) {
         val alone = clock.between(1.seconds, 14.seconds)
         simulation.leader()?.let { outage(it, alone + 3.seconds) }
@@ -221,12 +221,12 @@
         if (clock.chance(0.5)) part(b, a, length)
     }
 
-    /** Its reports arrive; answers and orders do not reach it. */
+    /** Its heartbeats arrive; answers and orders do not reach it. */
     private fun deaf(worker: String, length: Micros) {
         for (node in simulation.nodes) part(node, worker, length)
     }
 
-    /** A controller without state service and siblings, but with its workers. */
+    /** A controller without key-value store and peers, but with its workers. */
     private fun alone(member: String, length: Micros) {
         for (other in simulation.nodes - member + "state") {
             part(member, other, length)
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -24,21 +24,25 @@
         DONE,
     }
 
-    private fun arrange(day: GangDay, phase: Phase): JobSpec {
-        val simulation = day.simulation
+    private fun arrange(scenario: GangScenario, phase: Phase): JobSpec {
+        val simulation = scenario.simulation
         // There are three machines at first.
-        val gang = day.gang(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
+        val gang = scenario.gang(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
         when (phase) {
             Phase.WAITING -> simulation.cloud.down = true
             Phase.STARTING -> for (i in 0..20) simulation.lateOrders["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
-                day.once({ day.allRun(gang) }) {
-                    day.clock.after(6.seconds) { day.holding(gang).first().recallS = 30.0 }
+                scenario.once({ scenario.allRun(gang) }) {
+                    scenario.clock.after(6.seconds) {
+                        scenario.holding(gang).first().recallS = 30.0
+                    }
                 }
             Phase.BETWEEN ->
-                day.once({ day.allRun(gang) }) {
+                scenario.once({ scenario.allRun(gang) }) {
                     simulation.cloud.rent("a", spot = false)
-                    day.clock.after(6.seconds) { simulation.cloud.kill(day.holding(gang).first()) }
+                    scenario.clock.after(6.seconds) {
+                        simulation.cloud.kill(scenario.holding(gang).first())
+                    }
                 }
             Phase.DONE -> simulation.gangs.lengths[gang.id] = 6.seconds
             else -> Unit
@@ -47,14 +51,14 @@
     }
 
     /** The action is carried out when the gang has come to the phase. */
-    private fun inPhase(day: GangDay, phase: Phase, gang: JobSpec, action: () -> Unit) {
-        val simulation = day.simulation
+    private fun inPhase(scenario: GangScenario, phase: Phase, gang: JobSpec, action: () -> Unit) {
+        val simulation = scenario.simulation
         val page = { simulation.state.value("t/${gang.id}/0") }
-        val begun = { day.rules.gangsBegun > 0 }
+        val begun = { scenario.rules.gangsBegun > 0 }
         when (phase) {
             Phase.WAITING ->
-                day.once({ day.stored("q", gang) != null }) {
-                    day.clock.after(6.seconds) {
+                scenario.once({ scenario.stored("q", gang) != null }) {
+                    scenario.clock.after(6.seconds) {
                         assertEquals(null, page())
                         action()
                     }
@@ -67,13 +71,16 @@
                     }
                     own
                 }
-            Phase.STARTING -> day.once({ page() != null && day.states(gang).isEmpty() }, action)
-            Phase.FETCHING -> day.once({ day.states(gang) == List(3) { "fetching" } }, action)
-            Phase.GATHERING -> day.once({ "gathering" in day.states(gang) }, action)
-            Phase.RUNNING -> day.once({ day.allRun(gang) }) { day.clock.after(6.seconds, action) }
-            Phase.SAVING -> day.once({ simulation.gangs.isSaving(gang.id) }, action)
-            Phase.BETWEEN -> day.once({ begun() && day.holding(gang).isEmpty() }, action)
-            Phase.DONE -> day.rules.whenAllDone = { action() }
+            Phase.STARTING ->
+                scenario.once({ page() != null && scenario.states(gang).isEmpty() }, action)
+            Phase.FETCHING ->
+                scenario.once({ scenario.states(gang) == List(3) { "fetching" } }, action)
+            Phase.GATHERING -> scenario.once({ "gathering" in scenario.states(gang) }, action)
+            Phase.RUNNING ->
+                scenario.once({ scenario.allRun(gang) }) { scenario.clock.after(6.seconds, action) }
+            Phase.SAVING -> scenario.once({ simulation.gangs.isSaving(gang.id) }, action)
+            Phase.BETWEEN -> scenario.once({ begun() && scenario.holding(gang).isEmpty() }, action)
+            Phase.DONE -> scenario.rules.whenAllDone = { action() }
         }
     }
 
@@ -83,44 +90,48 @@
         phase: Phase,
         seed: Long,
     ) {
-        val day = GangDay(seed)
-        val simulation = day.simulation
+        val scenario = GangScenario(seed)
+        val simulation = scenario.simulation
         simulation.run(2.seconds)
-        val gang = arrange(day, phase)
+        val gang = arrange(scenario, phase)
         var cancelledAt: Micros? = null
-        inPhase(day, phase, gang) {
+        inPhase(scenario, phase, gang) {
             if (cancelledAt == null) {
-                cancelledAt = day.clock.now
+                cancelledAt = scenario.clock.now
                 simulation.cancel(gang.id)
-                if (seed > 2) day.changeLeader(latest = 3.seconds)
+                if (seed > 2) scenario.changeLeader(latest = 3.seconds)
                 // Room for all of it comes afterwards.
-                day.clock.after(2.seconds) {
+                scenario.clock.after(2.seconds) {
                     simulation.cloud.down = false
                     simulation.cloud.rent("b", spot = false)
                     simulation.cloud.rent("c", spot = false)
                 }
-                day.clock.after(20.seconds) { simulation.lateOrders.clear() }
+                scenario.clock.after(20.seconds) { simulation.lateOrders.clear() }
             }
         }
         simulation.submit(gang)
         simulation.run(60.seconds)
         val asked = checkNotNull(cancelledAt) { "$phase was not reached" }
         // Whoever was under way has arrived by then.
-        val told = day.rules.cancelledAt(gang.id) ?: asked
+        val told = scenario.rules.cancelledAt(gang.id) ?: asked
         assertTrue(told - asked < 10.seconds, "told after ${told - asked}")
         val settled = told + UNDER_WAY
-        simulation.run(maxOf(day.clock.now, settled))
-        val starts = day.rules.starts
-        val begun = day.rules.gangsBegun
+        simulation.run(maxOf(scenario.clock.now, settled))
+        val starts = scenario.rules.starts
+        val begun = scenario.rules.gangsBegun
         simulation.run(told + CANCEL_TIME)
-        assertEquals(emptyList(), day.states(gang), "still on machines")
+        assertEquals(emptyList(), scenario.states(gang), "still on machines")
         simulation.run(told + 120.seconds)
-        day.holds()
-        assertEquals(starts to begun, day.rules.starts to day.rules.gangsBegun, "started later")
-        val final = day.rules.finalOf(gang.id)
+        scenario.holds()
+        assertEquals(
+            starts to begun,
+            scenario.rules.starts to scenario.rules.gangsBegun,
+            "started later",
+        )
+        val final = scenario.rules.finalOf(gang.id)
         assertTrue(final == "cancelled" || (final == "done" && phase == Phase.DONE), "is $final")
-        assertEquals(final, day.recordOf(gang).name.lowercase())
-        for (prefix in listOf("q", "c")) assertEquals(null, day.stored(prefix, gang), prefix)
+        assertEquals(final, scenario.recordOf(gang).name.lowercase())
+        for (prefix in listOf("q", "c")) assertEquals(null, scenario.stored(prefix, gang), prefix)
         assertEquals(null, simulation.state.value("t/${gang.id}/0"))
     }
 
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -22,26 +22,26 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9])
     fun `a leader ends between the writes of a gang`(seed: Long) {
-        val day = GangFaultDay(seed, txnOps = 3)
-        day.submit(MANY, cpus = 0.1, estimateS = 10.0)
+        val scenario = SingleGangScenario(seed, txnOps = 3)
+        scenario.submit(MANY, cpus = 0.1, estimateS = 10.0)
         var writes = 0
         var partly = false
-        day.simulation.state.late = { from, transaction ->
-            val pages = day.pagesIn(transaction)
+        scenario.simulation.state.late = { from, transaction ->
+            val pages = scenario.pagesIn(transaction)
             if (pages > 0) writes++
             val end = {
-                partly = day.recorded().size in 1 until MANY
-                day.simulation.crash(from, day.clock.between(1.seconds, 8.seconds))
+                partly = scenario.recorded().size in 1 until MANY
+                scenario.simulation.crash(from, scenario.clock.between(1.seconds, 8.seconds))
             }
             val ends = pages > 0 && writes == if (seed % 3 == 1L) 2 else 1
             if (ends && seed % 3 == 1L) end()
             // Carried out before this, and the answer is on its way, or the next write is not.
-            if (ends && seed % 3 == 0L) day.clock.after(Micros(1)) { end() }
+            if (ends && seed % 3 == 0L) scenario.clock.after(Micros(1)) { end() }
             if (ends && seed % 3 == 2L)
-                day.clock.after(day.clock.between(9.milliseconds, 200.milliseconds), end)
+                scenario.clock.after(scenario.clock.between(9.milliseconds, 200.milliseconds), end)
             ends && seed % 3 == 1L
         }
-        day.isDone(160.seconds)
+        scenario.isDone(160.seconds)
         assertTrue(partly, "the leader did not end between the writes")
     }
 
@@ -49,62 +49,62 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a leader ends with the one write of several pages`(seed: Long) {
-        val day = GangFaultDay(seed)
-        day.submit(MANY, cpus = 0.1, estimateS = 10.0)
+        val scenario = SingleGangScenario(seed)
+        scenario.submit(MANY, cpus = 0.1, estimateS = 10.0)
         var writes = 0
-        day.simulation.state.late = { from, transaction ->
-            val ends = day.pagesIn(transaction) == 3 && ++writes == 1
+        scenario.simulation.state.late = { from, transaction ->
+            val ends = scenario.pagesIn(transaction) == 3 && ++writes == 1
             if (ends) {
-                day.clock.after(Micros(1)) {
-                    day.simulation.crash(from, day.clock.between(1.seconds, 8.seconds))
+                scenario.clock.after(Micros(1)) {
+                    scenario.simulation.crash(from, scenario.clock.between(1.seconds, 8.seconds))
                 }
             }
             ends && seed % 2 == 0L
         }
-        day.isDone(160.seconds)
+        scenario.isDone(160.seconds)
         assertTrue(writes > 0, "the pages were never written together")
     }
 
     // A replacement under the number of the attempt that is out.
 
-    /** The first task that is started is held up for [late], and its machine is given up. */
+    /** The first task that is started is held up for [late], and its machine is decommissioned. */
     private fun lateStart(
         seed: Long,
         late: Micros,
         oneZone: Boolean = false,
         undeleted: Boolean = false,
         gangWaitS: Double = 90.0,
-    ): GangFaultDay {
-        val day = GangFaultDay(seed, gangWaitS = gangWaitS)
-        day.submit(tasks = 2, cpus = 9.0, estimateS = 20.0, oneZone)
-        val simulation = day.simulation
+    ): SingleGangScenario {
+        val scenario = SingleGangScenario(seed, gangWaitS = gangWaitS)
+        scenario.submit(tasks = 2, cpus = 9.0, estimateS = 20.0, oneZone)
+        val simulation = scenario.simulation
         var target: String? = null
-        day.whenStarted = { _, machine ->
+        scenario.whenStarted = { _, machine ->
             if (target == null) {
                 target = machine
                 // Nothing that is sent later arrives before it.
                 simulation.lateOrders[machine] = late
-                day.clock.after(12.milliseconds) {
-                    if (seed % 2 == 0L) day.deaf(machine, 60.seconds)
-                    else day.mute(machine, 60.seconds)
+                scenario.clock.after(12.milliseconds) {
+                    if (seed % 2 == 0L) scenario.deaf(machine, 60.seconds)
+                    else scenario.mute(machine, 60.seconds)
                 }
-                day.clock.after(3.seconds) { day.roomOutside("") }
-                if (undeleted) day.keepMachines(late + 4.seconds)
+                scenario.clock.after(3.seconds) { scenario.roomOutside("") }
+                if (undeleted) scenario.keepMachines(late + 4.seconds)
             }
         }
-        day.isDone(240.seconds)
-        return day
+        scenario.isDone(240.seconds)
+        return scenario
     }
 
-    private fun assertReplaced(day: GangFaultDay) =
-        assertTrue(day.recordedOn.values.any { it.size > 1 }, "nothing was replaced")
+    private fun assertReplaced(scenario: SingleGangScenario) =
+        assertTrue(scenario.recordedOn.values.any { it.size > 1 }, "nothing was replaced")
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `a lost task is replaced beside its late start`(seed: Long) {
         val late = (2.0 * seed + 4.0).seconds
-        val day = lateStart(seed, late)
-        if (late >= GIVEN_UP) assertReplaced(day)
+        val scenario = lateStart(seed, late)
+        if (late >= GIVEN_UP) assertReplaced(scenario)
     }
 
     @ParameterizedTest
@@ -129,35 +129,35 @@
     // Halts that reach only some.
 
     /** The one machine is taken back, so all are to save; orders to another are held up. */
-    private fun haltedInPart(seed: Long, heldUp: Micros): GangFaultDay {
-        val day = GangFaultDay(seed)
-        day.submit(tasks = 3, cpus = 9.0, estimateS = LONG)
-        day.onceItRuns(after = day.clock.between(6.seconds, 14.seconds)) {
-            val (taken, other) = day.machines()
+    private fun haltedInPart(seed: Long, heldUp: Micros): SingleGangScenario {
+        val scenario = SingleGangScenario(seed)
+        scenario.submit(tasks = 3, cpus = 9.0, estimateS = LONG)
+        scenario.onceItRuns(after = scenario.clock.between(6.seconds, 14.seconds)) {
+            val (taken, other) = scenario.machines()
             taken.recallS = 25.0
-            day.clock.after(25.seconds) { day.simulation.cloud.takeBack(taken) }
-            if (seed % 2 == 0L) day.hang(other, heldUp)
+            scenario.clock.after(25.seconds) { scenario.simulation.cloud.takeBack(taken) }
+            if (seed % 2 == 0L) scenario.hang(other, heldUp)
             else {
-                day.simulation.lateOrders[other.id] = heldUp
-                day.mute(other.id, heldUp)
-                day.clock.after(heldUp) { day.simulation.lateOrders.remove(other.id) }
+                scenario.simulation.lateOrders[other.id] = heldUp
+                scenario.mute(other.id, heldUp)
+                scenario.clock.after(heldUp) { scenario.simulation.lateOrders.remove(other.id) }
             }
         }
-        day.beginsAgain(120.seconds)
-        return day
+        scenario.beginsAgain(120.seconds)
+        return scenario
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `a halt that is held up for longer than the others wait loses the save`(seed: Long) {
-        val day = haltedInPart(seed, heldUp = (8.0 + seed).seconds)
-        assertEquals(null, day.simulation.gangs.causes["kept"])
+        val scenario = haltedInPart(seed, heldUp = (8.0 + seed).seconds)
+        assertEquals(null, scenario.simulation.gangs.causes["kept"])
         assertTrue(
-            (day.simulation.gangs.causes["peers"] ?: 0) > 0,
-            "${day.simulation.gangs.causes}",
+            (scenario.simulation.gangs.causes["peers"] ?: 0) > 0,
+            "${scenario.simulation.gangs.causes}",
         )
-        val saved = day.simulation.gangs.savedOf(day.gang.id)
-        val step = GangFaultDay.CHECKPOINT_S.seconds
+        val saved = scenario.simulation.gangs.savedOf(scenario.gang.id)
+        val step = SingleGangScenario.CHECKPOINT_S.seconds
         assertTrue(saved >= step, "no progress is kept: $saved")
         assertEquals(0, saved.value % step.value, "it did not fall back: $saved")
     }
@@ -165,9 +165,9 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a halt that is held up for less is in time for the save`(seed: Long) {
-        val day = haltedInPart(seed, heldUp = 2.seconds)
+        val scenario = haltedInPart(seed, heldUp = 2.seconds)
         // Once one has saved, the rest is stopped at once.
-        val causes = day.simulation.gangs.causes
+        val causes = scenario.simulation.gangs.causes
         assertTrue((causes["kept"] ?: 0) > 0 && "peers" !in causes, "$causes")
     }
 
@@ -176,23 +176,23 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `a gang's zone is cut off while its next attempt is due`(seed: Long) {
-        val day = GangFaultDay(seed)
-        day.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        day.onceItRuns(after = day.clock.between(3.seconds, 9.seconds)) {
-            val zone = day.machines().first().zone
-            val length = day.clock.between(20.seconds, 60.seconds)
-            if (seed % 2 == 0L) day.keepMachines(40.seconds)
-            day.clock.after(6.seconds) { day.roomOutside(zone) }
-            for (worker in day.simulation.cloud.workers()) {
-                if (worker.zone == zone) day.cutOff(worker.id, length)
+        val scenario = SingleGangScenario(seed)
+        scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
+        scenario.onceItRuns(after = scenario.clock.between(3.seconds, 9.seconds)) {
+            val zone = scenario.machines().first().zone
+            val length = scenario.clock.between(20.seconds, 60.seconds)
+            if (seed % 2 == 0L) scenario.keepMachines(40.seconds)
+            scenario.clock.after(6.seconds) { scenario.roomOutside(zone) }
+            for (worker in scenario.simulation.cloud.workers()) {
+                if (worker.zone == zone) scenario.cutOff(worker.id, length)
             }
             if (seed % 4 < 2) {
-                day.clock.after(day.clock.between(6.seconds, 12.seconds)) {
-                    day.machines().firstOrNull()?.let(day.simulation.cloud::kill)
+                scenario.clock.after(scenario.clock.between(6.seconds, 12.seconds)) {
+                    scenario.machines().firstOrNull()?.let(scenario.simulation.cloud::kill)
                 }
             }
         }
-        day.beginsAgain(200.seconds)
+        scenario.beginsAgain(200.seconds)
     }
 
     // Remains in another zone.
@@ -200,20 +200,21 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `remains in one zone hold the next attempt back, with room in the others`(seed: Long) {
-        val day = GangFaultDay(seed)
-        day.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        day.onceItRuns(after = day.clock.between(3.seconds, 9.seconds)) {
-            val (lost, hanging) = day.machines()
+        val scenario = SingleGangScenario(seed)
+        scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
+        scenario.onceItRuns(after = scenario.clock.between(3.seconds, 9.seconds)) {
+            val (lost, hanging) = scenario.machines()
             val zone = lost.zone
-            day.hang(hanging, day.clock.between(11.seconds, 13.seconds))
-            if (seed % 2 == 0L) day.keepMachines(30.seconds)
-            day.simulation.cloud.kill(lost)
-            for (worker in day.simulation.cloud.workers()) {
-                if (worker !== hanging && worker.zone == zone) day.simulation.cloud.kill(worker)
+            scenario.hang(hanging, scenario.clock.between(11.seconds, 13.seconds))
+            if (seed % 2 == 0L) scenario.keepMachines(30.seconds)
+            scenario.simulation.cloud.kill(lost)
+            for (worker in scenario.simulation.cloud.workers()) {
+                if (worker !== hanging && worker.zone == zone)
+                    scenario.simulation.cloud.kill(worker)
             }
-            day.clock.after(5.seconds) { day.roomOutside(zone) }
+            scenario.clock.after(5.seconds) { scenario.roomOutside(zone) }
         }
-        day.beginsAgain(120.seconds)
+        scenario.beginsAgain(120.seconds)
     }
 
     // Remains that no record tells of.
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -18,27 +18,34 @@
     // A wave over spot machines.
 
     /** Three gangs run, one gathers; [wave] comes over the spot machines, and over no others. */
-    private fun overGangs(seed: Long, wave: (GangDay, running: List<JobSpec>, JobSpec) -> Unit) {
-        val day = GangDay(seed, rented = false)
+    private fun overGangs(
+        seed: Long,
+        wave: (GangScenario, running: List<JobSpec>, JobSpec) -> Unit,
+    ) {
+        val scenario = GangScenario(seed, rented = false)
         for (zone in listOf("a", "b", "c")) repeat(2) {
-            day.simulation.cloud.rent(zone, spot = true)
+            scenario.simulation.cloud.rent(zone, spot = true)
         }
-        val running = List(3) { day.gang(tasks = 3, cpus = 7.0, team = it, length = 60.seconds) }
-        val late = day.gang(tasks = 3, cpus = 6.0, team = 2, length = 30.seconds)
-        running.forEach { day.simulation.submit(it) }
+        val running =
+            List(3) { scenario.gang(tasks = 3, cpus = 7.0, team = it, length = 60.seconds) }
+        val late = scenario.gang(tasks = 3, cpus = 6.0, team = 2, length = 30.seconds)
+        running.forEach { scenario.simulation.submit(it) }
         var struck = false
-        day.once({ running.all { day.allRun(it) } }) {
-            day.clock.after(12.seconds) { day.simulation.submit(late) }
-            day.once({ "gathering" in day.states(late) }) {
-                assertTrue(running.all { day.allRun(it) })
+        scenario.once({ running.all { scenario.allRun(it) } }) {
+            scenario.clock.after(12.seconds) { scenario.simulation.submit(late) }
+            scenario.once({ "gathering" in scenario.states(late) }) {
+                assertTrue(running.all { scenario.allRun(it) })
                 struck = true
-                wave(day, running, late)
+                wave(scenario, running, late)
             }
         }
-        day.simulation.run(300.seconds)
+        scenario.simulation.run(300.seconds)
         assertTrue(struck, "no gang gathered while the others ran")
-        assertFalse("alone" in day.simulation.gangs.causes, "${day.simulation.gangs.causes}")
-        day.done(running + late)
+        assertFalse(
+            "alone" in scenario.simulation.gangs.causes,
+            "${scenario.simulation.gangs.causes}",
+        )
+        scenario.done(running + late)
     }
 
     @ParameterizedTest
@@ -46,48 +53,53 @@
     fun `a notice stops running gangs as one with time to save, and gathering ones at once`(
         seed: Long
     ) =
-        overGangs(seed) { day, running, late ->
-            val taken = day.workers().filter { it.spot }
-            val at = day.clock.now
-            // All of the gang were told within the time of a report and a direct order.
+        overGangs(seed) { scenario, running, late ->
+            val taken = scenario.workers().filter { it.spot }
+            val at = scenario.clock.now
+            // All of the gang were told within the time of a report and a direct command.
             val hit = taken.any { it.statesOf(late.id).isNotEmpty() }
-            day.at(at + 3.seconds) {
+            scenario.at(at + 3.seconds) {
                 val there = taken.flatMap { it.statesOf(late.id).values }
                 assertFalse("gathering" in there, "it waits on for a machine that goes")
-                val ends = day.simulation.gangs.endsOf(late.id)
+                val ends = scenario.simulation.gangs.endsOf(late.id)
                 assertTrue(!hit || (ends.isNotEmpty() && ends.all { it == "stopped" }), "$ends")
             }
             for (worker in taken) worker.recallS = 8.0
-            day.at(at + 7.seconds) {
+            scenario.at(at + 7.seconds) {
                 assertEquals(emptyList(), taken.filter { it.tasksThere > 0 }.map { it.id })
                 for (job in running) {
                     assertEquals(
                         List(3) { "kept" },
-                        day.simulation.gangs.endsOf(job.id).take(3),
+                        scenario.simulation.gangs.endsOf(job.id).take(3),
                         job.id,
                     )
-                    assertTrue(day.simulation.gangs.savedOf(job.id) > 11.seconds)
+                    assertTrue(scenario.simulation.gangs.savedOf(job.id) > 11.seconds)
                 }
             }
-            day.at(at + 8.seconds) { for (worker in taken) day.simulation.cloud.takeBack(worker) }
+            scenario.at(at + 8.seconds) {
+                for (worker in taken) scenario.simulation.cloud.takeBack(worker)
+            }
         }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `machines are taken without notice under gangs that run and one that gathers`(seed: Long) =
-        overGangs(seed) { day, running, late ->
+        overGangs(seed) { scenario, running, late ->
             val all = running + late
             // One of each gang at least, and not those of all.
-            val taken = all.map { day.holding(it).random(day.clock.random) }.toSet()
-            for (worker in taken) day.simulation.cloud.takeBack(worker)
-            val left = all.filter { day.holding(it).isNotEmpty() }
+            val taken = all.map { scenario.holding(it).random(scenario.clock.random) }.toSet()
+            for (worker in taken) scenario.simulation.cloud.takeBack(worker)
+            val left = all.filter { scenario.holding(it).isNotEmpty() }
             assertTrue(left.isNotEmpty(), "nothing is left of any gang")
-            day.clock.after(7.seconds) {
+            scenario.clock.after(7.seconds) {
                 for (job in left - late) {
-                    assertTrue(day.simulation.gangs.endsOf(job.id).isNotEmpty(), "${job.id} ran on")
+                    assertTrue(
+                        scenario.simulation.gangs.endsOf(job.id).isNotEmpty(),
+                        "${job.id} ran on",
+                    )
                 }
                 for (job in running) assertTrue(
-                    day.simulation.gangs.savedOf(job.id) >= 10.seconds,
+                    scenario.simulation.gangs.savedOf(job.id) >= 10.seconds,
                     job.id,
                 )
             }
@@ -98,45 +110,47 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `one task done is the whole gang, though nothing is heard of the rest`(seed: Long) {
-        val day = GangDay(seed)
-        val simulation = day.simulation
-        val gang = day.gang(tasks = 4, cpus = 9.0, length = 10.seconds)
+        val scenario = GangScenario(seed)
+        val simulation = scenario.simulation
+        val gang = scenario.gang(tasks = 4, cpus = 9.0, length = 10.seconds)
         var doneAt: Micros? = null
-        day.rules.whenAllDone = {
+        scenario.rules.whenAllDone = {
             if (doneAt == null) {
-                doneAt = day.clock.now
-                val rest = day.holding(gang).shuffled(day.clock.random).drop(1)
+                doneAt = scenario.clock.now
+                val rest = scenario.holding(gang).shuffled(scenario.clock.random).drop(1)
                 // Before any of them can tell of its end.
                 for (worker in rest) worker.hanging = true
-                day.clock.after(Micros.ZERO) { rest.forEach { lose(day, it, seed.toInt()) } }
-                if (seed > 4) day.changeLeader(latest = 2.seconds)
+                scenario.clock.after(Micros.ZERO) {
+                    rest.forEach { lose(scenario, it, seed.toInt()) }
+                }
+                if (seed > 4) scenario.changeLeader(latest = 2.seconds)
             }
         }
         simulation.submit(gang)
         // Needs nearly all of the team's limit.
-        val next = day.small(team = 0, tasks = 4, cpus = 9.0, estimate = 10.0)
-        day.at(20.seconds) { simulation.submit(next) }
+        val next = scenario.small(team = 0, tasks = 4, cpus = 9.0, estimate = 10.0)
+        scenario.at(20.seconds) { simulation.submit(next) }
         simulation.run(30.seconds)
         simulation.run(checkNotNull(doneAt) { "it did not end" } + 20.seconds)
-        assertEquals(JobState.DONE, day.recordOf(gang))
-        assertEquals("done", day.rules.finalOf(gang.id))
+        assertEquals(JobState.DONE, scenario.recordOf(gang))
+        assertEquals("done", scenario.rules.finalOf(gang.id))
         simulation.run(200.seconds)
-        assertEquals(1, day.rules.gangsBegun)
-        assertEquals(0, day.rules.startsOfDone, "run again")
+        assertEquals(1, scenario.rules.gangsBegun)
+        assertEquals(0, scenario.rules.startsOfDone, "run again")
         assertEquals(null, simulation.state.value("t/${gang.id}/0"))
-        day.done(listOf(gang, next))
+        scenario.done(listOf(gang, next))
     }
 
     /** For good, or for longer than a lease. */
-    private fun lose(day: GangDay, worker: FakeWorker, how: Int) {
-        val network = day.simulation.network
-        val nodes = day.simulation.nodes
+    private fun lose(scenario: GangScenario, worker: FakeWorker, how: Int) {
+        val network = scenario.simulation.network
+        val nodes = scenario.simulation.nodes
         if (how % 4 != 1)
-            day.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) {
+            scenario.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) {
                 worker.hanging = false
             }
         when (how % 4) {
-            0 -> day.simulation.cloud.kill(worker)
+            0 -> scenario.simulation.cloud.kill(worker)
             3 -> for (node in nodes) network.part(node, worker.id)
             1,
             2 -> Unit
@@ -216,30 +230,37 @@
 
     /** How long each job took, until its user was told that it is done. */
     private fun shortOfRoom(seed: Long, priority: PriorityClass): Map<JobSpec, Micros> {
-        val day = GangDay(seed, capacity = 1)
+        val scenario = GangScenario(seed, capacity = 1)
         val since = LinkedHashMap<JobSpec, Micros>()
         fun submit(job: JobSpec) {
-            since[job] = day.clock.now
-            day.simulation.submit(job)
+            since[job] = scenario.clock.now
+            scenario.simulation.submit(job)
         }
-        for (second in 2..80) day.at(second.seconds) {
-            submit(day.small(team = 1, tasks = 6).copy(priority = priority))
-            submit(day.small(team = 2, tasks = 12))
+        for (second in 2..80) scenario.at(second.seconds) {
+            submit(scenario.small(team = 1, tasks = 6).copy(priority = priority))
+            submit(scenario.small(team = 2, tasks = 12))
         }
         // One zone has two machines: room for one of these gangs.
-        for (second in listOf(12, 16, 20)) day.at(second.seconds) {
-            submit(day.gang(tasks = 12, cpus = 2.0, team = 0, length = 10.seconds).copy(zone = "b"))
-            submit(day.gang(tasks = 8, cpus = 3.0, team = 1, length = 10.seconds).copy(zone = "b"))
+        for (second in listOf(12, 16, 20)) scenario.at(second.seconds) {
+            submit(
+                scenario
+                    .gang(tasks = 12, cpus = 2.0, team = 0, length = 10.seconds)
+                    .copy(zone = "b")
+            )
+            submit(
+                scenario.gang(tasks = 8, cpus = 3.0, team = 1, length = 10.seconds).copy(zone = "b")
+            )
         }
-        if (seed > 3) day.at(25.seconds) { day.changeLeader(latest = 10.seconds) }
+        if (seed > 3) scenario.at(25.seconds) { scenario.changeLeader(latest = 10.seconds) }
         val took = HashMap<JobSpec, Micros>()
-        day.clock.every(1.seconds) {
+        scenario.clock.every(1.seconds) {
             for ((job, at) in since) {
-                if (day.rules.finalOf(job.id) == "done") took.putIfAbsent(job, day.clock.now - at)
+                if (scenario.rules.finalOf(job.id) == "done")
+                    took.putIfAbsent(job, scenario.clock.now - at)
             }
         }
-        day.simulation.run(300.seconds)
-        day.done(since.keys.toList())
+        scenario.simulation.run(300.seconds)
+        scenario.done(since.keys.toList())
         return took
     }
 
--- a/src/test/kotlin/wardmux/sim/GangDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangScenario.kt
@@ -10,9 +10,9 @@
 import wardmux.model.seconds
 import wardmux.records.JobRecord
 
-/** A simulated day on which gangs are brought into trouble on purpose. */
-class GangDay(seed: Long, rented: Boolean = true, capacity: Int = 3) {
-    // Every other day all controllers take reports.
+/** A simulated scenario on which gangs are brought into trouble on purpose. */
+class GangScenario(seed: Long, rented: Boolean = true, capacity: Int = 3) {
+    // In every other scenario all controllers take reports.
     val simulation =
         ClusterSimulation(
             seed,
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -12,9 +12,9 @@
 import wardmux.model.PriorityClass
 import wardmux.model.seconds
 
-/** Seeded days of gangs among arrays, with the troubles of [RandomSimulationTest]. */
+/** Seeded scenarios of gangs among arrays, with the troubles of [RandomSimulationTest]. */
 class GangSimulationTest {
-    private class Day(seed: Long, operators: OperatorSettings = OperatorSettings()) {
+    private class Scenario(seed: Long, operators: OperatorSettings = OperatorSettings()) {
         val simulation = ClusterSimulation(seed, operators = operators)
         private val clock = simulation.clock
         private val troubles = FaultInjector(simulation, ::submit)
@@ -73,10 +73,10 @@
     }
 
     private fun troubled(seed: Long, operators: OperatorSettings) {
-        val day = Day(seed, operators)
-        day.play(troubled = true)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertTrue(day.simulation.rules.gangsBegun > 0, "no gang ran")
+        val scenario = Scenario(seed, operators)
+        scenario.play(troubled = true)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertTrue(scenario.simulation.rules.gangsBegun > 0, "no gang ran")
     }
 
     @ParameterizedTest
@@ -85,17 +85,17 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `nor where all controllers take reports`(seed: Long) =
+    fun `nor where all controllers take heartbeats`(seed: Long) =
         troubled(seed, OperatorSettings(reportsPerCore = 0.0))
 
     @ParameterizedTest
     @MethodSource("quietSeeds")
-    fun `on a quiet day every gang comes to its end`(seed: Long) {
-        val day = Day(seed)
-        day.play(troubled = false)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertEquals(emptyList(), day.open())
-        assertTrue(day.simulation.rules.gangsBegun > 0, "no gang ran")
+    fun `in a quiet scenario every gang comes to its end`(seed: Long) {
+        val scenario = Scenario(seed)
+        scenario.play(troubled = false)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.open())
+        assertTrue(scenario.simulation.rules.gangsBegun > 0, "no gang ran")
     }
 
     private fun gang(
@@ -165,12 +165,12 @@
         private val CALM = 285.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.gangs=100-500"`. */
-        @JvmStatic fun seeds(): List<Long> = days("wardmux.gangs", "1-16")
+        @JvmStatic fun seeds(): List<Long> = scenarios("wardmux.gangs", "1-16")
 
         /** Likewise: `-Dwardmux.gangsQuiet=100-500`. */
-        @JvmStatic fun quietSeeds(): List<Long> = days("wardmux.gangsQuiet", "1-4")
+        @JvmStatic fun quietSeeds(): List<Long> = scenarios("wardmux.gangsQuiet", "1-4")
 
-        private fun days(property: String, usual: String): List<Long> {
+        private fun scenarios(property: String, usual: String): List<Long> {
             val range = (System.getProperty(property) ?: usual).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
         }
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -52,7 +52,7 @@
             )
 
     @Test
-    fun `all are known and none is given up where all controllers take reports`() =
+    fun `all are known and none is given up where all controllers take heartbeats`() =
         play(fdLimit = 1_800, OperatorSettings(idleKeepBoots = KEPT))
 
     @Test
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -169,7 +169,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44])
-    fun `a team at its limit stays within it where machines can't be asked at a take-over`(
+    fun `a team at its limit stays within it where machines can't be asked at a failover`(
         seed: Long
     ) {
         val simulation = ClusterSimulation(seed)
@@ -203,7 +203,7 @@
         assertEquals("done", simulation.rules.finalOf(waiting.id))
     }
 
-    // Reports that arrive late.
+    // Heartbeats that arrive late.
 
     private val harness = ControllerHarness()
 
@@ -289,9 +289,9 @@
         val stopped = piece("ended", cause = "stopped")
         val olds =
             listOf(
-                // As of the same session, before the task came.
+                // As of the same incarnation, before the task came.
                 Triple(2, 3, ""),
-                // From the session before, with higher ticks.
+                // From the incarnation before, with higher ticks.
                 Triple(1, 90, ""),
                 Triple(1, 90, piece("ended", attempt = 2, cause = "error")),
                 // An earlier attempt's end, in a newer report.
@@ -315,7 +315,7 @@
     }
 
     @Test
-    fun `a report older than the last frees nothing when it comes through a relay`() {
+    fun `a report older than the last frees nothing when it comes through a forwarder`() {
         for ((incarnation, tick) in listOf(2 to 3L, 1 to 90L)) {
             val harness = ControllerHarness(listOf("n1"))
             harness.accept(plainJob(1))
--- a/src/test/kotlin/wardmux/sim/LeaderChurn.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
@@ -7,9 +7,9 @@
 /**
  * Leaders that change every few seconds, beside machines that can be reached for moments only:
  * direct commands lost, late or held up, workers that report to another controller each time,
- * relays that restart, and a state service that refuses one controller or all.
+ * forwarders that restart, and a key-value store that refuses one controller or all.
  */
-class LeaderChurn(private val simulation: ClusterSimulation) {
+class LeaderChangeFaults(private val simulation: ClusterSimulation) {
     private val clock = simulation.clock
     private var over = false
 
--- a/src/test/kotlin/wardmux/sim/LossRecorder.kt
+++ b/src/test/kotlin/wardmux/sim/LossRecorder.kt
@@ -10,7 +10,7 @@
     /** It was told to stop on a machine that the cloud is about to take. */
     RECALLED,
 
-    /** It failed, or its machine or session ended. */
+    /** It failed, or its machine or incarnation ended. */
     CRASHED,
 }
 
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -14,9 +14,9 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** The limits of the state service fall in mid-day, without notice. */
+/** The limits of the key-value store fall in the middle of a scenario, without notice. */
 class LoweredLimitsTest {
-    private class Day(
+    private class Scenario(
         seed: Long,
         told: AnnouncedStoreLimits?,
         operators: OperatorSettings = OperatorSettings(),
@@ -81,51 +81,53 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `who is told of them beforehand never goes beyond`(seed: Long) {
-        val day = Day(seed, LOWER)
-        for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
-        day.clock.after(40.seconds) { day.simulation.state.lower(LOWER) }
-        day.crashes(20.seconds)
-        day.end()
+        val scenario = Scenario(seed, LOWER)
+        for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
+        scenario.clock.after(40.seconds) { scenario.simulation.state.lower(LOWER) }
+        scenario.crashes(20.seconds)
+        scenario.end()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15, 16])
     fun `pages stored before are read, taken down and rewritten once they fit`(seed: Long) {
-        val day = Day(seed, told = null)
-        val simulation = day.simulation
-        for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
-        for (at in listOf(1, 8)) day.clock.after(at.seconds) { day.submit(alwaysWide = true) }
+        val scenario = Scenario(seed, told = null)
+        val simulation = scenario.simulation
+        for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
+        for (at in listOf(1, 8)) scenario.clock.after(at.seconds) {
+            scenario.submit(alwaysWide = true)
+        }
         var fallen = false
-        day.clock.every(100.milliseconds) {
+        scenario.clock.every(100.milliseconds) {
             // All come back told, while a page is large, and the limits fall at once.
             if (!fallen && simulation.state.largest("t/") > 1024) {
                 fallen = true
                 simulation.told = LOWER
                 for (node in simulation.nodes) simulation.crash(node, 500.milliseconds)
-                day.clock.after(400.milliseconds) { simulation.state.lower(LOWER) }
+                scenario.clock.after(400.milliseconds) { simulation.state.lower(LOWER) }
             }
         }
-        day.crashes(35.seconds)
-        day.end()
+        scenario.crashes(35.seconds)
+        scenario.end()
         assertTrue(fallen, "no page was larger than a value may be later")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23])
     fun `nor do batches and answers that go round by the service`(seed: Long) {
-        val day = Day(seed, LOWER, OperatorSettings(reportsPerCore = 0.0))
-        val simulation = day.simulation
-        for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
+        val scenario = Scenario(seed, LOWER, OperatorSettings(reportsPerCore = 0.0))
+        val simulation = scenario.simulation
+        for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
         simulation.state.lower(LOWER)
-        day.clock.after(20.seconds) {
+        scenario.clock.after(20.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.part(a, b)
         }
-        day.clock.after(70.seconds) {
+        scenario.clock.after(70.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.join(a, b)
         }
-        day.end()
+        scenario.end()
         assertTrue(simulation.state.largest("r/") > 0, "no batch went round")
     }
 
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -15,7 +15,7 @@
 /** Two troubles at once, where machines are one of them: each brought about on purpose. */
 class MachineFaultsTest {
     private class Meeting(seed: Long) {
-        // Every other day all controllers take reports.
+        // In every other scenario all controllers take reports.
         val simulation =
             ClusterSimulation(
                 seed,
@@ -81,32 +81,32 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `mute machines, with cancellations and new starts meanwhile`(seed: Long) {
-        val day = Meeting(seed)
-        val jobs = List(3) { day.large(it, 3) }
-        jobs.forEach { day.simulation.submit(it) }
-        day.at(30.seconds) {
-            val length = day.clock.between(12.seconds, 70.seconds)
-            for (worker in day.busy()) {
-                if (!day.clock.chance(0.8)) continue
-                day.mute(worker, length)
+        val scenario = Meeting(seed)
+        val jobs = List(3) { scenario.large(it, 3) }
+        jobs.forEach { scenario.simulation.submit(it) }
+        scenario.at(30.seconds) {
+            val length = scenario.clock.between(12.seconds, 70.seconds)
+            for (worker in scenario.busy()) {
+                if (!scenario.clock.chance(0.8)) continue
+                scenario.mute(worker, length)
                 // Nothing new goes where no lease is renewed.
-                day.clock.after(11.seconds) {
+                scenario.clock.after(11.seconds) {
                     val before = worker.starts
-                    day.clock.after(length - 11.seconds) {
+                    scenario.clock.after(length - 11.seconds) {
                         assertEquals(before, worker.starts, "started on a mute machine")
                     }
                 }
             }
-            day.clock.after(day.clock.between(0.seconds, 20.seconds)) {
-                day.simulation.cancel(jobs[0].id)
+            scenario.clock.after(scenario.clock.between(0.seconds, 20.seconds)) {
+                scenario.simulation.cancel(jobs[0].id)
             }
         }
-        val late = List(3) { day.array(it, 12) }
-        for ((i, job) in late.withIndex()) day.at((33 + 9 * i).seconds) {
-            day.simulation.submit(job)
+        val late = List(3) { scenario.array(it, 12) }
+        for ((i, job) in late.withIndex()) scenario.at((33 + 9 * i).seconds) {
+            scenario.simulation.submit(job)
         }
-        day.simulation.run(200.seconds)
-        day.done(*late.toTypedArray())
+        scenario.simulation.run(200.seconds)
+        scenario.done(*late.toTypedArray())
     }
 
     // Tasks of cancelled jobs.
@@ -114,20 +114,20 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 6])
     fun `cancelled on machines that hang, many at once, while the leader changes`(seed: Long) {
-        val day = Meeting(seed)
-        val jobs = List(3) { day.large(it, 4) }
-        jobs.forEach { day.simulation.submit(it) }
-        day.at(30.seconds) {
-            val busy = day.busy()
+        val scenario = Meeting(seed)
+        val jobs = List(3) { scenario.large(it, 4) }
+        jobs.forEach { scenario.simulation.submit(it) }
+        scenario.at(30.seconds) {
+            val busy = scenario.busy()
             assertTrue(busy.size >= 6, "only ${busy.size} are busy")
-            for (worker in busy.drop((seed % 3).toInt() * 3)) day.hang(worker, 90.seconds)
-            for (job in jobs) day.simulation.cancel(job.id)
-            day.clock.after(day.clock.between(1.seconds, 25.seconds)) {
-                day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
+            for (worker in busy.drop((seed % 3).toInt() * 3)) scenario.hang(worker, 90.seconds)
+            for (job in jobs) scenario.simulation.cancel(job.id)
+            scenario.clock.after(scenario.clock.between(1.seconds, 25.seconds)) {
+                scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
             }
         }
-        day.simulation.run(150.seconds)
-        day.holds()
+        scenario.simulation.run(150.seconds)
+        scenario.holds()
     }
 
     // (b) Jobs bound to one zone.
@@ -137,25 +137,27 @@
     fun `jobs bound to one zone lose machines, by death, a hang and a change of leaders`(
         seed: Long
     ) {
-        val day = Meeting(seed)
+        val scenario = Meeting(seed)
         // More than its team may have at once, so that some wait while others are out.
-        val pinned = day.array(0, 40, zone = "b").copy(estimateS = 20.0)
-        val together = day.array(1, 40, oneZone = true).copy(estimateS = 20.0)
-        val far = day.array(2, 40, oneZone = true).copy(estimateS = 20.0)
-        for (job in listOf(pinned, together, far)) day.simulation.submit(job)
-        day.at(20.seconds) {
-            val there = day.workers().shuffled(day.clock.random)
+        val pinned = scenario.array(0, 40, zone = "b").copy(estimateS = 20.0)
+        val together = scenario.array(1, 40, oneZone = true).copy(estimateS = 20.0)
+        val far = scenario.array(2, 40, oneZone = true).copy(estimateS = 20.0)
+        for (job in listOf(pinned, together, far)) scenario.simulation.submit(job)
+        scenario.at(20.seconds) {
+            val there = scenario.workers().shuffled(scenario.clock.random)
             for (worker in there.take(there.size / 2)) {
-                if (day.clock.chance(0.5)) day.simulation.cloud.kill(worker)
-                else day.hang(worker, day.clock.between(3.seconds, 30.seconds))
+                if (scenario.clock.chance(0.5)) scenario.simulation.cloud.kill(worker)
+                else scenario.hang(worker, scenario.clock.between(3.seconds, 30.seconds))
             }
-            day.clock.after(day.clock.between(0.seconds, 6.seconds)) {
-                day.simulation.leader()?.let { day.simulation.crash(it, 2.seconds) }
+            scenario.clock.after(scenario.clock.between(0.seconds, 6.seconds)) {
+                scenario.simulation.leader()?.let { scenario.simulation.crash(it, 2.seconds) }
             }
         }
-        day.at(45.seconds) { day.busy().take(2).forEach { day.simulation.cloud.kill(it) } }
-        day.simulation.run(220.seconds)
-        day.done(pinned, together, far)
+        scenario.at(45.seconds) {
+            scenario.busy().take(2).forEach { scenario.simulation.cloud.kill(it) }
+        }
+        scenario.simulation.run(220.seconds)
+        scenario.done(pinned, together, far)
     }
 
     // (c) A leader ends while machines with long tasks are out of reach.
@@ -163,32 +165,37 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a leader ends while machines can't be reached or don't hear the next one`(seed: Long) {
-        val day = Meeting(seed)
+        val scenario = Meeting(seed)
         // There is room elsewhere for what is out of reach.
-        val jobs = List(3) { day.large(it, 3).copy(cpus = 5.0) }
-        jobs.forEach { day.simulation.submit(it) }
-        day.at(30.seconds) {
-            val length = day.clock.between(5.seconds, 60.seconds)
-            for (worker in day.busy()) {
-                when (day.clock.random.nextInt(4)) {
-                    0 -> for (node in day.simulation.nodes) day.part(node, worker.id, length)
+        val jobs = List(3) { scenario.large(it, 3).copy(cpus = 5.0) }
+        jobs.forEach { scenario.simulation.submit(it) }
+        scenario.at(30.seconds) {
+            val length = scenario.clock.between(5.seconds, 60.seconds)
+            for (worker in scenario.busy()) {
+                when (scenario.clock.random.nextInt(4)) {
+                    0 ->
+                        for (node in scenario.simulation.nodes) scenario.part(
+                            node,
+                            worker.id,
+                            length,
+                        )
                     1 -> {
-                        day.simulation.network.cut(worker.id)
-                        day.clock.after(length) { day.simulation.network.mend(worker.id) }
+                        scenario.simulation.network.cut(worker.id)
+                        scenario.clock.after(length) { scenario.simulation.network.mend(worker.id) }
                     }
                 }
             }
-            day.simulation.leader()?.let {
-                day.simulation.crash(it, day.clock.between(1.seconds, 9.seconds))
+            scenario.simulation.leader()?.let {
+                scenario.simulation.crash(it, scenario.clock.between(1.seconds, 9.seconds))
             }
-            day.clock.after(day.clock.between(0.seconds, 12.seconds)) {
-                day.simulation.cancel(jobs[1].id)
+            scenario.clock.after(scenario.clock.between(0.seconds, 12.seconds)) {
+                scenario.simulation.cancel(jobs[1].id)
             }
         }
-        val late = List(3) { day.array(it, 10) }
-        day.at(40.seconds) { for (job in late) day.simulation.submit(job) }
-        day.simulation.run(210.seconds)
-        day.done(*late.toTypedArray())
+        val late = List(3) { scenario.array(it, 10) }
+        scenario.at(40.seconds) { for (job in late) scenario.simulation.submit(job) }
+        scenario.simulation.run(210.seconds)
+        scenario.done(*late.toTypedArray())
     }
 
     // (d) A zone is cut off with a controller in it.
@@ -196,31 +203,31 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a zone with workers and a controller is cut off for longer than a lease`(seed: Long) {
-        val day = Meeting(seed)
-        val jobs = List(3) { day.large(it, 4) }
-        jobs.forEach { day.simulation.submit(it) }
-        day.at(30.seconds) {
-            val length = day.clock.between(17.seconds, 60.seconds)
-            val leader = day.simulation.leader()
+        val scenario = Meeting(seed)
+        val jobs = List(3) { scenario.large(it, 4) }
+        jobs.forEach { scenario.simulation.submit(it) }
+        scenario.at(30.seconds) {
+            val length = scenario.clock.between(17.seconds, 60.seconds)
+            val leader = scenario.simulation.leader()
             // The leader is inside, or one of the others.
-            val node = day.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
-            val inside = day.workers().filter { it.zone == "a" }.map { it.id } + node
+            val node = scenario.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
+            val inside = scenario.workers().filter { it.zone == "a" }.map { it.id } + node
             val outside =
-                day.workers().filter { it.zone != "a" }.map { it.id } +
-                    (day.simulation.nodes - node) +
+                scenario.workers().filter { it.zone != "a" }.map { it.id } +
+                    (scenario.simulation.nodes - node) +
                     listOf("state", "cloud", "user")
             for (a in inside) for (b in outside) {
-                day.part(a, b, length)
-                day.part(b, a, length)
+                scenario.part(a, b, length)
+                scenario.part(b, a, length)
             }
-            day.clock.after(day.clock.between(0.seconds, 9.seconds)) {
-                day.simulation.cancel(jobs[2].id)
+            scenario.clock.after(scenario.clock.between(0.seconds, 9.seconds)) {
+                scenario.simulation.cancel(jobs[2].id)
             }
         }
-        val late = List(3) { day.array(it, 10) }
-        day.at(36.seconds) { for (job in late) day.simulation.submit(job) }
-        day.simulation.run(210.seconds)
-        day.done(*late.toTypedArray())
+        val late = List(3) { scenario.array(it, 10) }
+        scenario.at(36.seconds) { for (job in late) scenario.simulation.submit(job) }
+        scenario.simulation.run(210.seconds)
+        scenario.done(*late.toTypedArray())
     }
 
     // (e) Held-up commands and answers.
@@ -228,30 +235,34 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `starts reach a hanging machine, their job is cancelled, and it goes on`(seed: Long) {
-        val day = Meeting(seed)
-        val first = List(3) { day.large(it, 1) }
-        first.forEach { day.simulation.submit(it) }
-        val cancelled = List(3) { day.array(it, 6).copy(estimateS = 400.0) }
-        val kept = List(3) { day.array(it, 8).copy(estimateS = 20.0) }
-        day.at(25.seconds) {
-            for (job in kept + cancelled) day.simulation.submit(job)
+        val scenario = Meeting(seed)
+        val first = List(3) { scenario.large(it, 1) }
+        first.forEach { scenario.simulation.submit(it) }
+        val cancelled = List(3) { scenario.array(it, 6).copy(estimateS = 400.0) }
+        val kept = List(3) { scenario.array(it, 8).copy(estimateS = 20.0) }
+        scenario.at(25.seconds) {
+            for (job in kept + cancelled) scenario.simulation.submit(job)
             // While these starts go out.
-            day.clock.after(day.clock.between(20.milliseconds, 200.milliseconds)) {
-                for (worker in day.workers()) {
-                    val length = day.clock.between(1.seconds, 15.seconds)
-                    if (day.clock.chance(0.5)) day.hang(worker, length)
-                    else if (day.clock.chance(0.5)) {
+            scenario.clock.after(scenario.clock.between(20.milliseconds, 200.milliseconds)) {
+                for (worker in scenario.workers()) {
+                    val length = scenario.clock.between(1.seconds, 15.seconds)
+                    if (scenario.clock.chance(0.5)) scenario.hang(worker, length)
+                    else if (scenario.clock.chance(0.5)) {
                         // The order arrives, its answer comes too late.
-                        for (node in day.simulation.nodes) day.part(worker.id, node, length)
+                        for (node in scenario.simulation.nodes) scenario.part(
+                            worker.id,
+                            node,
+                            length,
+                        )
                     }
                 }
             }
-            day.clock.after(day.clock.between(0.seconds, 6.seconds)) {
-                for (job in cancelled) day.simulation.cancel(job.id)
+            scenario.clock.after(scenario.clock.between(0.seconds, 6.seconds)) {
+                for (job in cancelled) scenario.simulation.cancel(job.id)
             }
         }
-        day.simulation.run(200.seconds)
-        day.done(*kept.toTypedArray())
+        scenario.simulation.run(200.seconds)
+        scenario.done(*kept.toTypedArray())
     }
 
     // (f) More work than room.
@@ -259,29 +270,30 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `more work than room, urgent and not, over slow links`(seed: Long) {
-        val day = Meeting(seed)
-        val simulation = day.simulation
+        val scenario = Meeting(seed)
+        val simulation = scenario.simulation
         val hosts = simulation.nodes + "state" + "cloud"
         val jobs = ArrayList<JobSpec>()
-        for (second in 2..60 step 3) day.at(second.seconds) {
-            val urgent = day.clock.chance(0.5)
-            val team = day.clock.random.nextInt(3)
+        for (second in 2..60 step 3) scenario.at(second.seconds) {
+            val urgent = scenario.clock.chance(0.5)
+            val team = scenario.clock.random.nextInt(3)
             val job =
-                if (urgent) day.array(team, 15).copy(priority = PriorityClass.HIGH)
-                else day.large(team, 2, short = 20.0).copy(checkpointS = 3.0, saveS = 2.0)
+                if (urgent) scenario.array(team, 15).copy(priority = PriorityClass.HIGH)
+                else scenario.large(team, 2, short = 20.0).copy(checkpointS = 3.0, saveS = 2.0)
             jobs.add(job)
             simulation.submit(job)
         }
-        day.at(10.seconds) {
+        scenario.at(10.seconds) {
             for (host in hosts) simulation.network.slow[host] =
-                day.clock.between(50.milliseconds, 400.milliseconds)
-            for (w in day.workers()) {
-                simulation.network.slow[w.id] = day.clock.between(50.milliseconds, 900.milliseconds)
+                scenario.clock.between(50.milliseconds, 400.milliseconds)
+            for (w in scenario.workers()) {
+                simulation.network.slow[w.id] =
+                    scenario.clock.between(50.milliseconds, 900.milliseconds)
             }
         }
-        day.at(70.seconds) { simulation.network.slow.clear() }
+        scenario.at(70.seconds) { simulation.network.slow.clear() }
         simulation.run(330.seconds)
         simulation.endOfDay(calm = 70.seconds)
-        day.done(*jobs.toTypedArray())
+        scenario.done(*jobs.toTypedArray())
     }
 }
--- a/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
+++ b/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
@@ -8,8 +8,9 @@
 import wardmux.model.seconds
 
 /**
- * A machine given up frees its tasks only once that is recorded. When a zone was lost, the records
- * of 181 machines took 45 s, one in each write, while all else in the writes was new placements.
+ * A machine decommissioned frees its tasks only once that is recorded. When a zone was lost, the
+ * records of 181 machines took 45 s, one in each write, while all else in the writes was new
+ * placements.
  */
 class ManyLostMachinesTest {
     private val harness =
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -10,9 +10,9 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Outages of the state service that meet cancellations, lone leaders and changes of leader. */
+/** Outages of the key-value store that meet cancellations, lone leaders and changes of leader. */
 class OutageFaultsTest {
-    /** How workers' reports come in, and whether the leader that is refused hears its siblings. */
+    /** How workers' heartbeats come in, and whether the leader that is refused hears its peers. */
     data class Way(val seed: Long, val relays: Boolean, val lone: Boolean)
 
     private class Meeting(seed: Long, relays: Boolean) {
@@ -36,7 +36,7 @@
                 simulation.submit(spec)
             }
 
-        /** Six jobs run, and the leader has settled how reports come in. */
+        /** Six jobs run, and the leader has settled how heartbeats come in. */
         fun begin() {
             clock.after(4.seconds) { submit(6) }
             simulation.run(30.seconds)
@@ -79,8 +79,9 @@
         }
 
         /**
-         * The state service refuses the leader alone, jobs are cancelled through another controller
-         * meanwhile, and then it is out for all, for longer than a cancellation may take.
+         * The key-value store refuses the leader alone, jobs are cancelled through another
+         * controller meanwhile, and then it is out for all, for longer than a cancellation may
+         * take.
          */
         fun gap(way: Way, count: Int = 3, more: (cancelled: List<String>) -> Unit = {}) {
             val leader = leader()
@@ -195,7 +196,7 @@
             end(calm = clock.now - 90.seconds)
         }
 
-    /** Nobody can have cancelled anything, so nothing is given up. */
+    /** Nobody can have cancelled anything, so nothing is decommissioned. */
     @ParameterizedTest
     @MethodSource("heard")
     fun `a leader that hears all others keeps what runs in an outage for all`(way: Way) =
@@ -338,10 +339,10 @@
         private val OUTAGE = 50.seconds
         private val CALM = 60.seconds
         private val CANCEL = 36_200.milliseconds
-        private val SEEDS = days()
+        private val SEEDS = scenarios()
 
         /** Others for a longer search: `-DargLine="-Dwardmux.meetings=1-100"`. */
-        private fun days(): LongRange {
+        private fun scenarios(): LongRange {
             val (first, last) = (System.getProperty("wardmux.meetings") ?: "1-3").split('-')
             return first.toLong()..last.toLong()
         }
@@ -354,7 +355,7 @@
                 }
             }
 
-        /** Those in which the leader hears its siblings. */
+        /** Those in which the leader hears its peers. */
         @JvmStatic fun heard(): List<Way> = ways().filter { !it.lone }
     }
 }
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -8,9 +8,11 @@
 import wardmux.config.OperatorSettings
 import wardmux.model.seconds
 
-/** Seeded days with troubles of every kind, alone and together; the rules hold after each step. */
+/**
+ * Seeded scenarios with troubles of every kind, alone and together; the rules hold after each step.
+ */
 class RandomSimulationTest {
-    private class Day(
+    private class Scenario(
         seed: Long,
         private val grown: Boolean = false,
         private val fleet: Boolean = false,
@@ -83,38 +85,39 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule is broken whatever fails`(seed: Long) {
-        val day = Day(seed)
-        day.play(troubled = true)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertTrue(day.simulation.rules.starts > 0, "nothing ran")
+        val scenario = Scenario(seed)
+        scenario.play(troubled = true)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
     @MethodSource("grownSeeds")
     fun `nor with one-way networks, late copies, lone controllers and quick returns`(seed: Long) {
-        val day = Day(seed, grown = true)
-        day.play(troubled = true)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertTrue(day.simulation.rules.starts > 0, "nothing ran")
+        val scenario = Scenario(seed, grown = true)
+        scenario.play(troubled = true)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
     @MethodSource("relayedSeeds")
-    fun `nor where all controllers take reports`(seed: Long) {
-        val day = Day(seed, grown = true, operators = OperatorSettings(reportsPerCore = 0.0))
-        day.play(troubled = true)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertTrue(day.simulation.rules.starts > 0, "nothing ran")
+    fun `nor where all controllers take heartbeats`(seed: Long) {
+        val scenario =
+            Scenario(seed, grown = true, operators = OperatorSettings(reportsPerCore = 0.0))
+        scenario.play(troubled = true)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
     @MethodSource("frozenSeeds")
     fun `nor with frozen controllers and cut zones besides`(seed: Long) {
         val relays = OperatorSettings(reportsPerCore = 0.0)
-        val day = Day(seed, grown = true, fleet = true, operators = relays)
-        day.play(troubled = true)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertTrue(day.simulation.rules.starts > 0, "nothing ran")
+        val scenario = Scenario(seed, grown = true, fleet = true, operators = relays)
+        scenario.play(troubled = true)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
@@ -124,22 +127,22 @@
 
     @ParameterizedTest
     @MethodSource("huntedSeeds")
-    fun `nor with them where all controllers take reports`(seed: Long) =
+    fun `nor with them where all controllers take heartbeats`(seed: Long) =
         hunted(seed, OperatorSettings(reportsPerCore = 0.0))
 
     private fun hunted(seed: Long, operators: OperatorSettings) {
-        val day = Day(seed, grown = true, hunted = true, operators = operators)
-        day.play(troubled = true)
-        assertEquals(emptyList(), day.simulation.problems())
-        assertTrue(day.simulation.rules.starts > 0, "nothing ran")
+        val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
+        scenario.play(troubled = true)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
     }
 
     @Test
-    fun `on a quiet day every job comes to its end`() {
-        val day = Day(100)
-        day.play(troubled = false)
-        assertEquals(emptyList(), day.simulation.problems())
-        val open = day.jobs.filter { day.simulation.rules.finalOf(it) == null }
+    fun `in a quiet scenario every job comes to its end`() {
+        val scenario = Scenario(100)
+        scenario.play(troubled = false)
+        assertEquals(emptyList(), scenario.simulation.problems())
+        val open = scenario.jobs.filter { scenario.simulation.rules.finalOf(it) == null }
         assertEquals(emptyList(), open)
     }
 
@@ -148,21 +151,22 @@
         private val CALM = 285.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.days=100-500"`. */
-        @JvmStatic fun seeds(): List<Long> = days("wardmux.days", "1-24") + FOUND
+        @JvmStatic fun seeds(): List<Long> = scenarios("wardmux.days", "1-24") + FOUND
 
         /** Likewise: `-Dwardmux.grown=100-500`. */
-        @JvmStatic fun grownSeeds(): List<Long> = days("wardmux.grown", "1-24")
+        @JvmStatic fun grownSeeds(): List<Long> = scenarios("wardmux.grown", "1-24")
 
         /** Likewise: `-Dwardmux.relayed=100-500`. */
-        @JvmStatic fun relayedSeeds(): List<Long> = days("wardmux.relayed", "1-24") + FOUND_RELAYED
+        @JvmStatic
+        fun relayedSeeds(): List<Long> = scenarios("wardmux.relayed", "1-24") + FOUND_RELAYED
 
         /** Likewise: `-Dwardmux.frozen=100-500`. */
-        @JvmStatic fun frozenSeeds(): List<Long> = days("wardmux.frozen", "1-24")
+        @JvmStatic fun frozenSeeds(): List<Long> = scenarios("wardmux.frozen", "1-24")
 
         /** Likewise: `-Dwardmux.hunted=100-500`. */
-        @JvmStatic fun huntedSeeds(): List<Long> = days("wardmux.hunted", "1-24")
+        @JvmStatic fun huntedSeeds(): List<Long> = scenarios("wardmux.hunted", "1-24")
 
-        private fun days(property: String, usual: String): List<Long> {
+        private fun scenarios(property: String, usual: String): List<Long> {
             val range = (System.getProperty(property) ?: usual).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
         }
--- a/src/test/kotlin/wardmux/sim/Rules.kt
+++ b/src/test/kotlin/wardmux/sim/Rules.kt
@@ -175,7 +175,7 @@
         private set
 
     /**
-     * A controller decides to send an order to start. None may be sent once the user was told
+     * A controller decides to send an command to start. None may be sent once the user was told
      * cancelled, but for what a leader did not know yet when it placed the task: it hears of it, or
      * is none any more, within its lease. What was decided before is on its way, and its time is
      * that of [started].
--- a/src/test/kotlin/wardmux/sim/SimulatedClock.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedClock.kt
@@ -48,7 +48,7 @@
     /** Part of the messages that are lost. */
     var loss = 0.0
 
-    /** Part of the requests that are carried out long after the asker has given up. */
+    /** Part of the requests that are carried out long after the asker has decommissioned. */
     var late = 0.0
 
     /** Part of the messages of which a copy arrives once more, long after. */
@@ -57,7 +57,7 @@
     /** Part of the workers' reports of which a copy arrives again, up to long after their lease. */
     var lateReports = 0.0
 
-    /** Machines that open no connection to any controller; direct orders still reach them. */
+    /** Machines that open no connection to any controller; direct commands still reach them. */
     val mute = HashSet<String>()
 
     /** What messages to a host take longer. */
--- a/src/test/kotlin/wardmux/sim/GangFaultDay.kt
+++ b/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
@@ -20,10 +20,10 @@
 import wardmux.serialization.lenientJson
 
 /**
- * One gang in a simulated simulation. Beyond the [Rules], each order to start is held against the
+ * One gang in a simulated simulation. Beyond the [Rules], each command to start is held against the
  * stored pages, and no two attempts may be on machines at the same time, in whichever zones.
  */
-internal class GangFaultDay(seed: Long, txnOps: Int = 8, gangWaitS: Double = 35.0) {
+internal class SingleGangScenario(seed: Long, txnOps: Int = 8, gangWaitS: Double = 35.0) {
     val simulation = ClusterSimulation(seed, txnOps, gangWaitS = gangWaitS)
     val clock = simulation.clock
     lateinit var gang: JobSpec
@@ -32,7 +32,7 @@
     /** The machines that each attempt of each task was recorded on before it was started. */
     val recordedOn = HashMap<Pair<Int, Int>, HashSet<String>>()
 
-    /** Called with the controller and the machine of each direct order to start. */
+    /** Called with the controller and the machine of each direct command to start. */
     var whenStarted: (by: String, machine: String) -> Unit = { _, _ -> }
 
     fun submit(
@@ -111,12 +111,12 @@
         return places.mapNotNull { id -> simulation.cloud.workers().find { it.id == id } }
     }
 
-    /** Reports arrive, but neither answers nor orders reach it. */
+    /** Heartbeats arrive, but neither answers nor commands reach it. */
     fun deaf(worker: String, length: Micros) {
         for (node in simulation.nodes) part(node, worker, length)
     }
 
-    /** Its reports do not arrive; orders reach it. */
+    /** Its heartbeats do not arrive; commands reach it. */
     fun mute(worker: String, length: Micros) {
         simulation.network.mute.add(worker)
         clock.after(length) { simulation.network.mute.remove(worker) }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -28,7 +28,7 @@
         AFTER_THE_ROLL,
     }
 
-    private class Day(seed: Long, operators: OperatorSettings = OperatorSettings()) {
+    private class Scenario(seed: Long, operators: OperatorSettings = OperatorSettings()) {
         val simulation = ClusterSimulation(seed, operators = operators)
         val clock = simulation.clock
         val jobs = ArrayList<JobSpec>()
@@ -217,40 +217,44 @@
     @MethodSource("seeds")
     fun `no rule is broken while both versions serve, whatever fails`(seed: Long) {
         val relays = OperatorSettings(reportsPerCore = 0.0)
-        val day = Day(seed, if (seed % 2 == 0L) relays else OperatorSettings())
+        val scenario = Scenario(seed, if (seed % 2 == 0L) relays else OperatorSettings())
         val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
         val at =
             when (fall) {
-                LimitsFall.BEFORE_THE_ROLL -> day.clock.between(10.seconds, 20.seconds)
-                LimitsFall.DURING_THE_ROLL -> day.clock.between(35.seconds, 60.seconds)
-                LimitsFall.AFTER_THE_ROLL -> day.clock.between(90.seconds, 110.seconds)
+                LimitsFall.BEFORE_THE_ROLL -> scenario.clock.between(10.seconds, 20.seconds)
+                LimitsFall.DURING_THE_ROLL -> scenario.clock.between(35.seconds, 60.seconds)
+                LimitsFall.AFTER_THE_ROLL -> scenario.clock.between(90.seconds, 110.seconds)
             }
-        day.clock.after(at) { day.simulation.state.lower(LOWER) }
-        for (second in 2..130 step 7) day.clock.after(second.seconds) { day.submit() }
-        day.lateMessages(until = 130.seconds)
-        day.roll(from = 25.seconds, apart = 25.seconds)
-        day.troubles((seed % 3).toInt(), from = 28.seconds, apart = 17.seconds)
-        day.end()
+        scenario.clock.after(at) { scenario.simulation.state.lower(LOWER) }
+        for (second in 2..130 step 7) scenario.clock.after(second.seconds) { scenario.submit() }
+        scenario.lateMessages(until = 130.seconds)
+        scenario.roll(from = 25.seconds, apart = 25.seconds)
+        scenario.troubles((seed % 3).toInt(), from = 28.seconds, apart = 17.seconds)
+        scenario.end()
     }
 
     @Test
     fun `leadership passes from old to new, back to old and to new again`() {
-        val day = Day(seed = 5)
-        val (first, second, third) = day.simulation.nodes
-        val clock = day.clock
-        for (at in 2..120 step 7) clock.after(at.seconds) { day.submit() }
-        day.lateMessages(until = 120.seconds)
-        clock.after(15.seconds) { day.renew(second) }
-        clock.after(25.seconds) { day.lead(second) }
-        clock.after(32.seconds) { day.simulation.state.lower(LOWER) }
-        clock.after(50.seconds) { day.lead(first) }
-        clock.after(75.seconds) { day.lead(second) }
-        clock.after(95.seconds) { day.renew(first) }
-        clock.after(100.seconds) { day.renew(third) }
-        day.end()
-        val turns = day.leaders.filterIndexed { i, new -> i == 0 || day.leaders[i - 1] != new }
+        val scenario = Scenario(seed = 5)
+        val (first, second, third) = scenario.simulation.nodes
+        val clock = scenario.clock
+        for (at in 2..120 step 7) clock.after(at.seconds) { scenario.submit() }
+        scenario.lateMessages(until = 120.seconds)
+        clock.after(15.seconds) { scenario.renew(second) }
+        clock.after(25.seconds) { scenario.lead(second) }
+        clock.after(32.seconds) { scenario.simulation.state.lower(LOWER) }
+        clock.after(50.seconds) { scenario.lead(first) }
+        clock.after(75.seconds) { scenario.lead(second) }
+        clock.after(95.seconds) { scenario.renew(first) }
+        clock.after(100.seconds) { scenario.renew(third) }
+        scenario.end()
+        val turns =
+            scenario.leaders.filterIndexed { i, new -> i == 0 || scenario.leaders[i - 1] != new }
         assertEquals(listOf(false, true, false, true), turns)
-        assertTrue(day.simulation.state.beyond.isNotEmpty(), "the old leader was refused nothing")
+        assertTrue(
+            scenario.simulation.state.beyond.isNotEmpty(),
+            "the old leader was refused nothing",
+        )
     }
 
     companion object {
