--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -50,12 +50,21 @@
         val silence = context.now - (machine.lastHeartbeatAt ?: return)
         if (!machine.isEmpty && leases.isOver(machine)) expireLease(machine, silence)
         if (machine.hasUnansweredStart && machine.forwardedBy != null) releaseUnsentStarts(machine)
-        // Past the time in its notice, and silent: deleting it proves that it is preempted, sooner
-        // than waiting for the end of its lease does.
-        val preempted =
-            context.now > machine.preemptedAt + PREEMPTION_MARGIN && silence > PREEMPTION_MARGIN
-        if (preempted) decommissioner.decommission(machine, DecommissionReason.PREEMPTED)
+        if (isPreempted(machine, silence)) {
+            decommissioner.decommission(machine, DecommissionReason.PREEMPTED)
+        }
         if (silence > timeouts.overdue) prober.probe(machine)
+        addSuspect(machine, silence, suspects)
+    }
+
+    /**
+     * Past the time in the provider's notice, and silent. Deleting the machine proves that it is
+     * preempted, sooner than waiting for the end of its lease does.
+     */
+    private fun isPreempted(machine: Machine, silence: Micros) =
+        context.now > machine.preemptedAt + PREEMPTION_MARGIN && silence > PREEMPTION_MARGIN
+
+    private fun addSuspect(machine: Machine, silence: Micros, suspects: Suspects) {
         when {
             silence > timeouts.lost -> suspects.silent.add(machine)
             silence > timeouts.unreachable && machine.hasProbeFailed ->
