--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Past the time in its notice, and silent: deleting it proves that it is preempted, sooner than
-     * waiting for the end of its lease does.
+     * Past the time in the provider's notice, and silent. Deleting the machine proves that it is
+     * preempted, sooner than waiting for the end of its lease does.
      */
     private fun isPreempted(machine: Machine, silence: Micros) =
         context.now > machine.preemptedAt + PREEMPTION_MARGIN && silence > PREEMPTION_MARGIN
@@ -83,7 +83,7 @@
         if (silence > leases.maxLeaseDuration && machine.holdsCancelled) {
             decommissioner.decommission(machine, DecommissionReason.LEASE_EXPIRED)
         }
-        cluster.releaseAll(machine, "lease over")
+        cluster.clear(machine, "lease over")
     }
 
     /**
