--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -9,7 +9,7 @@
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.drain.DrainApi
 import wardmux.election.LeaderElection
 import wardmux.election.Role
@@ -138,19 +138,19 @@
 
     /** Handles one input that came at the given steady and wall time. */
     fun handle(now: Micros, wall: Micros, input: Input): List<Effect> {
-        context.at(now, wall)
+        context.setTime(now, wall)
         when (input) {
             is Input.Tick -> tick()
             is Input.Request -> call(input)
-            is Input.Response -> context.settle(input)
-            is Input.Solved -> context.settle(input)
+            is Input.Response -> context.complete(input)
+            is Input.Computed -> context.complete(input)
         }
         store.sendDue()
-        return context.take()
+        return context.takeEffects()
     }
 
     /** The effects so far of an input whose handling failed. */
-    fun pendingEffects(): List<Effect> = context.take()
+    fun pendingEffects(): List<Effect> = context.takeEffects()
 
     private fun tick() {
         leadership.tick()
@@ -169,8 +169,8 @@
 
     private fun call(call: Input.Request) {
         val path = call.path.substringBefore('?')
-        if (call.port == Port.PEER) return peerCall(call, path)
-        if (call.port == Port.OPERATOR) return operatorCall(call)
+        if (call.listener == ListenerKind.PEER) return peerCall(call, path)
+        if (call.listener == ListenerKind.OPERATOR) return operatorCall(call)
         val parts = path.removePrefix("/").split('/')
         when {
             path == ApiPaths.READY -> only("GET", call) { ready(call.id) }
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -11,14 +11,14 @@
 import wardmux.config.SettingsFiles
 import wardmux.core.Effect
 import wardmux.core.Input
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.core.Target
-import wardmux.drain.PlanWorker
 import wardmux.http.HttpClient
 import wardmux.http.HttpServer
 import wardmux.logging.logger
 import wardmux.model.Micros
 import wardmux.model.milliseconds
+import wardmux.store.KeyValueStore
 
 /** Binds the core to sockets and clocks; one event loop owns both. */
 class Daemon(private val platform: PlatformConfig, private val operators: OperatorSettings) {
@@ -30,7 +30,7 @@
         HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) {
             feed(Input.Request(it.id, it.port, it.method, it.path, it.body))
         }
-    private val solver = PlanWorker()
+    private val backgroundExecutor = BackgroundExecutor()
     private val clients = HashMap<Target, HttpClient>()
     private val workers =
         object : LinkedHashMap<String, HttpClient>(16, 0.75f, true) {
@@ -63,8 +63,8 @@
                 )
             }
             .sync()
-        bind(platform.peerAddress, Port.PEER)
-        val api = bind(platform.apiAddress, Port.API)
+        bind(platform.peerAddress, ListenerKind.PEER)
+        val api = bind(platform.apiAddress, ListenerKind.API)
         log.info("{} listens for users on {}", platform.member, platform.apiAddress)
         listenForOperators(api)
     }
@@ -84,7 +84,7 @@
     private fun bindOperators(isRetry: Boolean): Boolean {
         val address = operators.drain?.listener ?: return true
         try {
-            bind(address, Port.OPERATOR)
+            bind(address, ListenerKind.OPERATOR)
             log.info("{} listens for operators on {}", platform.member, address)
             return true
         } catch (e: BindException) {
@@ -102,7 +102,7 @@
         return "$wall-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
     }
 
-    private fun bind(text: String, port: Port) =
+    private fun bind(text: String, port: ListenerKind) =
         server.listen(requireNotNull(SettingsFiles.address(text)), port)
 
     private fun feed(input: Input) {
@@ -121,9 +121,9 @@
 
     private fun perform(effect: Effect) {
         when (effect) {
-            is Effect.Solve ->
-                solver.solve(effect.problem, effect.limit) { plan ->
-                    group.next().execute { feed(Input.Solved(effect.id, plan)) }
+            is Effect.Compute ->
+                backgroundExecutor.execute(effect.task) { result ->
+                    group.next().execute { feed(Input.Computed(effect.id, result)) }
                 }
             is Effect.Respond ->
                 server.answer(effect.id, effect.status, effect.body, effect.retryAfterS)
--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -116,7 +116,7 @@
         return (limits.minOrNull() ?: 0.0) - age(job)
     }
 
-    private fun age(job: Job) = (context.wall - job.acceptedAt).inSeconds
+    private fun age(job: Job) = (context.wallTime - job.acceptedAt).inSeconds
 
     private companion object {
         const val HORIZON_BOOTS = 0.5
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -89,7 +89,7 @@
         val known = cluster.machines[id]
         val machine = known ?: fleet.machine(id, entry.type, entry.zone, entry.spot) ?: return false
         machine.hasOnlyStaleHeartbeats = false
-        machine.listed(context.wall, entry.heldS.seconds)
+        machine.listed(context.wallTime, entry.heldS.seconds)
         if (known == null) log.debug("{} is listed as {} and was not known", id, entry.status)
         when (entry.status) {
             "failed" -> {
--- a/src/main/kotlin/wardmux/drain/DrainDesk.kt
+++ b/src/main/kotlin/wardmux/drain/DrainDesk.kt
@@ -94,7 +94,7 @@
         }
 
     private fun problem(request: DrainRequest): String? =
-        DrainRequests.problem(request, context.wall)
+        DrainRequests.problem(request, context.wallTime)
             ?: selection.problem(request.select, types(), zones)
 
     private fun start(body: ByteArray, answer: (OperatorAnswer) -> Unit) {
@@ -111,7 +111,7 @@
             return answer(OperatorAnswers.conflict("can't be read", DrainState.FAILED))
         if (selection.targets(request, selection.newest).isEmpty())
             return answer(OperatorAnswers.malformed("select: no machine is selected"))
-        val now = context.wall.value
+        val now = context.wallTime.value
         val record =
             DrainRecord(request, DrainState.PLANNED, token.value, now, now, selection.newest)
         if (jsonBytes(record.toJson()) > drains.maxBytes / PART_FOR_REQUEST)
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -143,7 +143,7 @@
     private fun isOverdue(record: DrainRecord): Boolean {
         val request = record.request
         val deadline = request.deadline?.let { DrainSelection.momentOf(it) } ?: return false
-        return request.atDeadline == DeadlineAction.PAUSE && context.wall > deadline
+        return request.atDeadline == DeadlineAction.PAUSE && context.wallTime > deadline
     }
 
     /** The next step, if anything is left and nothing speaks against it. */
@@ -167,7 +167,7 @@
                 record.stepsDone + 1,
                 StepPhase.PREPARING,
                 machines.map { it.id.value },
-                beganAt = context.wall.value,
+                beganAt = context.wallTime.value,
             )
         return Decision.Write(record.copy(step = step))
     }
@@ -193,7 +193,7 @@
         executor.reasonToYield(targets)?.let {
             return it
         }
-        val at = MaintenanceWindows.instantOf(context.wall)
+        val at = MaintenanceWindows.instantOf(context.wallTime)
         if (windows.isOpenFor(at, expectedLength(record))) return null
         return "a maintenance window; the next is from ${windows.next(at)?.from}"
     }
@@ -225,7 +225,7 @@
             val pause = settings.budgetOf(team).stepPauseS.seconds
             if (pause == Micros.ZERO) continue
             if (isInAnyStep(team)) return "another step that disrupts $team is under way"
-            val since = context.wall - Micros(last)
+            val since = context.wallTime - Micros(last)
             if (last > 0 && since < pause)
                 return "the pause between two steps of $team, ${(pause - since).inSeconds.toInt()} s"
         }
@@ -262,7 +262,7 @@
 
     /** A pause that comes and goes with single losses is not written each time. */
     private fun isTooSoon(record: DrainRecord) =
-        context.wall.value - record.changedAt < LEAST_BETWEEN_CHANGES.value
+        context.wallTime.value - record.changedAt < LEAST_BETWEEN_CHANGES.value
 
     private val DrainRecord.pausedByItself: Boolean
         get() = state == DrainState.PAUSED && reason?.endsByItself == true
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -107,7 +107,7 @@
      * written and what became of that.
      */
     fun write(changed: DrainRecord, then: (DrainRecord, DrainWrite) -> Unit) {
-        val record = changed.copy(token = role.token.value, changedAt = context.wall.value)
+        val record = changed.copy(token = role.token.value, changedAt = context.wallTime.value)
         val id = record.request.id
         val mine = generation
         writing[id] = record
--- a/src/main/kotlin/wardmux/drain/PlanDesk.kt
+++ b/src/main/kotlin/wardmux/drain/PlanDesk.kt
@@ -83,7 +83,7 @@
         solveAt = context.now + (settings.solverTimeS / settings.solverShare).seconds
         val asked = Pending(context.now)
         pending[request.id] = asked
-        context.solve(problem, settings.solverTimeS.seconds) { plan ->
+        context.compute(DrainPlanning(problem, settings.solverTimeS.seconds)) { plan ->
             asked.isAnswered = true
             asked.plan = plan
             log.debug("plan for {}: {} steps", request.id, plan?.steps?.size)
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -100,7 +100,7 @@
         val moving = machines.flatMap { tasksToMove(it, record.request) }
         val unseated = seats.unseated(moving)
         if (unseated.isEmpty()) return emptying(record, step)
-        val since = context.wall.value - step.beganAt
+        val since = context.wallTime.value - step.beganAt
         if (since >= patience(machines)) return smaller(record, step, machines)
         return waitForRoom(unseated)
     }
@@ -141,7 +141,7 @@
     }
 
     private fun emptying(record: DrainRecord, step: DrainStep): Decision {
-        val now = context.wall.value
+        val now = context.wallTime.value
         val next = step.copy(phase = StepPhase.EMPTYING, emptyingSince = now)
         return Decision.Write(record.copy(step = next))
     }
@@ -174,7 +174,7 @@
     /** Decides which tasks are stopped next, and has that recorded first. */
     private fun stopMore(record: DrainRecord, step: DrainStep, open: List<Machine>): Decision {
         val graceOver =
-            context.wall.value - step.emptyingSince >= record.request.graceS.seconds.value
+            context.wallTime.value - step.emptyingSince >= record.request.graceS.seconds.value
         val candidates =
             open
                 .filter { it.confirmed }
@@ -235,7 +235,7 @@
             return Decision.Wait(
                 "${moving.size} moved tasks do not run again yet: ${moving.first()}"
             )
-        val now = context.wall.value
+        val now = context.wallTime.value
         return Decision.Write(
             record.copy(
                 step = null,
--- a/src/main/kotlin/wardmux/fleet/Fleet.kt
+++ b/src/main/kotlin/wardmux/fleet/Fleet.kt
@@ -324,7 +324,7 @@
                 log.info("{} was refused by {}: {}", placement.task, machine.id, reported.cause)
                 cluster.release(placement, "refused")
                 machine.pausedUntil = context.now + REFUSED_PAUSE
-                if (reported.cause == "unknown") job.backoffUntil = context.wall + UNKNOWN_PAUSE
+                if (reported.cause == "unknown") job.backoffUntil = context.wallTime + UNKNOWN_PAUSE
             }
         }
     }
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -43,7 +43,7 @@
         log.info("a task of {} failed on {}, {} in a row there", job.id, machine.id, own)
         if (job.isFailing) {
             val pause = FAILED_PAUSE * job.failedMachines.size.coerceAtMost(MOST_PAUSES).toDouble()
-            job.backoffUntil = context.wall + pause
+            job.backoffUntil = context.wallTime + pause
         }
         val blameless = !job.isFailing && own >= SICK_FAILURES
         if (machine.failures.size >= 2 || blameless) decommission(machine, "tasks fail on it")
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -26,7 +26,7 @@
 import java.util.concurrent.TimeUnit
 import org.agrona.collections.Long2ObjectHashMap
 import wardmux.core.HttpStatus
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.logging.logger
 import wardmux.model.Micros
 
@@ -42,7 +42,7 @@
 /** A request as it came in; answered with [HttpServer.answer]. */
 class Arrival(
     val id: Long,
-    val port: Port,
+    val port: ListenerKind,
     val method: String,
     val path: String,
     val body: ByteArray,
@@ -67,7 +67,7 @@
     private var workers = 0
 
     /** Accepts connections on [address]; requests come in under [port]. */
-    fun listen(address: InetSocketAddress, port: Port): Channel =
+    fun listen(address: InetSocketAddress, port: ListenerKind): Channel =
         ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel::class.java)
@@ -91,7 +91,8 @@
             .channel()
 
     /** What the controllers tell each other is not bound by PROTOCOL. */
-    private fun maxBody(port: Port) = if (port == Port.PEER) MAX_PEER_BYTES else MAX_BODY_BYTES
+    private fun maxBody(port: ListenerKind) =
+        if (port == ListenerKind.PEER) MAX_PEER_BYTES else MAX_BODY_BYTES
 
     /** Answers a request once; without effect if its connection is gone. */
     fun answer(id: Long, status: Int, body: ByteArray, retryAfterS: Int?) {
@@ -131,14 +132,15 @@
             respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
     }
 
-    private inner class Connection(private val port: Port) : ChannelInboundHandlerAdapter() {
+    private inner class Connection(private val port: ListenerKind) :
+        ChannelInboundHandlerAdapter() {
         private var current = 0L
         private var worker = false
 
         override fun channelActive(context: ChannelHandlerContext) {
             open++
             // Too many: an answer at once, so that the asker can go elsewhere.
-            if (port == Port.API && open > maxConnections) {
+            if (port == ListenerKind.API && open > maxConnections) {
                 respond(context.channel(), false, HttpStatus.SERVICE_UNAVAILABLE, ByteArray(0), 1)
             }
         }
@@ -151,7 +153,7 @@
 
         /** False if this is one worker more than there are to be. */
         private fun admits(path: String): Boolean {
-            if (worker || port != Port.API || path != ApiPaths.REPORT) return true
+            if (worker || port != ListenerKind.API || path != ApiPaths.REPORT) return true
             worker = true
             return ++workers <= maxWorkers
         }
--- a/src/main/kotlin/wardmux/jobs/Intake.kt
+++ b/src/main/kotlin/wardmux/jobs/Intake.kt
@@ -141,7 +141,7 @@
 
     private fun accept(call: Long, spec: JobSpec) {
         val id = spec.jobId
-        val record = JobRecord(JobState.ACCEPTED, context.wall.value, spec).toJson()
+        val record = JobRecord(JobState.ACCEPTED, context.wallTime.value, spec).toJson()
         val changes =
             listOf(
                 WriteOperation(put = JobRecord.key(id), data = record),
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -442,7 +442,7 @@
     }
 
     override fun finished(job: Job) {
-        val took = context.wall - job.acceptedAt
+        val took = context.wallTime - job.acceptedAt
         log.info(
             "{} is done: {} {} tasks for {} took {} s, due after {} s",
             job.id,
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -78,7 +78,7 @@
 
     fun place(job: Job, task: Int, machine: Machine): Placement {
         val cost = cost(job.spec, estimates.runTime(job.spec))
-        val charge = queue.charge(job.spec.team, cost, context.wall)
+        val charge = queue.charge(job.spec.team, cost, context.wallTime)
         val placement =
             Placement(
                 job,
@@ -89,7 +89,7 @@
                 machine.zone,
                 charge,
             )
-        job.place(placement, context.wall)
+        job.place(placement, context.wallTime)
         restore(placement, machine)
         machine.useImage(job.spec.image, job.spec.imageGb, context.now)
         return placement
@@ -161,7 +161,7 @@
             why,
         )
         unbook(placement)
-        placement.job.release(placement, context.wall)
+        placement.job.release(placement, context.wallTime)
         val gang = placement.job.gang
         if (gang != null && gang.ran && !placement.job.allTasksDone) breakAttempt(placement.job)
         changed()
@@ -186,8 +186,8 @@
     fun undo(placement: Placement) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         unbook(placement)
-        queue.undo(placement.job.spec.team, placement.charge, context.wall)
-        placement.job.undo(placement, context.wall)
+        queue.undo(placement.job.spec.team, placement.charge, context.wallTime)
+        placement.job.undo(placement, context.wallTime)
         changed()
     }
 
@@ -214,7 +214,7 @@
         if (since != null) {
             val ran = context.now - since
             estimates.learn(job.spec, ran)
-            queue.correct(job.spec.team, placement.charge, cost(job.spec, ran), context.wall)
+            queue.correct(job.spec.team, placement.charge, cost(job.spec, ran), context.wallTime)
         }
         complete(job, placement.task.index)
         release(placement, "done")
@@ -222,8 +222,8 @@
 
     /** The tasks of a gang complete together: one that is done says it of all. */
     fun complete(job: Job, task: Int) {
-        if (!job.spec.isGang) return job.complete(task, context.wall)
-        for (each in 0 until job.spec.tasks) job.complete(each, context.wall)
+        if (!job.spec.isGang) return job.complete(task, context.wallTime)
+        for (each in 0 until job.spec.tasks) job.complete(each, context.wallTime)
     }
 
     /** Everything on the machine is proven gone. */
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -199,7 +199,7 @@
         addExpiredDecommissions(draft)
         if (draft.changes.isEmpty()) return
         draft.conditions.add(VersionCondition(FairQueue.KEY, tagsVersion))
-        draft.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
+        draft.put(FairQueue.KEY, cluster.queue.toJson(context.wallTime, store.maxValueBytes))
         inFlight = true
         store.multi(draft.conditions, draft.changes, RequestPriority.LEADER) { settle(draft, it) }
         nextAt = context.now + period
@@ -244,7 +244,7 @@
     private fun addDirty(draft: Draft) {
         for (job in cluster.jobs.values) {
             val since = job.dirtySince ?: continue
-            if (job.hasEnded || job.allTasksDone || context.wall - since < PATIENCE) continue
+            if (job.hasEnded || job.allTasksDone || context.wallTime - since < PATIENCE) continue
             for (page in job.dirtyPages()) {
                 if (job.hasPlanned(page)) continue
                 val key = Job.pageKey(job.id, page)
@@ -365,7 +365,7 @@
     /** Surely not written: planned placements are undone, the rest is tried again. */
     private fun takeBack(draft: Draft) {
         for (written in draft.pages) {
-            if (!written.removed) written.job.markDirty(written.page, context.wall)
+            if (!written.removed) written.job.markDirty(written.page, context.wallTime)
             for (placement in written.planned) cluster.undo(placement)
         }
     }
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -56,7 +56,8 @@
     fun plan(admission: Admission) {
         mostBytes = admission.mostBytes
         gangPlacement.mostBytes = mostBytes
-        val ready = cluster.jobs.values.filter { it.waiting > 0 && context.wall >= it.backoffUntil }
+        val ready =
+            cluster.jobs.values.filter { it.waiting > 0 && context.wallTime >= it.backoffUntil }
         if (ready.isEmpty()) {
             if (cluster.jobs.values.all { it.placements.isEmpty() }) cluster.queue.idle()
             return
@@ -73,7 +74,7 @@
                     jobs
                         .groupBy { it.spec.team }
                         .mapValues { (team, own) ->
-                            order.sort(own, counted(team, scarce), context.wall)
+                            order.sort(own, counted(team, scarce), context.wallTime)
                         }
                 }
         for (exact in listOf(true, false)) {
@@ -212,7 +213,7 @@
     private fun isOverdue(job: Job) =
         !job.hasStarted &&
             !job.isFailing &&
-            context.wall - job.acceptedAt > operators.longestWaitS.seconds
+            context.wallTime - job.acceptedAt > operators.longestWaitS.seconds
 
     /** True if machines of this type are held, and for other work than this. */
     fun isHeldFrom(spec: JobSpec, type: MachineType) =
--- a/src/test/kotlin/wardmux/app/ReadyTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadyTest.kt
@@ -3,7 +3,7 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.Json
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.model.seconds
 import wardmux.peers.PeerHeartbeat
 import wardmux.peers.PeerHeartbeatCodec
@@ -22,7 +22,7 @@
                 PeerHeartbeatCodec.encode(
                     PeerHeartbeat("n1", stateSilence = siblingsSilence(it) * 1_000_000)
                 )
-            harness.call("POST", "/beat", heartbeat, Port.PEER)
+            harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)
             harness.call("GET", "/submissions/job-000001")
             harness.run(1.seconds)
         }
@@ -32,7 +32,12 @@
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.run(2.seconds)
         repeat(20) {
-            harness.call("POST", "/beat", PeerHeartbeatCodec.encode(PeerHeartbeat("n1")), Port.PEER)
+            harness.call(
+                "POST",
+                "/beat",
+                PeerHeartbeatCodec.encode(PeerHeartbeat("n1")),
+                ListenerKind.PEER,
+            )
             harness.run(1.seconds)
             assertEquals(200, ready())
         }
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackSite.kt
@@ -11,8 +11,8 @@
 import wardmux.config.StoreLimits
 import wardmux.config.TeamQuota
 import wardmux.config.WorkerTiming
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.election.LeaderRecord
 import wardmux.http.Arrival
 import wardmux.http.HttpClient
@@ -110,7 +110,7 @@
             }
         }
         server = HttpServer(acceptors, MANY, MANY, IDLE_S, onArrival)
-        val channel = server.listen(InetSocketAddress(HOST, 0), Port.PEER)
+        val channel = server.listen(InetSocketAddress(HOST, 0), ListenerKind.PEER)
         return (channel.localAddress() as InetSocketAddress).port
     }
 
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -7,8 +7,8 @@
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.config.OperatorSettings
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.model.Micros
 import wardmux.model.seconds
 import wardmux.peers.PeerHeartbeat
@@ -33,7 +33,8 @@
     }
 
     private fun send(batch: HeartbeatBatch): HeartbeatBatchResponse? {
-        val status = harness.call("POST", "/relay", ForwardingCodec.encode(batch), Port.PEER)?.first
+        val status =
+            harness.call("POST", "/relay", ForwardingCodec.encode(batch), ListenerKind.PEER)?.first
         if (status != 200) return null
         return ForwardingCodec.answer(harness.bytesOf(harness.lastCall))
     }
@@ -63,7 +64,12 @@
     private fun ownReport() = own.forEach { it.report(token) }
 
     private fun heartbeat() =
-        harness.call("POST", "/beat", PeerHeartbeatCodec.encode(PeerHeartbeat("n1")), Port.PEER)
+        harness.call(
+            "POST",
+            "/beat",
+            PeerHeartbeatCodec.encode(PeerHeartbeat("n1")),
+            ListenerKind.PEER,
+        )
 
     private fun starts(task: String) = harness.direct.count { "\"start\"" in it && task in it }
 
@@ -105,7 +111,10 @@
         batch(listOf(first))
         harness.run(1.seconds)
         assertEquals(null, send(HeartbeatBatch("n1", "b", 1, token - 1, 0, 0)))
-        assertEquals(400, harness.call("POST", "/relay", ByteArray(9) { -1 }, Port.PEER)?.first)
+        assertEquals(
+            400,
+            harness.call("POST", "/relay", ByteArray(9) { -1 }, ListenerKind.PEER)?.first,
+        )
     }
 
     private val many = List(6) { "i-00000${it + 1}" }
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -7,7 +7,7 @@
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.model.seconds
 import wardmux.peers.PeerHeartbeat
 import wardmux.peers.PeerHeartbeatCodec
@@ -55,7 +55,7 @@
     /** The follower learns the token from the leader's heartbeat. */
     private fun lead(number: Long = token, wants: Boolean = true) {
         val heartbeat = PeerHeartbeat("n1", token = number, wantsRelays = wants)
-        harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
+        harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), ListenerKind.PEER)
         harness.run(1.seconds)
     }
 
--- a/src/test/kotlin/wardmux/http/SocketTest.kt
+++ b/src/test/kotlin/wardmux/http/SocketTest.kt
@@ -8,7 +8,7 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.jobs.submission
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
@@ -21,7 +21,7 @@
         HttpServer(group, maxConnections = 3, maxWorkers = 2, idleSeconds = 60, ::answer)
     private val address =
         server
-            .listen(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), Port.API)
+            .listen(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ListenerKind.API)
             .localAddress() as InetSocketAddress
 
     private fun answer(arrival: Arrival) {
--- a/src/test/kotlin/wardmux/leader/LoneLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/LoneLeaderTest.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.model.seconds
 import wardmux.peers.PeerHeartbeat
 import wardmux.peers.PeerHeartbeatCodec
@@ -58,7 +58,7 @@
         fun pass(heard: List<ManualWorker>, inSeconds: Int) =
             repeat(inSeconds) {
                 for (machine in heard) machine.report(token)
-                harness.call("POST", "/beat", heartbeat, Port.PEER)
+                harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)
                 harness.run(1.seconds)
             }
         pass(machines, 4)
@@ -80,7 +80,7 @@
             harness.run(1.seconds)
         }
         repeat(7) {
-            harness.call("POST", "/beat", heartbeat, Port.PEER)
+            harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)
             harness.run(1.seconds)
         }
         assertEquals(null, harness.stored("leader"))
@@ -102,7 +102,7 @@
         harness.run(3.seconds)
         harness.outage()
         repeat(4) {
-            harness.call("POST", "/beat", heartbeat, Port.PEER)
+            harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)
             harness.run(1.seconds)
         }
         assertContains(machines.first().handleHeartbeat(token), "\"baton\":$token")
@@ -118,8 +118,11 @@
         val record = harness.stored("leader")!!.jsonObject
         assertEquals("rig", record.getValue("boot").jsonPrimitive.content)
         val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("stranger", token = Long.MAX_VALUE))
-        assertEquals(400, harness.call("POST", "/beat", heartbeat, Port.PEER)?.first)
-        assertEquals(400, harness.call("POST", "/beat", ByteArray(9) { -1 }, Port.PEER)?.first)
+        assertEquals(400, harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)?.first)
+        assertEquals(
+            400,
+            harness.call("POST", "/beat", ByteArray(9) { -1 }, ListenerKind.PEER)?.first,
+        )
         machine.token()
     }
 
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -8,8 +8,8 @@
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
 import wardmux.config.OperatorSettings
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.FullHeartbeat
 import wardmux.forwarding.HeartbeatBatch
@@ -62,7 +62,7 @@
 
     private fun batch(token: Long, vararg reports: FullHeartbeat): HeartbeatBatchResponse {
         val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports.toList())
-        harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), Port.PEER)
+        harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), ListenerKind.PEER)
         return assertNotNull(ForwardingCodec.answer(harness.bytesOf(harness.lastCall)))
     }
 
--- a/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -6,7 +6,7 @@
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.HeartbeatBatch
 import wardmux.forwarding.HeartbeatBatchResponse
@@ -60,7 +60,7 @@
         }
         harness.run(1.seconds)
         val heartbeat = PeerHeartbeat("n1", token = token, wantsRelays = true)
-        harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), Port.PEER)
+        harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), ListenerKind.PEER)
         harness.run(1.seconds)
     }
 
--- a/src/test/kotlin/wardmux/peers/CancellationsTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationsTest.kt
@@ -7,7 +7,7 @@
 import kotlin.test.assertTrue
 import wardmux.config.StoreLimits
 import wardmux.core.CoreContext
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.model.JobId
 import wardmux.model.Micros
 import wardmux.model.seconds
@@ -111,7 +111,7 @@
                 "POST",
                 "/beat",
                 PeerHeartbeatCodec.encode(PeerHeartbeat("n1", heard = heard)),
-                Port.PEER,
+                ListenerKind.PEER,
             )
             PeerHeartbeatCodec.told(harness.bytesOf(harness.lastCall))!!
         }
@@ -130,12 +130,12 @@
     }
 
     private class Known {
-        val context = CoreContext().also { it.at(100.seconds, 100.seconds) }
+        val context = CoreContext().also { it.setTime(100.seconds, 100.seconds) }
         private val store = KeyValueStore(context, StoreLimits(900.0, 900.0, 8.0, 8), 2)
         val cancellations = Cancellations(context, store, "own", listOf("n1"), 60.seconds) {}
         private val job = JobId("job-000001")
 
-        fun at(second: Int) = context.at(second.seconds, second.seconds)
+        fun at(second: Int) = context.setTime(second.seconds, second.seconds)
 
         fun toldBy(peer: List<String>) =
             cancellations.accept("n1", CancellationUpdate("b", 1_000_000_000, 0, peer), context.now)
--- a/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangRoomTest.kt
@@ -45,7 +45,7 @@
         harness.cluster.undo(gang.placements.values.first())
         harness.cluster.book(spec.copy(cpus = 700.0 - 7 * spec.cpus), 1)
         val later = harness.context.now + 60.seconds
-        harness.context.at(later, later)
+        harness.context.setTime(later, later)
         plan()
         assertEquals(true, gang.gang?.broken)
         assertEquals(setOf(Micros.ZERO), gang.placements.values.map { it.gracePeriod }.toSet())
--- a/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
@@ -40,7 +40,7 @@
     private fun job(spec: JobSpec) = Job(spec, KeyVersion(1), Micros.ZERO, 128)
 
     private fun observe(at: Micros, vararg specs: JobSpec) {
-        context.at(at, at)
+        context.setTime(at, at)
         pools.observe(specs.map { job(it) })
     }
 
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -22,7 +22,7 @@
 
 /** A planner with all that it needs, for decisions set up by hand. */
 class PlannerHarness(teams: List<TeamQuota>, types: List<MachineType>, now: Micros) {
-    val context = CoreContext().also { it.at(now, now) }
+    val context = CoreContext().also { it.setTime(now, now) }
     val cluster =
         ClusterState(
             context,
@@ -60,7 +60,7 @@
         val placement = placement(job, task, machine)
         placement.committed = true
         placement.status = TaskStatus.RUNNING
-        job.place(placement, context.wall)
+        job.place(placement, context.wallTime)
         cluster.restore(placement, machine)
     }
 
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -20,9 +20,10 @@
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.core.Target
+import wardmux.drain.DrainPlanning
 import wardmux.drain.SolverPlanner
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
@@ -31,6 +32,7 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
+import wardmux.store.KeyValueStore
 
 /** Real controllers among fakes of all that they deal with, in simulated time. */
 class ClusterSimulation(
@@ -170,15 +172,16 @@
             when (effect) {
                 is Effect.Respond -> answers.remove(effect.id)?.invoke(effect.status, effect.body)
                 is Effect.SendRequest -> send(effect)
-                is Effect.Solve -> solve(effect)
+                is Effect.Compute -> compute(effect)
             }
         }
 
         /** Bounded by nodes and not by time, so that a seed always gives the same day. */
-        private fun solve(effect: Effect.Solve) {
+        private fun compute(effect: Effect.Compute) {
             if (lostPlans > 0 && clock.chance(lostPlans)) return
-            val plan = SolverPlanner.plan(effect.problem, 60.seconds, nodes = 2_000)
-            clock.after(200.milliseconds) { feed(Input.Solved(effect.id, plan)) }
+            val planning = effect.task as DrainPlanning
+            val plan = SolverPlanner.plan(planning.problem, 60.seconds, nodes = 2_000)
+            clock.after(200.milliseconds) { feed(Input.Computed(effect.id, plan)) }
         }
 
         private fun send(effect: Effect.SendRequest) {
@@ -218,7 +221,14 @@
                     else clock.after(late) { deliver(workers[host], effect.path, body, back) }
                 }
                 is Target.Peer ->
-                    call(target.member, Port.PEER, effect.method, effect.path, effect.body, answer)
+                    call(
+                        target.member,
+                        ListenerKind.PEER,
+                        effect.method,
+                        effect.path,
+                        effect.body,
+                        answer,
+                    )
             }
         }
     }
@@ -259,7 +269,7 @@
 
     private fun call(
         member: String,
-        port: Port,
+        port: ListenerKind,
         method: String,
         path: String,
         body: ByteArray,
@@ -277,7 +287,9 @@
         body: String,
         answer: (Int, String) -> Unit,
     ) {
-        val again = { call(node, Port.API, "POST", "/hello", body.encodeToByteArray()) { _, _ -> } }
+        val again = {
+            call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray()) { _, _ -> }
+        }
         network.copy(again)
         if (id in network.mute) return
         network.reportAgain(again)
@@ -286,7 +298,7 @@
                 network.send(node, id) { answer(status, text.decodeToString()) }
             }
             if (connections.admits(id, node))
-                call(node, Port.API, "POST", "/hello", body.encodeToByteArray(), back)
+                call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray(), back)
             else back(HttpStatus.SERVICE_UNAVAILABLE, ByteArray(0))
         }
     }
@@ -354,7 +366,7 @@
         body: String = "",
         by: String? = null,
         then: (status: Int?, text: String) -> Unit,
-    ) = ask(Port.OPERATOR, method, path, body.encodeToByteArray(), by, then)
+    ) = ask(ListenerKind.OPERATOR, method, path, body.encodeToByteArray(), by, then)
 
     // Users.
 
@@ -364,10 +376,10 @@
         body: ByteArray,
         by: String? = null,
         then: (status: Int?, text: String) -> Unit,
-    ) = ask(Port.API, method, path, body, by, then)
+    ) = ask(ListenerKind.API, method, path, body, by, then)
 
     private fun ask(
-        port: Port,
+        port: ListenerKind,
         method: String,
         path: String,
         body: ByteArray,
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -20,8 +20,8 @@
 import wardmux.config.WorkerTiming
 import wardmux.core.Effect
 import wardmux.core.Input
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.core.Target
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
@@ -32,6 +32,7 @@
 import wardmux.model.milliseconds
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
+import wardmux.store.KeyValueStore
 
 /** One controller whose state service answers at once, for situations set up by hand. */
 class ControllerHarness(
@@ -127,7 +128,7 @@
         method: String,
         path: String,
         body: ByteArray = ByteArray(0),
-        port: Port = Port.API,
+        port: ListenerKind = ListenerKind.API,
     ): Pair<Int, String>? {
         val id = ++calls
         feed(Input.Request(id, port, method, path, body))
@@ -171,7 +172,7 @@
                 }
                 is Effect.SendRequest -> send(effect)
                 // No plan comes: the greedy one has to serve.
-                is Effect.Solve -> Unit
+                is Effect.Compute -> Unit
             }
         }
     }
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.json.Json
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.election.LeaderElection
 import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.FullHeartbeat
@@ -346,7 +346,7 @@
                 val signs = if (sign == null) emptyList() else listOf(old.number, sign)
                 val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports, signs)
                 val answer =
-                    harness.call("POST", "/relay", ForwardingCodec.encode(batch), Port.PEER)
+                    harness.call("POST", "/relay", ForwardingCodec.encode(batch), ListenerKind.PEER)
                 assertEquals(200, answer?.first)
             }
             assertFalse("job-000001/0" in harness.startsElsewhere(token), "session $incarnation")
--- a/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
@@ -17,15 +17,16 @@
 
     private fun pass(inSeconds: Int, ask: () -> Unit = {}) =
         repeat(inSeconds * 10) {
-            context.at(context.now + 100.milliseconds, context.wall)
+            context.setTime(context.now + 100.milliseconds, context.wallTime)
             ask()
             store.sendDue()
-            for (effect in context.take()) if (effect is Effect.SendRequest) sent.add(effect.path)
+            for (effect in context.takeEffects()) if (effect is Effect.SendRequest)
+                sent.add(effect.path)
         }
 
     @Test
     fun `behind many questions a follower still learns who leads`() {
-        context.at(1.seconds, 1.seconds)
+        context.setTime(1.seconds, 1.seconds)
         pass(5) { repeat(5) { store.get("j/job-000001") {} } }
         store.watch("leader", 1, 8.seconds, RequestPriority.LEASE) {}
         pass(1) { repeat(5) { store.get("j/job-000001") {} } }
@@ -34,7 +35,7 @@
 
     @Test
     fun `what its turn never comes for is refused in time, not left unanswered`() {
-        context.at(1.seconds, 1.seconds)
+        context.setTime(1.seconds, 1.seconds)
         var refused = 0
         pass(4) {
             repeat(5) { store.get("j/job-000001", RequestPriority.LEADER) {} }
