--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -62,7 +62,7 @@
     private val renewalCounters = RenewalCounters(context)
     private val renewals = LeaseRenewals(context, renewalCounters)
     private val peerHeartbeats = PeerHeartbeats(context, platform.member, peerNames, cancellations)
-    private val reader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
+    private val reader = WorkerHeartbeatReader(platform.deployment.limits.heartbeatCacheBytes)
     private val intake =
         Intake(
             context,
--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -108,8 +108,8 @@
                 .filter { it.jobClass == spec.jobClass }
                 .mapNotNull {
                     when (it.kind) {
-                        "wait" -> it.withinS
-                        "finished" -> it.withinS - run
+                        ServiceLevelObjective.KIND_WAIT -> it.withinS
+                        ServiceLevelObjective.KIND_FINISHED -> it.withinS - run
                         else -> null
                     }
                 } + listOfNotNull(spec.deadlineS?.let { it - run })
--- a/src/main/kotlin/wardmux/config/OperatorSettings.kt
+++ b/src/main/kotlin/wardmux/config/OperatorSettings.kt
@@ -6,41 +6,41 @@
 /** The operators' own settings; each has a default, a unit in its name and a checked range. */
 @Serializable
 data class OperatorSettings(
-    /** Time after which half of a team's past usage is forgotten. */
+    /** Half-life of a team's past usage in fair sharing. */
     @SerialName("half_life_s") val halfLifeS: Double = 600.0,
-    /** Usage that halves a team's weight, in CPU-seconds for each CPU of its guarantee. */
-    @SerialName("norm_s") val normS: Double = 600.0,
+    /** Usage that halves a team's weight, in CPU-seconds for each CPU of its guaranteed share. */
+    @SerialName("norm_s") val usageNormS: Double = 600.0,
     /** How long the leader's lease lasts. */
     @SerialName("leader_lease_s") val leaderLeaseS: Double = 4.0,
     /** Shortest time between two writes of the leader. */
     @SerialName("write_period_s") val writePeriodS: Double = 0.25,
-    /** What a worker's lease is stretched by before it counts as over. */
+    /** Added to a worker's lease before it counts as expired. */
     @SerialName("lease_margin_s") val leaseMarginS: Double = 1.0,
-    /** Reports missed before a machine gets no new tasks. */
-    @SerialName("quiet_reports") val quietReports: Double = 2.5,
-    /** Reports missed before a machine is given up and deleted; its tasks run elsewhere. */
-    @SerialName("lost_reports") val lostReports: Double = 4.0,
-    /** Time an idle machine is kept, in boot times of its type. */
+    /** Heartbeats missed before a machine gets no new tasks. */
+    @SerialName("quiet_reports") val quietHeartbeats: Double = 2.5,
+    /** Heartbeats missed before a machine is decommissioned; its tasks run elsewhere. */
+    @SerialName("lost_reports") val lostHeartbeats: Double = 4.0,
+    /** Time for which an idle machine is kept, in boot times of its type. */
     @SerialName("idle_keep_boots") val idleKeepBoots: Double = 0.9,
-    /** Room kept free for urgent work, as a share of what is in use. */
+    /** Capacity kept free for urgent work, as a share of what is in use. */
     @SerialName("spare_share") val spareShare: Double = 0.15,
-    /** Wait after which urgent work may stop work of a lower urgency. */
+    /** Wait after which urgent work may preempt work of a lower urgency. */
     @SerialName("preempt_after_s") val preemptAfterS: Double = 2.5,
-    /** Wait after which a team below its guarantee may stop what another runs beyond its own. */
-    @SerialName("call_back_after_s") val callBackAfterS: Double = 40.0,
-    /** How long a kind of machine that was refused is left alone. */
+    /** Wait after which a team reclaims its guaranteed share from teams that exceed theirs. */
+    @SerialName("call_back_after_s") val reclaimAfterS: Double = 40.0,
+    /** Back-off after the cloud had no capacity for a kind of machine. */
     @SerialName("refused_pause_s") val refusedPauseS: Double = 15.0,
-    /** Wait after which a job that has not begun goes before all others of its team. */
-    @SerialName("longest_wait_s") val longestWaitS: Double = 120.0,
-    /** Reports a second for each whole core above which followers take reports too. */
-    @SerialName("reports_per_core") val reportsPerCore: Double = 500.0,
+    /** Wait after which a job that has not started goes before all others of its team. */
+    @SerialName("longest_wait_s") val maxWaitS: Double = 120.0,
+    /** Heartbeats a second for each whole core above which followers take heartbeats too. */
+    @SerialName("reports_per_core") val heartbeatsPerCore: Double = 500.0,
     /**
      * Drains of machines for maintenance; without it there are none, and no operators' listener.
      */
     @SerialName("drain") val drain: DrainSettings? = null,
 ) {
-    /** What is wrong, in one line that names the field, or null. */
-    fun problem(): String? = rangeProblem() ?: addressProblem()
+    /** The first error, in one line that names the field, or null. */
+    fun problem(): String? = valueProblem() ?: addressProblem()
 
     private fun addressProblem(): String? {
         val address = drain?.listener ?: return null
@@ -48,26 +48,27 @@
         else "drain.address must be HOST:PORT or :PORT, but is '${drain.address}'"
     }
 
-    private fun rangeProblem(): String? =
+    private fun valueProblem(): String? =
         listOf(
-                range("half_life_s", halfLifeS, 1.0, 1e9),
-                range("norm_s", normS, 1.0, 1e12),
-                range("leader_lease_s", leaderLeaseS, 1.0, 600.0),
-                range("write_period_s", writePeriodS, 0.01, 10.0),
-                range("lease_margin_s", leaseMarginS, 0.1, 60.0),
-                range("quiet_reports", quietReports, 1.5, 100.0),
-                range("lost_reports", lostReports, quietReports, 1000.0),
-                range("idle_keep_boots", idleKeepBoots, 0.0, 1000.0),
-                range("spare_share", spareShare, 0.0, 10.0),
-                range("preempt_after_s", preemptAfterS, 0.0, 3600.0),
-                range("call_back_after_s", callBackAfterS, 0.0, 3600.0),
-                range("refused_pause_s", refusedPauseS, 0.5, 3600.0),
-                range("longest_wait_s", longestWaitS, 1.0, 86400.0),
-                range("reports_per_core", reportsPerCore, 0.0, 1e9),
+                rangeProblem("half_life_s", halfLifeS, 1.0, 1e9),
+                rangeProblem("norm_s", usageNormS, 1.0, 1e12),
+                rangeProblem("leader_lease_s", leaderLeaseS, 1.0, 600.0),
+                rangeProblem("write_period_s", writePeriodS, 0.01, 10.0),
+                rangeProblem("lease_margin_s", leaseMarginS, 0.1, 60.0),
+                rangeProblem("quiet_reports", quietHeartbeats, 1.5, 100.0),
+                rangeProblem("lost_reports", lostHeartbeats, quietHeartbeats, 1000.0),
+                rangeProblem("idle_keep_boots", idleKeepBoots, 0.0, 1000.0),
+                rangeProblem("spare_share", spareShare, 0.0, 10.0),
+                rangeProblem("preempt_after_s", preemptAfterS, 0.0, 3600.0),
+                rangeProblem("call_back_after_s", reclaimAfterS, 0.0, 3600.0),
+                rangeProblem("refused_pause_s", refusedPauseS, 0.5, 3600.0),
+                rangeProblem("longest_wait_s", maxWaitS, 1.0, 86400.0),
+                rangeProblem("reports_per_core", heartbeatsPerCore, 0.0, 1e9),
             )
             .firstOrNull { it != null } ?: drain?.problem()
-
-    private fun range(name: String, value: Double, low: Double, high: Double): String? =
-        if (value.isFinite() && value in low..high) null
-        else "$name must be from $low to $high, but is $value"
 }
+
+/** Why [value] is outside [low] to [high], in one line that names [field], or null. */
+internal fun rangeProblem(field: String, value: Double, low: Double, high: Double): String? =
+    if (value.isFinite() && value in low..high) null
+    else "$field must be from $low to $high, but is $value"
--- a/src/main/kotlin/wardmux/config/SocketBudget.kt
+++ b/src/main/kotlin/wardmux/config/SocketBudget.kt
@@ -1,29 +1,25 @@
 package wardmux.config
 
 /**
- * How the sockets that a controller may have open are divided. What must get through at any load,
- * to the services, the siblings and single machines, is kept from users and workers; and workers
- * leave some to users.
+ * Divides the open-file limit of a controller's process. Sockets to the services, to peers and for
+ * direct commands are reserved, so that users and workers cannot use them up at any load; and
+ * workers leave some to users.
  */
 class SocketBudget(limit: Int) {
-    /**
-     * Direct commands and probes to machines under way at once: each has a connection of its own.
-     */
-    val directCommands = maxOf(LEAST_DIRECT, limit / DIRECT_PART)
+    /** Direct commands and probes to machines at once: each has a connection of its own. */
+    val directCommands = maxOf(MIN_DIRECT_COMMANDS, limit / SOCKETS_PER_DIRECT_COMMAND)
 
     /** Connections that users and workers may have open together. */
     val clients = limit - (SERVICES + directCommands).coerceAtMost(limit / 2)
 
     /** Connections that workers may have open. */
-    val workers = (clients * WORKERS_PART).toInt()
+    val workers = (clients * WORKERS_SHARE).toInt()
 
     private companion object {
-        /**
-         * For the state service, the cloud, the siblings' requests and ours, and what is no socket.
-         */
+        /** For the key-value store, the cloud, peers in both directions, and open files. */
         const val SERVICES = 80
-        const val LEAST_DIRECT = 96
-        const val DIRECT_PART = 16
-        const val WORKERS_PART = 0.88
+        const val MIN_DIRECT_COMMANDS = 96
+        const val SOCKETS_PER_DIRECT_COMMAND = 16
+        const val WORKERS_SHARE = 0.88
     }
 }
--- a/src/main/kotlin/wardmux/drain/Disruptions.kt
+++ b/src/main/kotlin/wardmux/drain/Disruptions.kt
@@ -118,21 +118,21 @@
     fun limitOf(team: String): Int {
         val budget = settings.budgetOf(team)
         val workers = (upByTeam[team] ?: 0) + lostOf(team)
-        return minOf(budget.mostDisrupted, ceil(workers * budget.mostDisruptedShare).toInt())
+        return minOf(budget.maxDisrupted, ceil(workers * budget.maxDisruptedShare).toInt())
     }
 
     /** How many replicas of the service may be down at once. */
     fun replicasThatMayBeDown(job: Job): Int =
-        (job.spec.tasks - settings.budgetOf(job.spec.team).leastReplicas).coerceAtLeast(0)
+        (job.spec.tasks - settings.budgetOf(job.spec.team).minReplicas).coerceAtLeast(0)
 
     /** Why [count] more tasks of the job may not be stopped now, or null if they may. */
     fun refusal(job: Job, count: Int): BudgetRefusal? {
         val team = job.spec.team
         val budget = settings.budgetOf(team)
-        if (budget.mostDisrupted < count || budget.mostDisruptedShare <= 0.0)
+        if (budget.maxDisrupted < count || budget.maxDisruptedShare <= 0.0)
             return BudgetRefusal.Never(
                 "team $team: ${job.id} disrupts $count at once, its budget is " +
-                    "${budget.mostDisrupted} (share ${budget.mostDisruptedShare})"
+                    "${budget.maxDisrupted} (share ${budget.maxDisruptedShare})"
             )
         if (job.spec.shape == JobKind.SERVICE)
             replicaRefusal(job, count)?.let {
@@ -150,7 +150,7 @@
             most < count ->
                 BudgetRefusal.Never(
                     "team ${job.spec.team}: ${job.id} has ${job.spec.tasks} replicas, and " +
-                        "${settings.budgetOf(job.spec.team).leastReplicas} must stay up"
+                        "${settings.budgetOf(job.spec.team).minReplicas} must stay up"
                 )
             down + count > most ->
                 BudgetRefusal.NotNow("${job.id}: $down of at most $most replicas are down")
--- a/src/main/kotlin/wardmux/drain/DrainDesk.kt
+++ b/src/main/kotlin/wardmux/drain/DrainDesk.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.serialization.SerializationException
 import wardmux.config.DrainSettings
+import wardmux.config.rangeProblem
 import wardmux.core.CoreContext
 import wardmux.core.HttpStatus
 import wardmux.model.FencingToken
@@ -81,7 +82,7 @@
             team,
             disruptions.limitOf(team),
             disruptions.lostOf(team),
-            settings.budgetOf(team).leastReplicas,
+            settings.budgetOf(team).minReplicas,
         )
 
     /** The request in [body], or null once [answer] has said that there is none. */
@@ -207,7 +208,7 @@
     /** What is wrong with the request by itself, in one line that names the field, or null. */
     fun problem(request: DrainRequest, now: Micros): String? =
         idProblem(request.id)
-            ?: DrainSettings.outside("grace_s", request.graceS, 0.0, LONGEST_GRACE_S)
+            ?: rangeProblem("grace_s", request.graceS, 0.0, LONGEST_GRACE_S)
             ?: stepProblem(request.stepSize)
             ?: deadlineProblem(request.deadline, now)
             ?: selectProblem(request.select)
--- a/src/main/kotlin/wardmux/drain/DrainWire.kt
+++ b/src/main/kotlin/wardmux/drain/DrainWire.kt
@@ -18,7 +18,7 @@
     @SerialName("team") val team: String,
     @SerialName("limit") val limit: Int,
     @SerialName("disrupted") val disrupted: Int,
-    @SerialName("least_replicas") val leastReplicas: Int,
+    @SerialName("least_replicas") val minReplicas: Int,
 )
 
 /** Where an answer comes from and how old it is. */
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -93,7 +93,8 @@
     }
 
     private fun heardWithin(): Micros =
-        (environment.deployment.workers.reportS * environment.operators.quietReports).seconds
+        (environment.deployment.workers.heartbeatPeriodS * environment.operators.quietHeartbeats)
+            .seconds
 
     /** Lists are late, and one may be older than the one before. */
     private fun knowsAllMachines(): Boolean {
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -29,10 +29,10 @@
 ) {
     private val log = logger<MachineHealthMonitor>()
     private val electedAt = context.now
-    private val lostAfter = (workers.reportS * operators.lostReports).seconds
-    private val askAfter = (workers.reportS * OVERDUE_REPORTS).seconds
+    private val lostAfter = (workers.heartbeatPeriodS * operators.lostHeartbeats).seconds
+    private val askAfter = (workers.heartbeatPeriodS * OVERDUE_REPORTS).seconds
     private val unreachableAfter =
-        maxOf((workers.reportS * UNREACHABLE_REPORTS).seconds, UNREACHABLE_LEAST)
+        maxOf((workers.heartbeatPeriodS * UNREACHABLE_REPORTS).seconds, UNREACHABLE_LEAST)
     private val leaseOver =
         workers.leaseS.seconds * (1 + MAX_CLOCK_DRIFT) + operators.leaseMarginS.seconds
     private var watchAt = Micros.LONG_AGO
@@ -133,7 +133,7 @@
      */
     private fun isDeaf(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        val patience = maxOf((workers.reportS * UNSHOWN_REPORTS).seconds, UNSHOWN_LEAST)
+        val patience = maxOf((workers.heartbeatPeriodS * UNSHOWN_REPORTS).seconds, UNSHOWN_LEAST)
         return machine.placements.values.any {
             if (it.status != null) return@any false
             val startedAt =
@@ -201,7 +201,7 @@
     fun isLeftAlone(): Boolean {
         val up = up()
         if (nobodyHeard(up)) return true
-        val quiet = (workers.reportS * operators.quietReports).seconds
+        val quiet = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
         val silent = up.count { context.now - (it.lastHeartbeatAt ?: context.now) > quiet }
         return up.size >= ENOUGH && silent * 2 > up.size
     }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -217,16 +217,17 @@
     private fun decide(loaded: Boolean) {
         if (alone) return
         val known = cluster.machines.values.count { !it.decommissioned }
-        val reports = known / workers.reportS
+        val reports = known / workers.heartbeatPeriodS
         val many =
-            reports > operators.reportsPerCore * limits.cpu ||
+            reports > operators.heartbeatsPerCore * limits.cpu ||
                 known > limits.fdLimit * SOCKETS_FOR_WORKERS
         if (many && !wanted) {
             log.info("{} machines: followers take reports too", known)
             wanted = true
         }
         // Once only, when the machines of an earlier leader have been heard: no to and fro.
-        val heard = loaded && context.now - electedAt > (workers.reportS * SETTLED_REPORTS).seconds
+        val heard =
+            loaded && context.now - electedAt > (workers.heartbeatPeriodS * SETTLED_REPORTS).seconds
         if (!heard || settled) return
         settled = true
         if (!many) {
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -204,7 +204,7 @@
     private fun removeSilent() {
         if (context.now < removeSilentAt || busy) return
         removeSilentAt = context.now + REMOVAL_PERIOD
-        val old = context.now - (workers.reportS * KEPT_REPORTS).seconds - REMOVAL_PERIOD
+        val old = context.now - (workers.heartbeatPeriodS * KEPT_REPORTS).seconds - REMOVAL_PERIOD
         pending.removeSilent(old)
     }
 
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -78,7 +78,7 @@
         FairQueue(
             deployment.teams.associate { it.name to it.cpus },
             operators.halfLifeS.seconds,
-            operators.normS,
+            operators.usageNormS,
         )
     private val cluster = ClusterState(context, deployment.teams, queue)
     private val knowledge =
--- a/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
+++ b/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
@@ -14,14 +14,14 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator
 import wardmux.model.Micros
 
-/** One opening of a window. */
-data class WindowOpening(val from: Instant, val until: Instant)
+/** One occurrence of a window. */
+data class WindowOccurrence(val from: Instant, val until: Instant)
 
 /**
- * When steps of drains may begin. Days recur by RFC 5545 (lib-recur), public holidays come from
- * Jollyday. A window opens at a local time of day and lasts for its length in elapsed time: one
- * that would open in the hour that a change to summer time skips opens at the end of that hour, and
- * one in the hour that comes twice opens the first time.
+ * The recurring times at which steps of drains may start. Days recur by RFC 5545 (lib-recur),
+ * public holidays come from Jollyday. A window opens at a local time of day and lasts for its
+ * length in elapsed time: one that would open in the hour that a change to summer time skips opens
+ * at the end of that hour, and one in the hour that comes twice opens the first time.
  */
 class MaintenanceWindows(
     private val zone: ZoneId,
@@ -31,43 +31,43 @@
     private val holidayManager: HolidayManager? =
         holidays.ifEmpty { null }?.let { HolidayManager.getInstance(ManagerParameters.create(it)) }
 
-    /** True if something that takes [length] from [at] on ends within one opening. */
+    /** True if something that takes [length] from [at] on ends within one occurrence. */
     fun isOpenFor(at: Instant, length: Duration): Boolean =
-        windows.isEmpty() || windows.any { window -> holds(window, at, length) }
+        windows.isEmpty() || windows.any { window -> isOpenFor(window, at, length) }
 
-    /** The first opening that ends after [at]; null if there is none within two years. */
-    fun next(at: Instant): WindowOpening? =
+    /** The first occurrence that ends after [at]; null if there is none within two years. */
+    fun next(at: Instant): WindowOccurrence? =
         windows.mapNotNull { nextOf(it, at) }.minByOrNull { it.from }
 
-    private fun holds(window: WindowSettings, at: Instant, length: Duration) =
-        openings(window, at).takeWhile { it.from <= at }.any { at + length <= it.until }
+    private fun isOpenFor(window: WindowSettings, at: Instant, length: Duration) =
+        occurrences(window, at).takeWhile { it.from <= at }.any { at + length <= it.until }
 
-    private fun nextOf(window: WindowSettings, at: Instant) = openings(window, at).firstOrNull()
+    private fun nextOf(window: WindowSettings, at: Instant) = occurrences(window, at).firstOrNull()
 
-    /** Those that end after [at], in their order. */
-    private fun openings(window: WindowSettings, at: Instant): Sequence<WindowOpening> {
+    /** The occurrences that end after [at], in their order. */
+    private fun occurrences(window: WindowSettings, at: Instant): Sequence<WindowOccurrence> {
         val length = Duration.ofMillis((window.lengthS * MILLIS_PER_SECOND).toLong())
         val first = at.atZone(zone).toLocalDate().minusDays(length.toDays() + 1)
         val opens = LocalTime.parse(window.opens)
         return days(window, first)
             .filter { holidayManager?.isHoliday(it) != true }
             .map { it.atTime(opens).atZone(zone).toInstant() }
-            .map { WindowOpening(it, it + length) }
+            .map { WindowOccurrence(it, it + length) }
             .filter { it.until > at }
     }
 
     private fun days(window: WindowSettings, first: LocalDate): Sequence<LocalDate> {
-        val begin = LocalDate.parse(window.from)
-        val last = maxOf(first, begin).plusYears(YEARS_LOOKED_AT)
-        val days = iterator(window, begin, first) ?: return emptySequence()
+        val firstDay = LocalDate.parse(window.from)
+        val last = maxOf(first, firstDay).plusYears(HORIZON_YEARS)
+        val days = iterator(window, firstDay, first) ?: return emptySequence()
         return generateSequence { nextDay(days) }.takeWhile { it <= last }
     }
 
-    /** Null for a rule that holds on no day: lib-recur gives up on it in its own time. */
-    private fun iterator(window: WindowSettings, begin: LocalDate, first: LocalDate) =
+    /** Null for a rule without a day: lib-recur rejects it with an exception. */
+    private fun iterator(window: WindowSettings, firstDay: LocalDate, first: LocalDate) =
         try {
-            RecurrenceRule(window.rule).iterator(dateOf(begin)).also {
-                if (first > begin) it.fastForward(dateOf(first))
+            RecurrenceRule(window.rule).iterator(dateOf(firstDay)).also {
+                if (first > firstDay) it.fastForward(dateOf(first))
             }
         } catch (e: IllegalArgumentException) {
             null
@@ -81,24 +81,24 @@
             null
         }
 
-    /** Months of lib-recur count from 0. */
+    /** Months count from 0 in lib-recur. */
     private fun dateOf(day: LocalDate) = DateTime(day.year, day.monthValue - 1, day.dayOfMonth)
 
     companion object {
-        private const val YEARS_LOOKED_AT = 2L
+        private const val HORIZON_YEARS = 2L
         private const val MILLIS_PER_SECOND = 1_000.0
-        private const val LONGEST_WINDOW_S = 7 * 86_400.0
+        private const val MAX_WINDOW_S = 7 * 86_400.0
         private const val MICROS_PER_SECOND = 1_000_000L
         private const val NANOS_PER_MICRO = 1_000L
 
         /** A time of day of the core as an instant. */
-        fun instantOf(wall: Micros): Instant =
+        fun instantOf(wallTime: Micros): Instant =
             Instant.ofEpochSecond(
-                Math.floorDiv(wall.value, MICROS_PER_SECOND),
-                Math.floorMod(wall.value, MICROS_PER_SECOND) * NANOS_PER_MICRO,
+                Math.floorDiv(wallTime.value, MICROS_PER_SECOND),
+                Math.floorMod(wallTime.value, MICROS_PER_SECOND) * NANOS_PER_MICRO,
             )
 
-        /** What is wrong, in one line that begins with the field, or null. */
+        /** The first error, in one line that begins with the field, or null. */
         fun problem(timeZone: String, holidays: String, windows: List<WindowSettings>): String? {
             val zone = zoneOf(timeZone) ?: return "time_zone: no such time zone: $timeZone"
             if (holidays.isNotEmpty() && !isCalendar(holidays))
@@ -118,7 +118,7 @@
 
         private fun problem(zone: ZoneId, holidays: String, window: WindowSettings): String? =
             formProblem(window)
-                ?: if (opensEver(zone, holidays, window)) null
+                ?: if (hasOccurrence(zone, holidays, window)) null
                 else "windows.rule: never opens: ${window.rule}"
 
         private fun formProblem(window: WindowSettings): String? =
@@ -129,14 +129,14 @@
                     "windows.opens: no time of day: ${window.opens}"
                 !isReadable { LocalDate.parse(window.from) } ->
                     "windows.from: no date: ${window.from}"
-                window.lengthS !in 1.0..LONGEST_WINDOW_S ->
-                    "windows.length_s must be from 1 to $LONGEST_WINDOW_S"
+                window.lengthS !in 1.0..MAX_WINDOW_S ->
+                    "windows.length_s must be from 1 to $MAX_WINDOW_S"
                 else -> null
             }
 
-        private fun opensEver(zone: ZoneId, holidays: String, window: WindowSettings): Boolean {
-            val begin = LocalDate.parse(window.from).atStartOfDay(zone).toInstant()
-            return MaintenanceWindows(zone, holidays, listOf(window)).next(begin) != null
+        private fun hasOccurrence(zone: ZoneId, holidays: String, window: WindowSettings): Boolean {
+            val earliest = LocalDate.parse(window.from).atStartOfDay(zone).toInstant()
+            return MaintenanceWindows(zone, holidays, listOf(window)).next(earliest) != null
         }
 
         private fun isReadable(read: () -> Any): Boolean =
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -22,7 +22,7 @@
     /** True if new tasks may go to the machine. */
     fun usable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        val quiet = (workers.reportS * operators.quietReports).seconds
+        val quiet = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
         return machine.confirmed &&
             !machine.decommissioned &&
             !machine.isScalingIn &&
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -50,7 +50,7 @@
 
     /** Room and cap that are kept for gangs. */
     val gangReservations = GangReservations(context, cluster, eligibility, gangPlacement, workers)
-    private val order = TeamOrder(objectives, cluster.estimates, operators.longestWaitS.seconds)
+    private val order = TeamOrder(objectives, cluster.estimates, operators.maxWaitS.seconds)
 
     /** Places what it can while [admission] has room for the job's page in the write to come. */
     fun plan(admission: Admission) {
@@ -213,7 +213,7 @@
     private fun isOverdue(job: Job) =
         !job.hasStarted &&
             !job.isFailing &&
-            context.wallTime - job.acceptedAt > operators.longestWaitS.seconds
+            context.wallTime - job.acceptedAt > operators.maxWaitS.seconds
 
     /** True if machines of this type are held, and for other work than this. */
     fun isHeldFrom(spec: JobSpec, type: MachineType) =
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -189,7 +189,7 @@
      * Its team is below its guarantee. After each call-back it waits again, for the room to come.
      */
     private fun mayCallBack(job: Job): Boolean {
-        val pause = operators.callBackAfterS.seconds
+        val pause = operators.reclaimAfterS.seconds
         val own = cluster.teams[job.spec.team] ?: return false
         if (cluster.usedCpus(own.name) + job.spec.cpus > own.cpus) return false
         return waited(job) >= pause && context.now - job.lastReclaimAt >= pause
--- a/src/test/kotlin/wardmux/config/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -133,7 +133,7 @@
         assertNull(operators("norm_s = 300.0").drain)
         val drain = assertNotNull(SettingsFiles.operators(File("deploy/drain.toml")).drain)
         assertEquals("127.0.0.1:7070", drain.listener)
-        assertEquals(4, drain.budgetOf("anyone").mostDisrupted)
+        assertEquals(4, drain.budgetOf("anyone").maxDisrupted)
     }
 
     @Test
@@ -158,8 +158,8 @@
                     )
                     .drain
             )
-        assertEquals(BudgetSettings(5, leastReplicas = 2), drain.budgetOf("team-1"))
-        assertEquals(BudgetSettings(3, leastReplicas = 2), drain.budgetOf("team-0"))
+        assertEquals(BudgetSettings(5, minReplicas = 2), drain.budgetOf("team-1"))
+        assertEquals(BudgetSettings(3, minReplicas = 2), drain.budgetOf("team-0"))
         assertNull(drain.listener)
         assertNull(drain.unknownTeam(setOf("team-1")))
         assertContains(drain.unknownTeam(setOf("team-0")).orEmpty(), "drain.teams.team")
--- a/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
@@ -23,7 +23,7 @@
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val harness =
         PlannerHarness(listOf(TeamQuota("team-0", 700.0, 700.0)), listOf(type), now = 100.seconds)
-    private val budget = BudgetSettings(mostDisrupted = 2, leastReplicas = 2)
+    private val budget = BudgetSettings(maxDisrupted = 2, minReplicas = 2)
     private val disruptions =
         Disruptions(harness.context, harness.cluster, DrainSettings(budget = budget), 6.seconds)
     private val machine = harness.machine(1, type)
@@ -109,7 +109,7 @@
     @Test
     fun `a share is rounded up, and the smaller of number and share holds`() {
         fun limit(share: Double): Int {
-            val settings = DrainSettings(budget = budget.copy(mostDisruptedShare = share))
+            val settings = DrainSettings(budget = budget.copy(maxDisruptedShare = share))
             val own = Disruptions(harness.context, harness.cluster, settings, 6.seconds)
             own.count()
             return own.limitOf("team-0")
--- a/src/test/kotlin/wardmux/drain/DrainCommandTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainCommandTest.kt
@@ -53,7 +53,7 @@
                 stepsDone = 1,
                 moved = 3,
             )
-        val budget = BudgetStatus("team-0", limit = 2, disrupted = 1, leastReplicas = 0)
+        val budget = BudgetStatus("team-0", limit = 2, disrupted = 1, minReplicas = 0)
         val text =
             DrainText.status(
                 DrainStatus(record, Source.LEADER, 0.0, "room", remaining = 5, listOf(budget))
--- a/src/test/kotlin/wardmux/drain/DrainDay.kt
+++ b/src/test/kotlin/wardmux/drain/DrainDay.kt
@@ -27,8 +27,8 @@
     val operators =
         OperatorSettings(
             drain = settings,
-            callBackAfterS = 3_600.0,
-            reportsPerCore = if (relays) 0.0 else 500.0,
+            reclaimAfterS = 3_600.0,
+            heartbeatsPerCore = if (relays) 0.0 else 500.0,
         )
     val simulation = ClusterSimulation(seed, operators = operators, capacity = capacity)
     val clock = simulation.clock
@@ -166,7 +166,7 @@
     }
 
     fun checkBudgets(noticedAfter: Micros = 9.seconds) {
-        val limit = { team: String -> settings.budgetOf(team).mostDisrupted }
+        val limit = { team: String -> settings.budgetOf(team).maxDisrupted }
         assertEquals(emptyList(), losses.beyond(limit, noticedAfter, duringDrains()))
         assertEquals(emptyList(), simulation.problems())
     }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -96,7 +96,7 @@
 
     /** Two machines with a replica each, drained side by side, of which one may be down. */
     private fun sideBySide(seed: Long): Pair<DrainDay, List<String>> {
-        val budget = BudgetSettings(mostDisrupted = 1, stepPauseS = 0.0)
+        val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
         val day = DrainDay(seed, DrainSettings(budget = budget))
         day.begin(day.service(0, 3, cpus = 10.0))
         val machines = day.workers().filter { it.tasksThere > 0 }.map { it.id }.take(2)
@@ -289,12 +289,12 @@
 
     @Test
     fun `a budget lowered below what is out stops nothing more until it is kept again`() {
-        val budget = BudgetSettings(mostDisrupted = 3, stepPauseS = 1.0)
+        val budget = BudgetSettings(maxDisrupted = 3, stepPauseS = 1.0)
         val day = DrainDay(21, DrainSettings(budget = budget))
         day.begin(day.service(0, 6), day.service(1, 6))
         day.start()
         day.runUntilStep(StepPhase.EMPTYING)
-        val lower = DrainSettings(budget = budget.copy(mostDisrupted = 1))
+        val lower = DrainSettings(budget = budget.copy(maxDisrupted = 1))
         day.simulation.operatorsOf = { day.operators.copy(drain = lower) }
         val until = day.clock.now + 5.seconds
         day.crashAll()
@@ -312,14 +312,14 @@
 
     @Test
     fun `a budget of none is said to be the reason, and a raised one lets the drain go on`() {
-        val none = BudgetSettings(mostDisrupted = 0, stepPauseS = 1.0)
+        val none = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
         val day = DrainDay(23, DrainSettings(budget = none))
         day.begin(day.service(0, 3)).start()
         day.runUntil(120.seconds, "paused") { day.stored()?.reason == PauseReason.BUDGET }
         assertTrue("its budget is 0" in day.stored()?.note.orEmpty(), "${day.stored()}")
         day.simulation.run(day.clock.now + 60.seconds)
         assertEquals(emptyList(), day.losses.stops.map { it.team })
-        val raised = DrainSettings(budget = none.copy(mostDisrupted = 1))
+        val raised = DrainSettings(budget = none.copy(maxDisrupted = 1))
         day.simulation.operatorsOf = { day.operators.copy(drain = raised) }
         day.crashAll()
         day.runUntilDone()
@@ -329,7 +329,7 @@
 
     @Test
     fun `replicas that must stay up stay up`() {
-        val budget = BudgetSettings(mostDisrupted = 3, leastReplicas = 3, stepPauseS = 1.0)
+        val budget = BudgetSettings(maxDisrupted = 3, minReplicas = 3, stepPauseS = 1.0)
         val day = DrainDay(25, DrainSettings(budget = budget))
         val large = day.service(0, 4)
         day.begin(large).start()
@@ -337,7 +337,7 @@
         day.check()
         assertTrue(day.losses.peakOf("team-0") <= 1, "${day.losses.peakOf("team-0")}")
 
-        val tooMany = DrainDay(27, DrainSettings(budget = budget.copy(leastReplicas = 4)))
+        val tooMany = DrainDay(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
         tooMany.begin(tooMany.service(0, 4)).start()
         tooMany.runUntil(120.seconds, "paused") { tooMany.stored()?.reason == PauseReason.BUDGET }
         assertTrue("must stay up" in tooMany.stored()?.note.orEmpty())
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -174,7 +174,7 @@
     @Test
     fun `a gang is stopped as one within the budget, or not at all`() {
         val most = 3
-        val budget = BudgetSettings(mostDisrupted = most, stepPauseS = 1.0)
+        val budget = BudgetSettings(maxDisrupted = most, stepPauseS = 1.0)
         val day = DrainDay(14, DrainSettings(budget = budget))
         val small = day.array(0, 3, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
         val large = day.array(1, 4, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
@@ -209,7 +209,7 @@
         assertEquals(4, check.tasksToMove)
         assertNull(day.stored())
 
-        val none = DrainSettings(budget = BudgetSettings(mostDisrupted = 0))
+        val none = DrainSettings(budget = BudgetSettings(maxDisrupted = 0))
         val never = DrainDay(18, none)
         never.begin(never.service(0, 4))
         val said = never.ask("POST", "${DrainApi.PATH}/${DrainApi.CHECK}", body(ordinary)).second
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -39,7 +39,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule is broken and no budget passed, whatever fails`(seed: Long) {
-        val budget = BudgetSettings(mostDisrupted = 2, stepPauseS = 1.0)
+        val budget = BudgetSettings(maxDisrupted = 2, stepPauseS = 1.0)
         val day = DrainDay(seed, DrainSettings(budget = budget), relays = seed % 2 == 0L)
         val services = listOf(day.service(0, 4), day.service(1, 5))
         day.begin(*services.toTypedArray(), day.array(2, 6, 30.0))
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackSite.kt
@@ -46,7 +46,7 @@
     private val zones = listOf("a", "b", "c")
     private val nodes = listOf("n0", "n1", "n2")
     private val teams = List(TEAMS) { TeamQuota("team-$it", teamCpus, teamCpus) }
-    private val workerFacts = WorkerTiming(reportS = 1.0, leaseS = 16.0, cancelS = 36.0)
+    private val workerFacts = WorkerTiming(heartbeatPeriodS = 1.0, leaseS = 16.0, cancelS = 36.0)
     private val stateFacts = StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
     private val state = FakeStateService(clock, stateFacts)
     private val rules = Rules(teams, workerFacts.cancelS.seconds + Rules.SLACK)
@@ -286,7 +286,7 @@
 
 $teams
 [facts.workers]
-report_s = ${workerFacts.reportS}
+report_s = ${workerFacts.heartbeatPeriodS}
 lease_s = ${workerFacts.leaseS}
 cancel_s = ${workerFacts.cancelS}
 
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -19,7 +19,7 @@
 
 /** The leader's side: what batches prove, and what a grant leaves possible. */
 class ForwardingCoordinatorTest {
-    private val harness = ControllerHarness(listOf("n1"), OperatorSettings(reportsPerCore = 0.0))
+    private val harness = ControllerHarness(listOf("n1"), OperatorSettings(heartbeatsPerCore = 0.0))
     private val own = List(8) { ManualWorker(harness, "i-00001$it") }
     private var token = 0L
     private var echo = 0L
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -30,7 +30,7 @@
  */
 class LeaderRenewalTest {
     private val harness =
-        ControllerHarness(peers = listOf("n1"), OperatorSettings(reportsPerCore = 0.0))
+        ControllerHarness(peers = listOf("n1"), OperatorSettings(heartbeatsPerCore = 0.0))
     private val machine = ManualWorker(harness, "i-000001")
     private val other = ManualWorker(harness, "i-000099")
     private val job = plainJob(1)
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -29,7 +29,7 @@
             teams,
             FairQueue(teams.associate { it.name to it.cpus }, 600.seconds, 600.0),
         )
-    private val workers = WorkerTiming(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
+    private val workers = WorkerTiming(heartbeatPeriodS = 6.0, leaseS = 36.0, cancelS = 66.0)
     val stopper = TaskEvictor(cluster, workers)
     val pools = MachinePools(context) { types }
     val planner =
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -28,7 +28,8 @@
  */
 class CancellationAcrossLeadersTest {
     private class Churn(seed: Long) {
-        val simulation = ClusterSimulation(seed, operators = OperatorSettings(reportsPerCore = 0.0))
+        val simulation =
+            ClusterSimulation(seed, operators = OperatorSettings(heartbeatsPerCore = 0.0))
         val clock = simulation.clock
         val rules = simulation.rules
         val jobs = ArrayList<String>()
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -208,8 +208,8 @@
         nextAt =
             sentAt +
                 clock.between(
-                    (deployment.reportS * 0.75).seconds,
-                    (deployment.reportS * 1.25).seconds,
+                    (deployment.heartbeatPeriodS * 0.75).seconds,
+                    (deployment.heartbeatPeriodS * 1.25).seconds,
                 )
         var over = false
         fun end(next: Boolean) {
--- a/src/test/kotlin/wardmux/sim/GangDay.kt
+++ b/src/test/kotlin/wardmux/sim/GangDay.kt
@@ -17,7 +17,8 @@
         ClusterSimulation(
             seed,
             operators =
-                if (seed % 2 == 0L) OperatorSettings() else OperatorSettings(reportsPerCore = 0.0),
+                if (seed % 2 == 0L) OperatorSettings()
+                else OperatorSettings(heartbeatsPerCore = 0.0),
             rented = rented,
             capacity = capacity,
         )
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -86,7 +86,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `nor where all controllers take reports`(seed: Long) =
-        troubled(seed, OperatorSettings(reportsPerCore = 0.0))
+        troubled(seed, OperatorSettings(heartbeatsPerCore = 0.0))
 
     @ParameterizedTest
     @MethodSource("quietSeeds")
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangsTest.kt
@@ -23,7 +23,7 @@
         plainJob(3, job)
             .copy(shape = JobKind.GANG, estimateS = 10_000.0, checkpointS = 20.0, saveS = 2.0)
     private var specNow: JobSpec = spec
-    private val deployment = WorkerTiming(reportS = 2.5, leaseS = 16.0, cancelS = 36.0)
+    private val deployment = WorkerTiming(heartbeatPeriodS = 2.5, leaseS = 16.0, cancelS = 36.0)
     private val workers =
         List(4) {
             FakeWorker(
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -60,7 +60,7 @@
 
     @Test
     fun `all are known and none is given up where the leader takes all reports`() =
-        play(fdLimit = 10_000, OperatorSettings(reportsPerCore = 1e6, idleKeepBoots = KEPT))
+        play(fdLimit = 10_000, OperatorSettings(heartbeatsPerCore = 1e6, idleKeepBoots = KEPT))
 
     private companion object {
         const val MACHINES = 4_002
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -113,7 +113,7 @@
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23])
     fun `nor do batches and answers that go round by the service`(seed: Long) {
-        val day = Day(seed, LOWER, OperatorSettings(reportsPerCore = 0.0))
+        val day = Day(seed, LOWER, OperatorSettings(heartbeatsPerCore = 0.0))
         val simulation = day.simulation
         for (at in 2..100 step 7) day.clock.after(at.seconds) { day.submit() }
         simulation.state.lower(LOWER)
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -21,7 +21,7 @@
                 seed,
                 operators =
                     if (seed % 2 == 0L) OperatorSettings()
-                    else OperatorSettings(reportsPerCore = 0.0),
+                    else OperatorSettings(heartbeatsPerCore = 0.0),
             )
         val clock = simulation.clock
 
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -20,7 +20,7 @@
             ClusterSimulation(
                 seed,
                 operators =
-                    if (relays) OperatorSettings(reportsPerCore = 0.0) else OperatorSettings(),
+                    if (relays) OperatorSettings(heartbeatsPerCore = 0.0) else OperatorSettings(),
             )
         val clock = simulation.clock
         val rules = simulation.rules
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -101,7 +101,7 @@
     @ParameterizedTest
     @MethodSource("relayedSeeds")
     fun `nor where all controllers take reports`(seed: Long) {
-        val day = Day(seed, grown = true, operators = OperatorSettings(reportsPerCore = 0.0))
+        val day = Day(seed, grown = true, operators = OperatorSettings(heartbeatsPerCore = 0.0))
         day.play(troubled = true)
         assertEquals(emptyList(), day.simulation.problems())
         assertTrue(day.simulation.rules.starts > 0, "nothing ran")
@@ -110,7 +110,7 @@
     @ParameterizedTest
     @MethodSource("frozenSeeds")
     fun `nor with frozen controllers and cut zones besides`(seed: Long) {
-        val relays = OperatorSettings(reportsPerCore = 0.0)
+        val relays = OperatorSettings(heartbeatsPerCore = 0.0)
         val day = Day(seed, grown = true, fleet = true, operators = relays)
         day.play(troubled = true)
         assertEquals(emptyList(), day.simulation.problems())
@@ -125,7 +125,7 @@
     @ParameterizedTest
     @MethodSource("huntedSeeds")
     fun `nor with them where all controllers take reports`(seed: Long) =
-        hunted(seed, OperatorSettings(reportsPerCore = 0.0))
+        hunted(seed, OperatorSettings(heartbeatsPerCore = 0.0))
 
     private fun hunted(seed: Long, operators: OperatorSettings) {
         val day = Day(seed, grown = true, hunted = true, operators = operators)
--- a/src/test/kotlin/wardmux/sim/RulesTest.kt
+++ b/src/test/kotlin/wardmux/sim/RulesTest.kt
@@ -163,7 +163,7 @@
     @Test
     fun `ran_cancelled by a machine that hung and goes on`() {
         val clock = SimulatedClock(1)
-        val deployment = WorkerTiming(reportS = 2.5, leaseS = 16.0, cancelS = 36.0)
+        val deployment = WorkerTiming(heartbeatPeriodS = 2.5, leaseS = 16.0, cancelS = 36.0)
         val order = """{"verb":"start","piece":"$job/0","try":1}"""
         val worker =
             FakeWorker(
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -216,7 +216,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule is broken while both versions serve, whatever fails`(seed: Long) {
-        val relays = OperatorSettings(reportsPerCore = 0.0)
+        val relays = OperatorSettings(heartbeatsPerCore = 0.0)
         val day = Day(seed, if (seed % 2 == 0L) relays else OperatorSettings())
         val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
         val at =
