--- a/src/main/kotlin/wardmux/drain/Disruptions.kt
+++ b/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
@@ -31,26 +31,26 @@
  * a drain counts, what was lost by a crash, a recall or a preemption, and whatever is in doubt,
  * such as all that a new leader has not heard of yet.
  */
-class Disruptions(
+class DisruptionBudgets(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val settings: DrainSettings,
     /** A machine that was not heard for as long is in doubt. */
-    private val heardWithin: Micros,
+    private val heartbeatTimeout: Micros,
 ) {
     /** Stops that went out in this term: the task may report that it runs for a while yet. */
-    private val stopsSent = HashSet<Pair<String, Int>>()
-    private val upByTeam = HashMap<String, Int>()
-    private val lostByTeam = HashMap<String, Int>()
-    private val lostByService = HashMap<JobId, Int>()
+    private val evictionsSent = HashSet<Pair<String, Int>>()
+    private val runningByTeam = HashMap<String, Int>()
+    private val disruptedByTeam = HashMap<String, Int>()
+    private val disruptedByService = HashMap<JobId, Int>()
 
     /** Counts anew; between two counts [stopped] keeps them up to date. */
     fun count() {
-        upByTeam.clear()
-        lostByTeam.clear()
-        lostByService.clear()
+        runningByTeam.clear()
+        disruptedByTeam.clear()
+        disruptedByService.clear()
         for (job in cluster.jobs.values) if (!job.hasEnded && !job.allTasksDone) count(job)
-        if (stopsSent.size > MOST_STOPS_KEPT) forgetOldStops()
+        if (evictionsSent.size > MAX_EVICTIONS_KEPT) forgetOldEvictions()
     }
 
     private fun count(job: Job) {
@@ -59,15 +59,15 @@
         for (placement in job.placements.values) {
             if (isUp(placement)) up++ else if (wasUp(placement)) lost++
         }
-        upByTeam.merge(job.spec.team, up, Int::plus)
-        lostByTeam.merge(job.spec.team, lost, Int::plus)
-        if (job.spec.shape == JobKind.SERVICE) lostByService[job.id] = lost
+        runningByTeam.merge(job.spec.team, up, Int::plus)
+        disruptedByTeam.merge(job.spec.team, lost, Int::plus)
+        if (job.spec.shape == JobKind.SERVICE) disruptedByService[job.id] = lost
     }
 
-    private fun forgetOldStops() {
+    private fun forgetOldEvictions() {
         val placed = HashSet<Pair<String, Int>>()
         for (job in cluster.jobs.values) job.placements.values.mapTo(placed) { it.attemptKey }
-        stopsSent.retainAll(placed)
+        evictionsSent.retainAll(placed)
     }
 
     /** True if the task surely runs, and nothing that was sent will end it. */
@@ -75,7 +75,7 @@
         val machine = cluster.machines[placement.machine] ?: return false
         return placement.status == TaskStatus.RUNNING &&
             !placement.isStopping &&
-            placement.attemptKey !in stopsSent &&
+            placement.attemptKey !in evictionsSent &&
             isSound(machine)
     }
 
@@ -84,7 +84,7 @@
         return machine.confirmed &&
             !machine.decommissioned &&
             machine.preemptionNoticeAt == null &&
-            context.now - lastHeartbeatAt < heardWithin
+            context.now - lastHeartbeatAt < heartbeatTimeout
     }
 
     /**
@@ -95,34 +95,34 @@
         placement.restored ||
             placement.attempt > 1 ||
             placement.runningSince != null ||
-            placement.attemptKey in stopsSent
+            placement.attemptKey in evictionsSent
 
     /** The task counts as disrupted already, so that its stop takes nothing more. */
-    fun isLost(placement: Placement) = !isUp(placement) && wasUp(placement)
+    fun isDisrupted(placement: Placement) = !isUp(placement) && wasUp(placement)
 
     /** The stop of this task went out, so it counts as disrupted from now. */
     fun stopped(placement: Placement) {
         val spec = placement.job.spec
-        val wasLost = isLost(placement)
+        val wasLost = isDisrupted(placement)
         val wasUp = isUp(placement)
-        if (!stopsSent.add(placement.attemptKey) || wasLost) return
-        lostByTeam.merge(spec.team, 1, Int::plus)
-        if (wasUp) upByTeam.merge(spec.team, -1, Int::plus)
-        if (spec.shape == JobKind.SERVICE) lostByService.merge(placement.job.id, 1, Int::plus)
+        if (!evictionsSent.add(placement.attemptKey) || wasLost) return
+        disruptedByTeam.merge(spec.team, 1, Int::plus)
+        if (wasUp) runningByTeam.merge(spec.team, -1, Int::plus)
+        if (spec.shape == JobKind.SERVICE) disruptedByService.merge(placement.job.id, 1, Int::plus)
     }
 
     /** Workers of the team that are disrupted or may be. */
-    fun lostOf(team: String): Int = lostByTeam[team] ?: 0
+    fun disruptedOf(team: String): Int = disruptedByTeam[team] ?: 0
 
     /** The most that may be disrupted at once, by the number and the share of the team's budget. */
     fun limitOf(team: String): Int {
         val budget = settings.budgetOf(team)
-        val workers = (upByTeam[team] ?: 0) + lostOf(team)
+        val workers = (runningByTeam[team] ?: 0) + disruptedOf(team)
         return minOf(budget.maxDisrupted, ceil(workers * budget.maxDisruptedShare).toInt())
     }
 
     /** How many replicas of the service may be down at once. */
-    fun replicasThatMayBeDown(job: Job): Int =
+    fun maxReplicasDown(job: Job): Int =
         (job.spec.tasks - settings.budgetOf(job.spec.team).minReplicas).coerceAtLeast(0)
 
     /** Why [count] more tasks of the job may not be stopped now, or null if they may. */
@@ -139,13 +139,15 @@
                 return it
             }
         val limit = limitOf(team)
-        if (lostOf(team) + count <= limit) return null
-        return BudgetRefusal.NotNow("team $team: ${lostOf(team)} of $limit workers are disrupted")
+        if (disruptedOf(team) + count <= limit) return null
+        return BudgetRefusal.NotNow(
+            "team $team: ${disruptedOf(team)} of $limit workers are disrupted"
+        )
     }
 
     private fun replicaRefusal(job: Job, count: Int): BudgetRefusal? {
-        val most = replicasThatMayBeDown(job)
-        val down = lostByService[job.id] ?: 0
+        val most = maxReplicasDown(job)
+        val down = disruptedByService[job.id] ?: 0
         return when {
             most < count ->
                 BudgetRefusal.Never(
@@ -162,6 +164,6 @@
         get() = name to attempt
 
     private companion object {
-        const val MOST_STOPS_KEPT = 1_000
+        const val MAX_EVICTIONS_KEPT = 1_000
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -12,7 +12,7 @@
 import wardmux.store.RequestPriority
 
 /** Answers to operators. */
-object OperatorAnswers {
+object OperatorResponses {
     private const val RETRY_AFTER_S = 1
 
     /** Nobody can decide now; at once, with when to come back. */
@@ -45,14 +45,14 @@
     fun wrongMethod() = error(HttpStatus.METHOD_NOT_ALLOWED, DrainError("use GET or POST"))
 
     private fun error(code: Int, error: DrainError, retryAfterS: Int? = null) =
-        OperatorAnswer(
+        OperatorResponse(
             code,
             operatorJson.encodeToString(DrainError.serializer(), error),
             retryAfterS,
         )
 
     private fun <T> of(code: Int, serializer: KSerializer<T>, value: T) =
-        OperatorAnswer(code, operatorJson.encodeToString(serializer, value))
+        OperatorResponse(code, operatorJson.encodeToString(serializer, value))
 }
 
 /**
@@ -65,7 +65,7 @@
     private val context: CoreContext,
     private val store: KeyValueStore,
     /** The drains of the session that this controller leads, or null. */
-    private val desk: () -> DrainDesk?,
+    private val desk: () -> DrainService?,
     /** Another controller that is known to lead. */
     private val leader: () -> String?,
 ) {
@@ -73,12 +73,13 @@
     fun call(call: Input.Request) {
         val path = call.path.substringBefore('?')
         if (path != PATH && !path.startsWith("$PATH/"))
-            return answer(call.id, OperatorAnswers.noSuchPath())
+            return answer(call.id, OperatorResponses.noSuchPath())
         val request = ForwardedRequest(call.method, path, call.body)
         val own = desk()
-        if (own != null) return own.handle(request) { answerOrLookUp(call.id, request, it) }
-        val member = leader() ?: return lookUp(call.id, request, OperatorAnswers.UNAVAILABLE)
-        passOn(call.id, member, request)
+        if (own != null) return own.handle(request) { answerOrReadStore(call.id, request, it) }
+        val member =
+            leader() ?: return answerFromStore(call.id, request, OperatorResponses.UNAVAILABLE)
+        forward(call.id, member, request)
     }
 
     /** A request that another controller passes on. */
@@ -88,37 +89,37 @@
                 ?: return context.answer(call.id, HttpStatus.BAD_REQUEST)
         val own = desk() ?: return context.answer(call.id, HttpStatus.CONFLICT)
         own.handle(request) { answer ->
-            val wire = ForwardedAnswer(answer.status, answer.body, answer.retryAfterS)
-            val bytes = CborFormat.encode(ForwardedAnswer.serializer(), wire)
+            val wire = ForwardedResponse(answer.status, answer.body, answer.retryAfterS)
+            val bytes = CborFormat.encode(ForwardedResponse.serializer(), wire)
             context.answerBytes(call.id, HttpStatus.OK, bytes)
         }
     }
 
-    private fun passOn(call: Long, member: String, request: ForwardedRequest) {
+    private fun forward(call: Long, member: String, request: ForwardedRequest) {
         val body = CborFormat.encode(ForwardedRequest.serializer(), request)
         context.send(Target.Peer(member), "POST", PEER_PATH, body, TIMEOUT) { outcome ->
             val response = outcome as? Outcome.Response
             val told =
                 response
                     ?.takeIf { it.status == HttpStatus.OK }
-                    ?.let { CborFormat.decode(ForwardedAnswer.serializer(), it.body) }
-            if (told == null) lookUp(call, request, OperatorAnswers.UNAVAILABLE)
+                    ?.let { CborFormat.decode(ForwardedResponse.serializer(), it.body) }
+            if (told == null) answerFromStore(call, request, OperatorResponses.UNAVAILABLE)
             else
-                answerOrLookUp(
+                answerOrReadStore(
                     call,
                     request,
-                    OperatorAnswer(told.status, told.body, told.retryAfterS),
+                    OperatorResponse(told.status, told.body, told.retryAfterS),
                 )
         }
     }
 
-    private fun answerOrLookUp(call: Long, request: ForwardedRequest, answer: OperatorAnswer) {
-        if (answer.status == HttpStatus.SERVICE_UNAVAILABLE) lookUp(call, request, answer)
+    private fun answerOrReadStore(call: Long, request: ForwardedRequest, answer: OperatorResponse) {
+        if (answer.status == HttpStatus.SERVICE_UNAVAILABLE) answerFromStore(call, request, answer)
         else answer(call, answer)
     }
 
     /** Questions are answered from what is stored; all else is [refused]. */
-    private fun lookUp(call: Long, request: ForwardedRequest, refused: OperatorAnswer) {
+    private fun answerFromStore(call: Long, request: ForwardedRequest, refused: OperatorResponse) {
         if (request.method != "GET") return answer(call, refused)
         val askedAt = context.now
         store.scan(DrainRecord.PREFIX, DrainRecord.serializer(), RequestPriority.READ) { found ->
@@ -135,15 +136,15 @@
             answer(
                 call,
                 when {
-                    id.isEmpty() -> OperatorAnswers.list(DrainList(drains, unreadable))
-                    one != null -> OperatorAnswers.status(HttpStatus.OK, one)
-                    else -> OperatorAnswers.unknown(id)
+                    id.isEmpty() -> OperatorResponses.list(DrainList(drains, unreadable))
+                    one != null -> OperatorResponses.status(HttpStatus.OK, one)
+                    else -> OperatorResponses.unknown(id)
                 },
             )
         }
     }
 
-    private fun answer(call: Long, answer: OperatorAnswer) =
+    private fun answer(call: Long, answer: OperatorResponse) =
         context.answer(call, answer.status, answer.body, answer.retryAfterS)
 
     companion object {
--- a/src/main/kotlin/wardmux/drain/DrainCommand.kt
+++ b/src/main/kotlin/wardmux/drain/DrainCommand.kt
@@ -287,7 +287,7 @@
 }
 
 /** A command about one drain. */
-abstract class OneDrainCommand(private val method: String, private val verb: String) :
+abstract class SingleDrainCommand(private val method: String, private val verb: String) :
     OperatorCommand() {
     @Parameters(index = "0", paramLabel = "ID", description = ["The drain."])
     lateinit var id: String
@@ -300,7 +300,7 @@
 
 /** Shows one drain. */
 @Command(name = "status", description = ["Shows one drain."], mixinStandardHelpOptions = true)
-class DrainStatusCommand : OneDrainCommand("GET", "")
+class DrainStatusCommand : SingleDrainCommand("GET", "")
 
 /** Holds a drain up. */
 @Command(
@@ -308,7 +308,7 @@
     description = ["Stops and returns nothing more until the drain is resumed."],
     mixinStandardHelpOptions = true,
 )
-class DrainPauseCommand : OneDrainCommand("POST", DrainApi.PAUSE)
+class DrainPauseCommand : SingleDrainCommand("POST", DrainApi.PAUSE)
 
 /** Lets a paused drain go on. */
 @Command(
@@ -316,7 +316,7 @@
     description = ["Lets a paused drain go on; past its deadline, without it."],
     mixinStandardHelpOptions = true,
 )
-class DrainResumeCommand : OneDrainCommand("POST", DrainApi.RESUME)
+class DrainResumeCommand : SingleDrainCommand("POST", DrainApi.RESUME)
 
 /** Ends a drain. */
 @Command(
@@ -324,4 +324,4 @@
     description = ["Ends a drain; machines that are not returned yet take tasks again."],
     mixinStandardHelpOptions = true,
 )
-class DrainCancelCommand : OneDrainCommand("POST", DrainApi.CANCEL)
+class DrainCancelCommand : SingleDrainCommand("POST", DrainApi.CANCEL)
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -22,9 +22,9 @@
     private val context: CoreContext,
     private val drains: DrainStore,
     private val cluster: ClusterState,
-    private val disruptions: Disruptions,
+    private val disruptions: DisruptionBudgets,
     private val executor: StepExecutor,
-    private val plans: PlanDesk,
+    private val plans: PlanScheduler,
     private val settings: DrainSettings,
     /** All machines are known, so that one which is not is gone. */
     private val knowsAllMachines: () -> Boolean,
@@ -102,7 +102,7 @@
         val decision = decide(record)
         waitsFor[record.request.id] = (decision as? Decision.Wait)?.text.orEmpty()
         when (decision) {
-            is Decision.Wait -> if (record.pausedByItself) goOn(record)
+            is Decision.Wait -> if (record.isPausedAutomatically) goOn(record)
             is Decision.Write -> {
                 noteWithoutRoom(record, decision.record)
                 write(goingOn(decision.record))
@@ -133,7 +133,7 @@
 
     /** Null for a drain that waits for its operators. */
     private fun decide(record: DrainRecord): Decision? {
-        if (record.state == DrainState.PAUSED && !record.pausedByItself) return null
+        if (record.state == DrainState.PAUSED && !record.isPausedAutomatically) return null
         if (isOverdue(record))
             return Decision.Pause(PauseReason.DEADLINE, "the deadline ${record.request.deadline}")
         val step = record.step ?: return begin(record)
@@ -142,7 +142,7 @@
 
     private fun isOverdue(record: DrainRecord): Boolean {
         val request = record.request
-        val deadline = request.deadline?.let { DrainSelection.momentOf(it) } ?: return false
+        val deadline = request.deadline?.let { DrainSelection.parseTime(it) } ?: return false
         return request.atDeadline == DeadlineAction.PAUSE && context.wallTime > deadline
     }
 
@@ -173,7 +173,7 @@
     }
 
     /** The first thing that would keep a drain from beginning a step now, or null. */
-    fun wouldStop(record: DrainRecord): String? {
+    fun firstObstacle(record: DrainRecord): String? {
         val targets = remaining(record)
         reasonToWait(record, targets)?.let {
             return it
@@ -235,7 +235,7 @@
     /** A step of some drain that is under way holds workers of [team]. */
     private fun isInAnyStep(team: String): Boolean =
         drains.steps.any { step ->
-            executor.stillMoving(step).any { executor.teamOf(it) == team } ||
+            executor.unsettledTasks(step).any { executor.teamOf(it) == team } ||
                 executor.present(step).any { machine ->
                     machine.placements.values.any { it.job.spec.team == team }
                 }
@@ -244,28 +244,28 @@
     private fun pause(record: DrainRecord, decision: Decision.Pause) {
         waitsFor[record.request.id] = decision.text
         if (record.state == DrainState.PAUSED && record.reason == decision.reason) return
-        if (isTooSoon(record) && decision.reason.endsByItself) return
+        if (isTooSoon(record) && decision.reason.resumesAutomatically) return
         log.info("drain {} pauses: {}", record.request.id, decision.text)
         write(
             record.copy(
                 state = DrainState.PAUSED,
                 reason = decision.reason,
-                note = decision.text.take(MOST_NOTE),
+                note = decision.text.take(MAX_NOTE_CHARS),
             )
         )
     }
 
     private fun goOn(record: DrainRecord) {
         if (isTooSoon(record)) return
-        write(record.unpaused())
+        write(record.resumed())
     }
 
     /** A pause that comes and goes with single losses is not written each time. */
     private fun isTooSoon(record: DrainRecord) =
-        context.wallTime.value - record.changedAt < LEAST_BETWEEN_CHANGES.value
+        context.wallTime.value - record.changedAt < MIN_BETWEEN_PAUSE_CHANGES.value
 
-    private val DrainRecord.pausedByItself: Boolean
-        get() = state == DrainState.PAUSED && reason?.endsByItself == true
+    private val DrainRecord.isPausedAutomatically: Boolean
+        get() = state == DrainState.PAUSED && reason?.resumesAutomatically == true
 
     private fun write(record: DrainRecord) {
         drains.write(record) { next, outcome -> if (outcome == DrainWrite.WRITTEN) written(next) }
@@ -288,11 +288,11 @@
 
     private companion object {
         val PERIOD = 500.milliseconds
-        val LEAST_BETWEEN_CHANGES = 3.seconds
+        val MIN_BETWEEN_PAUSE_CHANGES = 3.seconds
 
         /** Boot of a replacement and start of what was moved, beside the grace period. */
         val USUAL_STEP = 120.seconds
-        const val MOST_NOTE = 200
+        const val MAX_NOTE_CHARS = 200
         val WITHOUT_ROOM_PAUSE = 180.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainPlan.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPlan.kt
@@ -68,9 +68,9 @@
 }
 
 /** The number of steps, and the most CPUs that one of them moves. */
-data class PlanMeasure(val steps: Int, val mostCpus: Double) : Comparable<PlanMeasure> {
+data class PlanMeasure(val steps: Int, val maxCpus: Double) : Comparable<PlanMeasure> {
     override fun compareTo(other: PlanMeasure) =
-        compareValuesBy(this, other, { it.steps }, { it.mostCpus })
+        compareValuesBy(this, other, { it.steps }, { it.maxCpus })
 }
 
 /** First fit, the largest first: the fallback, and what the solver begins from. */
--- a/src/main/kotlin/wardmux/drain/DrainRecord.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRecord.kt
@@ -71,7 +71,7 @@
 @Serializable
 enum class PauseReason(
     /** It ends as soon as its cause does, and needs no operator. */
-    val endsByItself: Boolean
+    val resumesAutomatically: Boolean
 ) {
     @SerialName("operator") OPERATOR(false),
     @SerialName("deadline") DEADLINE(false),
@@ -129,7 +129,7 @@
     @SerialName("last_step") val lastStep: Long = 0,
 ) {
     /** The same going on from a pause. */
-    fun unpaused(): DrainRecord {
+    fun resumed(): DrainRecord {
         val state = if (step == null) DrainState.PLANNED else DrainState.RUNNING
         return copy(state = state, reason = null, note = "")
     }
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -19,7 +19,7 @@
      * among them.
      */
     fun targets(request: DrainRequest, newest: String): List<Machine> {
-        val before = request.select.olderThan?.let { momentOf(it) }
+        val before = request.select.olderThan?.let { parseTime(it) }
         return cluster.machines.values.filter { machine ->
             !machine.decommissioned &&
                 selects(request.select, machine) &&
@@ -48,7 +48,7 @@
         private const val MICROS_PER_MILLI = 1_000L
 
         /** An ISO 8601 time with its offset as time of day; null if [text] is none. */
-        fun momentOf(text: String): Micros? =
+        fun parseTime(text: String): Micros? =
             try {
                 Micros(OffsetDateTime.parse(text).toInstant().toEpochMilli() * MICROS_PER_MILLI)
             } catch (e: DateTimeException) {
--- a/src/main/kotlin/wardmux/drain/DrainDesk.kt
+++ b/src/main/kotlin/wardmux/drain/DrainService.kt
@@ -12,14 +12,14 @@
 import wardmux.serialization.jsonBytes
 
 /** What operators ask of the leader: starting, checking, looking at and steering drains. */
-class DrainDesk(
+class DrainService(
     private val context: CoreContext,
     private val drains: DrainStore,
     private val manager: DrainManager,
     private val cluster: ClusterState,
-    private val disruptions: Disruptions,
+    private val disruptions: DisruptionBudgets,
     private val executor: StepExecutor,
-    private val plans: PlanDesk,
+    private val plans: PlanScheduler,
     private val settings: DrainSettings,
     private val token: FencingToken,
     private val zones: List<String>,
@@ -32,19 +32,19 @@
     private val selection = DrainSelection(cluster)
 
     /** Answers a request, as a rule once something is written. */
-    fun handle(request: ForwardedRequest, answer: (OperatorAnswer) -> Unit) {
-        if (!mayDecide() || !drains.isRead) return answer(OperatorAnswers.UNAVAILABLE)
+    fun handle(request: ForwardedRequest, answer: (OperatorResponse) -> Unit) {
+        if (!mayDecide() || !drains.isRead) return answer(OperatorResponses.UNAVAILABLE)
         disruptions.count()
         val parts = request.path.substringBefore('?').removePrefix(DrainApi.PATH).trim('/')
         val id = parts.substringBefore('/')
         val verb = parts.substringAfter('/', "")
         when {
-            request.method == "GET" && id.isEmpty() -> answer(OperatorAnswers.list(list()))
+            request.method == "GET" && id.isEmpty() -> answer(OperatorResponses.list(list()))
             request.method == "GET" && verb.isEmpty() -> status(id, answer)
-            request.method != "POST" -> answer(OperatorAnswers.wrongMethod())
+            request.method != "POST" -> answer(OperatorResponses.wrongMethod())
             id.isEmpty() -> start(request.body, answer)
             id == DrainApi.CHECK && verb.isEmpty() -> check(request.body, answer)
-            else -> steer(id, verb, answer)
+            else -> control(id, verb, answer)
         }
     }
 
@@ -57,11 +57,11 @@
     private fun waitsFor(record: DrainRecord) =
         if (record.state.isFinal) "" else manager.waitsFor(record.request.id)
 
-    private fun status(id: String, answer: (OperatorAnswer) -> Unit) {
+    private fun status(id: String, answer: (OperatorResponse) -> Unit) {
         if (id in drains.unreadableIds)
-            return answer(OperatorAnswers.conflict("can't be read", DrainState.FAILED))
-        val record = drains[id] ?: return answer(OperatorAnswers.unknown(id))
-        answer(OperatorAnswers.status(HttpStatus.OK, statusOf(record)))
+            return answer(OperatorResponses.conflict("can't be read", DrainState.FAILED))
+        val record = drains[id] ?: return answer(OperatorResponses.unknown(id))
+        answer(OperatorResponses.status(HttpStatus.OK, statusOf(record)))
     }
 
     private fun statusOf(record: DrainRecord): DrainStatus {
@@ -81,42 +81,42 @@
         BudgetStatus(
             team,
             disruptions.limitOf(team),
-            disruptions.lostOf(team),
+            disruptions.disruptedOf(team),
             settings.budgetOf(team).minReplicas,
         )
 
     /** The request in [body], or null once [answer] has said that there is none. */
-    private fun decode(body: ByteArray, answer: (OperatorAnswer) -> Unit): DrainRequest? =
+    private fun decode(body: ByteArray, answer: (OperatorResponse) -> Unit): DrainRequest? =
         try {
             operatorJson.decodeFromString(DrainRequest.serializer(), body.decodeToString())
         } catch (e: SerializationException) {
-            answer(OperatorAnswers.malformed(e.message.orEmpty().lineSequence().first()))
+            answer(OperatorResponses.malformed(e.message.orEmpty().lineSequence().first()))
             null
         }
 
     private fun problem(request: DrainRequest): String? =
-        DrainRequests.problem(request, context.wallTime)
+        DrainRequestCheck.problem(request, context.wallTime)
             ?: selection.problem(request.select, types(), zones)
 
-    private fun start(body: ByteArray, answer: (OperatorAnswer) -> Unit) {
+    private fun start(body: ByteArray, answer: (OperatorResponse) -> Unit) {
         val request = decode(body, answer) ?: return
         // A repeat of a start is the same drain, also where its machines are gone by now.
         val known = drains[request.id]
-        if (known != null) return answer(OperatorAnswers.status(HttpStatus.OK, statusOf(known)))
+        if (known != null) return answer(OperatorResponses.status(HttpStatus.OK, statusOf(known)))
         problem(request)?.let {
-            return answer(OperatorAnswers.malformed(it))
+            return answer(OperatorResponses.malformed(it))
         }
         // Machines that are not listed yet would be left out for good.
-        if (!isListed()) return answer(OperatorAnswers.UNAVAILABLE)
+        if (!isListed()) return answer(OperatorResponses.UNAVAILABLE)
         if (request.id in drains.unreadableIds)
-            return answer(OperatorAnswers.conflict("can't be read", DrainState.FAILED))
+            return answer(OperatorResponses.conflict("can't be read", DrainState.FAILED))
         if (selection.targets(request, selection.newest).isEmpty())
-            return answer(OperatorAnswers.malformed("select: no machine is selected"))
+            return answer(OperatorResponses.malformed("select: no machine is selected"))
         val now = context.wallTime.value
         val record =
             DrainRecord(request, DrainState.PLANNED, token.value, now, now, selection.newest)
-        if (jsonBytes(record.toJson()) > drains.maxBytes / PART_FOR_REQUEST)
-            return answer(OperatorAnswers.malformed("select.machines: too many to be stored"))
+        if (jsonBytes(record.toJson()) > drains.maxBytes / RECORD_PARTS)
+            return answer(OperatorResponses.malformed("select.machines: too many to be stored"))
         makeRoom()
         write(record, HttpStatus.CREATED, answer)
     }
@@ -124,49 +124,49 @@
     /** Drains that are over are kept for a while, and the oldest go first. */
     private fun makeRoom() {
         val over = drains.all.filter { it.state.isFinal }.sortedBy { it.changedAt }
-        over.dropLast(MOST_KEPT).firstOrNull()?.let { drains.remove(it.request.id) }
+        over.dropLast(MAX_FINISHED_DRAINS).firstOrNull()?.let { drains.remove(it.request.id) }
     }
 
-    private fun check(body: ByteArray, answer: (OperatorAnswer) -> Unit) {
+    private fun check(body: ByteArray, answer: (OperatorResponse) -> Unit) {
         val request = decode(body, answer) ?: return
         problem(request)?.let {
-            return answer(OperatorAnswers.malformed(it))
+            return answer(OperatorResponses.malformed(it))
         }
         val targets = selection.targets(request, selection.newest)
         if (targets.isEmpty())
-            return answer(OperatorAnswers.malformed("select: no machine is selected"))
+            return answer(OperatorResponses.malformed("select: no machine is selected"))
         val plan = GreedyPlanner.plan(plans.problem(request, targets))
         val record = DrainRecord(request, DrainState.PLANNED, token.value, 0, 0, selection.newest)
         val moving = targets.flatMap { executor.tasksToMove(it, request) }
         val teams = moving.mapTo(sortedSetOf()) { it.job.spec.team }
         answer(
-            OperatorAnswers.check(
+            OperatorResponses.check(
                 DrainCheck(
                     targets.size,
                     plan.steps.map { step -> step.map { it.machine.value } },
                     moving.size,
                     teams.map { budgetOf(it) },
-                    manager.wouldStop(record),
+                    manager.firstObstacle(record),
                 )
             )
         )
     }
 
-    private fun steer(id: String, verb: String, answer: (OperatorAnswer) -> Unit) {
-        val record = drains[id] ?: return answer(OperatorAnswers.unknown(id))
-        if (drains.isBusy(id)) return answer(OperatorAnswers.UNAVAILABLE)
+    private fun control(id: String, verb: String, answer: (OperatorResponse) -> Unit) {
+        val record = drains[id] ?: return answer(OperatorResponses.unknown(id))
+        if (drains.isBusy(id)) return answer(OperatorResponses.UNAVAILABLE)
         val next =
             when (verb) {
                 DrainApi.PAUSE -> paused(record)
                 DrainApi.RESUME -> resumed(record)
                 DrainApi.CANCEL -> record.copy(state = DrainState.CANCELLED, step = null)
-                else -> return answer(OperatorAnswers.noSuchPath())
+                else -> return answer(OperatorResponses.noSuchPath())
             }
         val isRepeat = record.state == next.state && record.reason == next.reason
         when {
-            isRepeat -> answer(OperatorAnswers.status(HttpStatus.OK, statusOf(record)))
+            isRepeat -> answer(OperatorResponses.status(HttpStatus.OK, statusOf(record)))
             record.state.isFinal ->
-                answer(OperatorAnswers.conflict("drain $id is over", record.state))
+                answer(OperatorResponses.conflict("drain $id is over", record.state))
             else -> write(next, HttpStatus.OK, answer)
         }
     }
@@ -179,36 +179,36 @@
         if (record.state != DrainState.PAUSED && !record.state.isFinal) return record
         val past = record.reason == PauseReason.DEADLINE
         val request = if (past) record.request.copy(deadline = null) else record.request
-        return record.copy(request = request).unpaused()
+        return record.copy(request = request).resumed()
     }
 
-    private fun write(record: DrainRecord, status: Int, answer: (OperatorAnswer) -> Unit) {
+    private fun write(record: DrainRecord, status: Int, answer: (OperatorResponse) -> Unit) {
         drains.write(record) { next, outcome ->
             if (outcome == DrainWrite.WRITTEN)
-                answer(OperatorAnswers.status(status, statusOf(next)))
-            else answer(OperatorAnswers.UNAVAILABLE)
+                answer(OperatorResponses.status(status, statusOf(next)))
+            else answer(OperatorResponses.UNAVAILABLE)
         }
     }
 
     private companion object {
         /** Drains that are over and still kept. */
-        const val MOST_KEPT = 20
+        const val MAX_FINISHED_DRAINS = 20
 
         /** The rest of the record is for the step under way. */
-        const val PART_FOR_REQUEST = 3
+        const val RECORD_PARTS = 3
     }
 }
 
 /** Checks drains as they are asked for. */
-object DrainRequests {
+object DrainRequestCheck {
     private val idForm = Regex("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-    private const val LONGEST_GRACE_S = 86_400.0
-    private const val LARGEST_STEP = 20
+    private const val MAX_GRACE_S = 86_400.0
+    private const val MAX_STEP_SIZE = 20
 
     /** What is wrong with the request by itself, in one line that names the field, or null. */
     fun problem(request: DrainRequest, now: Micros): String? =
         idProblem(request.id)
-            ?: rangeProblem("grace_s", request.graceS, 0.0, LONGEST_GRACE_S)
+            ?: rangeProblem("grace_s", request.graceS, 0.0, MAX_GRACE_S)
             ?: stepProblem(request.stepSize)
             ?: deadlineProblem(request.deadline, now)
             ?: selectProblem(request.select)
@@ -221,12 +221,12 @@
         }
 
     private fun stepProblem(size: Int): String? =
-        if (size in 1..LARGEST_STEP) null
-        else "step_size must be from 1 to $LARGEST_STEP, but is $size"
+        if (size in 1..MAX_STEP_SIZE) null
+        else "step_size must be from 1 to $MAX_STEP_SIZE, but is $size"
 
     private fun deadlineProblem(deadline: String?, now: Micros): String? {
         val moment =
-            DrainSelection.momentOf(deadline ?: return null)
+            DrainSelection.parseTime(deadline ?: return null)
                 ?: return "deadline: no time with an offset: $deadline"
         return if (moment <= now) "deadline: is past: $deadline" else null
     }
@@ -235,7 +235,7 @@
         val olderThan = select.olderThan
         return when {
             select == DrainSelector() -> "select: names nothing"
-            olderThan != null && DrainSelection.momentOf(olderThan) == null ->
+            olderThan != null && DrainSelection.parseTime(olderThan) == null ->
                 "select.older_than: no time with an offset: $olderThan"
             else -> null
         }
--- a/src/main/kotlin/wardmux/drain/DrainWire.kt
+++ b/src/main/kotlin/wardmux/drain/DrainWire.kt
@@ -75,14 +75,14 @@
 
 /** The leader's answer to it. */
 @Serializable
-class ForwardedAnswer(
+class ForwardedResponse(
     @SerialName("status") val status: Int,
     @SerialName("body") val body: String,
     @SerialName("retryAfterS") val retryAfterS: Int? = null,
 )
 
 /** An answer to an operator. */
-class OperatorAnswer(val status: Int, val body: String, val retryAfterS: Int? = null)
+class OperatorResponse(val status: Int, val body: String, val retryAfterS: Int? = null)
 
 /** Operators' JSON: strict in what is read, so that a mistyped field is not passed over. */
 val operatorJson = Json {
--- a/src/main/kotlin/wardmux/drain/StopChooser.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionSelector.kt
@@ -7,28 +7,31 @@
 import wardmux.model.seconds
 
 /** Tasks that may be stopped now; where others may not, why, and of which team they are. */
-class StopChoice(val chosen: List<Placement>, val refusal: BudgetRefusal?, val team: String)
+class EvictionSelection(val chosen: List<Placement>, val refusal: BudgetRefusal?, val team: String)
 
 /** A task of a service, which never ends by itself. */
 val Placement.isReplica: Boolean
     get() = job.spec.shape == JobKind.SERVICE
 
 /** What a stop of this task stops: a gang as one. */
-val Placement.stoppedTogether: List<Placement>
+val Placement.evictedTogether: List<Placement>
     get() = if (job.spec.isGang) job.placements.values.toList() else listOf(this)
 
 /** Chooses which tasks of a step are stopped next. */
-class StopChooser(private val context: CoreContext, private val disruptions: Disruptions) {
+class EvictionSelector(
+    private val context: CoreContext,
+    private val disruptions: DisruptionBudgets,
+) {
     /** As many as the budgets allow, those with least to lose first. */
-    fun choose(candidates: List<Placement>): StopChoice {
+    fun choose(candidates: List<Placement>): EvictionSelection {
         val chosen = ArrayList<Placement>()
         val byTeam = HashMap<String, Int>()
         var refusal: BudgetRefusal? = null
         var refusedTeam = ""
         for (candidate in candidates.sortedBy { lost(it).value }) {
-            if (chosen.size >= MOST_AT_ONCE) break
+            if (chosen.size >= MAX_AT_ONCE) break
             val team = candidate.job.spec.team
-            val units = candidate.stoppedTogether.size
+            val units = candidate.evictedTogether.size
             val isSingle = byTeam.containsKey(team) && chosen.any { it.job === candidate.job }
             if (candidate.job.spec.isGang && isSingle) continue
             val refused = refusalBeside(candidate, units, chosen, byTeam[team] ?: 0)
@@ -43,7 +46,7 @@
             chosen.add(candidate)
             byTeam.merge(team, units, Int::plus)
         }
-        return StopChoice(chosen, refusal, refusedTeam)
+        return EvictionSelection(chosen, refusal, refusedTeam)
     }
 
     /** Whether the budgets have room for it beside what is [chosen] already. */
@@ -56,7 +59,7 @@
         val alone = disruptions.refusal(candidate.job, units)
         if (alone != null || ofTeam == 0) return alone
         val team = candidate.job.spec.team
-        if (disruptions.lostOf(team) + ofTeam + units > disruptions.limitOf(team))
+        if (disruptions.disruptedOf(team) + ofTeam + units > disruptions.limitOf(team))
             return BudgetRefusal.NotNow("team $team: its budget is in use")
         val ofJob = chosen.count { it.job === candidate.job }
         if (!candidate.isReplica || ofJob == 0) return null
@@ -71,6 +74,6 @@
     }
 
     private companion object {
-        const val MOST_AT_ONCE = 64
+        const val MAX_AT_ONCE = 64
     }
 }
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -42,21 +42,21 @@
     private val cluster = environment.cluster
     private val electedAt = context.now
     private val store = DrainStore(context, environment.store, environment.role, environment.fenced)
-    private val disruptions = Disruptions(context, cluster, settings, heardWithin())
+    private val disruptions = DisruptionBudgets(context, cluster, settings, heartbeatTimeout())
     private val executor =
         StepExecutor(
             context,
             cluster,
             disruptions,
-            SeatFinder(cluster, environment.eligibility),
+            RelocationFeasibility(cluster, environment.eligibility),
             environment.stopper,
             ::requestReplacement,
             environment.decommission,
             ::knowsAllMachines,
             { store.steps },
-            mostMoving = store.maxBytes / PART_FOR_MOVING / MOST_NAME_BYTES,
+            mostMoving = store.maxBytes / RECORD_PARTS / MAX_TASK_NAME_BYTES,
         )
-    private val plans = PlanDesk(context, cluster, disruptions, settings, executor)
+    private val plans = PlanScheduler(context, cluster, disruptions, settings, executor)
     private val manager =
         DrainManager(
             context,
@@ -71,7 +71,7 @@
 
     /** Answers operators. */
     val desk =
-        DrainDesk(
+        DrainService(
             context,
             store,
             manager,
@@ -92,7 +92,7 @@
         if (environment.mayDecide()) manager.tick()
     }
 
-    private fun heardWithin(): Micros =
+    private fun heartbeatTimeout(): Micros =
         (environment.deployment.workers.heartbeatPeriodS * environment.operators.quietHeartbeats)
             .seconds
 
@@ -120,9 +120,9 @@
         /**
          * Of a record a third is for the request, and a third for the step's machines and notes.
          */
-        const val PART_FOR_MOVING = 3
+        const val RECORD_PARTS = 3
 
         /** A task's name with its quotes and comma. */
-        const val MOST_NAME_BYTES = 34
+        const val MAX_TASK_NAME_BYTES = 34
     }
 }
--- a/src/main/kotlin/wardmux/drain/PlanDesk.kt
+++ b/src/main/kotlin/wardmux/drain/PlanScheduler.kt
@@ -14,10 +14,10 @@
  * Gives the steps of drains. Plans are worked out beside the core, one at a time and no more often
  * than the settings' share of a processor allows; where none comes in time, the greedy plan serves.
  */
-class PlanDesk(
+class PlanScheduler(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val disruptions: Disruptions,
+    private val disruptions: DisruptionBudgets,
     private val settings: DrainSettings,
     private val executor: StepExecutor,
 ) {
@@ -26,7 +26,7 @@
         var plan: DrainPlan? = null
     }
 
-    private val log = logger<PlanDesk>()
+    private val log = logger<PlanScheduler>()
     private val pending = HashMap<String, Pending>()
     private var solveAt = Micros.LONG_AGO
 
@@ -36,7 +36,7 @@
         val services =
             cluster.jobs.values
                 .filter { it.spec.shape == JobKind.SERVICE }
-                .associate { it.id.value to maxOf(1, disruptions.replicasThatMayBeDown(it)) }
+                .associate { it.id.value to maxOf(1, disruptions.maxReplicasDown(it)) }
         val loads = machines.map { loadOf(it, request) }
         return DrainProblem(loads, teams, services, request.stepSize, request.order)
     }
--- a/src/main/kotlin/wardmux/drain/SeatFinder.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -9,7 +9,10 @@
 import wardmux.scheduling.Eligibility
 
 /** Finds room for tasks that are to be moved, on machines that are up and stay. */
-class SeatFinder(private val cluster: ClusterState, private val eligibility: Eligibility) {
+class RelocationFeasibility(
+    private val cluster: ClusterState,
+    private val eligibility: Eligibility,
+) {
     private class Room(var cpus: Double, var gpus: Double, var memoryGb: Double)
 
     /**
--- a/src/main/kotlin/wardmux/drain/SolverPlanner.kt
+++ b/src/main/kotlin/wardmux/drain/SolverPlanner.kt
@@ -12,12 +12,12 @@
  */
 object SolverPlanner {
     /** The best plan found within [limit]; never worse than the greedy one. */
-    fun plan(problem: DrainProblem, limit: Micros, nodes: Long = MOST_NODES): DrainPlan {
+    fun plan(problem: DrainProblem, limit: Micros, nodes: Long = MAX_NODES): DrainPlan {
         val greedy = GreedyPlanner.plan(problem)
         val free = problem.machines.filterNot { problem.goesAlone(it) }
         val alone = problem.machines.filter { problem.goesAlone(it) }.map { listOf(it) }
         val most = greedy.steps.size - alone.size
-        if (free.size > MOST_MACHINES || most <= 1) return greedy
+        if (free.size > MAX_MACHINES || most <= 1) return greedy
         val solved = Search(problem, free, most).run(limit, nodes)
         val plan = DrainPlan(GreedyPlanner.inOrder(problem, solved.steps + alone), solved.isOptimal)
         val isSound = solved.steps.isNotEmpty() && plan.steps.all { problem.allows(it) }
@@ -28,12 +28,12 @@
     private class Search(
         private val problem: DrainProblem,
         private val machines: List<MachineLoad>,
-        private val mostSteps: Int,
+        private val maxSteps: Int,
     ) {
         private val model = Model("drain")
         private val stepOf: Array<IntVar> =
-            Array(machines.size) { model.intVar("step$it", 0, mostSteps - 1) }
-        private val lastStep = model.intVar("last", 0, mostSteps - 1)
+            Array(machines.size) { model.intVar("step$it", 0, maxSteps - 1) }
+        private val lastStep = model.intVar("last", 0, maxSteps - 1)
 
         fun run(limit: Micros, nodes: Long): DrainPlan {
             limitBins(machines.map { 1 }, problem.stepSize)
@@ -54,7 +54,7 @@
         private fun limitBins(counts: List<Int>, limit: Int) {
             val most = minOf(limit, counts.sum())
             if (most == counts.sum()) return
-            val loads = model.intVarArray(mostSteps, 0, most)
+            val loads = model.intVarArray(maxSteps, 0, most)
             model.binPacking(stepOf, counts.toIntArray(), loads, 0).post()
         }
 
@@ -79,7 +79,7 @@
     }
 
     /** Beyond this a model takes longer to set up than a plan is worth. */
-    private const val MOST_MACHINES = 300
-    private const val MOST_NODES = 200_000L
+    private const val MAX_MACHINES = 300
+    private const val MAX_NODES = 200_000L
     private const val MICROS_PER_MILLI = 1_000L
 }
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -38,8 +38,8 @@
 class StepExecutor(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val disruptions: Disruptions,
-    private val seats: SeatFinder,
+    private val disruptions: DisruptionBudgets,
+    private val seats: RelocationFeasibility,
     private val stopper: TaskEvictor,
     private val replacements: Replacements,
     private val decommission: (Machine, String) -> Unit,
@@ -50,7 +50,7 @@
     /** Tasks that one record can name. */
     private val mostMoving: Int,
 ) {
-    private val chooser = StopChooser(context, disruptions)
+    private val chooser = EvictionSelector(context, disruptions)
 
     /** What to do next for the step of [record]. */
     fun decide(record: DrainRecord, step: DrainStep): Decision =
@@ -74,7 +74,7 @@
                 job.waiting > 0 &&
                 !job.isFailing &&
                 since != null &&
-                context.now - since > URGENT_PATIENCE &&
+                context.now - since > URGENT_WAIT &&
                 machines.any { couldTake(it, job) }
         }
 
@@ -107,8 +107,8 @@
 
     /** A replacement is up by then, if one is to be had and comes up as a rule. */
     private fun patience(machines: List<Machine>): Long =
-        ((machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * BOOTS_WAITED).value +
-            ROOM_PATIENCE.value
+        ((machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * ROOM_TIMEOUT_BOOTS).value +
+            MIN_ROOM_TIMEOUT.value
 
     /**
      * The room is not to be had: the step is made as small as there is room for, and where not even
@@ -184,7 +184,7 @@
         if (choice.chosen.isEmpty()) return whyNone(choice, open)
         val onTheirWay = open.flatMap { it.placements.values }.filter { it.name in step.moved }
         val unseated = seats.unseated(onTheirWay + choice.chosen).toSet()
-        val moving = stillMoving(step)
+        val moving = unsettledTasks(step)
         val seated = choice.chosen.filter { it !in unseated }
         if (seated.isEmpty()) return waitForRoom(unseated.toList())
         val moved = seated.take((mostMoving - moving.size).coerceAtLeast(0))
@@ -194,7 +194,7 @@
         return Decision.Write(record.copy(step = next, moved = record.moved + moved.size))
     }
 
-    private fun whyNone(choice: StopChoice, open: List<Machine>): Decision {
+    private fun whyNone(choice: EvictionSelection, open: List<Machine>): Decision {
         val refusal = choice.refusal
         val left = open.sumOf { it.placements.size }
         if (refusal == null) return Decision.Wait("$left tasks end, save or move")
@@ -202,8 +202,8 @@
         if (refusal is BudgetRefusal.Never)
             return if (isService) Decision.Pause(PauseReason.BUDGET, refusal.text)
             else Decision.Wait("$left tasks end by themselves: ${refusal.text}")
-        val drained = steps().flatMap { stillMoving(it) }.count { teamOf(it) == choice.team }
-        return if (disruptions.lostOf(choice.team) > drained)
+        val drained = steps().flatMap { unsettledTasks(it) }.count { teamOf(it) == choice.team }
+        return if (disruptions.disruptedOf(choice.team) > drained)
             Decision.Pause(PauseReason.LOSS, refusal.text)
         else Decision.Wait(refusal.text)
     }
@@ -220,9 +220,9 @@
     }
 
     private fun stop(placement: Placement) {
-        val units = placement.stoppedTogether
+        val units = placement.evictedTogether
         // What counts as disrupted already takes nothing more of the budget.
-        val more = units.count { !disruptions.isLost(it) }
+        val more = units.count { !disruptions.isDisrupted(it) }
         if (more > 0 && disruptions.refusal(placement.job, more) != null) return
         // Counted first: once the halt is in force they no longer count as up.
         for (unit in units) disruptions.stopped(unit)
@@ -230,7 +230,7 @@
     }
 
     private fun settle(record: DrainRecord, step: DrainStep): Decision {
-        val moving = stillMoving(step)
+        val moving = unsettledTasks(step)
         if (moving.isNotEmpty())
             return Decision.Wait(
                 "${moving.size} moved tasks do not run again yet: ${moving.first()}"
@@ -252,7 +252,7 @@
         step.machines.mapNotNull { cluster.machines[MachineId(it)] }
 
     /** Tasks that were moved and neither run elsewhere nor are over. */
-    fun stillMoving(step: DrainStep): List<String> =
+    fun unsettledTasks(step: DrainStep): List<String> =
         step.moved.filter { name ->
             val task = TaskId.parse(name) ?: return@filter false
             val job = cluster.jobs[task.job] ?: return@filter false
@@ -272,7 +272,7 @@
         machine.isEmpty &&
             machine.unconfirmedStarts.isEmpty() &&
             !machine.isCommandInFlight &&
-            context.now - machine.idleSince > ENDS_RECORDED
+            context.now - machine.idleSince > RECORDING_TIME
 
     private fun isStoppable(placement: Placement) =
         placement.committed &&
@@ -288,9 +288,9 @@
 
     private companion object {
         const val DRAINED = "its machine is drained"
-        val URGENT_PATIENCE = 1.seconds
-        const val BOOTS_WAITED = 3.0
-        val ROOM_PATIENCE = 30.seconds
-        val ENDS_RECORDED = 5.seconds
+        val URGENT_WAIT = 1.seconds
+        const val ROOM_TIMEOUT_BOOTS = 3.0
+        val MIN_ROOM_TIMEOUT = 30.seconds
+        val RECORDING_TIME = 5.seconds
     }
 }
--- a/src/test/kotlin/wardmux/drain/DisruptionsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
@@ -19,13 +19,18 @@
 import wardmux.sim.plainJob
 
 /** What counts as disrupted: all that does not surely run, and nothing that never did. */
-class DisruptionsTest {
+class DisruptionBudgetsTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val harness =
         PlannerHarness(listOf(TeamQuota("team-0", 700.0, 700.0)), listOf(type), now = 100.seconds)
     private val budget = BudgetSettings(maxDisrupted = 2, minReplicas = 2)
     private val disruptions =
-        Disruptions(harness.context, harness.cluster, DrainSettings(budget = budget), 6.seconds)
+        DisruptionBudgets(
+            harness.context,
+            harness.cluster,
+            DrainSettings(budget = budget),
+            6.seconds,
+        )
     private val machine = harness.machine(1, type)
     private val job = harness.job(plainJob(4).copy(shape = JobKind.SERVICE))
 
@@ -41,14 +46,14 @@
     private fun lost(change: () -> Unit): Int {
         change()
         disruptions.count()
-        return disruptions.lostOf("team-0")
+        return disruptions.disruptedOf("team-0")
     }
 
     private fun allLostBy(change: Machine.() -> Unit) = assertEquals(4, lost { machine.change() })
 
     @Test
     fun `what is reported as running is up`() {
-        assertEquals(0, disruptions.lostOf("team-0"))
+        assertEquals(0, disruptions.disruptedOf("team-0"))
         assertEquals(2, disruptions.limitOf("team-0"))
     }
 
@@ -75,9 +80,9 @@
     @Test
     fun `a stop counts from when it went out, whatever is reported later`() {
         disruptions.stopped(first)
-        assertEquals(1, disruptions.lostOf("team-0"))
+        assertEquals(1, disruptions.disruptedOf("team-0"))
         disruptions.stopped(first)
-        assertEquals(1, disruptions.lostOf("team-0"), "counted once")
+        assertEquals(1, disruptions.disruptedOf("team-0"), "counted once")
         assertEquals(1, lost { first.status = TaskStatus.RUNNING })
     }
 
@@ -110,7 +115,7 @@
     fun `a share is rounded up, and the smaller of number and share holds`() {
         fun limit(share: Double): Int {
             val settings = DrainSettings(budget = budget.copy(maxDisruptedShare = share))
-            val own = Disruptions(harness.context, harness.cluster, settings, 6.seconds)
+            val own = DisruptionBudgets(harness.context, harness.cluster, settings, 6.seconds)
             own.count()
             return own.limitOf("team-0")
         }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -19,15 +19,15 @@
 
 /** Drains through the failures that they are made for, each brought about on purpose. */
 class DrainFaultsTest {
-    private fun DrainDay.crashLeader() =
+    private fun DrainScenario.crashLeader() =
         simulation.leader()?.let { simulation.crash(it, 3.seconds) }
 
-    private fun DrainDay.crashAll() {
+    private fun DrainScenario.crashAll() {
         for (node in simulation.nodes) simulation.crash(node, 3.seconds)
     }
 
     /** Calls [action] as the leader sends its [number]th write of a drain from now. */
-    private fun DrainDay.atDrainWrite(number: Int, action: () -> Unit) {
+    private fun DrainScenario.atDrainWrite(number: Int, action: () -> Unit) {
         var seen = 0
         simulation.state.late = { _, transaction ->
             val writes =
@@ -54,7 +54,7 @@
         IS_CUT_OFF,
     }
 
-    private fun DrainDay.befall(fault: LeaderFault) {
+    private fun DrainScenario.befall(fault: LeaderFault) {
         val leader = simulation.leader() ?: return
         when (fault) {
             LeaderFault.ENDS -> simulation.crash(leader, 3.seconds)
@@ -73,7 +73,7 @@
     @EnumSource(LeaderFault::class)
     fun `the next leader goes on from any write of a step`(fault: LeaderFault) {
         for (write in 1..8) {
-            val day = DrainDay(20L + write).begin().start()
+            val day = DrainScenario(20L + write).begin().start()
             day.atDrainWrite(write) { day.befall(fault) }
             day.runUntilDone()
             day.check()
@@ -83,7 +83,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `late commands of the first leader take nothing beyond the budget`(seed: Long) {
-        val day = DrainDay(seed).begin().start()
+        val day = DrainScenario(seed).begin().start()
         for (worker in day.workers()) day.simulation.lateOrders[worker.id] = 4.seconds
         for (write in listOf(3, 6)) {
             day.atDrainWrite(write) { day.befall(LeaderFault.STANDS_STILL) }
@@ -95,9 +95,9 @@
     }
 
     /** Two machines with a replica each, drained side by side, of which one may be down. */
-    private fun sideBySide(seed: Long): Pair<DrainDay, List<String>> {
+    private fun sideBySide(seed: Long): Pair<DrainScenario, List<String>> {
         val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
-        val day = DrainDay(seed, DrainSettings(budget = budget))
+        val day = DrainScenario(seed, DrainSettings(budget = budget))
         day.begin(day.service(0, 3, cpus = 10.0))
         val machines = day.workers().filter { it.tasksThere > 0 }.map { it.id }.take(2)
         for ((number, machine) in machines.withIndex()) {
@@ -106,7 +106,7 @@
         return day to machines
     }
 
-    private fun DrainDay.runUntilBothDone() {
+    private fun DrainScenario.runUntilBothDone() {
         runUntilDone(id = "d1")
         runUntilDone(id = "d2")
         checkBudgets()
@@ -153,7 +153,7 @@
 
     @Test
     fun `a drain yields to urgent work that waits for room, and says so`() {
-        val day = DrainDay(5, capacity = 1)
+        val day = DrainScenario(5, capacity = 1)
         day.begin(day.service(0, 2, cpus = 6.0), day.service(1, 2, cpus = 6.0))
         val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = PriorityClass.HIGH)
         day.submit(urgent)
@@ -174,7 +174,7 @@
     @ParameterizedTest
     @ValueSource(booleans = [true, false])
     fun `no task is moved before a replacement is up and sound`(sick: Boolean) {
-        val day = DrainDay(7)
+        val day = DrainScenario(7)
         // Fuller than half, so that nothing fits beside what is there.
         day.begin(day.service(0, 3, cpus = 10.0))
         if (sick) day.simulation.cloud.bornSick = true else day.simulation.cloud.stillborn = 1.0
@@ -197,7 +197,7 @@
     fun `a zone lost in the middle of a step pauses the drain until its work runs again`(
         zone: String
     ) {
-        val day = DrainDay(9).begin().start()
+        val day = DrainScenario(9).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         for (worker in day.workers().filter { it.zone == zone }) day.simulation.cloud.kill(worker)
         day.runUntilDone()
@@ -206,21 +206,21 @@
 
     @Test
     fun `a worker lost otherwise pauses the step, and its return lets it go on`() {
-        val day = DrainDay(10)
+        val day = DrainScenario(10)
         // Once one of two replicas is moved, its machine has no room for what is lost elsewhere.
         day.begin(day.service(0, 2, cpus = 7.0), day.service(0, 1, cpus = 14.0))
         val first = day.workers().first { it.tasksThere == 2 }
         val second = day.workers().first { it.tasksThere == 1 }
         day.start(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
         day.runUntil(60.seconds, "a stop") { day.losses.stops.isNotEmpty() }
-        assertEquals(200, day.steer(DrainApi.PAUSE))
+        assertEquals(200, day.control(DrainApi.PAUSE))
         day.simulation.run(day.clock.now + 20.seconds)
         assertTrue(first.tasksThere > 0, "nothing is left to be moved")
         // What was there finds no machine for a while.
         day.simulation.cloud.stillborn = 1.0
         day.simulation.cloud.kill(second)
         day.simulation.run(day.clock.now + 20.seconds)
-        assertEquals(200, day.steer(DrainApi.RESUME))
+        assertEquals(200, day.control(DrainApi.RESUME))
         day.runUntil(30.seconds, "it pauses") { day.stored()?.reason == PauseReason.LOSS }
         assertTrue("workers are disrupted" in day.stored()?.note.orEmpty())
         day.simulation.cloud.stillborn = 0.0
@@ -230,7 +230,7 @@
 
     @Test
     fun `a wave of spot machines taken back during a drain of spot machines`() {
-        val day = DrainDay(11)
+        val day = DrainScenario(11)
         day.begin(day.array(0, 8, 90.0), day.array(1, 8, 90.0), day.service(2, 2))
         day.start(DrainRequest("d1", DrainSelector(spot = true), graceS = 5.0))
         day.runUntilStep(StepPhase.EMPTYING)
@@ -244,7 +244,7 @@
 
     @Test
     fun `an outage of the state service for longer than a lease`() {
-        val day = DrainDay(13).begin().start()
+        val day = DrainScenario(13).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         day.simulation.state.outage(null)
         day.simulation.run(day.clock.now + 40.seconds)
@@ -257,7 +257,7 @@
     @ParameterizedTest
     @ValueSource(ints = [5, 12, 40])
     fun `a machine that hangs while it is drained and comes back`(inSeconds: Int) {
-        val day = DrainDay(15).begin().start()
+        val day = DrainScenario(15).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         val names = day.stored()?.step?.machines.orEmpty()
         val hung = day.workers().filter { it.id in names }
@@ -269,7 +269,7 @@
 
     @Test
     fun `a machine that crashes while it is drained`() {
-        val day = DrainDay(17).begin().start()
+        val day = DrainScenario(17).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         val names = day.stored()?.step?.machines.orEmpty()
         for (worker in day.workers().filter { it.id in names }) day.simulation.cloud.kill(worker)
@@ -280,7 +280,7 @@
     @ParameterizedTest
     @EnumSource(StepPhase::class)
     fun `all controllers are restarted at once`(phase: StepPhase) {
-        val day = DrainDay(19).begin().start()
+        val day = DrainScenario(19).begin().start()
         day.runUntilStep(phase)
         day.crashAll()
         day.runUntilDone()
@@ -290,7 +290,7 @@
     @Test
     fun `a budget lowered below what is out stops nothing more until it is kept again`() {
         val budget = BudgetSettings(maxDisrupted = 3, stepPauseS = 1.0)
-        val day = DrainDay(21, DrainSettings(budget = budget))
+        val day = DrainScenario(21, DrainSettings(budget = budget))
         day.begin(day.service(0, 6), day.service(1, 6))
         day.start()
         day.runUntilStep(StepPhase.EMPTYING)
@@ -313,7 +313,7 @@
     @Test
     fun `a budget of none is said to be the reason, and a raised one lets the drain go on`() {
         val none = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
-        val day = DrainDay(23, DrainSettings(budget = none))
+        val day = DrainScenario(23, DrainSettings(budget = none))
         day.begin(day.service(0, 3)).start()
         day.runUntil(120.seconds, "paused") { day.stored()?.reason == PauseReason.BUDGET }
         assertTrue("its budget is 0" in day.stored()?.note.orEmpty(), "${day.stored()}")
@@ -330,14 +330,14 @@
     @Test
     fun `replicas that must stay up stay up`() {
         val budget = BudgetSettings(maxDisrupted = 3, minReplicas = 3, stepPauseS = 1.0)
-        val day = DrainDay(25, DrainSettings(budget = budget))
+        val day = DrainScenario(25, DrainSettings(budget = budget))
         val large = day.service(0, 4)
         day.begin(large).start()
         day.runUntilDone()
         day.check()
         assertTrue(day.losses.peakOf("team-0") <= 1, "${day.losses.peakOf("team-0")}")
 
-        val tooMany = DrainDay(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
+        val tooMany = DrainScenario(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
         tooMany.begin(tooMany.service(0, 4)).start()
         tooMany.runUntil(120.seconds, "paused") { tooMany.stored()?.reason == PauseReason.BUDGET }
         assertTrue("must stay up" in tooMany.stored()?.note.orEmpty())
@@ -346,7 +346,7 @@
 
     @Test
     fun `a version without drains leads for a while and destroys nothing`() {
-        val day = DrainDay(29).begin().start()
+        val day = DrainScenario(29).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         val before = day.stored()
         day.simulation.operatorsOf = { OperatorSettings() }
@@ -362,7 +362,7 @@
 
     @Test
     fun `with drains beside controllers of a version that has none`() {
-        val day = DrainDay(31)
+        val day = DrainScenario(31)
         day.simulation.operatorsOf = { if (it == "n1") OperatorSettings() else day.operators }
         for (node in day.simulation.nodes) day.simulation.crash(node, 1.seconds)
         day.begin()
@@ -381,7 +381,7 @@
 
     @Test
     fun `each write of a drain holds only under its leader's key and the drain's own`() {
-        val day = DrainDay(30).begin()
+        val day = DrainScenario(30).begin()
         var writes = 0
         day.simulation.state.late = { _, transaction ->
             val keys =
@@ -406,7 +406,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `writes that get no answer and are carried out late`(seed: Long) {
-        val day = DrainDay(seed).begin().start()
+        val day = DrainScenario(seed).begin().start()
         day.simulation.state.lateWrites = 0.3
         day.simulation.run(day.clock.now + 90.seconds)
         day.simulation.state.lateWrites = 0.0
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -28,18 +28,18 @@
     @EnumSource(StepPhase::class)
     fun `a drain that is cancelled in a step gives its machines back`(phase: StepPhase) {
         val service =
-            DrainDay(3).let { day ->
+            DrainScenario(3).let { day ->
                 val service = day.service(0, 4)
                 day.begin(service, day.service(1, 3), day.array(2, 3, 60.0)).start()
                 day.runUntilStep(phase)
-                assertEquals(200, day.steer(DrainApi.CANCEL))
+                assertEquals(200, day.control(DrainApi.CANCEL))
                 day.simulation.run(day.clock.now + 20.seconds)
                 val before = day.losses.stops.size
                 day.simulation.run(day.clock.now + 60.seconds)
                 assertEquals(before, day.losses.stops.size, "it goes on")
                 assertEquals(DrainState.CANCELLED, day.state())
-                assertEquals(200, day.steer(DrainApi.CANCEL), "a repeat")
-                assertEquals(409, day.steer(DrainApi.RESUME))
+                assertEquals(200, day.control(DrainApi.CANCEL), "a repeat")
+                assertEquals(409, day.control(DrainApi.RESUME))
                 assertTrue(day.runs(service))
                 day.checkBudgets()
                 // Machines that stay take tasks: a new drain finds them as any others.
@@ -52,13 +52,13 @@
 
     @Test
     fun `machines of a cancelled drain take tasks again`() {
-        val day = DrainDay(7, capacity = 1)
+        val day = DrainScenario(7, capacity = 1)
         day.begin(day.service(0, 2, cpus = 4.0), day.service(1, 2, cpus = 4.0))
         val busy = day.workers().first { it.tasksThere > 1 }.id
         day.start(DrainRequest("d1", DrainSelector(machines = listOf(busy))))
         day.runUntilStep(StepPhase.EMPTYING)
         val machines = day.stored()?.step?.machines.orEmpty()
-        assertEquals(200, day.steer(DrainApi.CANCEL))
+        assertEquals(200, day.control(DrainApi.CANCEL))
         // More than all other machines hold.
         for (team in 0..2) day.submit(day.array(team, 16, 200.0).copy(spot = true))
         val left = day.workers().filter { it.id in machines }
@@ -70,39 +70,39 @@
     fun `a drain that is cancelled before its first step, while paused, and when done`() {
         val closed = WindowSettings("FREQ=YEARLY", "03:00", 3600.0, "1971-01-01")
         val budget = BudgetSettings(stepPauseS = 1.0)
-        val planned = DrainDay(4, DrainSettings(budget = budget, windows = listOf(closed)))
+        val planned = DrainScenario(4, DrainSettings(budget = budget, windows = listOf(closed)))
         planned.begin().start()
         planned.simulation.run(planned.clock.now + 30.seconds)
         assertEquals(DrainState.PLANNED, planned.state())
         assertTrue("1971-01-01T03:00:00Z" in planned.status().waitsFor, planned.status().waitsFor)
-        assertEquals(200, planned.steer(DrainApi.CANCEL))
+        assertEquals(200, planned.control(DrainApi.CANCEL))
         assertEquals(DrainState.CANCELLED, planned.state())
 
-        val paused = DrainDay(5).begin().start()
+        val paused = DrainScenario(5).begin().start()
         paused.runUntilStep(StepPhase.EMPTYING)
-        assertEquals(200, paused.steer(DrainApi.PAUSE))
-        assertEquals(200, paused.steer(DrainApi.CANCEL))
+        assertEquals(200, paused.control(DrainApi.PAUSE))
+        assertEquals(200, paused.control(DrainApi.CANCEL))
         assertEquals(DrainState.CANCELLED, paused.state())
 
-        val done = DrainDay(6).begin().start()
+        val done = DrainScenario(6).begin().start()
         done.runUntilDone()
-        assertEquals(409, done.steer(DrainApi.CANCEL))
-        assertEquals(409, done.steer(DrainApi.PAUSE))
+        assertEquals(409, done.control(DrainApi.CANCEL))
+        assertEquals(409, done.control(DrainApi.PAUSE))
         assertEquals(DrainState.DONE, done.state())
     }
 
     @Test
     fun `a paused drain stops nothing until it is resumed, also under the next leader`() {
-        val day = DrainDay(8).begin().start()
+        val day = DrainScenario(8).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
-        assertEquals(200, day.steer(DrainApi.PAUSE))
+        assertEquals(200, day.control(DrainApi.PAUSE))
         day.simulation.run(day.clock.now + 20.seconds)
         val before = day.losses.stops.size
         day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
         day.simulation.run(day.clock.now + 60.seconds)
         assertEquals(before, day.losses.stops.size)
         assertEquals(PauseReason.OPERATOR, day.status().record.reason)
-        assertEquals(200, day.steer(DrainApi.RESUME))
+        assertEquals(200, day.control(DrainApi.RESUME))
         day.runUntilDone()
         day.check()
     }
@@ -110,13 +110,13 @@
     @ParameterizedTest
     @EnumSource(DeadlineAction::class)
     fun `at its deadline a drain pauses or goes on, as it was asked to`(action: DeadlineAction) {
-        val day = DrainDay(9).begin()
+        val day = DrainScenario(9).begin()
         val request = ordinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
         day.start(request)
         day.simulation.run(300.seconds)
         if (action == DeadlineAction.PAUSE) {
             assertEquals(PauseReason.DEADLINE, day.status().record.reason)
-            assertEquals(200, day.steer(DrainApi.RESUME))
+            assertEquals(200, day.control(DrainApi.RESUME))
         }
         day.runUntilDone()
         day.check()
@@ -137,7 +137,7 @@
         val record = lenientJson.decodeFromString(DrainRecord.serializer(), stored)
         assertEquals(stored, record.toJson().toString())
 
-        val day = DrainDay(11).begin()
+        val day = DrainScenario(11).begin()
         val unknown = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
         day.simulation.state.write(DrainRecord.key("d1"), unknown)
         day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
@@ -150,7 +150,7 @@
 
     @Test
     fun `a repeated start is the same drain, and a late one too`() {
-        val day = DrainDay(10).begin().start()
+        val day = DrainScenario(10).begin().start()
         assertEquals(200, day.ask("POST", DrainApi.PATH, body(ordinary)).first)
         day.runUntilDone()
         assertEquals(200, day.ask("POST", DrainApi.PATH, body(ordinary)).first)
@@ -160,7 +160,7 @@
 
     @Test
     fun `several drains share the budgets, and two that name the same machines agree`() {
-        val day = DrainDay(12)
+        val day = DrainScenario(12)
         day.begin(day.service(0, 6), day.service(1, 4)).start()
         val zones = DrainRequest("d2", DrainSelector(zones = listOf("a", "b", "c"), spot = false))
         assertEquals(201, day.ask("POST", DrainApi.PATH, body(zones)).first)
@@ -175,7 +175,7 @@
     fun `a gang is stopped as one within the budget, or not at all`() {
         val most = 3
         val budget = BudgetSettings(maxDisrupted = most, stepPauseS = 1.0)
-        val day = DrainDay(14, DrainSettings(budget = budget))
+        val day = DrainScenario(14, DrainSettings(budget = budget))
         val small = day.array(0, 3, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
         val large = day.array(1, 4, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
         day.simulation.gangs.lengths[small.id] = 300.seconds
@@ -189,7 +189,7 @@
 
     @Test
     fun `where a zone has no room, the machines that can be replaced go first`() {
-        val day = DrainDay(16, capacity = 1)
+        val day = DrainScenario(16, capacity = 1)
         val bound = day.service(0, 1, cpus = 12.0).copy(zone = "b")
         day.begin(bound, day.service(1, 2, cpus = 4.0)).start(ordinary.copy(stepSize = 1))
         day.runUntil(600.seconds, "a machine is returned") { (day.stored()?.returned ?: 0) > 0 }
@@ -199,7 +199,7 @@
 
     @Test
     fun `a check shows steps, budgets and what would stop it, and starts nothing`() {
-        val day = DrainDay(18)
+        val day = DrainScenario(18)
         day.begin(day.service(0, 4)).ask("GET", DrainApi.PATH)
         val (status, text) = day.ask("POST", "${DrainApi.PATH}/${DrainApi.CHECK}", body(ordinary))
         assertEquals(200, status, text)
@@ -210,7 +210,7 @@
         assertNull(day.stored())
 
         val none = DrainSettings(budget = BudgetSettings(maxDisrupted = 0))
-        val never = DrainDay(18, none)
+        val never = DrainScenario(18, none)
         never.begin(never.service(0, 4))
         val said = never.ask("POST", "${DrainApi.PATH}/${DrainApi.CHECK}", body(ordinary)).second
         assertTrue("its budget is 0" in said, said)
@@ -268,7 +268,7 @@
 
     @Test
     fun `while leadership changes, questions are answered from the store with their age`() {
-        val day = DrainDay(20).begin().start()
+        val day = DrainScenario(20).begin().start()
         day.runUntilStep(StepPhase.EMPTYING)
         val leader = checkNotNull(day.simulation.leader())
         val other = day.simulation.nodes.first { it != leader }
@@ -308,6 +308,7 @@
 
     private companion object {
         /** A day on which nothing is drained, for requests that are wrong. */
-        val WRONG = DrainDay(22).begin().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
+        val WRONG =
+            DrainScenario(22).begin().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -79,7 +79,7 @@
         var greedySteps = 0
         var solvedSteps = 0
         var optimal = 0
-        var mostCpus = 0.0
+        var maxCpus = 0.0
         val began = System.nanoTime()
         for (seed in 1..SEEDS) {
             val problem = seeded(seed, machines)
@@ -91,13 +91,13 @@
             assertTrue(solved.measure <= greedy.measure, "seed $seed")
             greedySteps += greedy.measure.steps
             solvedSteps += solved.measure.steps
-            mostCpus += solved.measure.mostCpus - greedy.measure.mostCpus
+            maxCpus += solved.measure.maxCpus - greedy.measure.maxCpus
             if (solved.isOptimal) optimal++
         }
         val milliseconds = (System.nanoTime() - began) / 1_000_000 / SEEDS
         assertTrue(solvedSteps < greedySteps, "the solver never found fewer steps")
         return "$machines machines: greedy $greedySteps steps, solver $solvedSteps, " +
-            "$optimal of $SEEDS proven, CPUs at once by $mostCpus, $milliseconds ms each"
+            "$optimal of $SEEDS proven, CPUs at once by $maxCpus, $milliseconds ms each"
     }
 
     @Test
--- a/src/test/kotlin/wardmux/drain/DrainDay.kt
+++ b/src/test/kotlin/wardmux/drain/DrainScenario.kt
@@ -16,7 +16,7 @@
 import wardmux.sim.FakeWorker
 
 /** A simulated day with a drain: services and arrays of three teams on machines of three zones. */
-class DrainDay(
+class DrainScenario(
     seed: Long,
     val settings: DrainSettings = DrainSettings(budget = BudgetSettings(stepPauseS = 1.0)),
     capacity: Int = 4,
@@ -71,7 +71,7 @@
     fun submit(spec: JobSpec): JobSpec = spec.also { simulation.submit(it) }
 
     /** Lets jobs begin; the usual ones, unless others were submitted. */
-    fun begin(vararg specs: JobSpec): DrainDay {
+    fun begin(vararg specs: JobSpec): DrainScenario {
         val jobs = specs.ifEmpty { arrayOf(service(0, 4), service(1, 3), array(2, 3, 60.0)) }
         simulation.run(8.seconds)
         for (spec in jobs) simulation.submit(spec)
@@ -88,7 +88,7 @@
     fun start(
         request: DrainRequest = DrainRequest("d1", ordinary(), graceS = 10.0),
         expected: Int = 201,
-    ): DrainDay {
+    ): DrainScenario {
         drained = workers().filter { request.select.spot == null || it.spot == request.select.spot }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), request)
         assertEquals(expected, ask("POST", DrainApi.PATH, body).first)
@@ -134,7 +134,7 @@
 
     fun state(id: String = "d1"): DrainState = status(id).record.state
 
-    fun steer(verb: String, id: String = "d1"): Int =
+    fun control(verb: String, id: String = "d1"): Int =
         ask("POST", "${DrainApi.PATH}/$id/$verb").first
 
     /** What is stored of the drain, whoever leads. */
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -18,7 +18,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `all machines are replaced within the budgets`(seed: Long) {
-        val day = DrainDay(seed).begin().start()
+        val day = DrainScenario(seed).begin().start()
         assertTrue(day.drained.isNotEmpty())
         day.runUntilDone()
         day.check()
@@ -28,7 +28,7 @@
 
     @Test
     fun `a drain that goes beyond a budget is caught by the workers' records`() {
-        val day = DrainDay(4, DrainSettings(budget = BudgetSettings(3, stepPauseS = 1.0)))
+        val day = DrainScenario(4, DrainSettings(budget = BudgetSettings(3, stepPauseS = 1.0)))
         day.begin(day.service(0, 6)).start()
         day.runUntilDone()
         day.check()
@@ -40,7 +40,7 @@
     @MethodSource("seeds")
     fun `no rule is broken and no budget passed, whatever fails`(seed: Long) {
         val budget = BudgetSettings(maxDisrupted = 2, stepPauseS = 1.0)
-        val day = DrainDay(seed, DrainSettings(budget = budget), relays = seed % 2 == 0L)
+        val day = DrainScenario(seed, DrainSettings(budget = budget), relays = seed % 2 == 0L)
         val services = listOf(day.service(0, 4), day.service(1, 5))
         day.begin(*services.toTypedArray(), day.array(2, 6, 30.0))
         day.start()
@@ -60,7 +60,7 @@
     }
 
     /** Of a class that stops no other for its room: only the drain moves work. */
-    private fun calmJob(day: DrainDay) =
+    private fun calmJob(day: DrainScenario) =
         day.simulation.randomJob().let { job ->
             val isEndless = job.estimateS == 0.0
             val spec = if (isEndless) job.copy(estimateS = 8.0) else job
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackSite.kt
@@ -46,10 +46,11 @@
     private val zones = listOf("a", "b", "c")
     private val nodes = listOf("n0", "n1", "n2")
     private val teams = List(TEAMS) { TeamQuota("team-$it", teamCpus, teamCpus) }
-    private val workerFacts = WorkerTiming(heartbeatPeriodS = 1.0, leaseS = 16.0, cancelS = 36.0)
-    private val stateFacts = StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
-    private val state = FakeStateService(clock, stateFacts)
-    private val rules = Rules(teams, workerFacts.cancelS.seconds + Rules.SLACK)
+    private val workerTiming = WorkerTiming(heartbeatPeriodS = 1.0, leaseS = 16.0, cancelS = 36.0)
+    private val storeLimits =
+        StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
+    private val state = FakeStateService(clock, storeLimits)
+    private val rules = Rules(teams, workerTiming.cancelS.seconds + Rules.SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
     private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
@@ -126,7 +127,7 @@
                 zone,
                 spot,
                 clock,
-                workerFacts,
+                workerTiming,
                 nodes,
                 rules,
                 specs::get,
@@ -196,7 +197,7 @@
             rules.submitted(spec)
         }
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
-        repeat(MOST_TRIES) {
+        repeat(MAX_TRIES) {
             val reply = CompletableFuture<Outcome>()
             loop.execute {
                 users.values
@@ -286,15 +287,15 @@
 
 $teams
 [facts.workers]
-report_s = ${workerFacts.heartbeatPeriodS}
-lease_s = ${workerFacts.leaseS}
-cancel_s = ${workerFacts.cancelS}
+report_s = ${workerTiming.heartbeatPeriodS}
+lease_s = ${workerTiming.leaseS}
+cancel_s = ${workerTiming.cancelS}
 
 [facts.state]
-rps = ${stateFacts.rps}
-write_rps = ${stateFacts.writeRps}
-value_kb = ${stateFacts.valueKb}
-txn_ops = ${stateFacts.txnOps}
+rps = ${storeLimits.rps}
+write_rps = ${storeLimits.writeRps}
+value_kb = ${storeLimits.valueKb}
+txn_ops = ${storeLimits.txnOps}
 
 [facts.cloud]
 rps = 8.0
@@ -315,7 +316,7 @@
         const val MAX_BYTES = 16 * 1024 * 1024
         const val MANY = 10_000
         const val IDLE_S = 90L
-        const val MOST_TRIES = 60
+        const val MAX_TRIES = 60
         const val RETRY_MILLIS = 500L
         const val LOG_LINES = 30
         val REPORT_TIMEOUT = 4.seconds
