--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -11,6 +11,9 @@
 import wardmux.core.Input
 import wardmux.core.ListenerKind
 import wardmux.drain.DrainApi
+import wardmux.drain.DrainLeaderLocator
+import wardmux.drain.DrainPaths
+import wardmux.drain.DrainService
 import wardmux.election.LeaderElection
 import wardmux.election.Role
 import wardmux.forwarding.ForwardingCodec
@@ -105,10 +108,7 @@
         )
 
     /** The operators' interface; null where drains are switched off. */
-    private val drainApi =
-        operators.drain?.let {
-            DrainApi(context, store, { term?.drains?.desk }, leadership::leaderToName)
-        }
+    private val drainApi = operators.drain?.let { DrainApi(context, store, DrainLeader()) }
 
     private fun begin(role: Role.Leader) {
         term =
@@ -134,6 +134,14 @@
         term = null
     }
 
+    private inner class DrainLeader : DrainLeaderLocator {
+        override val local: DrainService?
+            get() = term?.drains?.service
+
+        override val remote: String?
+            get() = leadership.leaderToName
+    }
+
     private fun progressOf(id: JobId) = term?.progressOf(id) ?: peerHeartbeats.progressOf(id.value)
 
     /** Handles one input that came at the given steady and wall time. */
@@ -239,14 +247,14 @@
 
     private fun operatorCall(call: Input.Request) {
         val api = drainApi ?: return context.answer(call.id, HttpStatus.NOT_FOUND)
-        api.call(call)
+        api.handle(call)
     }
 
     private fun peerCall(call: Input.Request, path: String) {
         when {
             path == PeerHeartbeats.PATH -> heartbeat(call)
             path == ForwardingCodec.PATH -> batch(call)
-            path == DrainApi.PEER_PATH && drainApi != null -> drainApi.forwarded(call)
+            path == DrainPaths.FORWARDED && drainApi != null -> drainApi.handleForwarded(call)
             else -> context.answer(call.id, HttpStatus.NOT_FOUND)
         }
     }
--- a/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
@@ -9,43 +9,44 @@
 import wardmux.model.Machine
 import wardmux.model.Micros
 import wardmux.model.Placement
+import wardmux.model.TaskAttempt
 import wardmux.model.TaskStatus
 import wardmux.scheduling.ClusterState
 
-/** Why a budget has no room. */
+/** Why a budget does not allow an eviction. */
 sealed interface BudgetRefusal {
-    /** As the operators read it. */
-    val text: String
+    /** For the operators. */
+    val reason: String
 
-    /** The budget is too small for this, whatever comes back. */
-    data class Never(override val text: String) : BudgetRefusal
+    /** The budget is too small for this, whatever runs again. */
+    data class Permanent(override val reason: String) : BudgetRefusal
 
-    /** Workers that are disrupted now have to run again first. */
-    data class NotNow(override val text: String) : BudgetRefusal
+    /** Tasks that are disrupted now have to run again first. */
+    data class Temporary(override val reason: String) : BudgetRefusal
 }
 
 /**
- * How many workers (running tasks) of each team are disrupted. A task counts from its first start
- * until it is done: as up only while it is reported as running under this leader's token by a
- * machine that is heard and is not about to go, and otherwise as disrupted. So what was stopped by
- * a drain counts, what was lost by a crash, a recall or a preemption, and whatever is in doubt,
- * such as all that a new leader has not heard of yet.
+ * The disruption budgets of the teams, and how much of them is in use. A task counts from its first
+ * start until it is done: as up only while a healthy machine reports it as running under this
+ * leader's fencing token, and otherwise as disrupted. So evictions by a drain count, losses by a
+ * crash or a preemption, and whatever is in doubt, such as all that has not been reported to a new
+ * leader yet.
  */
 class DisruptionBudgets(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val settings: DrainSettings,
-    /** A machine that was not heard for as long is in doubt. */
+    /** A machine without a heartbeat for this long is in doubt. */
     private val heartbeatTimeout: Micros,
 ) {
-    /** Stops that went out in this term: the task may report that it runs for a while yet. */
-    private val evictionsSent = HashSet<Pair<String, Int>>()
+    /** Evictions of this term: the task may still be reported as running for a while. */
+    private val evictionsSent = HashSet<TaskAttempt>()
     private val runningByTeam = HashMap<String, Int>()
     private val disruptedByTeam = HashMap<String, Int>()
     private val disruptedByService = HashMap<JobId, Int>()
 
-    /** Counts anew; between two counts [stopped] keeps them up to date. */
-    fun count() {
+    /** Counts all tasks again; until the next call [recordEviction] updates the counts. */
+    fun recount() {
         runningByTeam.clear()
         disruptedByTeam.clear()
         disruptedByService.clear()
@@ -55,31 +56,31 @@
 
     private fun count(job: Job) {
         var up = 0
-        var lost = job.interrupted.size
+        var disrupted = job.interrupted.size
         for (placement in job.placements.values) {
-            if (isUp(placement)) up++ else if (wasUp(placement)) lost++
+            if (isUp(placement)) up++ else if (hadStarted(placement)) disrupted++
         }
         runningByTeam.merge(job.spec.team, up, Int::plus)
-        disruptedByTeam.merge(job.spec.team, lost, Int::plus)
-        if (job.spec.shape == JobKind.SERVICE) disruptedByService[job.id] = lost
+        disruptedByTeam.merge(job.spec.team, disrupted, Int::plus)
+        if (job.spec.shape == JobKind.SERVICE) disruptedByService[job.id] = disrupted
     }
 
     private fun forgetOldEvictions() {
-        val placed = HashSet<Pair<String, Int>>()
+        val placed = HashSet<TaskAttempt>()
         for (job in cluster.jobs.values) job.placements.values.mapTo(placed) { it.attemptKey }
         evictionsSent.retainAll(placed)
     }
 
-    /** True if the task surely runs, and nothing that was sent will end it. */
+    /** True if the task is known to run, and was not sent a stop. */
     fun isUp(placement: Placement): Boolean {
         val machine = cluster.machines[placement.machine] ?: return false
         return placement.status == TaskStatus.RUNNING &&
             !placement.isStopping &&
             placement.attemptKey !in evictionsSent &&
-            isSound(machine)
+            isHealthy(machine)
     }
 
-    private fun isSound(machine: Machine): Boolean {
+    private fun isHealthy(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
         return machine.confirmed &&
             !machine.decommissioned &&
@@ -88,49 +89,49 @@
     }
 
     /**
-     * A first start that this leader decided and that does not run yet was never up. One that an
-     * earlier leader recorded may have been.
+     * False for a first start by this leader that does not run yet. A first start that an earlier
+     * leader recorded may have run.
      */
-    private fun wasUp(placement: Placement) =
+    private fun hadStarted(placement: Placement) =
         placement.restored ||
             placement.attempt > 1 ||
             placement.runningSince != null ||
             placement.attemptKey in evictionsSent
 
-    /** The task counts as disrupted already, so that its stop takes nothing more. */
-    fun isDisrupted(placement: Placement) = !isUp(placement) && wasUp(placement)
+    /** True if the task counts as disrupted already, so that its eviction takes nothing more. */
+    fun isDisrupted(placement: Placement) = !isUp(placement) && hadStarted(placement)
 
-    /** The stop of this task went out, so it counts as disrupted from now. */
-    fun stopped(placement: Placement) {
+    /** Counts the task as disrupted from now, since its stop is being sent. */
+    fun recordEviction(placement: Placement) {
         val spec = placement.job.spec
-        val wasLost = isDisrupted(placement)
+        val wasDisrupted = isDisrupted(placement)
         val wasUp = isUp(placement)
-        if (!evictionsSent.add(placement.attemptKey) || wasLost) return
+        if (!evictionsSent.add(placement.attemptKey) || wasDisrupted) return
         disruptedByTeam.merge(spec.team, 1, Int::plus)
         if (wasUp) runningByTeam.merge(spec.team, -1, Int::plus)
         if (spec.shape == JobKind.SERVICE) disruptedByService.merge(placement.job.id, 1, Int::plus)
     }
 
-    /** Workers of the team that are disrupted or may be. */
+    /** How many tasks of the team are disrupted or may be. */
     fun disruptedOf(team: String): Int = disruptedByTeam[team] ?: 0
 
-    /** The most that may be disrupted at once, by the number and the share of the team's budget. */
+    /** How many tasks of the team may be disrupted at once, by number and share of its budget. */
     fun limitOf(team: String): Int {
         val budget = settings.budgetOf(team)
-        val workers = (runningByTeam[team] ?: 0) + disruptedOf(team)
-        return minOf(budget.maxDisrupted, ceil(workers * budget.maxDisruptedShare).toInt())
+        val tasks = (runningByTeam[team] ?: 0) + disruptedOf(team)
+        return minOf(budget.maxDisrupted, ceil(tasks * budget.maxDisruptedShare).toInt())
     }
 
     /** How many replicas of the service may be down at once. */
     fun maxReplicasDown(job: Job): Int =
         (job.spec.tasks - settings.budgetOf(job.spec.team).minReplicas).coerceAtLeast(0)
 
-    /** Why [count] more tasks of the job may not be stopped now, or null if they may. */
+    /** Why [count] more tasks of the job may not be evicted now, or null if they may. */
     fun refusal(job: Job, count: Int): BudgetRefusal? {
         val team = job.spec.team
         val budget = settings.budgetOf(team)
         if (budget.maxDisrupted < count || budget.maxDisruptedShare <= 0.0)
-            return BudgetRefusal.Never(
+            return BudgetRefusal.Permanent(
                 "team $team: ${job.id} disrupts $count at once, its budget is " +
                     "${budget.maxDisrupted} (share ${budget.maxDisruptedShare})"
             )
@@ -140,28 +141,30 @@
             }
         val limit = limitOf(team)
         if (disruptedOf(team) + count <= limit) return null
-        return BudgetRefusal.NotNow(
+        return BudgetRefusal.Temporary(
             "team $team: ${disruptedOf(team)} of $limit workers are disrupted"
         )
     }
 
     private fun replicaRefusal(job: Job, count: Int): BudgetRefusal? {
-        val most = maxReplicasDown(job)
+        val max = maxReplicasDown(job)
         val down = disruptedByService[job.id] ?: 0
         return when {
-            most < count ->
-                BudgetRefusal.Never(
+            max < count ->
+                BudgetRefusal.Permanent(
                     "team ${job.spec.team}: ${job.id} has ${job.spec.tasks} replicas, and " +
                         "${settings.budgetOf(job.spec.team).minReplicas} must stay up"
                 )
-            down + count > most ->
-                BudgetRefusal.NotNow("${job.id}: $down of at most $most replicas are down")
+            down + count > max ->
+                BudgetRefusal.Temporary("${job.id}: $down of at most $max replicas are down")
             else -> null
         }
     }
 
-    private val Placement.attemptKey: Pair<String, Int>
-        get() = name to attempt
+    private val Placement.attemptKey: TaskAttempt
+        get() = TaskAttempt(name, attempt)
+
+    private data class TaskAttempt(val task: String, val attempt: Int)
 
     private companion object {
         const val MAX_EVICTIONS_KEPT = 1_000
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/DrainDryRun.kt
@@ -0,0 +1,28 @@
+package wardmux.drain
+
+import wardmux.model.Machine
+
+/** Shows what a drain would do, without starting it. */
+class DrainDryRun(
+    private val drains: DrainStore,
+    private val selection: DrainSelection,
+    private val inspector: StepInspector,
+    private val plans: PlanScheduler,
+    private val admission: StepAdmission,
+    private val statuses: DrainStatusReader,
+) {
+    /** The steps by the greedy plan, the budgets, and the first obstacle for [targets]. */
+    fun check(request: DrainRequest, targets: List<Machine>): DrainCheck {
+        val plan = GreedyPlanner.plan(plans.problem(request, targets))
+        val record = drains.newRecord(request, selection.newest)
+        val evicted = targets.flatMap { inspector.tasksToEvict(it, request) }
+        val teams = evicted.mapTo(sortedSetOf()) { it.job.spec.team }
+        return DrainCheck(
+            targets.size,
+            plan.steps.map { step -> step.map { it.machine.value } },
+            evicted.size,
+            teams.map { statuses.budgetOf(it) },
+            admission.firstObstacle(record, targets),
+        )
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/DrainExit.kt
@@ -0,0 +1,19 @@
+package wardmux.drain
+
+/** Exit codes of the drain commands. */
+object DrainExit {
+    /** Carried out. */
+    const val OK = 0
+
+    /** The request is invalid; one line names the field. */
+    const val BAD_REQUEST = 2
+
+    /** No controller gave a final answer within the timeout. */
+    const val NO_ANSWER = 3
+
+    /** There is no such drain. */
+    const val UNKNOWN_DRAIN = 4
+
+    /** The drain's state does not allow the request. */
+    const val CONFLICT = 5
+}
--- a/src/main/kotlin/wardmux/drain/DrainPlan.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPlan.kt
@@ -2,48 +2,50 @@
 
 import wardmux.model.MachineId
 
-/** What is to be moved off one machine. */
+/** The tasks to be evicted from one machine. */
 class MachineLoad(
     val machine: MachineId,
     val zone: String,
-    /** CPUs that have to be found elsewhere. */
+    /** CPUs of the tasks that are evicted. */
     val cpus: Double,
-    /** Tasks that have to be moved, by team. */
+    /** Number of tasks that are evicted, by team. */
     val tasksByTeam: Map<String, Int>,
-    /** Replicas that have to be moved, by service. */
+    /** Number of replicas that are evicted, by service. */
     val replicasByService: Map<String, Int>,
 ) {
-    /** All tasks that have to be moved. */
+    /** Number of all tasks that are evicted. */
     val tasks: Int
         get() = tasksByTeam.values.sum()
 }
 
-/** Which machines go in which step, so that every budget holds in every step. */
+/** The planning problem: divide machines into steps, each within all budgets. */
 class DrainProblem(
     val machines: List<MachineLoad>,
-    /** How many tasks of each team one step may move. */
+    /** How many tasks of each team one step may evict. */
     val teamLimits: Map<String, Int>,
-    /** How many replicas of each service one step may move. */
+    /** How many replicas of each service one step may evict. */
     val serviceLimits: Map<String, Int>,
     val stepSize: Int,
     val order: StepOrder,
 ) {
-    /** True if [step] keeps all limits; a machine that is too large for them goes alone. */
+    /**
+     * True if [step] is within all limits; a machine beyond them by itself is a step of its own.
+     */
     fun allows(step: List<MachineLoad>): Boolean =
         step.size <= 1 ||
             step.size <= stepSize &&
-                step.all { it.keepsLimits() } &&
+                step.all { it.isWithinLimits() } &&
                 total(step) { it.tasksByTeam }.all { (team, n) -> n <= limit(teamLimits, team) } &&
                 total(step) { it.replicasByService }
                     .all { (service, n) -> n <= limit(serviceLimits, service) } &&
                 (order != StepOrder.BY_ZONE || step.all { it.zone == step.first().zone })
 
-    private fun MachineLoad.keepsLimits() =
+    private fun MachineLoad.isWithinLimits() =
         tasksByTeam.all { (team, n) -> n <= limit(teamLimits, team) } &&
             replicasByService.all { (service, n) -> n <= limit(serviceLimits, service) }
 
-    /** What does not keep the limits by itself goes alone. */
-    fun goesAlone(load: MachineLoad): Boolean = !load.keepsLimits()
+    /** True if [load] is beyond the limits by itself, and so has to be a step of its own. */
+    fun goesAlone(load: MachineLoad): Boolean = !load.isWithinLimits()
 
     private fun total(step: List<MachineLoad>, counts: (MachineLoad) -> Map<String, Int>) =
         HashMap<String, Int>().also { sums ->
@@ -51,31 +53,31 @@
         }
 
     companion object {
-        /** The limit for [name]; what has none is not limited. */
+        /** The limit for [name], or [Int.MAX_VALUE] if it has none. */
         fun limit(limits: Map<String, Int>, name: String): Int = limits[name] ?: Int.MAX_VALUE
     }
 }
 
-/** The steps, in their order. */
+/** The steps of a drain, in their order. */
 class DrainPlan(
     val steps: List<List<MachineLoad>>,
-    /** Proven to take the fewest steps. */
+    /** The number of steps is proven to be the smallest. */
     val isOptimal: Boolean = false,
 ) {
-    /** How good it is: fewer steps first, then less room needed at once; smaller is better. */
+    /** The cost: fewer steps first, then fewer CPUs evicted at once. */
     val measure: PlanMeasure
         get() = PlanMeasure(steps.size, steps.maxOfOrNull { step -> step.sumOf { it.cpus } } ?: 0.0)
 }
 
-/** The number of steps, and the most CPUs that one of them moves. */
+/** The number of steps, and the largest number of CPUs that one of them evicts. */
 data class PlanMeasure(val steps: Int, val maxCpus: Double) : Comparable<PlanMeasure> {
     override fun compareTo(other: PlanMeasure) =
         compareValuesBy(this, other, { it.steps }, { it.maxCpus })
 }
 
-/** First fit, the largest first: the fallback, and what the solver begins from. */
+/** First-fit planning, largest machines first: the fallback, and the solver's upper bound. */
 object GreedyPlanner {
-    /** A plan that keeps all limits. */
+    /** A plan within all limits. */
     fun plan(problem: DrainProblem): DrainPlan {
         val steps = ArrayList<MutableList<MachineLoad>>()
         for (load in problem.machines.sortedWith(placingOrder(problem))) {
@@ -92,7 +94,7 @@
             StepOrder.BY_ZONE -> compareBy<MachineLoad> { it.zone }.thenByDescending { it.tasks }
         }.thenBy { it.machine.value }
 
-    /** Zone by zone if that is asked for, and those that move least first. */
+    /** Sorts [steps] by zone if the problem asks for it, then by the number of evicted tasks. */
     fun inOrder(problem: DrainProblem, steps: List<List<MachineLoad>>): List<List<MachineLoad>> {
         val emptiest = compareBy<List<MachineLoad>> { step -> step.sumOf { it.tasks } }
         val order =
--- a/src/main/kotlin/wardmux/drain/DrainRecord.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRecord.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.json.JsonElement
 import wardmux.serialization.lenientJson
 
-/** Which machines a drain takes out; what is left out does not restrict it. */
+/** Selects the machines of a drain; an empty or null field does not restrict it. */
 @Serializable
 data class DrainSelector(
     @SerialName("machines") val machines: List<String> = emptyList(),
@@ -13,7 +13,7 @@
     @SerialName("zones") val zones: List<String> = emptyList(),
     /** Spot machines only, ordinary ones only, or both. */
     @SerialName("spot") val spot: Boolean? = null,
-    /** Only those rented before this moment (ISO 8601, with its offset). */
+    /** Only machines rented before this time (ISO 8601 with an offset). */
     @SerialName("older_than") val olderThan: String? = null,
 )
 
@@ -24,7 +24,7 @@
     @SerialName("continue") CONTINUE,
 }
 
-/** In which order machines are taken out where budgets leave the choice. */
+/** In which order machines are taken out where the budgets allow several. */
 @Serializable
 enum class StepOrder {
     /** As few steps as possible. */
@@ -37,24 +37,26 @@
     @SerialName("by_zone") BY_ZONE,
 }
 
-/** A drain as an operator asks for it. */
+/** A drain as an operator requests it. */
 @Serializable
 data class DrainRequest(
     @SerialName("id") val id: String,
     @SerialName("select") val select: DrainSelector,
     @SerialName("order") val order: StepOrder = StepOrder.FEWEST_STEPS,
-    /** The most machines of one step. */
+    /** The largest number of machines in one step. */
     @SerialName("step_size") val stepSize: Int = 4,
-    /** How long tasks may go on before they are stopped; services are moved at once. */
+    /**
+     * How long tasks may run on before they are evicted, in seconds; services are evicted at once.
+     */
     @SerialName("grace_s") val graceS: Double = 60.0,
     @SerialName("deadline") val deadline: String? = null,
     @SerialName("at_deadline") val atDeadline: DeadlineAction = DeadlineAction.PAUSE,
 )
 
-/** What has become of a drain. */
+/** The state of a drain. */
 @Serializable
 enum class DrainState(
-    /** Nothing changes it any more. */
+    /** The drain is over. */
     val isFinal: Boolean
 ) {
     @SerialName("planned") PLANNED(false),
@@ -63,52 +65,55 @@
     @SerialName("done") DONE(true),
     @SerialName("cancelled") CANCELLED(true),
 
-    /** What is stored of it can't be carried out by this version. */
+    /** This version can't carry out what is stored. */
     @SerialName("failed") FAILED(true),
 }
 
 /** Why a drain is paused. */
 @Serializable
 enum class PauseReason(
-    /** It ends as soon as its cause does, and needs no operator. */
+    /** The drain resumes as soon as the cause is gone, without an operator. */
     val resumesAutomatically: Boolean
 ) {
     @SerialName("operator") OPERATOR(false),
     @SerialName("deadline") DEADLINE(false),
 
-    /** Workers were lost otherwise, and the budget has no room beside them. */
+    /** Tasks were lost otherwise, and the budget allows no eviction beside them. */
     @SerialName("loss") LOSS(true),
 
-    /** The budget never lets the rest be moved. */
+    /** The budget does not allow the remaining evictions at all. */
     @SerialName("budget") BUDGET(true),
 }
 
-/** How far a step is. */
+/** The phase of a step. */
 @Serializable
 enum class StepPhase {
-    /** Room for what has to move is being found or rented. */
+    /** Capacity for the tasks to be evicted is being found or rented. */
     @SerialName("preparing") PREPARING,
 
-    /** The machines take no tasks; what is on them ends or is moved. */
+    /** The machines take no tasks; theirs end or are evicted. */
     @SerialName("emptying") EMPTYING,
 
-    /** The machines are returned; what was moved has to run again. */
+    /** The machines are returned; the evicted tasks have to run again. */
     @SerialName("settling") SETTLING,
 }
 
-/** The step that is under way. Times are microseconds of the time of day. */
+/** The current step of a drain. Times are in microseconds since 1970. */
 @Serializable
 data class DrainStep(
     @SerialName("number") val number: Int,
     @SerialName("phase") val phase: StepPhase,
     @SerialName("machines") val machines: List<String>,
-    /** Tasks that were, or are about to be, stopped to be moved, and do not run again yet. */
+    /** Tasks that were or are about to be evicted, and do not run again yet. */
     @SerialName("moved") val moved: List<String> = emptyList(),
     @SerialName("began_at") val beganAt: Long,
     @SerialName("emptying_since") val emptyingSince: Long = 0,
 )
 
-/** All that is stored of a drain. Written only under the leader's token. */
+/**
+ * A drain as it is stored; written only by the leader, with its fencing token. Times are in
+ * microseconds since 1970.
+ */
 @Serializable
 data class DrainRecord(
     @SerialName("request") val request: DrainRequest,
@@ -116,7 +121,7 @@
     @SerialName("token") val token: Long,
     @SerialName("started_at") val startedAt: Long,
     @SerialName("changed_at") val changedAt: Long,
-    /** The newest machine that there was at the start: later ones are not drained. */
+    /** The newest machine when the drain started: later ones are not drained. */
     @SerialName("newest") val newest: String,
     @SerialName("reason") val reason: PauseReason? = null,
     @SerialName("note") val note: String = "",
@@ -125,20 +130,20 @@
     @SerialName("returned") val returned: Int = 0,
     @SerialName("moved") val moved: Int = 0,
     @SerialName("step_ended_at") val stepEndedAt: Long = 0,
-    /** How long the last step took, in microseconds. */
+    /** The duration of the last step, in microseconds. */
     @SerialName("last_step") val lastStep: Long = 0,
 ) {
-    /** The same going on from a pause. */
+    /** The record after the end of a pause. */
     fun resumed(): DrainRecord {
         val state = if (step == null) DrainState.PLANNED else DrainState.RUNNING
         return copy(state = state, reason = null, note = "")
     }
 
-    /** The value as it is stored. */
+    /** The stored form. */
     fun toJson(): JsonElement = lenientJson.encodeToJsonElement(serializer(), this)
 
     companion object {
-        /** Drains are stored under this prefix, which versions without drains never read. */
+        /** The prefix of the keys of drains; versions without drains do not read it. */
         const val PREFIX = "d/"
 
         /** The key of the drain [id]. */
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -8,15 +8,19 @@
 import wardmux.model.Micros
 import wardmux.scheduling.ClusterState
 
-/** Which machines a drain still has to take out. */
+/** Resolves the selectors of drains to machines. */
 class DrainSelection(private val cluster: ClusterState) {
-    /** The newest machine that is known; names are in the order of creation. */
+    /** The newest known machine: ids are ordered by creation. */
     val newest: String
         get() = cluster.machines.keys.maxOfOrNull { it.value }.orEmpty()
 
+    /** Machines that the drain still has to take out; none if it is over. */
+    fun remaining(record: DrainRecord): List<Machine> =
+        if (record.state.isFinal) emptyList() else targets(record.request, record.newest)
+
     /**
-     * Machines newer than [newest] are left alone, unless they are named: the replacements are
-     * among them.
+     * Machines that [request] selects. Those newer than [newest] are left out unless they are
+     * named, since the replacements are among them.
      */
     fun targets(request: DrainRequest, newest: String): List<Machine> {
         val before = request.select.olderThan?.let { parseTime(it) }
@@ -34,7 +38,7 @@
             (select.zones.isEmpty() || machine.zone in select.zones) &&
             (select.spot == null || machine.spot == select.spot)
 
-    /** What of the selection does not exist, in one line that names the field, or null. */
+    /** The first selected name that does not exist, in one line with its field, or null. */
     fun problem(select: DrainSelector, types: List<MachineType>, zones: List<String>): String? {
         val labels = types.map { it.label }
         return select.types.firstOrNull { it !in labels }?.let { "select.types: unknown: $it" }
@@ -47,7 +51,7 @@
     companion object {
         private const val MICROS_PER_MILLI = 1_000L
 
-        /** An ISO 8601 time with its offset as time of day; null if [text] is none. */
+        /** Parses an ISO 8601 time with an offset; null if [text] is not one. */
         fun parseTime(text: String): Micros? =
             try {
                 Micros(OffsetDateTime.parse(text).toInstant().toEpochMilli() * MICROS_PER_MILLI)
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/DrainStatusReader.kt
@@ -0,0 +1,45 @@
+package wardmux.drain
+
+import wardmux.config.DrainSettings
+
+/** Reports drains as the leader knows them. */
+class DrainStatusReader(
+    private val drains: DrainStore,
+    private val manager: DrainManager,
+    private val selection: DrainSelection,
+    private val budgets: DisruptionBudgets,
+    private val settings: DrainSettings,
+) {
+    /** All drains, without their machines and budgets. */
+    fun list() =
+        DrainList(
+            drains.all.map { DrainStatus(it, Source.LEADER, waitsFor = waitsFor(it)) },
+            drains.unreadableIds.toList(),
+        )
+
+    /** One drain with its remaining machines, and the budgets of the teams on them. */
+    fun of(record: DrainRecord): DrainStatus {
+        val remaining = selection.remaining(record)
+        val teams =
+            remaining.flatMap { it.placements.values }.mapTo(sortedSetOf()) { it.job.spec.team }
+        return DrainStatus(
+            record,
+            Source.LEADER,
+            waitsFor = waitsFor(record),
+            remaining = remaining.size,
+            budgets = teams.map { budgetOf(it) },
+        )
+    }
+
+    /** How much of the team's disruption budget is in use. */
+    fun budgetOf(team: String) =
+        BudgetStatus(
+            team,
+            budgets.limitOf(team),
+            budgets.disruptedOf(team),
+            settings.budgetOf(team).minReplicas,
+        )
+
+    private fun waitsFor(record: DrainRecord) =
+        if (record.state.isFinal) "" else manager.waitsFor(record.request.id)
+}
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -12,42 +12,42 @@
 import wardmux.store.VersionCondition
 import wardmux.store.WriteOperation
 
-/** A drain as this leader last read or wrote it. */
+/** A drain as this leader last read or wrote it, with the version of its key. */
 class StoredDrain(val record: DrainRecord, val version: Long)
 
-/** What became of a write of a drain. */
+/** The outcome of a write of a drain. */
 enum class DrainWrite {
     WRITTEN,
 
-    /** Surely not written; it may be tried again. */
+    /** Not written; the write may be repeated. */
     REFUSED,
 
-    /** Perhaps written: what is stored is read again before anything else is decided. */
+    /** Perhaps written: all drains are read again before anything else is decided. */
     UNKNOWN,
 }
 
 /**
- * The drains in the state service, as the leader reads and writes them. Each write holds only while
- * the leader key and the drain's own key are as they were last seen, so one of an earlier leader,
- * or one that is applied late, changes nothing. After a write without an answer all are read again.
+ * The leader's access to the drains in the key-value store. Each write is conditional on the
+ * versions of the leader's key and the drain's own key, so that a write by an earlier leader, or
+ * one that is applied late, changes nothing. After a write without an answer all are read again.
  */
 class DrainStore(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val role: Role.Leader,
-    private val fenced: () -> Unit,
+    private val term: DrainTerm,
 ) {
     private val log = logger<DrainStore>()
     private val drains = sortedMapOf<String, StoredDrain>()
     private val unreadable = sortedSetOf<String>()
     private val writing = HashMap<String, DrainRecord>()
-    private var readAt = Micros.LONG_AGO
+    private var nextReadAt = Micros.LONG_AGO
     private var reading = false
 
-    /** Counts the readings: a write that was under way when one began no longer counts. */
+    /** Counts reads: the outcome of a write that began before a read is unknown. */
     private var generation = 0
 
-    /** All drains are known as they are stored. */
+    /** All drains have been read, and no write since had an unknown outcome. */
     var isRead = false
         private set
 
@@ -55,37 +55,37 @@
     val all: List<DrainRecord>
         get() = drains.values.map { it.record }
 
-    /** Ids of drains whose record this version can't read. */
+    /** Ids of drains whose records this version can't read. */
     val unreadableIds: Set<String>
         get() = unreadable
 
-    /** The largest record that can be stored. */
+    /** The largest size of a record, in bytes. */
     val maxBytes: Int
         get() = store.maxValueBytes
 
     /** The drain [id], or null. */
     operator fun get(id: String): DrainRecord? = drains[id]?.record
 
-    /** A write of this drain is under way. */
+    /** True while a write of this drain is under way. */
     fun isBusy(id: String): Boolean = id in writing
 
-    /** Steps that are stored or about to be. */
+    /** The steps of drains that are not final, stored or being written. */
     val steps: List<DrainStep>
         get() = (all + writing.values).filter { !it.state.isFinal }.mapNotNull { it.step }
 
-    /** Reads what is stored if it is not known. */
+    /** Reads all drains if they are not known. */
     fun tick() {
-        if (!isRead && !reading && context.now >= readAt) read()
+        if (!isRead && !reading && context.now >= nextReadAt) read()
     }
 
     private fun read() {
         reading = true
-        val mine = ++generation
+        val started = ++generation
         store.scan(DrainRecord.PREFIX, DrainRecord.serializer()) { found ->
-            if (mine != generation) return@scan
+            if (started != generation) return@scan
             reading = false
             if (found == null) {
-                readAt = context.now + RETRY
+                nextReadAt = context.now + RETRY
                 return@scan
             }
             drains.clear()
@@ -98,41 +98,47 @@
                 else drains[id] = StoredDrain(record, item.version)
             }
             isRead = true
-            log.info("{} drains are stored, {} can't be read", drains.size, unreadable.size)
+            log.info("read {} drains, {} more can't be decoded", drains.size, unreadable.size)
         }
     }
 
+    /** A new drain of this leader; [newest] is the newest machine that it may take out. */
+    fun newRecord(request: DrainRequest, newest: String): DrainRecord {
+        val now = context.wallTime.value
+        return DrainRecord(request, DrainState.PLANNED, role.token.value, now, now, newest)
+    }
+
     /**
-     * Writes [changed] over what is known of it, with its holder and the time; [then] gets what was
-     * written and what became of that.
+     * Writes [changed] with this leader's token and the time; [then] is called with the record as
+     * written and the outcome.
      */
     fun write(changed: DrainRecord, then: (DrainRecord, DrainWrite) -> Unit) {
         val record = changed.copy(token = role.token.value, changedAt = context.wallTime.value)
         val id = record.request.id
-        val mine = generation
+        val started = generation
         writing[id] = record
         val version = drains[id]?.version ?: 0
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, version))
         val change = WriteOperation(put = key, data = record.toJson())
         store.multi(conditions, listOf(change), RequestPriority.LEADER) { result ->
-            if (mine != generation) return@multi then(record, DrainWrite.UNKNOWN)
+            if (started != generation) return@multi then(record, DrainWrite.UNKNOWN)
             writing.remove(id)
             if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value)
             then(record, outcome(result))
         }
     }
 
-    /** Removes a drain that is over, so that what is stored stays small. */
+    /** Removes a drain from the store. */
     fun remove(id: String) {
         val stored = drains[id] ?: return
-        val mine = generation
+        val started = generation
         writing[id] = stored.record
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, stored.version))
         store.multi(conditions, listOf(WriteOperation(remove = key)), RequestPriority.LEADER) {
             result ->
-            if (mine != generation) return@multi
+            if (started != generation) return@multi
             writing.remove(id)
             if (outcome(result) == DrainWrite.WRITTEN) drains.remove(id)
         }
@@ -143,7 +149,7 @@
             is StoreResult.Ok -> DrainWrite.WRITTEN
             is StoreResult.Refused -> DrainWrite.REFUSED
             is StoreResult.Conflict -> {
-                if (LeaderElection.KEY in result.failed) fenced() else readAgain()
+                if (LeaderElection.KEY in result.failed) term.fenced() else readAgain()
                 DrainWrite.UNKNOWN
             }
             else -> {
@@ -156,7 +162,7 @@
         generation++
         reading = false
         isRead = false
-        readAt = context.now
+        nextReadAt = context.now
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/drain/DrainText.kt
+++ b/src/main/kotlin/wardmux/drain/DrainText.kt
@@ -4,7 +4,7 @@
 import wardmux.maintenance.MaintenanceWindows
 import wardmux.model.Micros
 
-/** Answers as operators read them on a terminal. */
+/** Responses as text for a terminal. */
 object DrainText {
     /** One drain in full. */
     fun status(status: DrainStatus): String {
@@ -24,14 +24,14 @@
         return lines.joinToString("\n")
     }
 
-    /** A line for each drain. */
+    /** All drains, one a line. */
     fun list(list: DrainList): String {
         val lines = list.drains.map { "${it.record.request.id}  ${stateOf(it.record)}" }
         val all = lines + list.unreadable.map { "$it  failed: its record can't be read" }
         return if (all.isEmpty()) "no drains" else all.joinToString("\n")
     }
 
-    /** The steps of a dry run. */
+    /** The result of a dry run. */
     fun check(check: DrainCheck): String {
         val head = "${check.machines} machines, ${check.tasksToMove} tasks to move"
         val steps = check.steps.mapIndexed { i, step -> "  step ${i + 1}: ${step.joinToString()}" }
@@ -40,7 +40,7 @@
         return (listOf(head) + steps + budgets + stop).joinToString("\n")
     }
 
-    /** What is wrong, by the body of an answer. */
+    /** The error in the body of a response. */
     fun error(body: String): String =
         try {
             val error = operatorJson.decodeFromString(DrainError.serializer(), body)
--- a/src/main/kotlin/wardmux/drain/DrainWire.kt
+++ b/src/main/kotlin/wardmux/drain/DrainWire.kt
@@ -4,15 +4,15 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** The answer to an operator who asked for something that can't be. */
+/** The response to a request that is refused. */
 @Serializable
 data class DrainError(
     @SerialName("error") val error: String,
-    /** The state of a drain that is over, where that is why. */
+    /** The final state of the drain, if that is the reason. */
     @SerialName("state") val state: DrainState? = null,
 )
 
-/** How much of a team's budget is in use. */
+/** How much of a team's disruption budget is in use. */
 @Serializable
 data class BudgetStatus(
     @SerialName("team") val team: String,
@@ -21,13 +21,13 @@
     @SerialName("least_replicas") val minReplicas: Int,
 )
 
-/** Where an answer comes from and how old it is. */
+/** Where a response comes from. */
 @Serializable
 enum class Source {
-    /** The leader: what is stored and what it sees now. */
+    /** The leader: what is stored and what it observes. */
     @SerialName("leader") LEADER,
 
-    /** The state service, since no leader could be asked. */
+    /** The key-value store, since no leader could be reached. */
     @SerialName("store") STORE,
 }
 
@@ -36,7 +36,7 @@
 data class DrainStatus(
     @SerialName("drain") val record: DrainRecord,
     @SerialName("source") val source: Source,
-    /** How old the answer is. */
+    /** The age of the response, in seconds. */
     @SerialName("age_s") val ageS: Double = 0.0,
     /** What the drain waits for; known to the leader only. */
     @SerialName("waits_for") val waitsFor: String = "",
@@ -49,11 +49,11 @@
 @Serializable
 data class DrainList(
     @SerialName("drains") val drains: List<DrainStatus>,
-    /** Drains whose record this version can't read: to it they have failed. */
+    /** Ids of drains whose record this version can't read: they count as failed. */
     @SerialName("unreadable") val unreadable: List<String> = emptyList(),
 )
 
-/** What a drain would do. */
+/** The result of a dry run. */
 @Serializable
 data class DrainCheck(
     @SerialName("machines") val machines: Int,
@@ -61,11 +61,11 @@
     @SerialName("steps") val steps: List<List<String>>,
     @SerialName("tasks_to_move") val tasksToMove: Int,
     @SerialName("budgets") val budgets: List<BudgetStatus>,
-    /** The first thing that would stop it, or null. */
+    /** The first obstacle to the drain, or null. */
     @SerialName("stopped_by") val stoppedBy: String? = null,
 )
 
-/** A request of an operator, passed on to the leader. */
+/** An operator's request, forwarded to the leader. */
 @Serializable
 class ForwardedRequest(
     @SerialName("method") val method: String,
@@ -73,7 +73,7 @@
     @SerialName("body") val body: ByteArray,
 )
 
-/** The leader's answer to it. */
+/** The leader's response to a forwarded request. */
 @Serializable
 class ForwardedResponse(
     @SerialName("status") val status: Int,
@@ -81,10 +81,10 @@
     @SerialName("retryAfterS") val retryAfterS: Int? = null,
 )
 
-/** An answer to an operator. */
+/** A response to an operator; [retryAfterS] in seconds. */
 class OperatorResponse(val status: Int, val body: String, val retryAfterS: Int? = null)
 
-/** Operators' JSON: strict in what is read, so that a mistyped field is not passed over. */
+/** JSON between operators and controllers: unknown fields are errors, to detect typos. */
 val operatorJson = Json {
     encodeDefaults = true
     explicitNulls = false
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/EvictionPlanner.kt
@@ -0,0 +1,69 @@
+package wardmux.drain
+
+import wardmux.core.CoreContext
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.Placement
+import wardmux.model.seconds
+
+/** Decides which tasks of a step are evicted next; they are recorded before they are evicted. */
+class EvictionPlanner(
+    private val context: CoreContext,
+    private val inspector: StepInspector,
+    private val budgets: DisruptionBudgets,
+    private val feasibility: RelocationFeasibility,
+    private val replacements: ReplacementCapacity,
+    /** How many tasks one record can name. */
+    private val maxRelocating: Int,
+) {
+    private val selector = EvictionSelector(context, budgets)
+
+    /** Records the next evictions from [machines], or says why there are none. */
+    fun decide(record: DrainRecord, step: DrainStep, machines: List<Machine>): DrainDecision {
+        val selection = selector.select(candidates(record, step, machines))
+        if (selection.selected.isEmpty()) return noEviction(selection, machines)
+        val recorded = machines.flatMap { it.placements.values }.filter { it.name in step.moved }
+        val withoutRoom = feasibility.withoutRoom(recorded + selection.selected).toSet()
+        val unsettled = inspector.unsettledTasks(step)
+        val feasible = selection.selected.filter { it !in withoutRoom }
+        if (feasible.isEmpty()) return replacements.awaitRoom(withoutRoom.toList())
+        val evicted = feasible.take((maxRelocating - unsettled.size).coerceAtLeast(0))
+        if (evicted.isEmpty()) return DrainDecision.Wait("${unsettled.size} tasks are on their way")
+        val names = (unsettled + evicted.map { it.name }).distinct()
+        val moved = record.moved + evicted.size
+        return DrainDecision.Write(record.copy(step = step.copy(moved = names), moved = moved))
+    }
+
+    /** Services at once, other tasks once the grace period is over. */
+    private fun candidates(
+        record: DrainRecord,
+        step: DrainStep,
+        machines: List<Machine>,
+    ): List<Placement> {
+        val emptyingFor = context.wallTime - Micros(step.emptyingSince)
+        val isGraceOver = emptyingFor >= record.request.graceS.seconds
+        return machines
+            .filter { it.confirmed }
+            .flatMap { it.placements.values }
+            .filter { it.isEvictable && (it.isReplica || isGraceOver) && it.name !in step.moved }
+    }
+
+    private fun noEviction(selection: EvictionSelection, machines: List<Machine>): DrainDecision {
+        val refusal = selection.refusal
+        val left = machines.sumOf { it.placements.size }
+        if (refusal == null) return DrainDecision.Wait("$left tasks end, save or move")
+        if (refusal is BudgetRefusal.Permanent) {
+            val hasReplicas = machines.any { m -> m.placements.values.any { it.isReplica } }
+            return if (hasReplicas) DrainDecision.Pause(PauseReason.BUDGET, refusal.reason)
+            else DrainDecision.Wait("$left tasks end by themselves: ${refusal.reason}")
+        }
+        val team = selection.refusedTeam
+        val drained =
+            inspector.activeSteps
+                .flatMap { inspector.unsettledTasks(it) }
+                .count { inspector.teamOf(it) == team }
+        return if (budgets.disruptedOf(team) > drained)
+            DrainDecision.Pause(PauseReason.LOSS, refusal.reason)
+        else DrainDecision.Wait(refusal.reason)
+    }
+}
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -6,120 +6,127 @@
 import wardmux.config.OperatorSettings
 import wardmux.core.CoreContext
 import wardmux.election.Role
-import wardmux.model.Job
 import wardmux.model.Machine
-import wardmux.model.MachineType
-import wardmux.model.Micros
+import wardmux.model.MachineTypes
 import wardmux.model.seconds
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 import wardmux.scheduling.TaskEvictor
 import wardmux.store.KeyValueStore
 
-/** What a leader's session lends to its drains. */
+/** What a leader's term provides for its drains. */
 class DrainEnvironment(
     val store: KeyValueStore,
     val role: Role.Leader,
+    val term: DrainTerm,
     val cluster: ClusterState,
     val eligibility: Eligibility,
-    val stopper: TaskEvictor,
+    val evictor: TaskEvictor,
     val provisioner: Provisioner,
-    val deployment: DeploymentConfig,
-    val operators: OperatorSettings,
-    val types: () -> List<MachineType>,
-    /** The leader is sure of its lease and knows what is stored. */
-    val mayDecide: () -> Boolean,
-    val decommission: (Machine, String) -> Unit,
-    val fenced: () -> Unit,
+    val types: MachineTypes,
 )
 
-/** The drains of one leader's session, put together. */
+/** The drains of one leader's term: creates and connects their parts. */
 class LeaderDrains(
     private val context: CoreContext,
     private val environment: DrainEnvironment,
+    private val deployment: DeploymentConfig,
+    operators: OperatorSettings,
     settings: DrainSettings,
 ) {
     private val cluster = environment.cluster
     private val electedAt = context.now
-    private val store = DrainStore(context, environment.store, environment.role, environment.fenced)
-    private val disruptions = DisruptionBudgets(context, cluster, settings, heartbeatTimeout())
-    private val executor =
-        StepExecutor(
+    private val inventory = TermInventory()
+    private val store = DrainStore(context, environment.store, environment.role, environment.term)
+    private val budgets =
+        DisruptionBudgets(
             context,
             cluster,
-            disruptions,
-            RelocationFeasibility(cluster, environment.eligibility),
-            environment.stopper,
-            ::requestReplacement,
-            environment.decommission,
-            ::knowsAllMachines,
-            { store.steps },
-            mostMoving = store.maxBytes / RECORD_PARTS / MAX_TASK_NAME_BYTES,
+            settings,
+            (deployment.workers.heartbeatPeriodS * operators.quietHeartbeats).seconds,
+        )
+    private val inspector = StepInspector(context, cluster, budgets, store)
+    private val selection = DrainSelection(cluster)
+    private val urgentWork = UrgentWork(context, cluster)
+    private val feasibility = RelocationFeasibility(cluster, environment.eligibility)
+    private val replacements =
+        ReplacementCapacity(
+            cluster,
+            environment.eligibility,
+            environment.provisioner.jobs,
+            environment.types,
         )
-    private val plans = PlanScheduler(context, cluster, disruptions, settings, executor)
+    private val plans = PlanScheduler(context, cluster, budgets, settings, inspector)
+    private val admission =
+        StepAdmission(context, store, inspector, urgentWork, budgets, feasibility, settings)
     private val manager =
         DrainManager(
             context,
             store,
-            cluster,
-            disruptions,
-            executor,
-            plans,
-            settings,
-            ::knowsAllMachines,
+            budgets,
+            MaintenanceMarks(cluster, inspector, urgentWork),
+            StepStarter(context, inspector, selection, admission, plans, inventory),
+            stepExecutor(),
         )
 
-    /** Answers operators. */
-    val desk =
-        DrainService(
-            context,
-            store,
-            manager,
-            cluster,
-            disruptions,
-            executor,
-            plans,
-            settings,
-            environment.role.token,
-            environment.deployment.zones,
-            environment.types,
-            environment.mayDecide,
-            { environment.provisioner.listed },
-        )
+    /** Handles the requests of operators. */
+    val service = service(settings)
 
-    /** Does what is due. */
+    /** Advances the drains; called several times a second. */
     fun tick() {
-        if (environment.mayDecide()) manager.tick()
+        if (environment.term.mayDecide) manager.tick()
     }
 
-    private fun heartbeatTimeout(): Micros =
-        (environment.deployment.workers.heartbeatPeriodS * environment.operators.quietHeartbeats)
-            .seconds
+    private fun stepExecutor() =
+        StepExecutor(
+            context,
+            inspector,
+            StepPreparation(context, inspector, urgentWork, feasibility, replacements),
+            urgentWork,
+            TaskEvictions(inspector, budgets, environment.evictor),
+            EvictionPlanner(
+                context,
+                inspector,
+                budgets,
+                feasibility,
+                replacements,
+                maxRelocating = store.maxBytes / RECORD_PARTS / MAX_TASK_NAME_BYTES,
+            ),
+            inventory,
+        )
 
-    /** Lists are late, and one may be older than the one before. */
-    private fun knowsAllMachines(): Boolean {
-        val patience = (environment.deployment.cloud.listLagS * LIST_LAGS).seconds
-        return environment.provisioner.listed && context.now - electedAt > patience
+    private fun service(settings: DrainSettings): DrainService {
+        val statuses = DrainStatusReader(store, manager, selection, budgets, settings)
+        return DrainService(
+            environment.term,
+            store,
+            budgets,
+            selection,
+            DrainRequestCheck(context, selection, environment.types, deployment.zones),
+            statuses,
+            DrainDryRun(store, selection, inspector, plans, admission, statuses),
+            inventory,
+        )
     }
 
-    private fun requestReplacement(job: Job) {
-        val jobs = environment.provisioner.jobs
-        if (!jobs.isComing(job) && !isBooting(job)) jobs.rentOne(job, environment.types())
-    }
+    private inner class TermInventory : MachineInventory {
+        override val isListed: Boolean
+            get() = environment.provisioner.listed
+
+        /** Lists lag behind, and a list may be older than the one before it. */
+        override val isComplete: Boolean
+            get() = isListed && context.now - electedAt > listDelay
 
-    private fun isBooting(job: Job) =
-        cluster.machines.values.any {
-            !it.isUp &&
-                !it.decommissioned &&
-                environment.eligibility.suits(job, it.type, it.zone, it.spot)
-        }
+        private val listDelay = (deployment.cloud.listLagS * LIST_LAGS).seconds
+
+        override fun decommission(machine: Machine, reason: String) =
+            environment.term.decommission(machine, reason)
+    }
 
     private companion object {
         const val LIST_LAGS = 3
 
-        /**
-         * Of a record a third is for the request, and a third for the step's machines and notes.
-         */
+        /** A third of a record is for the request, a third for machines and notes. */
         const val RECORD_PARTS = 3
 
         /** A task's name with its quotes and comma. */
--- a/src/main/kotlin/wardmux/drain/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/drain/OperatorClient.kt
@@ -11,25 +11,26 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** What came of asking the controllers. */
+/** The result of a request to the controllers. */
 sealed interface OperatorReply {
     /** A controller gave a final answer. */
     class Answered(val status: Int, val body: String) : OperatorReply
 
-    /** No final answer in time; [mayHaveHappened] if a request went out and stayed unanswered. */
+    /** No final answer in time; [mayHaveHappened] if a request was sent and not answered. */
     class TimedOut(val mayHaveHappened: Boolean) : OperatorReply
 }
 
 /**
- * Asks one controller after the other until one gives a final answer or the time is over. Every
- * request can be repeated: a start of the same id is the same drain.
+ * Sends a request to one controller after the other until one gives a final answer or the timeout
+ * is over. All requests are idempotent: a start with the same id is the same drain.
  */
 class OperatorClient(private val addresses: List<InetSocketAddress>, private val timeout: Micros) :
     AutoCloseable {
     private val group = NioEventLoopGroup(1)
-    private val clients = addresses.map { HttpClient(group, it, 1, MAX_BYTES, keep = false) }
+    private val clients =
+        addresses.map { HttpClient(group, it, 1, MAX_RESPONSE_BYTES, keep = false) }
 
-    /** Sends a request until it is answered otherwise than by 503, for as long as there is time. */
+    /** Repeats a request until the answer is not 503 or the timeout is over. */
     fun ask(method: String, path: String, body: String): OperatorReply {
         val deadline = System.nanoTime() + timeout.value * NANOS_PER_MICRO
         var mayHaveHappened = false
@@ -39,7 +40,7 @@
             if (outcome is Outcome.NoResponse) mayHaveHappened = true
             if (outcome is Outcome.Response && outcome.status != HttpStatus.SERVICE_UNAVAILABLE)
                 return OperatorReply.Answered(outcome.status, outcome.text)
-            Thread.sleep(PAUSE_MILLIS)
+            Thread.sleep(RETRY_MILLIS)
         }
         return OperatorReply.TimedOut(mayHaveHappened)
     }
@@ -47,9 +48,9 @@
     private fun askOnce(client: HttpClient, method: String, path: String, body: String): Outcome {
         val answer = CompletableFuture<Outcome>()
         group.next().execute {
-            client.send(method, path, body.encodeToByteArray(), ONE_REQUEST, answer::complete)
+            client.send(method, path, body.encodeToByteArray(), REQUEST_TIMEOUT, answer::complete)
         }
-        return answer.get(ONE_REQUEST.value + SLACK.value, TimeUnit.MICROSECONDS)
+        return answer.get(REQUEST_TIMEOUT.value + SLACK.value, TimeUnit.MICROSECONDS)
     }
 
     override fun close() {
@@ -57,10 +58,10 @@
     }
 
     private companion object {
-        const val MAX_BYTES = 16 * 1024 * 1024
+        const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
         const val NANOS_PER_MICRO = 1_000L
-        const val PAUSE_MILLIS = 200L
-        val ONE_REQUEST = 5.seconds
+        const val RETRY_MILLIS = 200L
+        val REQUEST_TIMEOUT = 5.seconds
         val SLACK = 500.milliseconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/OperatorCommand.kt
@@ -0,0 +1,99 @@
+package wardmux.drain
+
+import java.net.InetSocketAddress
+import java.util.concurrent.Callable
+import kotlinx.serialization.DeserializationStrategy
+import picocli.CommandLine.Mixin
+import picocli.CommandLine.Model.CommandSpec
+import picocli.CommandLine.Option
+import picocli.CommandLine.ParameterException
+import picocli.CommandLine.Spec
+import wardmux.config.SettingsFiles
+import wardmux.core.HttpStatus
+import wardmux.model.seconds
+
+/** Options that all commands about drains share. */
+class OperatorOptions {
+    @Option(
+        names = ["--controller"],
+        paramLabel = "HOST:PORT",
+        description = ["An operators' listener; may be given several times (127.0.0.1:7070)."],
+    )
+    var controllers: List<String> = listOf("127.0.0.1:7070")
+
+    @Option(
+        names = ["--timeout"],
+        paramLabel = "SECONDS",
+        description = ["For how long to ask again where no controller can answer (10)."],
+    )
+    var timeoutS: Double = 10.0
+
+    @Option(names = ["--json"], description = ["Print the answer as JSON."]) var json = false
+
+    /** The addresses of the controllers; throws [ParameterException] if one is malformed. */
+    fun addresses(spec: CommandSpec): List<InetSocketAddress> =
+        controllers.map {
+            SettingsFiles.address(it)
+                ?: throw ParameterException(
+                    spec.commandLine(),
+                    "--controller must be HOST:PORT, but is '$it'",
+                )
+        }
+}
+
+/** A command that sends one request to the controllers and prints the answer. */
+abstract class OperatorCommand : Callable<Int> {
+    @Spec lateinit var spec: CommandSpec
+
+    @Mixin lateinit var options: OperatorOptions
+
+    /** Sends the request and prints the answer, formatted by [show]; returns the exit code. */
+    protected fun <T> ask(
+        method: String,
+        path: String,
+        body: String,
+        answer: DeserializationStrategy<T>,
+        show: (T) -> String,
+    ): Int {
+        val client = OperatorClient(options.addresses(spec), options.timeoutS.seconds)
+        val reply = client.use { it.ask(method, DrainPaths.DRAINS + path, body) }
+        return when (reply) {
+            is OperatorReply.TimedOut -> timedOut(reply)
+            is OperatorReply.Answered ->
+                if (reply.status in HttpStatus.SUCCESS) succeeded(reply, answer, show)
+                else failed(reply)
+        }
+    }
+
+    private fun <T> succeeded(
+        reply: OperatorReply.Answered,
+        answer: DeserializationStrategy<T>,
+        show: (T) -> String,
+    ): Int {
+        val out = spec.commandLine().out
+        if (options.json) out.println(reply.body)
+        else out.println(show(operatorJson.decodeFromString(answer, reply.body)))
+        return DrainExit.OK
+    }
+
+    private fun failed(reply: OperatorReply.Answered): Int {
+        val error = DrainText.error(reply.body)
+        spec.commandLine().err.println("wardmux: $error")
+        return when (reply.status) {
+            HttpStatus.NOT_FOUND -> DrainExit.UNKNOWN_DRAIN
+            HttpStatus.CONFLICT -> DrainExit.CONFLICT
+            else -> DrainExit.BAD_REQUEST
+        }
+    }
+
+    private fun timedOut(reply: OperatorReply.TimedOut): Int {
+        val known =
+            if (reply.mayHaveHappened) "it is not known whether it was carried out"
+            else "nothing was carried out"
+        spec
+            .commandLine()
+            .err
+            .println("wardmux: no controller answered within ${options.timeoutS} s; $known")
+        return DrainExit.NO_ANSWER
+    }
+}
--- a/src/main/kotlin/wardmux/drain/PlanScheduler.kt
+++ b/src/main/kotlin/wardmux/drain/PlanScheduler.kt
@@ -11,87 +11,96 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * Gives the steps of drains. Plans are worked out beside the core, one at a time and no more often
- * than the settings' share of a processor allows; where none comes in time, the greedy plan serves.
+ * Provides the next step of each drain. Plans are computed in the background, and no more often
+ * than the settings' share of a processor allows; if none comes in time, the greedy plan is used.
  */
 class PlanScheduler(
     private val context: CoreContext,
     private val cluster: ClusterState,
-    private val disruptions: DisruptionBudgets,
+    private val budgets: DisruptionBudgets,
     private val settings: DrainSettings,
-    private val executor: StepExecutor,
+    private val inspector: StepInspector,
 ) {
-    private class Pending(val since: Micros) {
+    private class PendingPlan(val requestedAt: Micros) {
         var isAnswered = false
         var plan: DrainPlan? = null
     }
 
     private val log = logger<PlanScheduler>()
-    private val pending = HashMap<String, Pending>()
-    private var solveAt = Micros.LONG_AGO
+    private val pending = HashMap<String, PendingPlan>()
+    private var nextPlanAt = Micros.LONG_AGO
 
-    /** What is to be planned for the machines that are left. */
+    /** The planning problem of the drain for [machines]. */
     fun problem(request: DrainRequest, machines: List<Machine>): DrainProblem {
-        val teams = cluster.teams.keys.associateWith { maxOf(1, disruptions.limitOf(it)) }
+        val teams = cluster.teams.keys.associateWith { maxOf(1, budgets.limitOf(it)) }
         val services =
             cluster.jobs.values
                 .filter { it.spec.shape == JobKind.SERVICE }
-                .associate { it.id.value to maxOf(1, disruptions.maxReplicasDown(it)) }
+                .associate { it.id.value to maxOf(1, budgets.maxReplicasDown(it)) }
         val loads = machines.map { loadOf(it, request) }
         return DrainProblem(loads, teams, services, request.stepSize, request.order)
     }
 
     private fun loadOf(machine: Machine, request: DrainRequest): MachineLoad {
-        val moving = executor.tasksToMove(machine, request)
+        val evicted = inspector.tasksToEvict(machine, request)
         return MachineLoad(
             machine.id,
             machine.zone,
-            moving.sumOf { it.job.spec.cpus },
-            moving.groupingBy { it.job.spec.team }.eachCount(),
-            moving.filter { it.isReplica }.groupingBy { it.job.id.value }.eachCount(),
+            evicted.sumOf { it.job.spec.cpus },
+            evicted.groupingBy { it.job.spec.team }.eachCount(),
+            evicted.filter { it.isReplica }.groupingBy { it.job.id.value }.eachCount(),
         )
     }
 
-    /** The machines of the next step, or null while they are being worked out. */
+    /** The machines of the next step, or null while a plan is being computed. */
     fun nextStep(request: DrainRequest, machines: List<Machine>): List<Machine>? {
         val known = machines.associateBy { it.id }
-        val asked = pending[request.id]
-        if (asked != null && !asked.isAnswered && context.now - asked.since < patience())
+        val requested = pending[request.id]
+        if (
+            requested != null &&
+                !requested.isAnswered &&
+                context.now - requested.requestedAt < timeout
+        )
             return null
         pending.remove(request.id)
-        val fresh = asked?.plan?.let { plan -> current(plan, known) }
-        if (fresh != null) return fresh
+        requested
+            ?.plan
+            ?.let { firstStep(it, known) }
+            ?.let {
+                return it
+            }
         val problem = problem(request, machines)
-        if (asked == null && ask(request, problem)) return null
+        if (requested == null && requestPlan(request, problem)) return null
         val step = GreedyPlanner.plan(problem).steps.first()
         return step.map { known.getValue(it.machine) }
     }
 
-    /** The first step of [plan] if its machines are still there to be taken out. */
-    private fun current(plan: DrainPlan, known: Map<MachineId, Machine>): List<Machine>? {
+    /** The first step of [plan] if all its machines are still to be drained. */
+    private fun firstStep(plan: DrainPlan, known: Map<MachineId, Machine>): List<Machine>? {
         val step = plan.steps.firstOrNull() ?: return null
         val machines = step.mapNotNull { known[it.machine] }
         return machines.takeIf { it.size == step.size }
     }
 
-    private fun patience(): Micros = settings.solverTimeS.seconds + ANSWER_SLACK
+    private val timeout: Micros
+        get() = settings.solverTimeS.seconds + RESULT_SLACK
 
-    /** False if no plan may be worked out now. */
-    private fun ask(request: DrainRequest, problem: DrainProblem): Boolean {
+    /** False if no plan may be computed now. */
+    private fun requestPlan(request: DrainRequest, problem: DrainProblem): Boolean {
         if (settings.solverTimeS <= 0 || settings.solverShare <= 0) return false
-        if (context.now < solveAt || problem.machines.size <= 1) return false
-        solveAt = context.now + (settings.solverTimeS / settings.solverShare).seconds
-        val asked = Pending(context.now)
-        pending[request.id] = asked
+        if (context.now < nextPlanAt || problem.machines.size <= 1) return false
+        nextPlanAt = context.now + (settings.solverTimeS / settings.solverShare).seconds
+        val requested = PendingPlan(context.now)
+        pending[request.id] = requested
         context.compute(DrainPlanning(problem, settings.solverTimeS.seconds)) { plan ->
-            asked.isAnswered = true
-            asked.plan = plan
+            requested.isAnswered = true
+            requested.plan = plan
             log.debug("plan for {}: {} steps", request.id, plan?.steps?.size)
         }
         return true
     }
 
     private companion object {
-        val ANSWER_SLACK = 2.seconds
+        val RESULT_SLACK = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -8,21 +8,21 @@
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 
-/** Finds room for tasks that are to be moved, on machines that are up and stay. */
+/** Checks whether evicted tasks fit on the machines that are up and are not drained. */
 class RelocationFeasibility(
     private val cluster: ClusterState,
     private val eligibility: Eligibility,
 ) {
-    private class Room(var cpus: Double, var gpus: Double, var memoryGb: Double)
+    private class FreeResources(var cpus: Double, var gpus: Double, var memoryGb: Double)
 
     /**
-     * The tasks of [moving] for which there is no room now, the largest placed first; machines that
-     * are being drained have none, nor have those that are [leaving] next.
+     * The tasks of [evicted] for which there is no room now, if the largest are placed first. No
+     * task goes to a machine that is being drained, unless it is [staying], nor to one of
+     * [leaving].
      */
-    fun unseated(
-        moving: List<Placement>,
+    fun withoutRoom(
+        evicted: List<Placement>,
         leaving: Set<Machine> = emptySet(),
-        /** Machines of a step that would take tasks again. */
         staying: Set<Machine> = emptySet(),
     ): List<Placement> {
         val open =
@@ -31,40 +31,45 @@
                     it !in leaving &&
                     eligibility.usable(it)
             }
-        val rooms = open.associateWith { Room(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
+        val free = open.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
         val zones = HashMap<Job, HashMap<String, Int>>()
-        return moving.sortedByDescending { it.job.spec.cpus }.filterNot { seat(it, rooms, zones) }
+        return evicted.sortedByDescending { it.job.spec.cpus }.filterNot { place(it, free, zones) }
     }
 
-    private fun seat(
+    private fun place(
         placement: Placement,
-        rooms: Map<Machine, Room>,
+        free: Map<Machine, FreeResources>,
         zones: HashMap<Job, HashMap<String, Int>>,
     ): Boolean {
         val job = placement.job
-        val taken = zones.getOrPut(job) { HashMap(eligibility.zonesOf(job)) }
-        val without = HashMap(taken)
+        val occupied = zones.getOrPut(job) { HashMap(eligibility.zonesOf(job)) }
+        val without = HashMap(occupied)
         without.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
         val machine =
-            rooms.keys.firstOrNull { takes(it, rooms.getValue(it), job, without) } ?: return false
-        book(rooms.getValue(machine), job)
+            free.keys.firstOrNull { fits(it, free.getValue(it), job, without) } ?: return false
+        reserve(free.getValue(machine), job)
         without.merge(machine.zone, 1, Int::plus)
         zones[job] = without
         return true
     }
 
-    private fun takes(machine: Machine, room: Room, job: Job, zones: Map<String, Int>): Boolean {
+    private fun fits(
+        machine: Machine,
+        free: FreeResources,
+        job: Job,
+        zones: Map<String, Int>,
+    ): Boolean {
         val spec = job.spec
         return eligibility.allowed(spec, machine) &&
-            spec.cpus <= room.cpus + MachineType.EPSILON &&
-            spec.gpus <= room.gpus + MachineType.EPSILON &&
-            spec.memoryGb <= room.memoryGb + MachineType.EPSILON &&
+            spec.cpus <= free.cpus + MachineType.EPSILON &&
+            spec.gpus <= free.gpus + MachineType.EPSILON &&
+            spec.memoryGb <= free.memoryGb + MachineType.EPSILON &&
             eligibility.mayGoTo(machine.zone, spec, zones)
     }
 
-    private fun book(room: Room, job: Job) {
-        room.cpus -= job.spec.cpus
-        room.gpus -= job.spec.gpus
-        room.memoryGb -= job.spec.memoryGb
+    private fun reserve(free: FreeResources, job: Job) {
+        free.cpus -= job.spec.cpus
+        free.gpus -= job.spec.gpus
+        free.memoryGb -= job.spec.memoryGb
     }
 }
--- a/src/main/kotlin/wardmux/drain/SolverPlanner.kt
+++ b/src/main/kotlin/wardmux/drain/SolverPlanner.kt
@@ -6,19 +6,21 @@
 import wardmux.model.Micros
 
 /**
- * Finds a plan with the fewest steps by constraint programming (Choco): each machine gets the
- * number of its step, and each limit is a bin packing over the steps. It begins from the greedy
- * plan, only looks for better ones, and gives the best found when its time or its nodes are over.
+ * Finds a plan with the fewest steps by constraint programming (Choco): a variable for each machine
+ * is the number of its step, and each limit is a bin packing over the steps. The greedy plan is the
+ * upper bound; the result is the best plan found within the limits on time and search nodes.
  */
 object SolverPlanner {
-    /** The best plan found within [limit]; never worse than the greedy one. */
+    /**
+     * The best plan found within [limit] and [nodes] search nodes; never worse than the greedy one.
+     */
     fun plan(problem: DrainProblem, limit: Micros, nodes: Long = MAX_NODES): DrainPlan {
         val greedy = GreedyPlanner.plan(problem)
         val free = problem.machines.filterNot { problem.goesAlone(it) }
         val alone = problem.machines.filter { problem.goesAlone(it) }.map { listOf(it) }
-        val most = greedy.steps.size - alone.size
-        if (free.size > MAX_MACHINES || most <= 1) return greedy
-        val solved = Search(problem, free, most).run(limit, nodes)
+        val maxSteps = greedy.steps.size - alone.size
+        if (free.size > MAX_MACHINES || maxSteps <= 1) return greedy
+        val solved = Search(problem, free, maxSteps).run(limit, nodes)
         val plan = DrainPlan(GreedyPlanner.inOrder(problem, solved.steps + alone), solved.isOptimal)
         val isSound = solved.steps.isNotEmpty() && plan.steps.all { problem.allows(it) }
         return if (isSound && plan.measure < greedy.measure) plan
@@ -52,9 +54,9 @@
 
         /** The sum of [counts] in each step is at most [limit]. */
         private fun limitBins(counts: List<Int>, limit: Int) {
-            val most = minOf(limit, counts.sum())
-            if (most == counts.sum()) return
-            val loads = model.intVarArray(maxSteps, 0, most)
+            val max = minOf(limit, counts.sum())
+            if (max == counts.sum()) return
+            val loads = model.intVarArray(maxSteps, 0, max)
             model.binPacking(stepOf, counts.toIntArray(), loads, 0).post()
         }
 
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Beyond this a model takes longer to set up than a plan is worth. */
+    /** Beyond this the model takes too long to build. */
     private const val MAX_MACHINES = 300
     private const val MAX_NODES = 200_000L
     private const val MICROS_PER_MILLI = 1_000L
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/StepPreparation.kt
@@ -0,0 +1,67 @@
+package wardmux.drain
+
+import wardmux.core.CoreContext
+import wardmux.model.Machine
+import wardmux.model.Micros
+import wardmux.model.seconds
+
+/** The first phase of a step: capacity for the tasks that it evicts. */
+class StepPreparation(
+    private val context: CoreContext,
+    private val inspector: StepInspector,
+    private val urgentWork: UrgentWork,
+    private val feasibility: RelocationFeasibility,
+    private val replacements: ReplacementCapacity,
+) {
+    /** Goes on to emptying once every task has room, or with fewer machines after a timeout. */
+    fun decide(record: DrainRecord, step: DrainStep): DrainDecision {
+        val machines = inspector.machinesOf(step)
+        urgentWork.reasonToYield(machines)?.let {
+            return DrainDecision.Wait(it)
+        }
+        val evicted = machines.flatMap { inspector.tasksToEvict(it, record.request) }
+        val withoutRoom = feasibility.withoutRoom(evicted)
+        if (withoutRoom.isEmpty()) return startEmptying(record, step)
+        val waited = context.wallTime - Micros(step.beganAt)
+        if (waited >= roomTimeout(machines)) return reduce(record, step, machines)
+        return replacements.awaitRoom(withoutRoom)
+    }
+
+    /** By then a replacement is up, if the cloud has one and it boots as usual. */
+    private fun roomTimeout(machines: List<Machine>): Micros =
+        (machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * ROOM_TIMEOUT_BOOTS +
+            MIN_ROOM_TIMEOUT
+
+    /** Keeps the machines for which there is room; without any, another step is chosen. */
+    private fun reduce(
+        record: DrainRecord,
+        step: DrainStep,
+        machines: List<Machine>,
+    ): DrainDecision {
+        val kept = ArrayList<Machine>()
+        for (machine in machines.sortedBy { it.load }) {
+            if (hasRoom(kept + machine, machines, record.request)) kept.add(machine)
+        }
+        if (kept.isEmpty()) return DrainDecision.Write(record.copy(step = null))
+        return startEmptying(record, step.copy(machines = kept.map { it.id.value }))
+    }
+
+    private fun hasRoom(
+        leaving: List<Machine>,
+        all: List<Machine>,
+        request: DrainRequest,
+    ): Boolean {
+        val evicted = leaving.flatMap { inspector.tasksToEvict(it, request) }
+        return feasibility.withoutRoom(evicted, leaving.toSet(), staying = all.toSet()).isEmpty()
+    }
+
+    private fun startEmptying(record: DrainRecord, step: DrainStep): DrainDecision {
+        val next = step.copy(phase = StepPhase.EMPTYING, emptyingSince = context.wallTime.value)
+        return DrainDecision.Write(record.copy(step = next))
+    }
+
+    private companion object {
+        const val ROOM_TIMEOUT_BOOTS = 3.0
+        val MIN_ROOM_TIMEOUT = 30.seconds
+    }
+}
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -10,6 +10,7 @@
 import wardmux.config.PlatformConfig
 import wardmux.core.CoreContext
 import wardmux.drain.DrainEnvironment
+import wardmux.drain.DrainTerm
 import wardmux.drain.LeaderDrains
 import wardmux.election.LeaderElection
 import wardmux.election.Role
@@ -155,7 +156,9 @@
         )
     /** Drains that operators asked for; null where these are switched off. */
     val drains: LeaderDrains? =
-        operators.drain?.let { LeaderDrains(context, drainEnvironment(), it) }
+        operators.drain?.let {
+            LeaderDrains(context, drainEnvironment(), deployment, operators, it)
+        }
     private val loaded: Boolean
         get() = knowledge.isLoaded
 
@@ -183,18 +186,24 @@
         DrainEnvironment(
             store,
             role,
+            TermOfDrains(),
             cluster,
             planner.eligibility,
             stopper,
             provisioner,
-            deployment,
-            operators,
-            { types.types.orEmpty() },
-            { loaded && !over && leadership.leaseIsValid },
-            ::decommission,
-            leadership::fenced,
+            types,
         )
 
+    private inner class TermOfDrains : DrainTerm {
+        override val mayDecide: Boolean
+            get() = loaded && !over && leadership.leaseIsValid
+
+        override fun decommission(machine: Machine, reason: String) =
+            this@LeaderTerm.decommission(machine, reason)
+
+        override fun fenced() = leadership.fenced()
+    }
+
     private fun rentalOrders(cloud: CloudClient) =
         RentalOrders(
             context,
--- a/src/main/kotlin/wardmux/lease/CheckedHeartbeats.kt
+++ b/src/main/kotlin/wardmux/lease/CheckedHeartbeats.kt
@@ -21,7 +21,7 @@
 
     /** Nothing in [report] is cancelled; so many [cancellations] are known. */
     fun foundFree(report: WorkerHeartbeat, cancellations: Long) {
-        if (checks.size >= MAX_MACHINES) checks.clear()
+        if (checks.size >= MOST_MACHINES) checks.clear()
         checks[report.machine] = Check(report.tasks, cancellations)
     }
 
@@ -30,6 +30,6 @@
 
     private companion object {
         /** Far more than there are; machines that are gone are not told apart. */
-        const val MAX_MACHINES = 20_000
+        const val MOST_MACHINES = 20_000
     }
 }
--- a/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
@@ -18,13 +18,13 @@
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
-/** What counts as disrupted: all that does not surely run, and nothing that never did. */
+/** What counts as disrupted: all that is not known to run, and nothing that never ran. */
 class DisruptionBudgetsTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val harness =
         PlannerHarness(listOf(TeamQuota("team-0", 700.0, 700.0)), listOf(type), now = 100.seconds)
     private val budget = BudgetSettings(maxDisrupted = 2, minReplicas = 2)
-    private val disruptions =
+    private val budgets =
         DisruptionBudgets(
             harness.context,
             harness.cluster,
@@ -37,78 +37,79 @@
     init {
         repeat(4) { harness.run(job, it, machine) }
         for (placement in job.placements.values) placement.runningSince = 50.seconds
-        disruptions.count()
+        budgets.recount()
     }
 
     private val first: Placement
         get() = job.placements.get(0)
 
-    private fun lost(change: () -> Unit): Int {
+    private fun disruptedAfter(change: () -> Unit): Int {
         change()
-        disruptions.count()
-        return disruptions.disruptedOf("team-0")
+        budgets.recount()
+        return budgets.disruptedOf("team-0")
     }
 
-    private fun allLostBy(change: Machine.() -> Unit) = assertEquals(4, lost { machine.change() })
+    private fun allDisruptedBy(change: Machine.() -> Unit) =
+        assertEquals(4, disruptedAfter { machine.change() })
 
     @Test
-    fun `what is reported as running is up`() {
-        assertEquals(0, disruptions.disruptedOf("team-0"))
-        assertEquals(2, disruptions.limitOf("team-0"))
+    fun `a task that is reported as running is up`() {
+        assertEquals(0, budgets.disruptedOf("team-0"))
+        assertEquals(2, budgets.limitOf("team-0"))
     }
 
     @Test
-    fun `a machine that is silent, unconfirmed, recalled or given up has lost all`() {
-        allLostBy { lastHeartbeatAt = 93.seconds }
-        assertEquals(0, lost { machine.lastHeartbeatAt = 100.seconds })
-        allLostBy { confirmed = false }
-        assertEquals(0, lost { machine.confirmed = true })
-        allLostBy { preemptionNoticeAt = 99.seconds }
-        assertEquals(0, lost { machine.preemptionNoticeAt = null })
-        allLostBy { decommissioned = true }
+    fun `all tasks count on a machine that is silent, unconfirmed, preempted or decommissioned`() {
+        allDisruptedBy { lastHeartbeatAt = 93.seconds }
+        assertEquals(0, disruptedAfter { machine.lastHeartbeatAt = 100.seconds })
+        allDisruptedBy { confirmed = false }
+        assertEquals(0, disruptedAfter { machine.confirmed = true })
+        allDisruptedBy { preemptionNoticeAt = 99.seconds }
+        assertEquals(0, disruptedAfter { machine.preemptionNoticeAt = null })
+        allDisruptedBy { decommissioned = true }
     }
 
     @Test
-    fun `a first start that does not run yet was never up, one in doubt may have been`() {
+    fun `a first start that does not run yet does not count, one of an earlier leader does`() {
         first.runningSince = null
-        assertEquals(0, lost { first.status = TaskStatus.FETCHING })
-        assertEquals(1, lost { first.restored = true })
+        assertEquals(0, disruptedAfter { first.status = TaskStatus.FETCHING })
+        assertEquals(1, disruptedAfter { first.restored = true })
         first.restored = false
-        assertEquals(1, lost { first.runningSince = 50.seconds })
+        assertEquals(1, disruptedAfter { first.runningSince = 50.seconds })
     }
 
     @Test
-    fun `a stop counts from when it went out, whatever is reported later`() {
-        disruptions.stopped(first)
-        assertEquals(1, disruptions.disruptedOf("team-0"))
-        disruptions.stopped(first)
-        assertEquals(1, disruptions.disruptedOf("team-0"), "counted once")
-        assertEquals(1, lost { first.status = TaskStatus.RUNNING })
+    fun `an eviction counts from when it was sent, whatever is reported later`() {
+        budgets.recordEviction(first)
+        assertEquals(1, budgets.disruptedOf("team-0"))
+        budgets.recordEviction(first)
+        assertEquals(1, budgets.disruptedOf("team-0"), "counted once")
+        assertEquals(1, disruptedAfter { first.status = TaskStatus.RUNNING })
     }
 
     @Test
-    fun `what was interrupted counts until it runs again`() {
+    fun `an interrupted task counts until it runs again`() {
         harness.cluster.release(first, "test")
-        assertEquals(1, lost {})
+        assertEquals(1, disruptedAfter {})
         harness.run(job, 0, machine)
-        assertEquals(0, lost {})
+        assertEquals(0, disruptedAfter {})
     }
 
     @Test
-    fun `jobs that are over count for nothing`() {
+    fun `jobs that have ended do not count`() {
         machine.confirmed = false
-        assertEquals(0, lost { job.phase = JobPhase.CANCELLED })
+        assertEquals(0, disruptedAfter { job.phase = JobPhase.CANCELLED })
     }
 
     @Test
-    fun `a budget refuses what goes beyond it, for now or for ever`() {
-        assertNull(disruptions.refusal(job, 2))
-        assertIs<BudgetRefusal.Never>(disruptions.refusal(job, 3))
-        disruptions.stopped(first)
-        assertNull(disruptions.refusal(job, 1))
-        assertIs<BudgetRefusal.NotNow>(disruptions.refusal(job, 2))
+    fun `a budget refuses what exceeds it, for now or permanently`() {
+        assertNull(budgets.refusal(job, 2))
+        assertIs<BudgetRefusal.Permanent>(budgets.refusal(job, 3))
+        budgets.recordEviction(first)
+        assertNull(budgets.refusal(job, 1))
+        assertIs<BudgetRefusal.Temporary>(budgets.refusal(job, 2))
         val small = harness.job(plainJob(2, "job-000002").copy(shape = JobKind.SERVICE))
-        assertIs<BudgetRefusal.Never>(disruptions.refusal(small, 1), "two replicas must stay up")
+        assertIs<BudgetRefusal.Permanent>(budgets.refusal(small, 1), "two replicas must stay up")
     }
 
     @Test
@@ -116,7 +117,7 @@
         fun limit(share: Double): Int {
             val settings = DrainSettings(budget = budget.copy(maxDisruptedShare = share))
             val own = DisruptionBudgets(harness.context, harness.cluster, settings, 6.seconds)
-            own.count()
+            own.recount()
             return own.limitOf("team-0")
         }
         assertEquals(1, limit(0.1))
@@ -129,9 +130,9 @@
     fun `replicas of one service are limited beside the team`() {
         val other: Job = harness.job(plainJob(3, "job-000003").copy(shape = JobKind.SERVICE))
         repeat(3) { harness.run(other, it, harness.machine(2 + it, type)) }
-        disruptions.count()
-        disruptions.stopped(other.placements.get(0))
-        assertIs<BudgetRefusal.NotNow>(disruptions.refusal(other, 1), "one of three may be down")
-        assertNull(disruptions.refusal(job, 1))
+        budgets.recount()
+        budgets.recordEviction(other.placements.get(0))
+        assertIs<BudgetRefusal.Temporary>(budgets.refusal(other, 1), "one of three may be down")
+        assertNull(budgets.refusal(job, 1))
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -17,7 +17,7 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Drains through the failures that they are made for, each brought about on purpose. */
+/** Drains during failures, each injected on purpose. */
 class DrainFaultsTest {
     private fun DrainScenario.crashLeader() =
         simulation.leader()?.let { simulation.crash(it, 3.seconds) }
@@ -39,30 +39,30 @@
         }
     }
 
-    /** What befalls a leader at a write. */
+    /** A fault that is injected into the leader at a write. */
     enum class LeaderFault {
-        /** It ends; the write is carried out, and nobody acts on it. */
-        ENDS,
+        /** It crashes; the write is carried out, and nobody acts on it. */
+        CRASHES,
 
-        /** It ends once it has acted on the write. */
-        ENDS_LATER,
+        /** It crashes once it has acted on the write. */
+        CRASHES_LATER,
 
-        /** It stands still for longer than its lease, and then goes on. */
-        STANDS_STILL,
+        /** It is frozen for longer than its lease, and then continues. */
+        FREEZES,
 
-        /** It reaches neither the state service nor its siblings. */
-        IS_CUT_OFF,
+        /** It reaches neither the key-value store nor its peers. */
+        IS_PARTITIONED,
     }
 
-    private fun DrainScenario.befall(fault: LeaderFault) {
+    private fun DrainScenario.inject(fault: LeaderFault) {
         val leader = simulation.leader() ?: return
         when (fault) {
-            LeaderFault.ENDS -> simulation.crash(leader, 3.seconds)
-            LeaderFault.ENDS_LATER ->
+            LeaderFault.CRASHES -> simulation.crash(leader, 3.seconds)
+            LeaderFault.CRASHES_LATER ->
                 clock.after(400.milliseconds) { simulation.crash(leader, 3.seconds) }
-            LeaderFault.STANDS_STILL ->
+            LeaderFault.FREEZES ->
                 clock.after(100.milliseconds) { simulation.freeze(leader, 15.seconds) }
-            LeaderFault.IS_CUT_OFF -> {
+            LeaderFault.IS_PARTITIONED -> {
                 simulation.network.cut(leader)
                 clock.after(15.seconds) { simulation.network.mend(leader) }
             }
@@ -71,39 +71,41 @@
 
     @ParameterizedTest
     @EnumSource(LeaderFault::class)
-    fun `the next leader goes on from any write of a step`(fault: LeaderFault) {
+    fun `the next leader continues after any write of a step`(fault: LeaderFault) {
         for (write in 1..8) {
-            val day = DrainScenario(20L + write).begin().start()
-            day.atDrainWrite(write) { day.befall(fault) }
-            day.runUntilDone()
-            day.check()
+            val scenario = DrainScenario(20L + write).begin().start()
+            scenario.atDrainWrite(write) { scenario.inject(fault) }
+            scenario.runUntilDone()
+            scenario.check()
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `late commands of the first leader take nothing beyond the budget`(seed: Long) {
-        val day = DrainScenario(seed).begin().start()
-        for (worker in day.workers()) day.simulation.lateOrders[worker.id] = 4.seconds
+    fun `delayed commands of the first leader do not exceed the budget`(seed: Long) {
+        val scenario = DrainScenario(seed).begin().start()
+        for (worker in scenario.workers()) scenario.simulation.lateOrders[worker.id] = 4.seconds
         for (write in listOf(3, 6)) {
-            day.atDrainWrite(write) { day.befall(LeaderFault.STANDS_STILL) }
-            day.simulation.run(day.clock.now + 60.seconds)
+            scenario.atDrainWrite(write) { scenario.inject(LeaderFault.FREEZES) }
+            scenario.simulation.run(scenario.clock.now + 60.seconds)
         }
-        day.simulation.lateOrders.clear()
-        day.runUntilDone()
-        day.check(noticedAfter = 20.seconds)
+        scenario.simulation.lateOrders.clear()
+        scenario.runUntilDone()
+        scenario.check(noticedAfter = 20.seconds)
     }
 
     /** Two machines with a replica each, drained side by side, of which one may be down. */
     private fun sideBySide(seed: Long): Pair<DrainScenario, List<String>> {
         val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
-        val day = DrainScenario(seed, DrainSettings(budget = budget))
-        day.begin(day.service(0, 3, cpus = 10.0))
-        val machines = day.workers().filter { it.tasksThere > 0 }.map { it.id }.take(2)
+        val scenario = DrainScenario(seed, DrainSettings(budget = budget))
+        scenario.begin(scenario.service(0, 3, cpus = 10.0))
+        val machines = scenario.workers().filter { it.tasksThere > 0 }.map { it.id }.take(2)
         for ((number, machine) in machines.withIndex()) {
-            day.start(DrainRequest("d${number + 1}", DrainSelector(machines = listOf(machine))))
+            scenario.start(
+                DrainRequest("d${number + 1}", DrainSelector(machines = listOf(machine)))
+            )
         }
-        return day to machines
+        return scenario to machines
     }
 
     private fun DrainScenario.runUntilBothDone() {
@@ -114,195 +116,211 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `what an earlier leader may have stopped counts until it is heard of`(seed: Long) {
-        val (day, machines) = sideBySide(seed)
-        day.runUntil(200.seconds, "a stop") { day.losses.stops.isNotEmpty() }
+    fun `what an earlier leader may have evicted counts until its machine sends a heartbeat`(
+        seed: Long
+    ) {
+        val (scenario, machines) = sideBySide(seed)
+        scenario.runUntil(200.seconds, "a stop") { scenario.losses.stops.isNotEmpty() }
         // The next leader does not hear of the stop: that machine reaches no controller.
         val stopped =
-            day.workers().filter { it.id in machines }.filter { it.tasksThere == 0 }.map { it.id }
-        day.simulation.network.mute.addAll(stopped)
-        day.crashLeader()
-        day.clock.after(25.seconds) { day.simulation.network.mute.removeAll(stopped.toSet()) }
-        day.runUntilBothDone()
+            scenario
+                .workers()
+                .filter { it.id in machines }
+                .filter { it.tasksThere == 0 }
+                .map { it.id }
+        scenario.simulation.network.mute.addAll(stopped)
+        scenario.crashLeader()
+        scenario.clock.after(25.seconds) {
+            scenario.simulation.network.mute.removeAll(stopped.toSet())
+        }
+        scenario.runUntilBothDone()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a stop that is on its way counts also after what is stored was read again`(seed: Long) {
-        val (day, machines) = sideBySide(seed)
-        val network = day.simulation.network
+    fun `an eviction in flight still counts after the stored state was read again`(seed: Long) {
+        val (scenario, machines) = sideBySide(seed)
+        val network = scenario.simulation.network
         // Direct commands take long, and once the stop is sent nothing else gets through.
-        for (machine in machines) day.simulation.lateOrders[machine] = 8.seconds
-        day.runUntil(200.seconds, "a stop is recorded") {
-            listOf("d1", "d2").any { day.stored(it)?.step?.moved?.isNotEmpty() == true }
+        for (machine in machines) scenario.simulation.lateOrders[machine] = 8.seconds
+        scenario.runUntil(200.seconds, "a stop is recorded") {
+            listOf("d1", "d2").any { scenario.stored(it)?.step?.moved?.isNotEmpty() == true }
         }
-        val leader = checkNotNull(day.simulation.leader())
+        val leader = checkNotNull(scenario.simulation.leader())
         for (machine in machines) network.part(leader, machine)
         // The next placements get no answer, so all is read again.
         var swallowed = 0
-        day.simulation.state.late = { _, transaction ->
+        scenario.simulation.state.late = { _, transaction ->
             "\"tags\"" in transaction.toString() && swallowed++ == 0
         }
-        day.submit(day.array(1, 2, 5.0))
-        day.clock.after(9.seconds) { for (machine in machines) network.join(leader, machine) }
-        day.simulation.run(day.clock.now + 12.seconds)
+        scenario.submit(scenario.array(1, 2, 5.0))
+        scenario.clock.after(9.seconds) { for (machine in machines) network.join(leader, machine) }
+        scenario.simulation.run(scenario.clock.now + 12.seconds)
         assertTrue(swallowed > 0)
-        day.simulation.lateOrders.clear()
-        day.runUntilBothDone()
+        scenario.simulation.lateOrders.clear()
+        scenario.runUntilBothDone()
     }
 
     @Test
-    fun `a drain yields to urgent work that waits for room, and says so`() {
-        val day = DrainScenario(5, capacity = 1)
-        day.begin(day.service(0, 2, cpus = 6.0), day.service(1, 2, cpus = 6.0))
-        val urgent = day.array(2, 8, 20.0, cpus = 14.0).copy(urgency = PriorityClass.HIGH)
-        day.submit(urgent)
-        day.simulation.run(day.clock.now + 5.seconds)
-        day.start()
+    fun `a drain yields to urgent work that waits for capacity, and reports it`() {
+        val scenario = DrainScenario(5, capacity = 1)
+        scenario.begin(scenario.service(0, 2, cpus = 6.0), scenario.service(1, 2, cpus = 6.0))
+        val urgent = scenario.array(2, 8, 20.0, cpus = 14.0).copy(urgency = PriorityClass.HIGH)
+        scenario.submit(urgent)
+        scenario.simulation.run(scenario.clock.now + 5.seconds)
+        scenario.start()
         var said = false
-        while (day.simulation.rules.finalOf(urgent.id) == null) {
-            if ("goes first" in day.status().waitsFor) said = true
-            day.simulation.run(day.clock.now + 5.seconds)
-            assertTrue(day.clock.now < 900.seconds, "the urgent work never ended")
+        while (scenario.simulation.rules.finalOf(urgent.id) == null) {
+            if ("goes first" in scenario.status().waitsFor) said = true
+            scenario.simulation.run(scenario.clock.now + 5.seconds)
+            assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
         }
         assertTrue(said, "it did not say that it yields")
-        assertEquals(0, day.stored()?.returned)
-        day.runUntilDone()
-        day.check()
+        assertEquals(0, scenario.stored()?.returned)
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @ParameterizedTest
     @ValueSource(booleans = [true, false])
-    fun `no task is moved before a replacement is up and sound`(sick: Boolean) {
-        val day = DrainScenario(7)
+    fun `no task is evicted before a replacement is up and healthy`(sick: Boolean) {
+        val scenario = DrainScenario(7)
         // Fuller than half, so that nothing fits beside what is there.
-        day.begin(day.service(0, 3, cpus = 10.0))
-        if (sick) day.simulation.cloud.bornSick = true else day.simulation.cloud.stillborn = 1.0
-        val before = day.losses.stops.size
-        day.start()
-        day.simulation.run(day.clock.now + 60.seconds)
+        scenario.begin(scenario.service(0, 3, cpus = 10.0))
+        if (sick) scenario.simulation.cloud.bornSick = true
+        else scenario.simulation.cloud.stillborn = 1.0
+        val before = scenario.losses.stops.size
+        scenario.start()
+        scenario.simulation.run(scenario.clock.now + 60.seconds)
         if (!sick) {
-            assertEquals(before, day.losses.stops.size, "moved to a machine that is not up")
-            assertEquals(StepPhase.PREPARING, day.stored()?.step?.phase)
+            assertEquals(before, scenario.losses.stops.size, "moved to a machine that is not up")
+            assertEquals(StepPhase.PREPARING, scenario.stored()?.step?.phase)
         }
-        day.simulation.cloud.bornSick = false
-        day.simulation.cloud.stillborn = 0.0
-        for (worker in day.workers()) if (worker !in day.drained) worker.sick = false
-        day.runUntilDone()
-        day.check()
+        scenario.simulation.cloud.bornSick = false
+        scenario.simulation.cloud.stillborn = 0.0
+        for (worker in scenario.workers()) if (worker !in scenario.drained) worker.sick = false
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["a", "b", "c"])
-    fun `a zone lost in the middle of a step pauses the drain until its work runs again`(
+    fun `the loss of a zone during a step pauses the drain until its work runs again`(
         zone: String
     ) {
-        val day = DrainScenario(9).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        for (worker in day.workers().filter { it.zone == zone }) day.simulation.cloud.kill(worker)
-        day.runUntilDone()
-        day.check()
+        val scenario = DrainScenario(9).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        for (worker in scenario.workers().filter { it.zone == zone }) scenario.simulation.cloud
+            .kill(worker)
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @Test
-    fun `a worker lost otherwise pauses the step, and its return lets it go on`() {
-        val day = DrainScenario(10)
+    fun `a task lost otherwise pauses the step, and its restart resumes it`() {
+        val scenario = DrainScenario(10)
         // Once one of two replicas is moved, its machine has no room for what is lost elsewhere.
-        day.begin(day.service(0, 2, cpus = 7.0), day.service(0, 1, cpus = 14.0))
-        val first = day.workers().first { it.tasksThere == 2 }
-        val second = day.workers().first { it.tasksThere == 1 }
-        day.start(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
-        day.runUntil(60.seconds, "a stop") { day.losses.stops.isNotEmpty() }
-        assertEquals(200, day.control(DrainApi.PAUSE))
-        day.simulation.run(day.clock.now + 20.seconds)
+        scenario.begin(scenario.service(0, 2, cpus = 7.0), scenario.service(0, 1, cpus = 14.0))
+        val first = scenario.workers().first { it.tasksThere == 2 }
+        val second = scenario.workers().first { it.tasksThere == 1 }
+        scenario.start(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
+        scenario.runUntil(60.seconds, "a stop") { scenario.losses.stops.isNotEmpty() }
+        assertEquals(200, scenario.control(DrainPaths.PAUSE))
+        scenario.simulation.run(scenario.clock.now + 20.seconds)
         assertTrue(first.tasksThere > 0, "nothing is left to be moved")
         // What was there finds no machine for a while.
-        day.simulation.cloud.stillborn = 1.0
-        day.simulation.cloud.kill(second)
-        day.simulation.run(day.clock.now + 20.seconds)
-        assertEquals(200, day.control(DrainApi.RESUME))
-        day.runUntil(30.seconds, "it pauses") { day.stored()?.reason == PauseReason.LOSS }
-        assertTrue("workers are disrupted" in day.stored()?.note.orEmpty())
-        day.simulation.cloud.stillborn = 0.0
-        day.runUntilDone()
-        day.checkBudgets()
+        scenario.simulation.cloud.stillborn = 1.0
+        scenario.simulation.cloud.kill(second)
+        scenario.simulation.run(scenario.clock.now + 20.seconds)
+        assertEquals(200, scenario.control(DrainPaths.RESUME))
+        scenario.runUntil(30.seconds, "it pauses") { scenario.stored()?.reason == PauseReason.LOSS }
+        assertTrue("workers are disrupted" in scenario.stored()?.note.orEmpty())
+        scenario.simulation.cloud.stillborn = 0.0
+        scenario.runUntilDone()
+        scenario.checkBudgets()
     }
 
     @Test
-    fun `a wave of spot machines taken back during a drain of spot machines`() {
-        val day = DrainScenario(11)
-        day.begin(day.array(0, 8, 90.0), day.array(1, 8, 90.0), day.service(2, 2))
-        day.start(DrainRequest("d1", DrainSelector(spot = true), graceS = 5.0))
-        day.runUntilStep(StepPhase.EMPTYING)
-        for (worker in day.workers().filter { it.spot }.drop(1)) {
+    fun `a wave of spot preemptions during a drain of spot machines`() {
+        val scenario = DrainScenario(11)
+        scenario.begin(
+            scenario.array(0, 8, 90.0),
+            scenario.array(1, 8, 90.0),
+            scenario.service(2, 2),
+        )
+        scenario.start(DrainRequest("d1", DrainSelector(spot = true), graceS = 5.0))
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        for (worker in scenario.workers().filter { it.spot }.drop(1)) {
             worker.recallS = 10.0
-            day.clock.after(10.seconds) { day.simulation.cloud.takeBack(worker) }
+            scenario.clock.after(10.seconds) { scenario.simulation.cloud.takeBack(worker) }
         }
-        day.runUntilDone()
-        day.check()
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @Test
-    fun `an outage of the state service for longer than a lease`() {
-        val day = DrainScenario(13).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        day.simulation.state.outage(null)
-        day.simulation.run(day.clock.now + 40.seconds)
-        assertEquals(503, day.askOnce("GET", "${DrainApi.PATH}/d1")?.first, "at once")
-        day.simulation.state.back(null)
-        day.runUntilDone()
-        day.check()
+    fun `an outage of the key-value store for longer than a lease`() {
+        val scenario = DrainScenario(13).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        scenario.simulation.state.outage(null)
+        scenario.simulation.run(scenario.clock.now + 40.seconds)
+        assertEquals(503, scenario.askOnce("GET", "${DrainPaths.DRAINS}/d1")?.first, "at once")
+        scenario.simulation.state.back(null)
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @ParameterizedTest
     @ValueSource(ints = [5, 12, 40])
     fun `a machine that hangs while it is drained and comes back`(inSeconds: Int) {
-        val day = DrainScenario(15).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        val names = day.stored()?.step?.machines.orEmpty()
-        val hung = day.workers().filter { it.id in names }
+        val scenario = DrainScenario(15).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        val names = scenario.stored()?.step?.machines.orEmpty()
+        val hung = scenario.workers().filter { it.id in names }
         for (worker in hung) worker.hanging = true
-        day.clock.after(inSeconds.seconds) { for (worker in hung) worker.hanging = false }
-        day.runUntilDone()
-        day.check(noticedAfter = 20.seconds)
+        scenario.clock.after(inSeconds.seconds) { for (worker in hung) worker.hanging = false }
+        scenario.runUntilDone()
+        scenario.check(noticedAfter = 20.seconds)
     }
 
     @Test
     fun `a machine that crashes while it is drained`() {
-        val day = DrainScenario(17).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        val names = day.stored()?.step?.machines.orEmpty()
-        for (worker in day.workers().filter { it.id in names }) day.simulation.cloud.kill(worker)
-        day.runUntilDone()
-        day.check()
+        val scenario = DrainScenario(17).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        val names = scenario.stored()?.step?.machines.orEmpty()
+        for (worker in scenario.workers().filter { it.id in names }) scenario.simulation.cloud.kill(
+            worker
+        )
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @ParameterizedTest
     @EnumSource(StepPhase::class)
     fun `all controllers are restarted at once`(phase: StepPhase) {
-        val day = DrainScenario(19).begin().start()
-        day.runUntilStep(phase)
-        day.crashAll()
-        day.runUntilDone()
-        day.check()
+        val scenario = DrainScenario(19).begin().start()
+        scenario.runUntilStep(phase)
+        scenario.crashAll()
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @Test
-    fun `a budget lowered below what is out stops nothing more until it is kept again`() {
+    fun `a budget lowered below what is disrupted allows no eviction until it is kept again`() {
         val budget = BudgetSettings(maxDisrupted = 3, stepPauseS = 1.0)
-        val day = DrainScenario(21, DrainSettings(budget = budget))
-        day.begin(day.service(0, 6), day.service(1, 6))
-        day.start()
-        day.runUntilStep(StepPhase.EMPTYING)
+        val scenario = DrainScenario(21, DrainSettings(budget = budget))
+        scenario.begin(scenario.service(0, 6), scenario.service(1, 6))
+        scenario.start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
         val lower = DrainSettings(budget = budget.copy(maxDisrupted = 1))
-        day.simulation.operatorsOf = { day.operators.copy(drain = lower) }
-        val until = day.clock.now + 5.seconds
-        day.crashAll()
-        day.simulation.run(until)
-        val before = day.losses.stops.size
-        day.runUntilDone()
-        day.check()
-        val later = day.losses.stops.drop(before)
+        scenario.simulation.operatorsOf = { scenario.operators.copy(drain = lower) }
+        val until = scenario.clock.now + 5.seconds
+        scenario.crashAll()
+        scenario.simulation.run(until)
+        val before = scenario.losses.stops.size
+        scenario.runUntilDone()
+        scenario.check()
+        val later = scenario.losses.stops.drop(before)
         val beyond = later.filter { it.lost.size > 1 }
         assertEquals(
             emptyList(),
@@ -311,31 +329,31 @@
     }
 
     @Test
-    fun `a budget of none is said to be the reason, and a raised one lets the drain go on`() {
+    fun `a budget of zero is reported as the reason, and a raised one resumes the drain`() {
         val none = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
-        val day = DrainScenario(23, DrainSettings(budget = none))
-        day.begin(day.service(0, 3)).start()
-        day.runUntil(120.seconds, "paused") { day.stored()?.reason == PauseReason.BUDGET }
-        assertTrue("its budget is 0" in day.stored()?.note.orEmpty(), "${day.stored()}")
-        day.simulation.run(day.clock.now + 60.seconds)
-        assertEquals(emptyList(), day.losses.stops.map { it.team })
+        val scenario = DrainScenario(23, DrainSettings(budget = none))
+        scenario.begin(scenario.service(0, 3)).start()
+        scenario.runUntil(120.seconds, "paused") { scenario.stored()?.reason == PauseReason.BUDGET }
+        assertTrue("its budget is 0" in scenario.stored()?.note.orEmpty(), "${scenario.stored()}")
+        scenario.simulation.run(scenario.clock.now + 60.seconds)
+        assertEquals(emptyList(), scenario.losses.stops.map { it.team })
         val raised = DrainSettings(budget = none.copy(maxDisrupted = 1))
-        day.simulation.operatorsOf = { day.operators.copy(drain = raised) }
-        day.crashAll()
-        day.runUntilDone()
-        assertEquals(emptyList(), day.losses.beyond({ 1 }, 9.seconds))
-        assertEquals(emptyList(), day.simulation.problems())
+        scenario.simulation.operatorsOf = { scenario.operators.copy(drain = raised) }
+        scenario.crashAll()
+        scenario.runUntilDone()
+        assertEquals(emptyList(), scenario.losses.beyond({ 1 }, 9.seconds))
+        assertEquals(emptyList(), scenario.simulation.problems())
     }
 
     @Test
     fun `replicas that must stay up stay up`() {
         val budget = BudgetSettings(maxDisrupted = 3, minReplicas = 3, stepPauseS = 1.0)
-        val day = DrainScenario(25, DrainSettings(budget = budget))
-        val large = day.service(0, 4)
-        day.begin(large).start()
-        day.runUntilDone()
-        day.check()
-        assertTrue(day.losses.peakOf("team-0") <= 1, "${day.losses.peakOf("team-0")}")
+        val scenario = DrainScenario(25, DrainSettings(budget = budget))
+        val large = scenario.service(0, 4)
+        scenario.begin(large).start()
+        scenario.runUntilDone()
+        scenario.check()
+        assertTrue(scenario.losses.peakOf("team-0") <= 1, "${scenario.losses.peakOf("team-0")}")
 
         val tooMany = DrainScenario(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
         tooMany.begin(tooMany.service(0, 4)).start()
@@ -345,45 +363,48 @@
     }
 
     @Test
-    fun `a version without drains leads for a while and destroys nothing`() {
-        val day = DrainScenario(29).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        val before = day.stored()
-        day.simulation.operatorsOf = { OperatorSettings() }
-        day.crashAll()
-        day.simulation.run(day.clock.now + 60.seconds)
-        assertEquals(before, day.stored())
-        assertEquals(404, day.askOnce("GET", "${DrainApi.PATH}/d1")?.first)
-        day.simulation.operatorsOf = { day.operators }
-        day.crashAll()
-        day.runUntilDone()
-        day.check()
+    fun `a version without drains that leads for a while leaves the records alone`() {
+        val scenario = DrainScenario(29).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        val before = scenario.stored()
+        scenario.simulation.operatorsOf = { OperatorSettings() }
+        scenario.crashAll()
+        scenario.simulation.run(scenario.clock.now + 60.seconds)
+        assertEquals(before, scenario.stored())
+        assertEquals(404, scenario.askOnce("GET", "${DrainPaths.DRAINS}/d1")?.first)
+        scenario.simulation.operatorsOf = { scenario.operators }
+        scenario.crashAll()
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @Test
-    fun `with drains beside controllers of a version that has none`() {
-        val day = DrainScenario(31)
-        day.simulation.operatorsOf = { if (it == "n1") OperatorSettings() else day.operators }
-        for (node in day.simulation.nodes) day.simulation.crash(node, 1.seconds)
-        day.begin()
-        day.runUntil(60.seconds, "a leader") { day.simulation.leader() != null }
-        while (day.simulation.leader() == "n1") {
-            day.crashLeader()
-            day.simulation.run(day.clock.now + 10.seconds)
+    fun `drains beside controllers of a version that has none`() {
+        val scenario = DrainScenario(31)
+        scenario.simulation.operatorsOf = {
+            if (it == "n1") OperatorSettings() else scenario.operators
+        }
+        for (node in scenario.simulation.nodes) scenario.simulation.crash(node, 1.seconds)
+        scenario.begin()
+        scenario.runUntil(60.seconds, "a leader") { scenario.simulation.leader() != null }
+        while (scenario.simulation.leader() == "n1") {
+            scenario.crashLeader()
+            scenario.simulation.run(scenario.clock.now + 10.seconds)
         }
-        val other = day.simulation.nodes.first { it != "n1" && it != day.simulation.leader() }
+        val other =
+            scenario.simulation.nodes.first { it != "n1" && it != scenario.simulation.leader() }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), REQUEST)
-        assertEquals(201, day.ask("POST", DrainApi.PATH, body, by = other).first)
-        day.runUntilDone()
-        assertNotEquals(0, day.stored()?.returned)
-        day.checkBudgets()
+        assertEquals(201, scenario.ask("POST", DrainPaths.DRAINS, body, by = other).first)
+        scenario.runUntilDone()
+        assertNotEquals(0, scenario.stored()?.returned)
+        scenario.checkBudgets()
     }
 
     @Test
-    fun `each write of a drain holds only under its leader's key and the drain's own`() {
-        val day = DrainScenario(30).begin()
+    fun `each write of a drain is conditional on the leader's key and the drain's own`() {
+        val scenario = DrainScenario(30).begin()
         var writes = 0
-        day.simulation.state.late = { _, transaction ->
+        scenario.simulation.state.late = { _, transaction ->
             val keys =
                 transaction["then"]?.jsonArray.orEmpty().mapNotNull {
                     (it.jsonObject["put"] ?: it.jsonObject["remove"])?.jsonPrimitive?.content
@@ -398,20 +419,20 @@
             }
             false
         }
-        day.start()
-        day.runUntilDone()
+        scenario.start()
+        scenario.runUntilDone()
         assertTrue(writes > 5)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `writes that get no answer and are carried out late`(seed: Long) {
-        val day = DrainScenario(seed).begin().start()
-        day.simulation.state.lateWrites = 0.3
-        day.simulation.run(day.clock.now + 90.seconds)
-        day.simulation.state.lateWrites = 0.0
-        day.runUntilDone()
-        day.check(noticedAfter = 20.seconds)
+    fun `writes without an answer that are carried out late`(seed: Long) {
+        val scenario = DrainScenario(seed).begin().start()
+        scenario.simulation.state.lateWrites = 0.3
+        scenario.simulation.run(scenario.clock.now + 90.seconds)
+        scenario.simulation.state.lateWrites = 0.0
+        scenario.runUntilDone()
+        scenario.check(noticedAfter = 20.seconds)
     }
 
     private companion object {
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -28,23 +28,23 @@
     @EnumSource(StepPhase::class)
     fun `a drain that is cancelled in a step gives its machines back`(phase: StepPhase) {
         val service =
-            DrainScenario(3).let { day ->
-                val service = day.service(0, 4)
-                day.begin(service, day.service(1, 3), day.array(2, 3, 60.0)).start()
-                day.runUntilStep(phase)
-                assertEquals(200, day.control(DrainApi.CANCEL))
-                day.simulation.run(day.clock.now + 20.seconds)
-                val before = day.losses.stops.size
-                day.simulation.run(day.clock.now + 60.seconds)
-                assertEquals(before, day.losses.stops.size, "it goes on")
-                assertEquals(DrainState.CANCELLED, day.state())
-                assertEquals(200, day.control(DrainApi.CANCEL), "a repeat")
-                assertEquals(409, day.control(DrainApi.RESUME))
-                assertTrue(day.runs(service))
-                day.checkBudgets()
+            DrainScenario(3).let { scenario ->
+                val service = scenario.service(0, 4)
+                scenario.begin(service, scenario.service(1, 3), scenario.array(2, 3, 60.0)).start()
+                scenario.runUntilStep(phase)
+                assertEquals(200, scenario.control(DrainPaths.CANCEL))
+                scenario.simulation.run(scenario.clock.now + 20.seconds)
+                val before = scenario.losses.stops.size
+                scenario.simulation.run(scenario.clock.now + 60.seconds)
+                assertEquals(before, scenario.losses.stops.size, "it goes on")
+                assertEquals(DrainState.CANCELLED, scenario.state())
+                assertEquals(200, scenario.control(DrainPaths.CANCEL), "a repeat")
+                assertEquals(409, scenario.control(DrainPaths.RESUME))
+                assertTrue(scenario.runs(service))
+                scenario.checkBudgets()
                 // Machines that stay take tasks: a new drain finds them as any others.
-                day.start(DrainRequest("d2", DrainSelector(spot = false), graceS = 10.0))
-                day.runUntilDone(id = "d2")
+                scenario.start(DrainRequest("d2", DrainSelector(spot = false), graceS = 10.0))
+                scenario.runUntilDone(id = "d2")
                 service
             }
         assertEquals(4, service.tasks)
@@ -52,18 +52,18 @@
 
     @Test
     fun `machines of a cancelled drain take tasks again`() {
-        val day = DrainScenario(7, capacity = 1)
-        day.begin(day.service(0, 2, cpus = 4.0), day.service(1, 2, cpus = 4.0))
-        val busy = day.workers().first { it.tasksThere > 1 }.id
-        day.start(DrainRequest("d1", DrainSelector(machines = listOf(busy))))
-        day.runUntilStep(StepPhase.EMPTYING)
-        val machines = day.stored()?.step?.machines.orEmpty()
-        assertEquals(200, day.control(DrainApi.CANCEL))
+        val scenario = DrainScenario(7, capacity = 1)
+        scenario.begin(scenario.service(0, 2, cpus = 4.0), scenario.service(1, 2, cpus = 4.0))
+        val busy = scenario.workers().first { it.tasksThere > 1 }.id
+        scenario.start(DrainRequest("d1", DrainSelector(machines = listOf(busy))))
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        val machines = scenario.stored()?.step?.machines.orEmpty()
+        assertEquals(200, scenario.control(DrainPaths.CANCEL))
         // More than all other machines hold.
-        for (team in 0..2) day.submit(day.array(team, 16, 200.0).copy(spot = true))
-        val left = day.workers().filter { it.id in machines }
+        for (team in 0..2) scenario.submit(scenario.array(team, 16, 200.0).copy(spot = true))
+        val left = scenario.workers().filter { it.id in machines }
         assertTrue(left.isNotEmpty())
-        day.runUntil(60.seconds, "it takes tasks") { left.all { it.view().freeCpus < 3.0 } }
+        scenario.runUntil(60.seconds, "it takes tasks") { left.all { it.view().freeCpus < 3.0 } }
     }
 
     @Test
@@ -75,51 +75,51 @@
         planned.simulation.run(planned.clock.now + 30.seconds)
         assertEquals(DrainState.PLANNED, planned.state())
         assertTrue("1971-01-01T03:00:00Z" in planned.status().waitsFor, planned.status().waitsFor)
-        assertEquals(200, planned.control(DrainApi.CANCEL))
+        assertEquals(200, planned.control(DrainPaths.CANCEL))
         assertEquals(DrainState.CANCELLED, planned.state())
 
         val paused = DrainScenario(5).begin().start()
         paused.runUntilStep(StepPhase.EMPTYING)
-        assertEquals(200, paused.control(DrainApi.PAUSE))
-        assertEquals(200, paused.control(DrainApi.CANCEL))
+        assertEquals(200, paused.control(DrainPaths.PAUSE))
+        assertEquals(200, paused.control(DrainPaths.CANCEL))
         assertEquals(DrainState.CANCELLED, paused.state())
 
         val done = DrainScenario(6).begin().start()
         done.runUntilDone()
-        assertEquals(409, done.control(DrainApi.CANCEL))
-        assertEquals(409, done.control(DrainApi.PAUSE))
+        assertEquals(409, done.control(DrainPaths.CANCEL))
+        assertEquals(409, done.control(DrainPaths.PAUSE))
         assertEquals(DrainState.DONE, done.state())
     }
 
     @Test
     fun `a paused drain stops nothing until it is resumed, also under the next leader`() {
-        val day = DrainScenario(8).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        assertEquals(200, day.control(DrainApi.PAUSE))
-        day.simulation.run(day.clock.now + 20.seconds)
-        val before = day.losses.stops.size
-        day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
-        day.simulation.run(day.clock.now + 60.seconds)
-        assertEquals(before, day.losses.stops.size)
-        assertEquals(PauseReason.OPERATOR, day.status().record.reason)
-        assertEquals(200, day.control(DrainApi.RESUME))
-        day.runUntilDone()
-        day.check()
+        val scenario = DrainScenario(8).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        assertEquals(200, scenario.control(DrainPaths.PAUSE))
+        scenario.simulation.run(scenario.clock.now + 20.seconds)
+        val before = scenario.losses.stops.size
+        scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
+        scenario.simulation.run(scenario.clock.now + 60.seconds)
+        assertEquals(before, scenario.losses.stops.size)
+        assertEquals(PauseReason.OPERATOR, scenario.status().record.reason)
+        assertEquals(200, scenario.control(DrainPaths.RESUME))
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @ParameterizedTest
     @EnumSource(DeadlineAction::class)
     fun `at its deadline a drain pauses or goes on, as it was asked to`(action: DeadlineAction) {
-        val day = DrainScenario(9).begin()
+        val scenario = DrainScenario(9).begin()
         val request = ordinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
-        day.start(request)
-        day.simulation.run(300.seconds)
+        scenario.start(request)
+        scenario.simulation.run(300.seconds)
         if (action == DeadlineAction.PAUSE) {
-            assertEquals(PauseReason.DEADLINE, day.status().record.reason)
-            assertEquals(200, day.control(DrainApi.RESUME))
+            assertEquals(PauseReason.DEADLINE, scenario.status().record.reason)
+            assertEquals(200, scenario.control(DrainPaths.RESUME))
         }
-        day.runUntilDone()
-        day.check()
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @Test
@@ -137,82 +137,87 @@
         val record = lenientJson.decodeFromString(DrainRecord.serializer(), stored)
         assertEquals(stored, record.toJson().toString())
 
-        val day = DrainScenario(11).begin()
+        val scenario = DrainScenario(11).begin()
         val unknown = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
-        day.simulation.state.write(DrainRecord.key("d1"), unknown)
-        day.simulation.leader()?.let { day.simulation.crash(it, 3.seconds) }
-        day.simulation.run(day.clock.now + 40.seconds)
-        assertEquals(409, day.ask("GET", "${DrainApi.PATH}/d1").first)
-        assertEquals(409, day.ask("POST", DrainApi.PATH, body(ordinary)).first)
-        assertTrue("\"unreadable\":[\"d1\"]" in day.ask("GET", DrainApi.PATH).second)
-        assertEquals(unknown, day.simulation.state.value(DrainRecord.key("d1")))
+        scenario.simulation.state.write(DrainRecord.key("d1"), unknown)
+        scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
+        scenario.simulation.run(scenario.clock.now + 40.seconds)
+        assertEquals(409, scenario.ask("GET", "${DrainPaths.DRAINS}/d1").first)
+        assertEquals(409, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertTrue("\"unreadable\":[\"d1\"]" in scenario.ask("GET", DrainPaths.DRAINS).second)
+        assertEquals(unknown, scenario.simulation.state.value(DrainRecord.key("d1")))
     }
 
     @Test
     fun `a repeated start is the same drain, and a late one too`() {
-        val day = DrainScenario(10).begin().start()
-        assertEquals(200, day.ask("POST", DrainApi.PATH, body(ordinary)).first)
-        day.runUntilDone()
-        assertEquals(200, day.ask("POST", DrainApi.PATH, body(ordinary)).first)
-        assertEquals(DrainState.DONE, day.state())
-        assertEquals(1, day.stored()?.let { 1 })
+        val scenario = DrainScenario(10).begin().start()
+        assertEquals(200, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        scenario.runUntilDone()
+        assertEquals(200, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertEquals(DrainState.DONE, scenario.state())
+        assertEquals(1, scenario.stored()?.let { 1 })
     }
 
     @Test
     fun `several drains share the budgets, and two that name the same machines agree`() {
-        val day = DrainScenario(12)
-        day.begin(day.service(0, 6), day.service(1, 4)).start()
+        val scenario = DrainScenario(12)
+        scenario.begin(scenario.service(0, 6), scenario.service(1, 4)).start()
         val zones = DrainRequest("d2", DrainSelector(zones = listOf("a", "b", "c"), spot = false))
-        assertEquals(201, day.ask("POST", DrainApi.PATH, body(zones)).first)
-        day.runUntilDone(id = "d1")
-        day.runUntilDone(id = "d2")
-        day.check()
-        val returned = (day.stored("d1")?.returned ?: 0) + (day.stored("d2")?.returned ?: 0)
-        assertEquals(day.drained.size, returned, "each machine is returned by one of them")
+        assertEquals(201, scenario.ask("POST", DrainPaths.DRAINS, body(zones)).first)
+        scenario.runUntilDone(id = "d1")
+        scenario.runUntilDone(id = "d2")
+        scenario.check()
+        val returned =
+            (scenario.stored("d1")?.returned ?: 0) + (scenario.stored("d2")?.returned ?: 0)
+        assertEquals(scenario.drained.size, returned, "each machine is returned by one of them")
     }
 
     @Test
     fun `a gang is stopped as one within the budget, or not at all`() {
         val most = 3
         val budget = BudgetSettings(maxDisrupted = most, stepPauseS = 1.0)
-        val day = DrainScenario(14, DrainSettings(budget = budget))
-        val small = day.array(0, 3, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
-        val large = day.array(1, 4, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
-        day.simulation.gangs.lengths[small.id] = 300.seconds
-        day.simulation.gangs.lengths[large.id] = 300.seconds
-        day.begin(small, large).start(ordinary.copy(graceS = 0.0))
-        day.runUntilDone(1500.seconds)
-        day.check()
-        assertTrue(day.losses.stops.any { it.team == "team-0" }, "the small one was not moved")
-        assertTrue(day.losses.stops.none { it.team == "team-1" }, "the large one was stopped")
+        val scenario = DrainScenario(14, DrainSettings(budget = budget))
+        val small = scenario.array(0, 3, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
+        val large = scenario.array(1, 4, 400.0, cpus = 4.0).copy(shape = JobKind.GANG, spot = false)
+        scenario.simulation.gangs.lengths[small.id] = 300.seconds
+        scenario.simulation.gangs.lengths[large.id] = 300.seconds
+        scenario.begin(small, large).start(ordinary.copy(graceS = 0.0))
+        scenario.runUntilDone(1500.seconds)
+        scenario.check()
+        assertTrue(scenario.losses.stops.any { it.team == "team-0" }, "the small one was not moved")
+        assertTrue(scenario.losses.stops.none { it.team == "team-1" }, "the large one was stopped")
     }
 
     @Test
     fun `where a zone has no room, the machines that can be replaced go first`() {
-        val day = DrainScenario(16, capacity = 1)
-        val bound = day.service(0, 1, cpus = 12.0).copy(zone = "b")
-        day.begin(bound, day.service(1, 2, cpus = 4.0)).start(ordinary.copy(stepSize = 1))
-        day.runUntil(600.seconds, "a machine is returned") { (day.stored()?.returned ?: 0) > 0 }
-        assertTrue(day.runs(bound), "its only machine was taken")
-        day.checkBudgets()
+        val scenario = DrainScenario(16, capacity = 1)
+        val bound = scenario.service(0, 1, cpus = 12.0).copy(zone = "b")
+        scenario.begin(bound, scenario.service(1, 2, cpus = 4.0)).start(ordinary.copy(stepSize = 1))
+        scenario.runUntil(600.seconds, "a machine is returned") {
+            (scenario.stored()?.returned ?: 0) > 0
+        }
+        assertTrue(scenario.runs(bound), "its only machine was taken")
+        scenario.checkBudgets()
     }
 
     @Test
     fun `a check shows steps, budgets and what would stop it, and starts nothing`() {
-        val day = DrainScenario(18)
-        day.begin(day.service(0, 4)).ask("GET", DrainApi.PATH)
-        val (status, text) = day.ask("POST", "${DrainApi.PATH}/${DrainApi.CHECK}", body(ordinary))
+        val scenario = DrainScenario(18)
+        scenario.begin(scenario.service(0, 4)).ask("GET", DrainPaths.DRAINS)
+        val (status, text) =
+            scenario.ask("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary))
         assertEquals(200, status, text)
         val check = operatorJson.decodeFromString(DrainCheck.serializer(), text)
         assertEquals(check.machines, check.steps.sumOf { it.size })
         assertEquals(listOf("team-0"), check.budgets.map { it.team })
         assertEquals(4, check.tasksToMove)
-        assertNull(day.stored())
+        assertNull(scenario.stored())
 
         val none = DrainSettings(budget = BudgetSettings(maxDisrupted = 0))
         val never = DrainScenario(18, none)
         never.begin(never.service(0, 4))
-        val said = never.ask("POST", "${DrainApi.PATH}/${DrainApi.CHECK}", body(ordinary)).second
+        val said =
+            never.ask("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary)).second
         assertTrue("its budget is 0" in said, said)
     }
 
@@ -249,7 +254,7 @@
         val extra =
             if ('.' in field || field in listOf("id", "select")) "" else ""","$field":$own"""
         val request = """{"id":"$id","select":$select$extra}"""
-        val (status, text) = WRONG.ask("POST", DrainApi.PATH, request)
+        val (status, text) = WRONG.ask("POST", DrainPaths.DRAINS, request)
         assertEquals(400, status, text)
         val named = field.substringAfterLast('.')
         assertTrue(named in text, "$text does not name $named")
@@ -259,31 +264,32 @@
     @Test
     fun `what selects nothing, what is unknown and what is no path`() {
         val empty = DrainRequest("d9", DrainSelector(olderThan = "1970-01-01T00:00:00Z"))
-        assertEquals(400, WRONG.ask("POST", DrainApi.PATH, body(empty)).first)
-        assertEquals(404, WRONG.ask("GET", "${DrainApi.PATH}/d7").first)
-        assertEquals(404, WRONG.ask("POST", "${DrainApi.PATH}/d7/cancel").first)
+        assertEquals(400, WRONG.ask("POST", DrainPaths.DRAINS, body(empty)).first)
+        assertEquals(404, WRONG.ask("GET", "${DrainPaths.DRAINS}/d7").first)
+        assertEquals(404, WRONG.ask("POST", "${DrainPaths.DRAINS}/d7/cancel").first)
         assertEquals(404, WRONG.ask("GET", "/nowhere").first)
-        assertEquals(405, WRONG.ask("DELETE", "${DrainApi.PATH}/d7").first)
+        assertEquals(405, WRONG.ask("DELETE", "${DrainPaths.DRAINS}/d7").first)
     }
 
     @Test
     fun `while leadership changes, questions are answered from the store with their age`() {
-        val day = DrainScenario(20).begin().start()
-        day.runUntilStep(StepPhase.EMPTYING)
-        val leader = checkNotNull(day.simulation.leader())
-        val other = day.simulation.nodes.first { it != leader }
-        assertEquals(Source.LEADER, day.status(by = other).source)
-        day.simulation.crash(leader, 10.seconds)
+        val scenario = DrainScenario(20).begin().start()
+        scenario.runUntilStep(StepPhase.EMPTYING)
+        val leader = checkNotNull(scenario.simulation.leader())
+        val other = scenario.simulation.nodes.first { it != leader }
+        assertEquals(Source.LEADER, scenario.status(by = other).source)
+        scenario.simulation.crash(leader, 10.seconds)
         var refused: Int? = null
-        day.simulation.operate("POST", "${DrainApi.PATH}/d1/pause", by = other) { status, _ ->
+        scenario.simulation.operate("POST", "${DrainPaths.DRAINS}/d1/pause", by = other) { status, _
+            ->
             refused = status
         }
-        val told = day.status(by = other)
+        val told = scenario.status(by = other)
         assertEquals(Source.STORE, told.source)
-        assertEquals(day.stored()?.startedAt, told.record.startedAt)
+        assertEquals(scenario.stored()?.startedAt, told.record.startedAt)
         assertEquals(503, refused)
-        day.runUntilDone()
-        day.check()
+        scenario.runUntilDone()
+        scenario.check()
     }
 
     @Test
@@ -293,7 +299,7 @@
         assertTrue(on.any { DrainRecord.PREFIX in it.substringAfter("under=", "") })
         assertTrue(off.none { it.contains("under=${DrainRecord.PREFIX}") })
         assertTrue(off.none { "\"put\":\"${DrainRecord.PREFIX}" in it })
-        assertTrue(off.none { DrainApi.PEER_PATH in it })
+        assertTrue(off.none { DrainPaths.FORWARDED in it })
     }
 
     /** All that controllers ask of the state service on a short day. */
--- a/src/test/kotlin/wardmux/drain/DrainScenario.kt
+++ b/src/test/kotlin/wardmux/drain/DrainScenario.kt
@@ -15,20 +15,20 @@
 import wardmux.sim.ClusterSimulation
 import wardmux.sim.FakeWorker
 
-/** A simulated day with a drain: services and arrays of three teams on machines of three zones. */
+/** A simulated cluster with a drain: services and arrays of three teams in three zones. */
 class DrainScenario(
     seed: Long,
     val settings: DrainSettings = DrainSettings(budget = BudgetSettings(stepPauseS = 1.0)),
     capacity: Int = 4,
-    /** Followers take workers' reports too. */
-    relays: Boolean = false,
+    /** Followers forward workers' heartbeats. */
+    forwarding: Boolean = false,
 ) {
-    // Nothing else than the drain moves work: calling back a guarantee is not bound by budgets.
+    // Only the drain evicts work: reclaiming a guaranteed share is not bound by budgets.
     val operators =
         OperatorSettings(
             drain = settings,
             reclaimAfterS = 3_600.0,
-            heartbeatsPerCore = if (relays) 0.0 else 500.0,
+            heartbeatsPerCore = if (forwarding) 0.0 else 500.0,
         )
     val simulation = ClusterSimulation(seed, operators = operators, capacity = capacity)
     val clock = simulation.clock
@@ -38,7 +38,7 @@
 
     fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
 
-    /** A service that may be anywhere. */
+    /** A service whose replicas may run in any zone. */
     fun service(team: Int, replicas: Int, cpus: Double = 2.0): JobSpec =
         simulation
             .randomJob()
@@ -57,7 +57,7 @@
                 saveS = 0.0,
             )
 
-    /** An array of tasks that run for about [inSeconds] and save. */
+    /** An array of tasks that run for about [inSeconds] and save checkpoints. */
     fun array(team: Int, tasks: Int, inSeconds: Double, cpus: Double = 2.0): JobSpec =
         service(team, tasks, cpus)
             .copy(
@@ -70,7 +70,7 @@
 
     fun submit(spec: JobSpec): JobSpec = spec.also { simulation.submit(it) }
 
-    /** Lets jobs begin; the usual ones, unless others were submitted. */
+    /** Submits [specs], or three usual jobs, and runs until they have started. */
     fun begin(vararg specs: JobSpec): DrainScenario {
         val jobs = specs.ifEmpty { arrayOf(service(0, 4), service(1, 3), array(2, 3, 60.0)) }
         simulation.run(8.seconds)
@@ -79,7 +79,7 @@
         return this
     }
 
-    /** Machines that are up now, of which a drain that starts now takes those it selects. */
+    /** The machines that the last drain selected when it started. */
     var drained: List<FakeWorker> = emptyList()
         private set
 
@@ -91,11 +91,11 @@
     ): DrainScenario {
         drained = workers().filter { request.select.spot == null || it.spot == request.select.spot }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), request)
-        assertEquals(expected, ask("POST", DrainApi.PATH, body).first)
+        assertEquals(expected, ask("POST", DrainPaths.DRAINS, body).first)
         return this
     }
 
-    /** Asks again as the command line does, until there is a final answer. */
+    /** Repeats a request as the command line does, until there is a final answer. */
     fun ask(
         method: String,
         path: String,
@@ -127,7 +127,7 @@
     }
 
     fun status(id: String = "d1", by: String? = null): DrainStatus {
-        val (status, text) = ask("GET", "${DrainApi.PATH}/$id", by = by)
+        val (status, text) = ask("GET", "${DrainPaths.DRAINS}/$id", by = by)
         assertEquals(200, status, text)
         return operatorJson.decodeFromString(DrainStatus.serializer(), text)
     }
@@ -135,9 +135,9 @@
     fun state(id: String = "d1"): DrainState = status(id).record.state
 
     fun control(verb: String, id: String = "d1"): Int =
-        ask("POST", "${DrainApi.PATH}/$id/$verb").first
+        ask("POST", "${DrainPaths.DRAINS}/$id/$verb").first
 
-    /** What is stored of the drain, whoever leads. */
+    /** The stored record of the drain, whichever controller leads. */
     fun stored(id: String = "d1"): DrainRecord? =
         simulation.state.value(DrainRecord.key(id))?.let {
             operatorJson.decodeFromJsonElement(DrainRecord.serializer(), it)
@@ -158,7 +158,7 @@
     fun runUntilDone(most: Micros = 900.seconds, id: String = "d1") =
         runUntil(most, "done") { stored(id)?.state == DrainState.DONE }
 
-    /** All that was drained is gone, nothing was lost beyond the budgets, and no rule is broken. */
+    /** All drained machines are deleted, every budget was kept, and no invariant is broken. */
     fun check(noticedAfter: Micros = 9.seconds) {
         assertNotNull(stored())
         assertEquals(emptyList(), drained.filter { it.alive }.map { it.id }, "${stored()}")
@@ -171,7 +171,7 @@
         assertEquals(emptyList(), simulation.problems())
     }
 
-    /** From the first start to the end of the last drain, by the clocks of those who led. */
+    /** From the first start to the end of the last drain, by the leaders' clocks. */
     private fun duringDrains(): ClosedRange<Micros> {
         val records = listOfNotNull(stored("d1"), stored("d2"))
         val isOver = records.all { it.state.isFinal }
@@ -179,6 +179,6 @@
         return Micros(records.minOf { it.startedAt })..end
     }
 
-    /** All replicas run. */
+    /** True if all replicas run. */
     fun runs(spec: JobSpec): Boolean = simulation.rules.machinesOf(spec.id).size == spec.tasks
 }
