--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -9,27 +9,28 @@
 import wardmux.scheduling.MachinePool
 import wardmux.scheduling.MachinePools
 import wardmux.scheduling.PageSizeEstimate
+import wardmux.store.KeyValueStore
 
-/** How many machines the waiting work of a pool would use, in machines of its base type. */
+/** The waiting work of a pool, in machines of its base type. */
 class Backlog {
-    /** To be worked off within a boot time or so. */
+    /** To finish within about a boot time. */
     var soon = 0.0
 
-    /** To be worked off within what the users' aims leave: what dear machines are rented for. */
+    /** To finish within the service-level objectives: what ordinary machines are rented for. */
     var pressing = 0.0
 
-    /** The part of it that may not go to spot machines. */
+    /** The part of [soon] that may not run on spot machines. */
     var ordinary = 0.0
 }
 
-/** Works out how many machines the waiting jobs need. */
+/** Computes how many machines the waiting jobs need. */
 class CapacityDemand(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val objectives: List<ServiceLevelObjective>,
-    private val mostValueBytes: () -> Int,
+    private val store: KeyValueStore,
 ) {
-    /** What waits, by pool. Of each team only as much counts as its limit leaves. */
+    /** The backlog of each pool; each team's work counts up to its quota limit only. */
     fun backlogs(pools: MachinePools): Map<MachinePool, Backlog> {
         val backlogs = pools.pools.associateWith { Backlog() }
         val headroom = HashMap<String, Double>()
@@ -48,14 +49,14 @@
         headroom: HashMap<String, Double>,
     ): Double {
         val spec = job.spec
-        val left = headroom.getOrPut(spec.team) { unusedCap(spec.team) }
+        val left = headroom.getOrPut(spec.team) { unusedQuota(spec.team) }
         val all = placeable(job, fittingOf(spec, pool)).toDouble()
         val tasks = if (spec.cpus > 0) minOf(all, left / spec.cpus) else all
         if (tasks > 0) headroom[spec.team] = left - tasks * spec.cpus
         return tasks
     }
 
-    private fun unusedCap(team: String) =
+    private fun unusedQuota(team: String) =
         (cluster.teams[team]?.cpusMax ?: 0.0) - cluster.usedCpus(team)
 
     private fun fittingOf(spec: JobSpec, pool: MachinePool) =
@@ -67,23 +68,24 @@
         val whole = tasks / fittingOf(spec, pool)
         val boot = pool.shortestBootS
         val horizon = boot * HORIZON_BOOTS
-        val soon = workedOffWithin(horizon, spec, whole, run)
+        val soon = machinesToFinishWithin(horizon, spec, whole, run)
         backlog.soon += soon
         if (!spec.spot) backlog.ordinary += soon
         val slack = slack(job, run)
-        // Of a kind that is over before a machine is up: a dear one is not for that.
+        // Such work is over before a machine is up: no ordinary machine is rented for it.
         if (slack + age(job) < boot) return
-        backlog.pressing += workedOffWithin(maxOf(horizon, slack * SLACK_PART), spec, whole, run)
+        backlog.pressing +=
+            machinesToFinishWithin(maxOf(horizon, slack * SLACK_PART), spec, whole, run)
     }
 
     /**
-     * What has no end never makes room for the rest: half a machine less is never rented. A gang
-     * needs all its room at once.
+     * Machines that finish the work within [horizon] seconds. Services never free their resources,
+     * and a gang needs its capacity at once: whole machines for both.
      */
-    private fun workedOffWithin(horizon: Double, spec: JobSpec, whole: Double, run: Double) =
+    private fun machinesToFinishWithin(horizon: Double, spec: JobSpec, whole: Double, run: Double) =
         if (spec.estimateS > 0 && !spec.isGang) whole * minOf(1.0, run / horizon) else ceil(whole)
 
-    /** What is out and may not be on spot machines, in machines of the pool's base type. */
+    /** What runs and may not be on spot machines, in machines of each pool's base type. */
     fun ordinaryInUse(pools: MachinePools): Map<MachinePool, Double> {
         val inUse = HashMap<MachinePool, Double>()
         for (job in cluster.jobs.values) {
@@ -95,12 +97,12 @@
         return inUse
     }
 
-    /** Of a gang all pages are written at once, in several writes if need be. */
+    /** Tasks that can be placed: all of a gang, others as far as their task page has room. */
     private fun placeable(job: Job, together: Int): Int =
         if (job.spec.isGang) job.waiting
-        else PageSizeEstimate.placeable(job, together, mostValueBytes())
+        else PageSizeEstimate.placeable(job, together, store.maxValueBytes)
 
-    /** Seconds that the job can still wait before it misses what its users expect of its class. */
+    /** Seconds that the job can still wait before it misses an objective of its class. */
     private fun slack(job: Job, run: Double): Double {
         val spec = job.spec
         val limits =
--- a/src/main/kotlin/wardmux/cloud/CloudClient.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudClient.kt
@@ -1,9 +1,8 @@
 package wardmux.cloud
 
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 import wardmux.core.CoreContext
+import wardmux.core.HttpStatus
 import wardmux.core.Outcome
 import wardmux.core.Target
 import wardmux.logging.logger
@@ -11,80 +10,56 @@
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 
-@Serializable private class TypesWire(@SerialName("boxkinds") val boxkinds: List<MachineType>)
-
-@Serializable
-data class RentalOrder(
-    @SerialName("hire") val hire: String,
-    @SerialName("boxkind") val type: String,
-    @SerialName("ward") val zone: String,
-    @SerialName("loaners") val spot: Boolean,
-    @SerialName("count") val count: Int,
-)
-
-@Serializable private class BoxesWire(@SerialName("boxes") val boxes: List<String>)
-
-@Serializable
-data class ListedMachine(
-    @SerialName("name_id") val id: String,
-    @SerialName("endpoint") val endpoint: String = "",
-    @SerialName("boxkind") val type: String,
-    @SerialName("ward") val zone: String,
-    @SerialName("loaners") val spot: Boolean = false,
-    @SerialName("status") val status: String,
-    @SerialName("held_s") val heldS: Double = 0.0,
-)
-
-@Serializable
-private class ListWire(
-    @SerialName("boxes") val boxes: List<ListedMachine>,
-    @SerialName("truncated") val truncated: Boolean = false,
-)
-
+/** The outcome of a request to the cloud. */
 sealed interface CloudResult<out T> {
+    /** Carried out. */
     data class Ok<T>(val value: T) : CloudResult<T>
 
-    /** Refused, and surely not done. */
+    /** Not carried out; [noCapacity] if the cloud has no such machines for now. */
     data class Refused(val noCapacity: Boolean) : CloudResult<Nothing>
 
+    /** Perhaps carried out. */
     data object Indeterminate : CloudResult<Nothing>
 }
 
-/** The cloud by its protocol, within this controller's share of the call limit. */
+/** The client of the cloud's API, which stays within [rps] calls a second. */
 class CloudClient(private val context: CoreContext, rps: Double) {
     private val log = logger<CloudClient>()
-    private val rate = rps * MARGIN
+    private val rate = rps * RATE_SHARE
     private var tokens = rate
     private var refilledAt = context.now
 
-    /** False if a call now would pass the limit; the caller tries again later. */
-    fun ready(): Boolean {
+    /** False if a call now would exceed the rate limit; the caller tries again later. */
+    fun isReady(): Boolean {
         tokens = (tokens + (context.now - refilledAt).inSeconds * rate).coerceAtMost(rate * 2)
         refilledAt = context.now
         return tokens >= 1
     }
 
+    /** Reads the machine types and their prices. */
     fun types(then: (CloudResult<List<MachineType>>) -> Unit) =
         call("GET", "/machine_types", "", then) {
-            lenientJson.decodeFromString(TypesWire.serializer(), it).boxkinds
+            lenientJson.decodeFromString(MachineTypesResponse.serializer(), it).types
         }
 
-    fun hire(order: RentalOrder, then: (CloudResult<List<String>>) -> Unit) =
+    /** Rents machines; returns the ids of those that were to be had. */
+    fun rent(request: RentalRequest, then: (CloudResult<List<String>>) -> Unit) =
         call(
             "POST",
             "/machines",
-            lenientJson.encodeToString(RentalOrder.serializer(), order),
+            lenientJson.encodeToString(RentalRequest.serializer(), request),
             then,
         ) {
-            lenientJson.decodeFromString(BoxesWire.serializer(), it).boxes
+            lenientJson.decodeFromString(MachineIds.serializer(), it).ids
         }
 
+    /** Deletes machines. */
     fun delete(ids: List<String>, then: (CloudResult<Unit>) -> Unit) {
-        val body = lenientJson.encodeToString(BoxesWire.serializer(), BoxesWire(ids))
+        val body = lenientJson.encodeToString(MachineIds.serializer(), MachineIds(ids))
         call("POST", "/machines/delete", body, then) {}
     }
 
-    /** The whole list, or nothing. */
+    /** Reads the whole list of machines, page by page. */
     fun list(then: (CloudResult<List<ListedMachine>>) -> Unit) = listFrom(null, ArrayList(), then)
 
     private fun listFrom(
@@ -92,12 +67,12 @@
         found: MutableList<ListedMachine>,
         then: (CloudResult<List<ListedMachine>>) -> Unit,
     ) {
-        val path = "/machines?limit=$LIST_LIMIT" + if (from == null) "" else "&from=$from"
-        val next: (CloudResult<ListWire>) -> Unit = { result ->
+        val path = "/machines?limit=$PAGE_SIZE" + if (from == null) "" else "&from=$from"
+        val next: (CloudResult<MachineListResponse>) -> Unit = { result ->
             when (result) {
                 is CloudResult.Ok -> {
-                    found.addAll(result.value.boxes)
-                    val last = result.value.boxes.lastOrNull()
+                    found.addAll(result.value.machines)
+                    val last = result.value.machines.lastOrNull()
                     if (result.value.truncated && last != null) listFrom(last.id, found, then)
                     else then(CloudResult.Ok(found))
                 }
@@ -105,7 +80,9 @@
                 is CloudResult.Indeterminate -> then(result)
             }
         }
-        call("GET", path, "", next) { lenientJson.decodeFromString(ListWire.serializer(), it) }
+        call("GET", path, "", next) {
+            lenientJson.decodeFromString(MachineListResponse.serializer(), it)
+        }
     }
 
     private fun <T> call(
@@ -125,23 +102,24 @@
         if (outcome is Outcome.NotSent) return CloudResult.Refused(noCapacity = false)
         if (outcome !is Outcome.Response) return CloudResult.Indeterminate
         return when (outcome.status) {
-            200 ->
+            HttpStatus.OK ->
                 try {
                     CloudResult.Ok(read(outcome.text))
                 } catch (e: SerializationException) {
-                    log.error("cloud answered: {}", e.message)
+                    log.error("the cloud's response can't be decoded: {}", e.message)
                     CloudResult.Indeterminate
                 }
-            503 -> CloudResult.Refused(noCapacity = "no capacity" in outcome.text)
-            429,
-            400 -> CloudResult.Refused(noCapacity = false)
+            HttpStatus.SERVICE_UNAVAILABLE ->
+                CloudResult.Refused(noCapacity = "no capacity" in outcome.text)
+            HttpStatus.TOO_MANY_REQUESTS,
+            HttpStatus.BAD_REQUEST -> CloudResult.Refused(noCapacity = false)
             else -> CloudResult.Indeterminate
         }
     }
 
     private companion object {
-        const val MARGIN = 0.8
-        const val LIST_LIMIT = 500
+        const val RATE_SHARE = 0.8
+        const val PAGE_SIZE = 500
         val TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/Spending.kt
+++ b/src/main/kotlin/wardmux/cloud/CostReport.kt
@@ -6,8 +6,8 @@
 import wardmux.model.TaskStatus
 import wardmux.model.seconds
 
-/** Tells now and then what the money goes to: work, or what machines do beside it. */
-class Spending {
+/** Logs the cost of machines by what they do: running tasks, waiting, idle, booting. */
+class CostReport {
     private enum class Use {
         BOOTING,
         IDLE,
@@ -16,29 +16,30 @@
         RUNNING,
     }
 
-    private val log = logger<Spending>()
-    private val spent = sortedMapOf<String, DoubleArray>()
+    private val log = logger<CostReport>()
+    private val costs = sortedMapOf<String, DoubleArray>()
     private var last: Micros? = null
-    private var tellAt = Micros.LONG_AGO
+    private var reportAt = Micros.LONG_AGO
 
-    fun tell(now: Micros, machines: Collection<Machine>) {
+    /** Adds the cost since the last call, and logs the sums every [PERIOD]. */
+    fun update(now: Micros, machines: Collection<Machine>) {
         if (!log.isInfoEnabled) return
         val elapsed = (now - (last ?: now)).inSeconds
         last = now
         for (machine in machines) add(machine, elapsed)
-        if (now < tellAt) return
-        tellAt = now + PERIOD
-        val all = DoubleArray(Use.entries.size) { use -> spent.values.sumOf { it[use] } }
+        if (now < reportAt) return
+        reportAt = now + PERIOD
+        val all = DoubleArray(Use.entries.size) { use -> costs.values.sumOf { it[use] } }
         if (all.sum() <= 0) return
-        describe("all", all)
-        for ((kind, uses) in spent) describe(kind, uses)
-        spent.clear()
+        report("all", all)
+        for ((kind, uses) in costs) report(kind, uses)
+        costs.clear()
     }
 
-    private fun describe(kind: String, uses: DoubleArray) {
+    private fun report(kind: String, uses: DoubleArray) {
         val sum = uses.sum()
         log.info(
-            "spent {} an hour on {}: {}",
+            "cost of {} an hour for {}: {}",
             Math.round(sum / PERIOD.inSeconds * 10) / 10.0,
             kind,
             Use.entries.joinToString { use ->
@@ -51,13 +52,13 @@
         val price = if (machine.spot) machine.type.spotPrice else machine.type.price
         val cost = price * elapsed
         val kind = "${machine.type.label} ${if (machine.spot) "spot" else "ordinary"}"
-        val uses = spent.getOrPut(kind) { DoubleArray(Use.entries.size) }
-        fun spend(use: Use, part: Double) {
+        val uses = costs.getOrPut(kind) { DoubleArray(Use.entries.size) }
+        fun charge(use: Use, part: Double) {
             uses[use.ordinal] += part
         }
         when {
-            !machine.isUp -> spend(Use.BOOTING, cost)
-            machine.isEmpty -> spend(Use.IDLE, cost)
+            !machine.isUp -> charge(Use.BOOTING, cost)
+            machine.isEmpty -> charge(Use.IDLE, cost)
             else -> {
                 var running = 0.0
                 var waiting = 0.0
@@ -65,9 +66,9 @@
                     val cpus = placement.job.spec.cpus / machine.type.cpus
                     if (placement.status == TaskStatus.RUNNING) running += cpus else waiting += cpus
                 }
-                spend(Use.RUNNING, cost * running)
-                spend(Use.WAITING, cost * waiting)
-                spend(Use.FREE, cost * (1 - running - waiting))
+                charge(Use.RUNNING, cost * running)
+                charge(Use.WAITING, cost * waiting)
+                charge(Use.FREE, cost * (1 - running - waiting))
             }
         }
     }
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -9,40 +9,42 @@
 import wardmux.model.Maintenance
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
+import wardmux.scheduling.MachinePools
 
 /**
- * Rents for single jobs that no count of loads would ever rent for: nothing that is there or on
- * order can take them, by zone, kind or type, or they need their room all at once.
+ * Rents machines for single jobs that the demand of their pool does not cover: no machine there or
+ * requested suits them by zone, kind or type, or they need their capacity all at once.
  */
 class JobProvisioner(
     private val cluster: ClusterState,
     private val eligibility: Eligibility,
-    private val orders: RentalOrders,
+    private val pools: MachinePools,
+    private val rentals: MachineRentals,
 ) {
-    /** Asks for what the job lacks; it has been short of room for a while. */
+    /**
+     * Requests what [job] lacks, which has been short of room for a while, of the [known] types.
+     */
     fun rentFor(job: Job, known: List<MachineType>) {
         if (job.isFailing) return
-        if (job.spec.isGang) return rentForGang(job, known)
-        if (isThere(job) || isComing(job)) return
+        if (job.spec.isGang) return rentForGang(job)
+        if (hasMachine(job) || isComing(job)) return
         rentOne(job, known)
     }
 
-    /**
-     * Asks for one machine that suits the job, of the cheapest kind that was not refused lately.
-     */
+    /** Requests one machine that suits the job, of the cheapest kind that is available. */
     fun rentOne(job: Job, known: List<MachineType>) {
         for (spot in listOf(true, false)) {
             for (type in known.sortedBy { if (spot) it.spotPrice else it.price }) {
                 val zone =
-                    orders.openZones(type, spot).firstOrNull {
+                    rentals.availableZones(type, spot).firstOrNull {
                         eligibility.suits(job, type, it, spot)
                     } ?: continue
-                if (orders.place(MachineKind(type, zone, spot), 1)) return
+                if (rentals.request(MachineKind(type, zone, spot), 1)) return
             }
         }
     }
 
-    private fun isThere(job: Job) =
+    private fun hasMachine(job: Job) =
         cluster.machines.values.any {
             !it.decommissioned &&
                 it.preemptionNoticeAt == null &&
@@ -52,8 +54,8 @@
         }
 
     /**
-     * Room on a machine comes free as its tasks end, but not that of services: on one that holds
-     * nothing else, a task waits for ever.
+     * Tasks free their resources as they end; services of no lower priority never do, so that a
+     * task would wait for ever.
      */
     private fun mayBecomeFree(job: Job, machine: Machine) =
         !machine.isUp ||
@@ -62,29 +64,28 @@
                 it.job.spec.shape != JobKind.SERVICE || it.job.spec.urgency > job.spec.urgency
             }
 
-    /** A machine that suits the job is asked for. */
-    fun isComing(job: Job) = orders.any { eligibility.suits(job, it.type, it.zone, it.spot) }
+    /** True if a machine that suits the job is being requested. */
+    fun isComing(job: Job) = rentals.any { eligibility.suits(job, it.type, it.zone, it.spot) }
 
     /**
-     * As much as the gang lacks of machines that it may use, in one zone if it asks for that: then
-     * in the one where it lacks least, since what is spread is of no use.
+     * Requests all that the gang lacks; for one zone if it must be in one: where it lacks least.
      */
-    private fun rentForGang(job: Job, known: List<MachineType>) {
+    private fun rentForGang(job: Job) {
         val spec = job.spec
-        val type = known.filter { it.allowedFor(spec) }.minByOrNull { it.cpus } ?: return
+        val type = pools.smallestFor(spec) ?: return
         val fitting = type.fitting(spec).coerceAtLeast(1)
         val rooms = type.zones.associateWith { roomFor(spec, it) + comingTo(spec, it) * fitting }
         val choices =
             listOf(true, false).flatMap { spot ->
-                orders
-                    .openZones(type, spot)
+                rentals
+                    .availableZones(type, spot)
                     .filter { eligibility.suits(job, type, it, spot) }
                     .map { MachineKind(type, it, spot) }
             }
         val kind = choices.maxByOrNull { rooms[it.zone] ?: 0 } ?: return
         val room = if (spec.oneZone) rooms[kind.zone] ?: 0 else rooms.values.sum()
         val missing = ceil((spec.tasks - room).toDouble() / fitting).toInt()
-        if (missing > 0) orders.place(kind, missing)
+        if (missing > 0) rentals.request(kind, missing)
     }
 
     private fun roomFor(spec: JobSpec, zone: String) =
@@ -92,9 +93,9 @@
             .filter { it.zone == zone && eligibility.usable(it) && eligibility.allowed(spec, it) }
             .sumOf { it.roomFor(spec) }
 
-    /** Machines ordered or booting there that a task like this may use. */
+    /** Machines requested or booting in [zone] that a task like this may use. */
     private fun comingTo(spec: JobSpec, zone: String) =
-        orders.count { it.zone == zone && (spec.spot || !it.spot) } +
+        rentals.count { it.zone == zone && (spec.spot || !it.spot) } +
             cluster.machines.values.count {
                 it.zone == zone && !it.isUp && !it.decommissioned && eligibility.allowed(spec, it)
             }
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -14,8 +14,8 @@
 import wardmux.store.WriteOperation
 
 /**
- * The machine types, kept in the state service so that an outage of the cloud does not keep a fresh
- * controller from deciding.
+ * The machine types, stored in the key-value store so that a controller that starts during an
+ * outage of the cloud can decide.
  */
 class MachineTypeCatalog(
     private val context: CoreContext,
@@ -25,15 +25,15 @@
     override var types: List<MachineType>? = null
         private set
 
-    private var askAt = Micros.LONG_AGO
-    private var busy = false
+    private var nextAt = Micros.LONG_AGO
+    private var isReading = false
 
-    /** Only the leader asks for current prices; the others need no more than what is known. */
+    /** Reads the types if that is due; only the leader refreshes them and their prices. */
     fun tick(leading: Boolean) {
-        if (busy || context.now < askAt) return
+        if (isReading || context.now < nextAt) return
         if (types != null && !leading) return
-        busy = true
-        if (types == null) readStored() else askCloud()
+        isReading = true
+        if (types == null) readStored() else readCloud()
     }
 
     private fun readStored() {
@@ -42,40 +42,40 @@
                 if (result is StoreResult.Ok) MachineTypeList.decode(result.value.data) else null
             if (stored != null) {
                 types = stored
-                again(REFRESH)
+                scheduleNext(REFRESH)
             } else {
-                askCloud()
+                readCloud()
             }
         }
     }
 
-    private fun askCloud() {
-        if (!cloud.ready()) {
-            again(RETRY)
+    private fun readCloud() {
+        if (!cloud.isReady()) {
+            scheduleNext(RETRY)
             return
         }
         cloud.types { result ->
             if (result is CloudResult.Ok) {
-                if (types != result.value) keep(result.value)
+                if (types != result.value) storeTypes(result.value)
                 types = result.value
-                again(REFRESH)
+                scheduleNext(REFRESH)
             } else {
-                again(RETRY)
+                scheduleNext(RETRY)
             }
         }
     }
 
-    private fun keep(found: List<MachineType>) {
+    private fun storeTypes(found: List<MachineType>) {
         val data = MachineTypeList.encode(found)
-        // Too large to keep: whoever starts asks the cloud.
+        // Too large for one value: controllers that start read them from the cloud.
         if (jsonBytes(data) > store.maxValueBytes) return
         val change = WriteOperation(put = MachineTypeList.KEY, data = data)
         store.multi(emptyList(), listOf(change), RequestPriority.LEADER) {}
     }
 
-    private fun again(pause: Micros) {
-        busy = false
-        askAt = context.now + pause
+    private fun scheduleNext(pause: Micros) {
+        isReading = false
+        nextAt = context.now + pause
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/cloud/MachineDrainer.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
@@ -13,38 +13,35 @@
 import wardmux.scheduling.TaskEvictor
 
 /**
- * Empties ordinary machines that are more than is wanted: they get no new tasks, and can be
- * returned once the last one has ended. Arrays end by themselves. Replicas of services never do:
- * they are moved, each only to a machine that has room and the image, so that it is down for no
- * longer than a stop and a start take.
+ * Prepares the scale in of ordinary machines: surplus machines are cordoned, and returned once they
+ * are empty. Tasks of arrays end by themselves. Replicas of services do not: they are evicted, each
+ * only if another machine has room and the image, so that the restart is fast.
  */
-class MachineDrainer(
+class ScaleInPreparation(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val eligibility: Eligibility,
-    private val stopper: TaskEvictor,
+    private val evictor: TaskEvictor,
 ) {
-    private val log = logger<MachineDrainer>()
+    private val log = logger<ScaleInPreparation>()
 
-    /**
-     * Drains machines for [surplus], or lets drained ones take tasks again where it is negative.
-     */
+    /** Cordons machines for [surplus], or uncordons them if it is negative. */
     fun adjust(pool: MachinePool, own: List<Machine>, surplus: Double) {
-        if (surplus < 0) resume(pool, own, -surplus) else drain(pool, own, surplus)
+        if (surplus < 0) uncordon(pool, own, -surplus) else cordon(pool, own, surplus)
     }
 
-    private fun resume(pool: MachinePool, own: List<Machine>, missing: Double) {
+    private fun uncordon(pool: MachinePool, own: List<Machine>, missing: Double) {
         var left = missing
         for (machine in own.filter { it.isScalingIn }.sortedByDescending { it.load }) {
             if (left <= 0) return
             machine.isScalingIn = false
             left -= pool.weightOf(machine.type)
             cluster.changed()
-            log.info("{} takes tasks again", machine.id)
+            log.info("uncordoned {}: its capacity is needed", machine.id)
         }
     }
 
-    private fun drain(pool: MachinePool, own: List<Machine>, surplus: Double) {
+    private fun cordon(pool: MachinePool, own: List<Machine>, surplus: Double) {
         var left = surplus
         val candidates = own.filter { !it.spot && eligibility.usable(it) }
         val order =
@@ -54,50 +51,50 @@
             if (left < weight) continue
             machine.isScalingIn = true
             left -= weight
-            log.info("{} is to be emptied: {} tasks there", machine.id, machine.placements.size)
+            log.info("scaling in {}: cordoned with {} tasks", machine.id, machine.placements.size)
         }
     }
 
-    /** Moves replicas off machines that are being emptied; a few at a time. */
+    /** Evicts replicas from cordoned machines, a few at a time. */
     fun moveReplicas() {
-        val isScalingIn = cluster.machines.values.filter { it.isScalingIn && !it.decommissioned }
-        // Operators' drains move tasks within budgets, which this must not use up.
-        if (isScalingIn.isEmpty() || cluster.hasDrains) return
-        val moving =
+        val cordoned = cluster.machines.values.filter { it.isScalingIn && !it.decommissioned }
+        // Operators' drains evict within disruption budgets, which this must not use up.
+        if (cordoned.isEmpty() || cluster.hasDrains) return
+        val stopping =
             cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
-        var left = MOST_MOVING - moving
+        var left = MAX_STOPPING - stopping
         val targets = cluster.machines.values.filter { eligibility.usable(it) }
-        val promised = HashMap<Machine, Double>()
-        for (machine in isScalingIn.sortedBy { it.placements.size }) {
+        val reserved = HashMap<Machine, Double>()
+        for (machine in cordoned.sortedBy { it.placements.size }) {
             for (replica in machine.placements.values) {
                 if (left <= 0) return
-                if (!isMovable(replica)) continue
-                val target = targets.firstOrNull { takes(it, replica, promised) } ?: continue
-                promised.merge(target, replica.job.spec.cpus, Double::plus)
-                stopper.stop(replica, "its machine is emptied")
+                if (!isEvictable(replica)) continue
+                val target = targets.firstOrNull { fits(it, replica, reserved) } ?: continue
+                reserved.merge(target, replica.job.spec.cpus, Double::plus)
+                evictor.stop(replica, "its machine is emptied")
                 left--
             }
         }
     }
 
-    private fun isMovable(placement: Placement) =
+    private fun isEvictable(placement: Placement) =
         placement.job.spec.shape == JobKind.SERVICE &&
             placement.status == TaskStatus.RUNNING &&
             placement.committed &&
             !placement.isStopping &&
             !placement.job.hasEnded &&
-            // One of a service at a time: the others go on.
+            // One replica of a service at a time.
             placement.job.placements.values.none { it.isStopping } &&
             placement.job.waiting == 0
 
-    private fun takes(
+    private fun fits(
         machine: Machine,
         replica: Placement,
-        promised: Map<Machine, Double>,
+        reserved: Map<Machine, Double>,
     ): Boolean {
         val spec = replica.job.spec
         if (!eligibility.allowed(spec, machine) || !machine.fits(spec)) return false
-        if (machine.freeCpus - (promised[machine] ?: 0.0) < spec.cpus - MachineType.EPSILON)
+        if (machine.freeCpus - (reserved[machine] ?: 0.0) < spec.cpus - MachineType.EPSILON)
             return false
         val zones = HashMap(eligibility.zonesOf(replica.job))
         zones.merge(replica.zone, -1, Int::plus)
@@ -106,7 +103,7 @@
     }
 
     private companion object {
-        /** Replicas that are stopped to be moved, at once. */
-        const val MOST_MOVING = 16
+        /** The number of replicas that may be stopping at once. */
+        const val MAX_STOPPING = 16
     }
 }
--- a/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
@@ -67,7 +67,7 @@
 
     private fun forgetOldEvictions() {
         val placed = HashSet<TaskAttempt>()
-        for (job in cluster.jobs.values) job.placements.values.mapTo(placed) { it.attemptKey }
+        for (job in cluster.jobs.values) job.placements.values.mapTo(placed) { it.taskAttempt }
         evictionsSent.retainAll(placed)
     }
 
@@ -76,7 +76,7 @@
         val machine = cluster.machines[placement.machine] ?: return false
         return placement.status == TaskStatus.RUNNING &&
             !placement.isStopping &&
-            placement.attemptKey !in evictionsSent &&
+            placement.taskAttempt !in evictionsSent &&
             isHealthy(machine)
     }
 
@@ -96,7 +96,7 @@
         placement.restored ||
             placement.attempt > 1 ||
             placement.runningSince != null ||
-            placement.attemptKey in evictionsSent
+            placement.taskAttempt in evictionsSent
 
     /** True if the task counts as disrupted already, so that its eviction takes nothing more. */
     fun isDisrupted(placement: Placement) = !isUp(placement) && hadStarted(placement)
@@ -106,7 +106,7 @@
         val spec = placement.job.spec
         val wasDisrupted = isDisrupted(placement)
         val wasUp = isUp(placement)
-        if (!evictionsSent.add(placement.attemptKey) || wasDisrupted) return
+        if (!evictionsSent.add(placement.taskAttempt) || wasDisrupted) return
         disruptedByTeam.merge(spec.team, 1, Int::plus)
         if (wasUp) runningByTeam.merge(spec.team, -1, Int::plus)
         if (spec.shape == JobKind.SERVICE) disruptedByService.merge(placement.job.id, 1, Int::plus)
@@ -161,11 +161,6 @@
         }
     }
 
-    private val Placement.attemptKey: TaskAttempt
-        get() = TaskAttempt(name, attempt)
-
-    private data class TaskAttempt(val task: String, val attempt: Int)
-
     private companion object {
         const val MAX_EVICTIONS_KEPT = 1_000
     }
--- a/src/main/kotlin/wardmux/drain/EvictionSelector.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionSelector.kt
@@ -37,8 +37,7 @@
             if (selected.size >= MAX_AT_ONCE) break
             val team = candidate.job.spec.team
             val tasks = candidate.evictedTogether.size
-            val isJobSelected = selected.any { it.job === candidate.job }
-            if (candidate.job.spec.isGang && isJobSelected) continue
+            if (candidate.job.spec.isGang && selected.any { it.job === candidate.job }) continue
             val refused = refusalTogether(candidate, tasks, selected, byTeam[team] ?: 0)
             if (refused != null) {
                 // A refused replica is reported first: other tasks end by themselves.
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -111,7 +111,7 @@
 
     private inner class TermInventory : MachineInventory {
         override val isListed: Boolean
-            get() = environment.provisioner.listed
+            get() = environment.provisioner.isListRead
 
         /** Lists lag behind, and a list may be older than the one before it. */
         override val isComplete: Boolean
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -1,11 +1,10 @@
 package wardmux.leader
 
-import wardmux.cloud.CapacityDemand
 import wardmux.cloud.CloudClient
-import wardmux.cloud.MachineDrainer
+import wardmux.cloud.MachineDecommissioning
 import wardmux.cloud.MachineTypeCatalog
 import wardmux.cloud.Provisioner
-import wardmux.cloud.RentalOrders
+import wardmux.cloud.ProvisioningEnvironment
 import wardmux.config.OperatorSettings
 import wardmux.config.PlatformConfig
 import wardmux.core.CoreContext
@@ -138,21 +137,23 @@
             relays::renewedAtLatest,
             ::decommission,
         )
+    private val machineLifecycle = MachineLifecycle()
     private val provisioner =
         Provisioner(
             context,
-            cloud,
-            pools,
-            cluster,
-            fleet,
-            planner,
+            ProvisioningEnvironment(
+                cloud,
+                store,
+                cluster,
+                fleet,
+                planner,
+                pools,
+                stopper,
+                machineLifecycle,
+            ),
+            deployment,
             operators,
-            deployment.cloud,
-            CapacityDemand(context, cluster, deployment.objectives) { store.maxValueBytes },
-            rentalOrders(cloud),
-            MachineDrainer(context, cluster, planner.eligibility, stopper),
-            ::decommission,
-            placementStore::dropDecommissionRecord,
+            role.token,
         )
     /** Drains that operators asked for; null where these are switched off. */
     val drains: LeaderDrains? =
@@ -186,7 +187,7 @@
         DrainEnvironment(
             store,
             role,
-            TermOfDrains(),
+            machineLifecycle,
             cluster,
             planner.eligibility,
             stopper,
@@ -194,28 +195,18 @@
             types,
         )
 
-    private inner class TermOfDrains : DrainTerm {
+    private inner class MachineLifecycle : DrainTerm, MachineDecommissioning {
         override val mayDecide: Boolean
             get() = loaded && !over && leadership.leaseIsValid
 
         override fun decommission(machine: Machine, reason: String) =
             this@LeaderTerm.decommission(machine, reason)
 
+        override fun dropRecord(machine: Machine) = placementStore.dropDecommissionRecord(machine)
+
         override fun fenced() = leadership.fenced()
     }
 
-    private fun rentalOrders(cloud: CloudClient) =
-        RentalOrders(
-            context,
-            cloud,
-            cluster,
-            fleet,
-            operators,
-            role.token,
-            deployment.cloud,
-            deployment.zones,
-        )
-
     fun end() {
         over = true
         storedState.abandon()
--- a/src/test/kotlin/wardmux/cloud/MachineDrainerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
@@ -14,14 +14,14 @@
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
-/** Machines that are more than wanted are emptied, at the cost of no replica that has no place. */
-class MachineDrainerTest {
+/** Surplus machines are cordoned, and no replica is evicted that has no place elsewhere. */
+class ScaleInPreparationTest {
     private val type =
         MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 50.0, zones = listOf("a", "b"))
     private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
-    private val drainer =
-        MachineDrainer(
+    private val preparation =
+        ScaleInPreparation(
             harness.context,
             harness.cluster,
             harness.planner.eligibility,
@@ -45,15 +45,15 @@
     private fun adjust(surplus: Double) {
         harness.pools.observeNow(harness.cluster.jobs.values)
         val pool = harness.pools.pools.single()
-        drainer.adjust(pool, harness.cluster.machines.values.toList(), surplus)
-        drainer.moveReplicas()
+        preparation.adjust(pool, harness.cluster.machines.values.toList(), surplus)
+        preparation.moveReplicas()
     }
 
-    private fun isStopping() =
+    private fun stopping() =
         harness.cluster.machines.values.flatMap { it.placements.values }.filter { it.isStopping }
 
     @Test
-    fun `the machine with least on it is emptied, and one replica of a service moves at a time`() {
+    fun `the machine with least on it is cordoned, and one replica of a service is evicted at a time`() {
         val job = harness.job(service)
         val sparse = ordinary(1)
         val other = ordinary(2)
@@ -64,9 +64,9 @@
         adjust(1.5)
         assertTrue(sparse.isScalingIn)
         assertFalse(other.isScalingIn)
-        assertEquals(listOf(sparse.id), isStopping().map { it.machine })
+        assertEquals(listOf(sparse.id), stopping().map { it.machine })
         adjust(-1.0)
-        assertFalse(sparse.isScalingIn, "it takes tasks again where room is short")
+        assertFalse(sparse.isScalingIn, "it is uncordoned where capacity is short")
     }
 
     @Test
@@ -79,14 +79,14 @@
         haveImage(sparse)
         adjust(1.5)
         assertTrue(sparse.isScalingIn)
-        assertEquals(0, isStopping().size, "its image is nowhere else")
+        assertEquals(0, stopping().size, "its image is nowhere else")
         haveImage(other)
         adjust(0.5)
-        assertEquals(1, isStopping().size)
+        assertEquals(1, stopping().size)
     }
 
     @Test
-    fun `nothing is emptied for less than a machine, and no spot machine`() {
+    fun `nothing is cordoned for less than a machine, and no spot machine`() {
         val machine = ordinary(1)
         val spot = harness.machine(2, type)
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
@@ -99,7 +99,7 @@
     }
 
     @Test
-    fun `a machine that is being emptied gets no new task`() {
+    fun `a cordoned machine gets no new task`() {
         val machine = ordinary(1)
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
         adjust(1.0)
--- a/src/test/kotlin/wardmux/drain/DrainCommandTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainCommandTest.kt
@@ -19,14 +19,14 @@
     }
 
     @Test
-    fun `where nobody answers in time, it says what is known`() {
+    fun `a timeout is reported with what is known of the request`() {
         val code = run("list", "--controller", "127.0.0.1:1", "--timeout", "0.5")
         assertEquals(DrainExit.NO_ANSWER, code)
         assertTrue("nothing was carried out" in printed.toString(), printed.toString())
     }
 
     @Test
-    fun `a wrong option is a bad request that names it`() {
+    fun `an invalid option is a bad request that names it`() {
         assertEquals(DrainExit.BAD_REQUEST, run("list", "--controller", "nowhere"))
         assertTrue("--controller" in printed.toString())
         assertEquals(DrainExit.BAD_REQUEST, run("start", "--id", "d1", "--order", "sideways"))
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -57,7 +57,7 @@
 
     private class Told(val code: Int, val text: String)
 
-    private fun LoopbackSite.command(vararg arguments: String): Told {
+    private fun LoopbackCluster.command(vararg arguments: String): Told {
         val out = StringWriter()
         val line = CommandLine(WardmuxCommand())
         line.setOut(PrintWriter(out, true)).setErr(PrintWriter(out, true))
@@ -66,7 +66,7 @@
         return Told(line.execute(*all.toTypedArray()), out.toString())
     }
 
-    private fun LoopbackSite.await(what: String, most: Micros, reached: () -> Boolean) {
+    private fun LoopbackCluster.await(what: String, most: Micros, reached: () -> Boolean) {
         val deadline = System.nanoTime() + most.value * 1_000
         while (!reached()) {
             if (System.nanoTime() > deadline)
@@ -76,60 +76,63 @@
     }
 
     @Test
-    fun `a drain goes on through the end of its leader and of a machine, within the budgets`() {
-        LoopbackSite(directory, operators, machines, teamCpus = machines * 16.0).use { site ->
+    fun `a drain continues within the budgets after a crash of its leader and of a machine`() {
+        LoopbackCluster(directory, operators, machines, teamCpus = machines * 16.0).use { cluster ->
             val services = services()
-            services.forEach { site.submit(it) }
+            services.forEach { cluster.submit(it) }
             val all = services.sumOf { it.tasks }
-            site.await("all services run", 300.seconds) { site.running(services) == all }
-            val before = site.machines(ZONE)
-            val began = site.now()
-            val upBefore = site.machines().size
-            val secondsBefore = site.machineSeconds()
+            cluster.await("all services run", 300.seconds) { cluster.running(services) == all }
+            val before = cluster.machines(ZONE)
+            val began = cluster.now()
+            val upBefore = cluster.machines().size
+            val secondsBefore = cluster.machineSeconds()
 
             val selection =
                 if (isLong) arrayOf("--type", "mid", "--ordinary") else arrayOf("--zone", ZONE)
             val size = System.getProperty("drain.step") ?: if (isLong) "20" else "8"
             val options = selection + arrayOf("--grace", "5", "--step-size", size)
-            val check = site.command("check", "--id", "d1", *options)
+            val check = cluster.command("check", "--id", "d1", *options)
             assertEquals(DrainExit.OK, check.code, check.text)
             assertTrue("step 1" in check.text, check.text)
-            val started = site.command("start", "--id", "d1", *options)
+            val started = cluster.command("start", "--id", "d1", *options)
             assertEquals(DrainExit.OK, started.code, started.text)
-            assertEquals(DrainExit.OK, site.command("start", "--id", "d1", *options).code)
+            assertEquals(DrainExit.OK, cluster.command("start", "--id", "d1", *options).code)
 
-            site.await("the first step", 120.seconds) { site.isEmptying() }
-            val leader = checkNotNull(site.leader())
-            site.kill(leader)
-            val during = site.command("status", "d1")
+            cluster.await("the first step", 120.seconds) { cluster.isEmptying() }
+            val leader = checkNotNull(cluster.leader())
+            cluster.kill(leader)
+            val during = cluster.command("status", "d1")
             assertEquals(DrainExit.OK, during.code, during.text)
-            site.start(leader)
-            val other = site.busyMachines(OTHER_ZONE).firstOrNull()
-            other?.let { site.crash(it) }
+            cluster.start(leader)
+            val other = cluster.busyMachines(OTHER_ZONE).firstOrNull()
+            other?.let { cluster.crash(it) }
 
             val most = if (isLong) 3600.seconds else 400.seconds
-            site.await("done", most) { site.stored("d1")?.state == DrainState.DONE }
-            val took = site.now() - began
-            site.await("all services run again", 300.seconds) { site.running(services) == all }
-            assertEquals(emptyList(), site.machines(ZONE).filter { it in before })
-            assertEquals(emptyList(), site.problems(budget, noticedAfter = 30.seconds))
-            val list = site.command("list")
+            cluster.await("done", most) { cluster.stored("d1")?.state == DrainState.DONE }
+            val took = cluster.now() - began
+            cluster.await("all services run again", 300.seconds) {
+                cluster.running(services) == all
+            }
+            assertEquals(emptyList(), cluster.machines(ZONE).filter { it in before })
+            assertEquals(emptyList(), cluster.problems(budget, noticedAfter = 30.seconds))
+            val list = cluster.command("list")
             assertTrue("d1  done" in list.text, list.text)
-            val extra = site.machineSeconds() - secondsBefore - upBefore * took.inSeconds.toLong()
-            if (isLong) println(figures(site, took, extra))
-            assertEquals(DrainExit.CONFLICT, site.command("cancel", "d1").code)
-            assertEquals(DrainExit.UNKNOWN_DRAIN, site.command("status", "d2").code)
-            val unknown = site.command("start", "--id", "d3", "--type", "none")
+            val extra =
+                cluster.machineSeconds() - secondsBefore - upBefore * took.inSeconds.toLong()
+            if (isLong) println(figures(cluster, took, extra))
+            assertEquals(DrainExit.CONFLICT, cluster.command("cancel", "d1").code)
+            assertEquals(DrainExit.UNKNOWN_DRAIN, cluster.command("status", "d2").code)
+            val unknown = cluster.command("start", "--id", "d3", "--type", "none")
             assertEquals(DrainExit.BAD_REQUEST, unknown.code)
             assertEquals(1, unknown.text.trim().lines().size, unknown.text)
         }
     }
 
-    private fun LoopbackSite.isEmptying() = stored("d1")?.step?.phase == StepPhase.EMPTYING
+    private fun LoopbackCluster.isEmptying() = stored("d1")?.step?.phase == StepPhase.EMPTYING
 
-    private fun figures(site: LoopbackSite, took: Micros, extraSeconds: Long): String {
-        val record = site.stored("d1")
-        return "machines $machines, budget $budget, lost at most ${site.peaks()}, " +
+    private fun figures(cluster: LoopbackCluster, took: Micros, extraSeconds: Long): String {
+        val record = cluster.stored("d1")
+        return "machines $machines, budget $budget, lost at most ${cluster.peaks()}, " +
             "took ${took.inSeconds.toInt()} s, steps ${record?.stepsDone}, " +
             "returned ${record?.returned}, moved ${record?.moved}, " +
             "machine hours beyond those before ${"%.2f".format(extraSeconds / 3600.0)}"
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -17,7 +17,7 @@
 import wardmux.serialization.lenientJson
 import wardmux.sim.ClusterSimulation
 
-/** What operators ask for, and what they are told. */
+/** Operators' requests, and the responses to them. */
 class DrainOperationsTest {
     private fun body(request: DrainRequest) =
         operatorJson.encodeToString(DrainRequest.serializer(), request)
@@ -26,7 +26,7 @@
 
     @ParameterizedTest
     @EnumSource(StepPhase::class)
-    fun `a drain that is cancelled in a step gives its machines back`(phase: StepPhase) {
+    fun `a drain that is cancelled in a step uncordons its machines`(phase: StepPhase) {
         val service =
             DrainScenario(3).let { scenario ->
                 val service = scenario.service(0, 4)
@@ -92,7 +92,7 @@
     }
 
     @Test
-    fun `a paused drain stops nothing until it is resumed, also under the next leader`() {
+    fun `a paused drain evicts nothing until it is resumed, also under the next leader`() {
         val scenario = DrainScenario(8).begin().start()
         scenario.runUntilStep(StepPhase.EMPTYING)
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
@@ -109,7 +109,7 @@
 
     @ParameterizedTest
     @EnumSource(DeadlineAction::class)
-    fun `at its deadline a drain pauses or goes on, as it was asked to`(action: DeadlineAction) {
+    fun `at its deadline a drain pauses or continues, as requested`(action: DeadlineAction) {
         val scenario = DrainScenario(9).begin()
         val request = ordinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
         scenario.start(request)
@@ -123,7 +123,7 @@
     }
 
     @Test
-    fun `what is stored keeps its form, and an unknown form is left alone`() {
+    fun `the stored form is kept, and an unknown form is left alone`() {
         val step =
             """{"number":3,"phase":"emptying","machines":["i-000004"],""" +
                 """"moved":["job-000001/2"],"began_at":5,"emptying_since":6}"""
@@ -149,7 +149,7 @@
     }
 
     @Test
-    fun `a repeated start is the same drain, and a late one too`() {
+    fun `a repeated start is idempotent, and a late one too`() {
         val scenario = DrainScenario(10).begin().start()
         assertEquals(200, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
         scenario.runUntilDone()
@@ -159,7 +159,7 @@
     }
 
     @Test
-    fun `several drains share the budgets, and two that name the same machines agree`() {
+    fun `several drains share the budgets, also if they select the same machines`() {
         val scenario = DrainScenario(12)
         scenario.begin(scenario.service(0, 6), scenario.service(1, 4)).start()
         val zones = DrainRequest("d2", DrainSelector(zones = listOf("a", "b", "c"), spot = false))
@@ -173,7 +173,7 @@
     }
 
     @Test
-    fun `a gang is stopped as one within the budget, or not at all`() {
+    fun `a gang is evicted as a whole within the budget, or not at all`() {
         val most = 3
         val budget = BudgetSettings(maxDisrupted = most, stepPauseS = 1.0)
         val scenario = DrainScenario(14, DrainSettings(budget = budget))
@@ -189,7 +189,7 @@
     }
 
     @Test
-    fun `where a zone has no room, the machines that can be replaced go first`() {
+    fun `where a zone has no capacity, the machines that can be replaced go first`() {
         val scenario = DrainScenario(16, capacity = 1)
         val bound = scenario.service(0, 1, cpus = 12.0).copy(zone = "b")
         scenario.begin(bound, scenario.service(1, 2, cpus = 4.0)).start(ordinary.copy(stepSize = 1))
@@ -201,7 +201,7 @@
     }
 
     @Test
-    fun `a check shows steps, budgets and what would stop it, and starts nothing`() {
+    fun `a dry run shows steps, budgets and the first obstacle, and starts nothing`() {
         val scenario = DrainScenario(18)
         scenario.begin(scenario.service(0, 4)).ask("GET", DrainPaths.DRAINS)
         val (status, text) =
@@ -238,7 +238,7 @@
         "select.older_than,noon",
         "selection,x",
     )
-    fun `a wrong request is named by its field`(field: String, value: String) {
+    fun `the response to an invalid request names the field`(field: String, value: String) {
         val select =
             when (field) {
                 "select" -> "{}"
@@ -262,7 +262,7 @@
     }
 
     @Test
-    fun `what selects nothing, what is unknown and what is no path`() {
+    fun `an empty selection, an unknown drain and an unknown path`() {
         val empty = DrainRequest("d9", DrainSelector(olderThan = "1970-01-01T00:00:00Z"))
         assertEquals(400, WRONG.ask("POST", DrainPaths.DRAINS, body(empty)).first)
         assertEquals(404, WRONG.ask("GET", "${DrainPaths.DRAINS}/d7").first)
@@ -272,7 +272,7 @@
     }
 
     @Test
-    fun `while leadership changes, questions are answered from the store with their age`() {
+    fun `during a failover reads are answered from the store with their age`() {
         val scenario = DrainScenario(20).begin().start()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val leader = checkNotNull(scenario.simulation.leader())
@@ -293,7 +293,7 @@
     }
 
     @Test
-    fun `switched off, nothing of drains is stored, read or told`() {
+    fun `with drains switched off, nothing of them is stored, read or answered`() {
         val on = requests(OperatorSettings(drain = DrainSettings()))
         val off = requests(OperatorSettings())
         assertTrue(on.any { DrainRecord.PREFIX in it.substringAfter("under=", "") })
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -34,7 +34,7 @@
                 problem.machines.map { it.machine }.sortedBy { it.value }
 
     @Test
-    fun `first fit is not always the fewest, and the solver finds that`() {
+    fun `the solver finds fewer steps where first fit is not optimal`() {
         // By tasks: 5 4 3 3 2 1 under 9; first fit decreasing takes (5 4) (3 3 2 1): two steps.
         // With two teams it packs worse than need be.
         val loads =
@@ -101,7 +101,7 @@
     }
 
     @Test
-    fun `seeded problems keep all limits, and the solver is never worse`() {
+    fun `plans of seeded problems are within all limits, and the solver is never worse`() {
         for (size in sizes ?: listOf(8, 14)) {
             val figures = compare(size)
             if (sizes != null) println(figures)
@@ -109,7 +109,7 @@
     }
 
     @Test
-    fun `a machine beyond a limit goes alone, and zones are not mixed where they go in turn`() {
+    fun `a machine beyond a limit is a step of its own, and steps by zone do not mix zones`() {
         val loads =
             listOf(load(1, "b", "x" to 9), load(2, "a", "x" to 1), load(3, "b"), load(4, "a"))
         val problem = problem(loads, mapOf("x" to 2), order = StepOrder.BY_ZONE)
@@ -120,7 +120,7 @@
     }
 
     @Test
-    fun `replicas of a service are limited by themselves`() {
+    fun `replicas of a service have a limit of their own`() {
         val loads =
             List(4) {
                 MachineLoad(MachineId("i-$it"), "a", 1.0, mapOf("x" to 1), mapOf("job-1" to 1))
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -29,11 +29,11 @@
 import wardmux.worker.Redirect
 
 /**
- * Controllers as processes of their own among stand-ins for all that they deal with, over sockets
- * on loopback in real time. The stand-ins are those of the simulation: their clock follows the real
- * one, and one event loop owns them.
+ * Controllers as processes of their own in real time, over sockets on loopback, with the
+ * simulation's fakes of all other services. The clock of the fakes follows the real one, and one
+ * event loop owns them.
  */
-class LoopbackSite(
+class LoopbackCluster(
     private val directory: File,
     private val operators: String,
     machines: Int,
@@ -81,24 +81,24 @@
         nodes.forEach(::start)
     }
 
-    /** Seconds that machines were up, of all together. */
+    /** The sum of the seconds for which machines were up. */
     private var machineSeconds = 0L
 
-    /** Seconds that machines were up until now, of all together. */
+    /** The sum of the seconds for which machines have been up until now. */
     fun machineSeconds(): Long = onLoop { machineSeconds }
 
-    /** Where operators reach the controllers. */
+    /** The operators' listeners of the controllers. */
     val operatorAddresses: List<String>
         get() = addresses.values.map { "$HOST:${it.operators}" }
 
-    /** What the stand-ins own is read and changed on their loop alone. */
+    /** The state of the fakes is read and changed on their loop only. */
     private fun <T> onLoop(action: () -> T): T = loop.submit(Callable { action() }).get()
 
     private fun freePort() = ServerSocket(0, 1, InetAddress.getByName(HOST)).use { it.localPort }
 
     private fun client(port: Int) = HttpClient(group, InetSocketAddress(HOST, port), 1, MAX_BYTES)
 
-    /** Listens on a thread of its own, and has what comes handled on the loop; gives the port. */
+    /** Listens on another thread and handles requests on the loop; returns the port. */
     private fun serve(handle: (Arrival, (Int, String) -> Unit) -> Unit): Int {
         lateinit var server: HttpServer
         val onArrival: (Arrival) -> Unit = { arrival ->
@@ -171,19 +171,19 @@
                 .start()
     }
 
-    /** Ends the process of a controller without notice. */
+    /** Kills the process of a controller. */
     fun kill(node: String) {
         processes.remove(node)?.destroyForcibly()?.waitFor()
     }
 
-    /** Who leads, by what is stored. */
+    /** The leader, by the stored record. */
     fun leader(): String? = onLoop {
         state.value("leader")?.let {
             lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it).member
         }
     }
 
-    /** What is stored of a drain. */
+    /** The stored record of a drain. */
     fun stored(id: String): DrainRecord? = onLoop {
         state.value(DrainRecord.key(id))?.let {
             lenientJson.decodeFromJsonElement(DrainRecord.serializer(), it)
@@ -216,12 +216,12 @@
         cloud.workers().filter { zone == null || it.zone == zone }.map { it.id }
     }
 
-    /** Machines on which something runs. */
+    /** Machines that run tasks. */
     fun busyMachines(zone: String): List<String> = onLoop {
         cloud.workers().filter { it.zone == zone && it.tasksThere > 0 }.map { it.id }
     }
 
-    /** A machine stops with all that is on it. */
+    /** Crashes a machine with its tasks. */
     fun crash(machine: String) = onLoop {
         cloud.workers().filter { it.id == machine }.forEach(cloud::kill)
     }
@@ -229,7 +229,7 @@
     /** How many replicas run. */
     fun running(jobs: List<JobSpec>): Int = onLoop { jobs.sumOf { rules.machinesOf(it.id).size } }
 
-    /** What the stand-ins' own records say against the controllers. */
+    /** Invariants that the controllers broke, by the records of the fakes. */
     fun problems(limit: Int, noticedAfter: Micros): List<String> = onLoop {
         rules.broken +
             state.problems +
@@ -237,12 +237,12 @@
             rules.losses.beyond({ limit }, noticedAfter)
     }
 
-    /** The most that each team had lost at once. */
+    /** The most tasks of each team that were disrupted at once. */
     fun peaks(): Map<String, Int> = onLoop {
         teams.associate { it.name to rules.losses.peakOf(it.name) }
     }
 
-    /** Time since the site began. */
+    /** Time since the cluster was started. */
     fun now(): Micros = onLoop { clock.now }
 
     /** The last lines that a controller logged. */
