--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -5,7 +5,7 @@
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.drain.DrainApi
 import wardmux.forwarding.ForwarderSettings
 import wardmux.forwarding.HeartbeatForwarder
@@ -66,27 +66,25 @@
 
     /** The operators' interface; null where drains are switched off. */
     private val drainApi =
-        operators.drain?.let {
-            DrainApi(context, store, { currentTerm.term?.drains?.desk }, leadership::knownLeader)
-        }
+        operators.drain?.let { DrainApi(context, store, CurrentDrainLeader(currentTerm)) }
     private val publicApi = PublicApi(services, currentTerm, forwarder, leaderRedirect, jobs)
     private val peerApi = PeerApi(services, currentTerm, drainApi)
 
-    /** Handles one input that came at the given steady and wall time. */
-    fun handle(now: Micros, wall: Micros, input: Input): List<Effect> {
-        context.at(now, wall)
+    /** Handles one input that came at the given monotonic time and time of day. */
+    fun handle(now: Micros, wallTime: Micros, input: Input): List<Effect> {
+        context.setTime(now, wallTime)
         when (input) {
             is Input.Tick -> tick()
             is Input.Request -> handleRequest(input)
-            is Input.Response -> context.settle(input)
-            is Input.Solved -> context.settle(input)
+            is Input.Response -> context.complete(input)
+            is Input.Computed -> context.complete(input)
         }
         store.sendDue()
-        return context.take()
+        return context.takeEffects()
     }
 
     /** The effects so far of an input whose handling failed. */
-    fun pendingEffects(): List<Effect> = context.take()
+    fun pendingEffects(): List<Effect> = context.takeEffects()
 
     private fun tick() {
         leadership.tick()
@@ -104,11 +102,11 @@
 
     private fun handleRequest(request: Input.Request) {
         val path = request.path.substringBefore('?')
-        when (request.port) {
-            Port.API -> publicApi.handle(request, path)
-            Port.PEER -> peerApi.handle(request, path)
-            Port.OPERATOR ->
-                if (drainApi != null) drainApi.call(request)
+        when (request.listener) {
+            ListenerKind.API -> publicApi.handle(request, path)
+            ListenerKind.PEER -> peerApi.handle(request, path)
+            ListenerKind.OPERATOR ->
+                if (drainApi != null) drainApi.handle(request)
                 else context.answer(request.id, HttpStatus.NOT_FOUND)
         }
     }
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -10,15 +10,13 @@
 import wardmux.config.SettingsFiles
 import wardmux.core.Effect
 import wardmux.core.Input
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.core.Target
-import wardmux.drain.PlanWorker
 import wardmux.http.HttpClient
 import wardmux.http.HttpServer
 import wardmux.logging.logger
 import wardmux.model.Micros
 import wardmux.model.milliseconds
-import wardmux.store.KeyValueStore
 
 /** Connects a [Controller] to sockets and clocks; one event loop runs both. */
 class Daemon(private val platform: PlatformConfig, private val operators: OperatorSettings) {
@@ -28,7 +26,7 @@
     private val sockets = platform.deployment.limits.sockets
     private val server =
         HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) { handle(it) }
-    private val planWorker = PlanWorker()
+    private val backgroundExecutor = BackgroundExecutor()
     private val clients = HashMap<Target, HttpClient>()
     private val workerClients = WorkerClients(group, sockets.workers, MAX_RESPONSE_BYTES)
 
@@ -61,8 +59,8 @@
                 )
             }
             .sync()
-        bind(platform.peerAddress, Port.PEER)
-        val api = bind(platform.apiAddress, Port.API)
+        bind(platform.peerAddress, ListenerKind.PEER)
+        val api = bind(platform.apiAddress, ListenerKind.API)
         log.info("{} listens for users on {}", platform.member, platform.apiAddress)
         listenForOperators(api)
     }
@@ -82,7 +80,7 @@
     private fun bindOperators(isRetry: Boolean): Boolean {
         val address = operators.drain?.listener ?: return true
         try {
-            bind(address, Port.OPERATOR)
+            bind(address, ListenerKind.OPERATOR)
             log.info("{} listens for operators on {}", platform.member, address)
             return true
         } catch (e: BindException) {
@@ -100,7 +98,7 @@
         return "$wall-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
     }
 
-    private fun bind(address: String, port: Port) =
+    private fun bind(address: String, port: ListenerKind) =
         server.listen(requireNotNull(SettingsFiles.address(address)), port)
 
     private fun handle(input: Input) {
@@ -119,9 +117,9 @@
 
     private fun perform(effect: Effect) {
         when (effect) {
-            is Effect.Solve ->
-                planWorker.solve(effect.problem, effect.limit) { plan ->
-                    group.next().execute { handle(Input.Solved(effect.id, plan)) }
+            is Effect.Compute ->
+                backgroundExecutor.execute(effect.task) { result ->
+                    group.next().execute { handle(Input.Computed(effect.id, result)) }
                 }
             is Effect.Respond ->
                 server.answer(effect.id, effect.status, effect.body, effect.retryAfterS)
--- a/src/main/kotlin/wardmux/app/PeerApi.kt
+++ b/src/main/kotlin/wardmux/app/PeerApi.kt
@@ -3,6 +3,7 @@
 import wardmux.core.HttpStatus
 import wardmux.core.Input
 import wardmux.drain.DrainApi
+import wardmux.drain.DrainPaths
 import wardmux.forwarding.ForwardingCodec
 import wardmux.leader.ControllerServices
 import wardmux.model.FencingToken
@@ -24,7 +25,7 @@
         when {
             path == PeerHeartbeats.PATH -> handleHeartbeat(request)
             path == ForwardingCodec.PATH -> handleBatch(request)
-            path == DrainApi.PEER_PATH && drainApi != null -> drainApi.forwarded(request)
+            path == DrainPaths.FORWARDED && drainApi != null -> drainApi.handleForwarded(request)
             else -> context.answer(request.id, HttpStatus.NOT_FOUND)
         }
     }
--- /dev/null
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -0,0 +1,75 @@
+package wardmux.drain
+
+import wardmux.model.Job
+import wardmux.model.Machine
+import wardmux.model.MachineType
+import wardmux.model.Maintenance
+import wardmux.model.Placement
+import wardmux.scheduling.ClusterState
+import wardmux.scheduling.Eligibility
+
+/** Checks whether evicted tasks fit on the machines that are up and are not drained. */
+class RelocationFeasibility(
+    private val cluster: ClusterState,
+    private val eligibility: Eligibility,
+) {
+    private class FreeResources(var cpus: Double, var gpus: Double, var memoryGb: Double)
+
+    /**
+     * The tasks of [evicted] for which there is no room now, if the largest are placed first. No
+     * task goes to a machine that is being drained, unless it is [staying], nor to one of
+     * [leaving].
+     */
+    fun withoutRoom(
+        evicted: List<Placement>,
+        leaving: Set<Machine> = emptySet(),
+        staying: Set<Machine> = emptySet(),
+    ): List<Placement> {
+        val open =
+            cluster.machines.values.filter {
+                (it.maintenance == Maintenance.NONE || it in staying) &&
+                    it !in leaving &&
+                    eligibility.usable(it)
+            }
+        val free = open.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
+        val zones = HashMap<Job, HashMap<String, Int>>()
+        return evicted.sortedByDescending { it.job.spec.cpus }.filterNot { place(it, free, zones) }
+    }
+
+    private fun place(
+        placement: Placement,
+        free: Map<Machine, FreeResources>,
+        zones: HashMap<Job, HashMap<String, Int>>,
+    ): Boolean {
+        val job = placement.job
+        val occupied = zones.getOrPut(job) { HashMap(eligibility.zonesOf(job)) }
+        val without = HashMap(occupied)
+        without.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
+        val machine =
+            free.keys.firstOrNull { fits(it, free.getValue(it), job, without) } ?: return false
+        reserve(free.getValue(machine), job)
+        without.merge(machine.zone, 1, Int::plus)
+        zones[job] = without
+        return true
+    }
+
+    private fun fits(
+        machine: Machine,
+        free: FreeResources,
+        job: Job,
+        zones: Map<String, Int>,
+    ): Boolean {
+        val spec = job.spec
+        return eligibility.allowed(spec, machine) &&
+            spec.cpus <= free.cpus + MachineType.EPSILON &&
+            spec.gpus <= free.gpus + MachineType.EPSILON &&
+            spec.memoryGb <= free.memoryGb + MachineType.EPSILON &&
+            eligibility.mayGoTo(machine.zone, spec, zones)
+    }
+
+    private fun reserve(free: FreeResources, job: Job) {
+        free.cpus -= job.spec.cpus
+        free.gpus -= job.spec.gpus
+        free.memoryGb -= job.spec.memoryGb
+    }
+}
--- a/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
@@ -8,21 +8,21 @@
 /** How long machines may send no heartbeat, by the workers' heartbeat period. */
 class HeartbeatTimeouts(workers: WorkerTiming, operators: OperatorSettings) {
     /** A machine that was silent for longer is decommissioned. */
-    val lost: Micros = (workers.reportS * operators.lostReports).seconds
+    val lost: Micros = (workers.heartbeatPeriodS * operators.lostHeartbeats).seconds
 
     /** A machine that was silent for longer is probed. */
-    val overdue: Micros = (workers.reportS * OVERDUE_HEARTBEATS).seconds
+    val overdue: Micros = (workers.heartbeatPeriodS * OVERDUE_HEARTBEATS).seconds
 
     /** A machine that was silent for longer and answered no probe is decommissioned. */
     val unreachable: Micros =
-        maxOf((workers.reportS * UNREACHABLE_HEARTBEATS).seconds, MIN_UNREACHABLE)
+        maxOf((workers.heartbeatPeriodS * UNREACHABLE_HEARTBEATS).seconds, MIN_UNREACHABLE)
 
     /** If most machines were silent for longer, they may be talking to other controllers. */
-    val quiet: Micros = (workers.reportS * operators.quietReports).seconds
+    val quiet: Micros = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
 
     /** A start that was sent this long ago is listed in a heartbeat, if it was carried out. */
     val startListed: Micros =
-        maxOf((workers.reportS * START_LISTED_HEARTBEATS).seconds, MIN_START_LISTED)
+        maxOf((workers.heartbeatPeriodS * START_LISTED_HEARTBEATS).seconds, MIN_START_LISTED)
 
     private companion object {
         /** A heartbeat comes after at most one and a quarter of its usual time. */
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -83,7 +83,7 @@
         if (silence > leases.maxLeaseDuration && machine.holdsCancelled) {
             decommissioner.decommission(machine, DecommissionReason.LEASE_EXPIRED)
         }
-        cluster.clear(machine, "lease over")
+        cluster.releaseAll(machine, "lease over")
     }
 
     /**
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -46,7 +46,7 @@
         log.info("a task of {} failed on {}, {} in a row there", job.id, machine.id, count)
         if (job.isFailing) {
             val pauses = job.failedMachines.size.coerceAtMost(MAX_PAUSES).toDouble()
-            job.backoffUntil = context.wall + FAILURE_PAUSE * pauses
+            job.backoffUntil = context.wallTime + FAILURE_PAUSE * pauses
         }
         val isMachineFaulty = !job.isFailing && count >= MAX_FAILURES_IN_A_ROW
         if (machine.failures.size >= 2 || isMachineFaulty) {
--- a/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -118,7 +118,7 @@
         cluster.release(placement, "refused")
         machine.pausedUntil = context.now + REFUSED_PAUSE
         if (reported.cause == TaskEndCause.TASK_UNKNOWN) {
-            placement.job.backoffUntil = context.wall + TASK_UNKNOWN_BACKOFF
+            placement.job.backoffUntil = context.wallTime + TASK_UNKNOWN_BACKOFF
         }
     }
 
--- a/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
@@ -40,7 +40,7 @@
             isEnabled = true
         }
         // Only once, when all machines have sent a heartbeat: else it would go back and forth.
-        val settlingTime = (workers.reportS * SETTLING_HEARTBEATS).seconds
+        val settlingTime = (workers.heartbeatPeriodS * SETTLING_HEARTBEATS).seconds
         if (isDecided || !isLoaded || context.now - electedAt <= settlingTime) return
         isDecided = true
         if (!exceedsLeader) {
@@ -50,8 +50,8 @@
     }
 
     private fun exceedsLeader(machines: Int): Boolean {
-        val heartbeatsPerSecond = machines / workers.reportS
-        return heartbeatsPerSecond > operators.reportsPerCore * limits.cpu ||
+        val heartbeatsPerSecond = machines / workers.heartbeatPeriodS
+        return heartbeatsPerSecond > operators.heartbeatsPerCore * limits.cpu ||
             machines > limits.fdLimit * WORKER_SOCKET_SHARE
     }
 
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -191,7 +191,8 @@
     private fun removeSilent() {
         if (context.now < nextRemovalAt || inFlight) return
         nextRemovalAt = context.now + REMOVAL_PERIOD
-        val silence = (settings.workers.reportS * MAX_MISSED_HEARTBEATS).seconds + REMOVAL_PERIOD
+        val silence =
+            (settings.workers.heartbeatPeriodS * MAX_MISSED_HEARTBEATS).seconds + REMOVAL_PERIOD
         pending.removeSilent(context.now - silence)
     }
 
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -27,7 +27,7 @@
 import org.agrona.collections.Long2ObjectHashMap
 import wardmux.core.HttpStatus
 import wardmux.core.Input
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.logging.logger
 import wardmux.model.Micros
 
@@ -73,7 +73,7 @@
     private var workerConnections = 0
 
     /** Accepts connections on [address]; their requests carry [port]. */
-    fun listen(address: InetSocketAddress, port: Port): Channel =
+    fun listen(address: InetSocketAddress, port: ListenerKind): Channel =
         ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel::class.java)
@@ -103,8 +103,8 @@
             .channel()
 
     /** PROTOCOL does not bound what the controllers send each other. */
-    private fun maxBodyBytes(port: Port) =
-        if (port == Port.PEER) MAX_PEER_BODY_BYTES else MAX_BODY_BYTES
+    private fun maxBodyBytes(port: ListenerKind) =
+        if (port == ListenerKind.PEER) MAX_PEER_BODY_BYTES else MAX_BODY_BYTES
 
     /**
      * Answers the request [id], with a Retry-After header if [retryAfterS] is given, in seconds.
@@ -147,14 +147,16 @@
             respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
     }
 
-    private inner class Connection(private val port: Port) : ChannelInboundHandlerAdapter() {
+    private inner class Connection(private val port: ListenerKind) :
+        ChannelInboundHandlerAdapter() {
         private var currentId = 0L
         private var isWorker = false
 
         override fun channelActive(context: ChannelHandlerContext) {
             openConnections++
             // Answered at once, so that the client can go to another controller.
-            if (port == Port.API && openConnections > maxConnections) respondUnavailable(context)
+            if (port == ListenerKind.API && openConnections > maxConnections)
+                respondUnavailable(context)
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
@@ -176,7 +178,7 @@
          * Counts a connection as a worker's by its first heartbeat; false if it is one too many.
          */
         private fun admits(path: String): Boolean {
-            if (isWorker || port != Port.API || path != ApiPaths.HEARTBEAT) return true
+            if (isWorker || port != ListenerKind.API || path != ApiPaths.HEARTBEAT) return true
             isWorker = true
             return ++workerConnections <= maxWorkerConnections
         }
--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -86,7 +86,7 @@
 
     private fun accept(call: Long, spec: JobSpec) {
         val job = spec.jobId
-        val record = JobRecord(JobState.ACCEPTED, context.wall.value, spec).toJson()
+        val record = JobRecord(JobState.ACCEPTED, context.wallTime.value, spec).toJson()
         val changes =
             listOf(
                 WriteOperation(put = JobRecord.key(job), data = record),
--- a/src/main/kotlin/wardmux/leader/ControllerServices.kt
+++ b/src/main/kotlin/wardmux/leader/ControllerServices.kt
@@ -49,5 +49,5 @@
     val renewalCounters = RenewalCounters(context)
     val renewals = LeaseRenewals(context, renewalCounters)
     val peerHeartbeats = PeerHeartbeats(context, platform.member, peerNames, cancellations)
-    val heartbeatReader = WorkerHeartbeatReader(platform.deployment.limits.reportCacheBytes)
+    val heartbeatReader = WorkerHeartbeatReader(platform.deployment.limits.heartbeatCacheBytes)
 }
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -1,10 +1,7 @@
 package wardmux.leader
 
-import wardmux.cloud.CapacityDemand
-import wardmux.cloud.CloudClient
-import wardmux.cloud.MachineDrainer
 import wardmux.cloud.Provisioner
-import wardmux.cloud.RentalOrders
+import wardmux.cloud.ProvisioningEnvironment
 import wardmux.drain.DrainEnvironment
 import wardmux.drain.LeaderDrains
 import wardmux.election.LeaderElection
@@ -63,7 +60,7 @@
         FairQueue(
             deployment.teams.associate { it.name to it.cpus },
             operators.halfLifeS.seconds,
-            operators.normS,
+            operators.usageNormS,
         )
     val cluster = ClusterState(context, deployment.teams, queue)
     private val knowledge =
@@ -148,25 +145,30 @@
             ),
             decommissioner,
         )
+    private val machineLifecycle =
+        MachineLifecycle(status, decommissioner, placementStore, leadership)
     val provisioner =
         Provisioner(
             context,
-            cloud,
-            pools,
-            cluster,
-            registry,
-            planner,
+            ProvisioningEnvironment(
+                cloud,
+                store,
+                cluster,
+                registry,
+                planner,
+                pools,
+                stopper,
+                machineLifecycle,
+            ),
+            deployment,
             operators,
-            deployment.cloud,
-            CapacityDemand(context, cluster, deployment.objectives) { store.maxValueBytes },
-            rentalOrders(cloud),
-            MachineDrainer(context, cluster, planner.eligibility, stopper),
-            decommissioner::decommission,
-            placementStore::dropDecommissionRecord,
+            role.token,
         )
     /** Drains that operators asked for; null where these are switched off. */
     val drains: LeaderDrains? =
-        operators.drain?.let { LeaderDrains(context, drainEnvironment(), it) }
+        operators.drain?.let {
+            LeaderDrains(context, drainEnvironment(), deployment, operators, it)
+        }
     val jobs = JobRegistry(cluster, TaskPageCodec.tasksPerPage(store.pageLayoutBytes))
     val cancellationHandler = JobCancellationHandler(cluster, directCommands, cancellations)
     val resignationCheck = ResignationCheck(services, leadership, reachability, health)
@@ -177,28 +179,12 @@
         DrainEnvironment(
             store,
             role,
+            machineLifecycle,
             cluster,
             planner.eligibility,
             stopper,
             provisioner,
-            deployment,
-            operators,
-            { types.types.orEmpty() },
-            { status.mayDecide },
-            decommissioner::decommission,
-            leadership::fenced,
-        )
-
-    private fun rentalOrders(cloud: CloudClient) =
-        RentalOrders(
-            context,
-            cloud,
-            cluster,
-            registry,
-            operators,
-            role.token,
-            deployment.cloud,
-            deployment.zones,
+            types,
         )
 
     /** Treats what is stored as unknown until it is loaded again. */
--- a/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
+++ b/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
@@ -29,7 +29,7 @@
     override fun onStateUnknown() = components.reload()
 
     override fun onJobDone(job: Job) {
-        val turnaround = services.context.wall - job.acceptedAt
+        val turnaround = services.context.wallTime - job.acceptedAt
         log.info(
             "{} is done: {} {} tasks for {} took {} s, deadline: {} s",
             job.id,
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -68,7 +68,7 @@
     /** Places [task] of [job] on [machine] and charges its team. */
     fun place(job: Job, task: Int, machine: Machine): Placement {
         val cost = cost(job.spec, estimates.runTime(job.spec))
-        val charge = queue.charge(job.spec.team, cost, context.wall)
+        val charge = queue.charge(job.spec.team, cost, context.wallTime)
         val placement =
             Placement(
                 job,
@@ -79,7 +79,7 @@
                 machine.zone,
                 charge,
             )
-        job.place(placement, context.wall)
+        job.place(placement, context.wallTime)
         addPlacement(placement, machine)
         machine.images.use(job.spec.image, job.spec.imageGb, context.now)
         return placement
@@ -145,7 +145,7 @@
             reason,
         )
         removePlacement(placement)
-        placement.job.release(placement, context.wall)
+        placement.job.release(placement, context.wallTime)
         val gang = placement.job.gangAttempt
         if (gang != null && gang.hasRun && !placement.job.allTasksDone) {
             abortGangAttempt(placement.job)
@@ -172,8 +172,8 @@
     fun rollBack(placement: Placement) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         removePlacement(placement)
-        queue.refund(placement.job.spec.team, placement.charge, context.wall)
-        placement.job.rollBack(placement, context.wall)
+        queue.refund(placement.job.spec.team, placement.charge, context.wallTime)
+        placement.job.rollBack(placement, context.wallTime)
         markChanged()
     }
 
@@ -195,7 +195,7 @@
         if (since != null) {
             val runTime = context.now - since
             estimates.record(job.spec, runTime)
-            queue.settle(job.spec.team, placement.charge, cost(job.spec, runTime), context.wall)
+            queue.settle(job.spec.team, placement.charge, cost(job.spec, runTime), context.wallTime)
         }
         complete(job, placement.task.index)
         release(placement, "done")
@@ -203,8 +203,8 @@
 
     /** [task] has completed; the tasks of a gang complete together, so one says it of all. */
     fun complete(job: Job, task: Int) {
-        if (!job.spec.isGang) return job.complete(task, context.wall)
-        for (each in 0 until job.spec.tasks) job.complete(each, context.wall)
+        if (!job.spec.isGang) return job.complete(task, context.wallTime)
+        for (each in 0 until job.spec.tasks) job.complete(each, context.wallTime)
     }
 
     /** Everything on [machine] is proven gone, for [reason]. */
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -24,7 +24,7 @@
      */
     fun usable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        val maxSilence = (workers.reportS * operators.quietReports).seconds
+        val maxSilence = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
         return machine.hasAdoptedToken &&
             !machine.isDecommissioned &&
             !machine.isScalingIn &&
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -109,7 +109,7 @@
         addExpiredDecommissions(transaction)
         if (transaction.operations.isEmpty()) return
         transaction.requireVersion(FairQueue.KEY, tagsVersion)
-        transaction.put(FairQueue.KEY, cluster.queue.toJson(context.wall, store.maxValueBytes))
+        transaction.put(FairQueue.KEY, cluster.queue.toJson(context.wallTime, store.maxValueBytes))
         inFlight = true
         store.compareAndSwap(
             transaction.conditions,
@@ -209,7 +209,7 @@
     /** The transaction was surely not applied: its placements are undone, the rest is retried. */
     private fun rollBack(transaction: PlacementTransaction) {
         for (written in transaction.writtenPages) {
-            written.job.pages.markDirty(written.page, context.wall)
+            written.job.pages.markDirty(written.page, context.wallTime)
             for (placement in written.placements) cluster.rollBack(placement)
         }
     }
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -47,13 +47,14 @@
     val gangReservations = GangReservations(context, cluster, eligibility, gangPlacement, workers)
 
     /** Machine types that are reserved for jobs which have waited too long. */
-    val typeReservations = TypeReservations(context, eligibility, operators.longestWaitS.seconds)
-    private val order = TeamJobOrder(objectives, cluster.estimates, operators.longestWaitS.seconds)
+    val typeReservations = TypeReservations(context, eligibility, operators.maxWaitS.seconds)
+    private val order = TeamJobOrder(objectives, cluster.estimates, operators.maxWaitS.seconds)
 
     /** Places what it can while [budget] has room for the job's page in the next transaction. */
     fun plan(budget: PageWriteBudget) {
         gangPlacement.maxBytes = budget.maxBytes
-        val ready = cluster.jobs.values.filter { it.waiting > 0 && context.wall >= it.backoffUntil }
+        val ready =
+            cluster.jobs.values.filter { it.waiting > 0 && context.wallTime >= it.backoffUntil }
         if (ready.isEmpty()) {
             if (cluster.jobs.values.all { it.placements.isEmpty() }) {
                 cluster.queue.advanceToHighestTag()
@@ -85,7 +86,7 @@
                 jobs
                     .groupBy { it.spec.team }
                     .mapValues { (team, own) ->
-                        order.sort(own, reachableCpus(team, isRoomScarce), context.wall)
+                        order.sort(own, reachableCpus(team, isRoomScarce), context.wallTime)
                     }
             }
     }
--- a/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
+++ b/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
@@ -56,7 +56,7 @@
      * enough; after each time it waits again, for the room to come.
      */
     fun mayReclaim(job: Job): Boolean {
-        val pause = operators.callBackAfterS.seconds
+        val pause = operators.reclaimAfterS.seconds
         val own = cluster.teams[job.spec.team] ?: return false
         if (cluster.usedCpus(own.name) + job.spec.cpus > own.cpus) return false
         return blockedTime(job) >= pause && context.now - job.lastReclaimAt >= pause
--- a/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
@@ -57,7 +57,7 @@
 
     private fun isWriteDue(job: Job): Boolean {
         val since = job.pages.dirtySince ?: return false
-        return !job.hasEnded && !job.allTasksDone && context.wall - since >= DIRTY_PAGE_DELAY
+        return !job.hasEnded && !job.allTasksDone && context.wallTime - since >= DIRTY_PAGE_DELAY
     }
 
     private fun isOversized(job: Job, page: Int) =
--- a/src/main/kotlin/wardmux/scheduling/TypeReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/TypeReservations.kt
@@ -27,7 +27,7 @@
     }
 
     private fun isOverdue(job: Job) =
-        !job.hasStarted && !job.isFailing && context.wall - job.acceptedAt > maxWait
+        !job.hasStarted && !job.isFailing && context.wallTime - job.acceptedAt > maxWait
 
     /** True if the type with this label is reserved for the jobs that fit it exactly. */
     internal fun isReserved(label: String) = label in reserved
--- a/src/test/kotlin/wardmux/app/FormatAdditions.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditions.kt
@@ -14,8 +14,8 @@
 import wardmux.drain.DrainState
 import wardmux.drain.DrainStatus
 import wardmux.drain.DrainStep
-import wardmux.drain.ForwardedAnswer
 import wardmux.drain.ForwardedRequest
+import wardmux.drain.ForwardedResponse
 import wardmux.drain.PauseReason
 import wardmux.drain.Source
 import wardmux.drain.StepOrder
@@ -181,14 +181,14 @@
                 ),
             "forwarded answer" to
                 CborFormat.encode(
-                    ForwardedAnswer.serializer(),
-                    ForwardedAnswer(503, """{"error":"später"}""", retryAfterS = 2),
+                    ForwardedResponse.serializer(),
+                    ForwardedResponse(503, """{"error":"später"}""", retryAfterS = 2),
                 ),
             "plain forwarded answer" to
-                CborFormat.encode(ForwardedAnswer.serializer(), ForwardedAnswer(200, "{}")),
+                CborFormat.encode(ForwardedResponse.serializer(), ForwardedResponse(200, "{}")),
         )
 
-    private val BUDGET = BudgetStatus(team = "web", limit = 4, disrupted = 3, leastReplicas = 2)
+    private val BUDGET = BudgetStatus(team = "web", limit = 4, disrupted = 3, minReplicas = 2)
 
     private val STATUS =
         DrainStatus(
--- a/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
+++ b/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
@@ -24,8 +24,8 @@
 import wardmux.drain.DrainState
 import wardmux.drain.DrainStatus
 import wardmux.drain.DrainStep
-import wardmux.drain.ForwardedAnswer
 import wardmux.drain.ForwardedRequest
+import wardmux.drain.ForwardedResponse
 import wardmux.drain.PauseReason
 import wardmux.drain.Source
 import wardmux.drain.StepOrder
@@ -205,12 +205,12 @@
             assertEquals("/drains/rack-7/pause", it.path)
             assertContentEquals(byteArrayOf(123, 0, 127, -128, -1, 125), it.body)
         }
-        eachMessage("forwarded answer", ForwardedAnswer.serializer()) {
+        eachMessage("forwarded answer", ForwardedResponse.serializer()) {
             assertEquals(503, it.status)
             assertEquals("""{"error":"später"}""", it.body)
             assertEquals(2, it.retryAfterS)
         }
-        eachMessage("plain forwarded answer", ForwardedAnswer.serializer()) {
+        eachMessage("plain forwarded answer", ForwardedResponse.serializer()) {
             assertEquals(200, it.status)
             assertEquals("{}", it.body)
             assertNull(it.retryAfterS)
@@ -240,7 +240,7 @@
         assertEquals("web", budget.team)
         assertEquals(4, budget.limit)
         assertEquals(3, budget.disrupted)
-        assertEquals(2, budget.leastReplicas)
+        assertEquals(2, budget.minReplicas)
     }
 
     private fun assertStored(status: DrainStatus) {
--- a/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
+++ b/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
@@ -29,19 +29,19 @@
     @Test
     fun `each setting of a controller is read into its own field`() {
         assertEquals(601.0, settings.halfLifeS)
-        assertEquals(602.0, settings.normS)
+        assertEquals(602.0, settings.usageNormS)
         assertEquals(4.5, settings.leaderLeaseS)
         assertEquals(0.5, settings.writePeriodS)
         assertEquals(1.5, settings.leaseMarginS)
-        assertEquals(3.5, settings.quietReports)
-        assertEquals(5.5, settings.lostReports)
+        assertEquals(3.5, settings.quietHeartbeats)
+        assertEquals(5.5, settings.lostHeartbeats)
         assertEquals(0.75, settings.idleKeepBoots)
         assertEquals(0.25, settings.spareShare)
         assertEquals(2.75, settings.preemptAfterS)
-        assertEquals(41.0, settings.callBackAfterS)
+        assertEquals(41.0, settings.reclaimAfterS)
         assertEquals(16.0, settings.refusedPauseS)
-        assertEquals(121.0, settings.longestWaitS)
-        assertEquals(501.0, settings.reportsPerCore)
+        assertEquals(121.0, settings.maxWaitS)
+        assertEquals(501.0, settings.heartbeatsPerCore)
     }
 
     @Test
@@ -51,9 +51,9 @@
         assertEquals("hu", drain.holidays)
         assertEquals(0.03, drain.solverShare)
         assertEquals(0.4, drain.solverTimeS)
-        assertEquals(6, drain.budget.mostDisrupted)
-        assertEquals(0.7, drain.budget.mostDisruptedShare)
-        assertEquals(8, drain.budget.leastReplicas)
+        assertEquals(6, drain.budget.maxDisrupted)
+        assertEquals(0.7, drain.budget.maxDisruptedShare)
+        assertEquals(8, drain.budget.minReplicas)
         assertEquals(39.0, drain.budget.stepPauseS)
     }
 
@@ -61,9 +61,9 @@
     fun `each setting of a team's budget and of a window is read into its own field`() {
         val team = drain.teams.single()
         assertEquals("team-1", team.team)
-        assertEquals(11, team.mostDisrupted)
-        assertEquals(0.12, team.mostDisruptedShare)
-        assertEquals(13, team.leastReplicas)
+        assertEquals(11, team.maxDisrupted)
+        assertEquals(0.12, team.maxDisruptedShare)
+        assertEquals(13, team.minReplicas)
         assertEquals(14.5, team.stepPauseS)
         val window = drain.windows.single()
         assertEquals("FREQ=WEEKLY;BYDAY=TU", window.rule)
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -34,7 +34,7 @@
                 problem.machines.map { it.machine }.sortedBy { it.value }
 
     @Test
-    fun `first fit is not always the fewest, and the solver finds that`() {
+    fun `the solver finds fewer steps where first fit is not optimal`() {
         // By tasks: 5 4 3 3 2 1 under 9; first fit decreasing takes (5 4) (3 3 2 1): two steps.
         // With two teams it packs worse than need be.
         val loads =
@@ -79,7 +79,7 @@
         var greedySteps = 0
         var solvedSteps = 0
         var optimal = 0
-        var mostCpus = 0.0
+        var maxCpus = 0.0
         val began = System.nanoTime()
         for (seed in 1..SEEDS) {
             val problem = seeded(seed, machines)
@@ -91,17 +91,17 @@
             assertTrue(solved.measure <= greedy.measure, "seed $seed")
             greedySteps += greedy.measure.steps
             solvedSteps += solved.measure.steps
-            mostCpus += solved.measure.mostCpus - greedy.measure.mostCpus
+            maxCpus += solved.measure.maxCpus - greedy.measure.maxCpus
             if (solved.isOptimal) optimal++
         }
         val milliseconds = (System.nanoTime() - began) / 1_000_000 / SEEDS
         assertTrue(solvedSteps < greedySteps, "the solver never found fewer steps")
         return "$machines machines: greedy $greedySteps steps, solver $solvedSteps, " +
-            "$optimal of $SEEDS proven, CPUs at once by $mostCpus, $milliseconds ms each"
+            "$optimal of $SEEDS proven, CPUs at once by $maxCpus, $milliseconds ms each"
     }
 
     @Test
-    fun `seeded problems keep all limits, and the solver is never worse`() {
+    fun `plans of seeded problems are within all limits, and the solver is never worse`() {
         for (size in sizes ?: listOf(8, 14)) {
             val figures = compare(size)
             if (sizes != null) println(figures)
@@ -109,7 +109,7 @@
     }
 
     @Test
-    fun `a machine beyond a limit goes alone, and zones are not mixed where they go in turn`() {
+    fun `a machine beyond a limit is a step of its own, and steps by zone do not mix zones`() {
         val loads =
             listOf(load(1, "b", "x" to 9), load(2, "a", "x" to 1), load(3, "b"), load(4, "a"))
         val problem = problem(loads, mapOf("x" to 2), order = StepOrder.BY_ZONE)
@@ -120,7 +120,7 @@
     }
 
     @Test
-    fun `replicas of a service are limited by themselves`() {
+    fun `replicas of a service have a limit of their own`() {
         val loads =
             List(4) {
                 MachineLoad(MachineId("i-$it"), "a", 1.0, mapOf("x" to 1), mapOf("job-1" to 1))
--- a/src/test/kotlin/wardmux/drain/LoopbackSite.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -12,8 +12,8 @@
 import wardmux.config.TeamQuota
 import wardmux.config.WorkerTiming
 import wardmux.core.Input
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.election.LeaderRecord
 import wardmux.http.HttpClient
 import wardmux.http.HttpServer
@@ -29,11 +29,11 @@
 import wardmux.worker.Redirect
 
 /**
- * Controllers as processes of their own among stand-ins for all that they deal with, over sockets
- * on loopback in real time. The stand-ins are those of the simulation: their clock follows the real
- * one, and one event loop owns them.
+ * Controllers as processes of their own in real time, over sockets on loopback, with the
+ * simulation's fakes of all other services. The clock of the fakes follows the real one, and one
+ * event loop owns them.
  */
-class LoopbackSite(
+class LoopbackCluster(
     private val directory: File,
     private val operators: String,
     machines: Int,
@@ -46,10 +46,11 @@
     private val zones = listOf("a", "b", "c")
     private val nodes = listOf("n0", "n1", "n2")
     private val teams = List(TEAMS) { TeamQuota("team-$it", teamCpus, teamCpus) }
-    private val workerFacts = WorkerTiming(reportS = 1.0, leaseS = 16.0, cancelS = 36.0)
-    private val stateFacts = StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
-    private val state = FakeStateService(clock, stateFacts)
-    private val rules = Rules(teams, workerFacts.cancelS.seconds + Rules.SLACK)
+    private val workerTiming = WorkerTiming(heartbeatPeriodS = 1.0, leaseS = 16.0, cancelS = 36.0)
+    private val storeLimits =
+        StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
+    private val state = FakeStateService(clock, storeLimits)
+    private val rules = Rules(teams, workerTiming.cancelS.seconds + Rules.SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
     private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
@@ -80,24 +81,24 @@
         nodes.forEach(::start)
     }
 
-    /** Seconds that machines were up, of all together. */
+    /** The sum of the seconds for which machines were up. */
     private var machineSeconds = 0L
 
-    /** Seconds that machines were up until now, of all together. */
+    /** The sum of the seconds for which machines have been up until now. */
     fun machineSeconds(): Long = onLoop { machineSeconds }
 
-    /** Where operators reach the controllers. */
+    /** The operators' listeners of the controllers. */
     val operatorAddresses: List<String>
         get() = addresses.values.map { "$HOST:${it.operators}" }
 
-    /** What the stand-ins own is read and changed on their loop alone. */
+    /** The state of the fakes is read and changed on their loop only. */
     private fun <T> onLoop(action: () -> T): T = loop.submit(Callable { action() }).get()
 
     private fun freePort() = ServerSocket(0, 1, InetAddress.getByName(HOST)).use { it.localPort }
 
     private fun client(port: Int) = HttpClient(group, InetSocketAddress(HOST, port), 1, MAX_BYTES)
 
-    /** Listens on a thread of its own, and has what comes handled on the loop; gives the port. */
+    /** Listens on another thread and handles requests on the loop; returns the port. */
     private fun serve(handle: (Input.Request, (Int, String) -> Unit) -> Unit): Int {
         lateinit var server: HttpServer
         val onArrival: (Input.Request) -> Unit = { arrival ->
@@ -110,7 +111,7 @@
             }
         }
         server = HttpServer(acceptors, MANY, MANY, IDLE_S, onArrival)
-        val channel = server.listen(InetSocketAddress(HOST, 0), Port.PEER)
+        val channel = server.listen(InetSocketAddress(HOST, 0), ListenerKind.PEER)
         return (channel.localAddress() as InetSocketAddress).port
     }
 
@@ -126,7 +127,7 @@
                 zone,
                 spot,
                 clock,
-                workerFacts,
+                workerTiming,
                 nodes,
                 rules,
                 specs::get,
@@ -170,19 +171,19 @@
                 .start()
     }
 
-    /** Ends the process of a controller without notice. */
+    /** Kills the process of a controller. */
     fun kill(node: String) {
         processes.remove(node)?.destroyForcibly()?.waitFor()
     }
 
-    /** Who leads, by what is stored. */
+    /** The leader, by the stored record. */
     fun leader(): String? = onLoop {
         state.value("leader")?.let {
             lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it).member
         }
     }
 
-    /** What is stored of a drain. */
+    /** The stored record of a drain. */
     fun stored(id: String): DrainRecord? = onLoop {
         state.value(DrainRecord.key(id))?.let {
             lenientJson.decodeFromJsonElement(DrainRecord.serializer(), it)
@@ -196,7 +197,7 @@
             rules.submitted(spec)
         }
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
-        repeat(MOST_TRIES) {
+        repeat(MAX_TRIES) {
             val reply = CompletableFuture<Outcome>()
             loop.execute {
                 users.values
@@ -215,12 +216,12 @@
         cloud.workers().filter { zone == null || it.zone == zone }.map { it.id }
     }
 
-    /** Machines on which something runs. */
+    /** Machines that run tasks. */
     fun busyMachines(zone: String): List<String> = onLoop {
         cloud.workers().filter { it.zone == zone && it.tasksThere > 0 }.map { it.id }
     }
 
-    /** A machine stops with all that is on it. */
+    /** Crashes a machine with its tasks. */
     fun crash(machine: String) = onLoop {
         cloud.workers().filter { it.id == machine }.forEach(cloud::kill)
     }
@@ -228,7 +229,7 @@
     /** How many replicas run. */
     fun running(jobs: List<JobSpec>): Int = onLoop { jobs.sumOf { rules.machinesOf(it.id).size } }
 
-    /** What the stand-ins' own records say against the controllers. */
+    /** Invariants that the controllers broke, by the records of the fakes. */
     fun problems(limit: Int, noticedAfter: Micros): List<String> = onLoop {
         rules.broken +
             state.problems +
@@ -236,12 +237,12 @@
             rules.losses.beyond({ limit }, noticedAfter)
     }
 
-    /** The most that each team had lost at once. */
+    /** The most tasks of each team that were disrupted at once. */
     fun peaks(): Map<String, Int> = onLoop {
         teams.associate { it.name to rules.losses.peakOf(it.name) }
     }
 
-    /** Time since the site began. */
+    /** Time since the cluster was started. */
     fun now(): Micros = onLoop { clock.now }
 
     /** The last lines that a controller logged. */
@@ -286,15 +287,15 @@
 
 $teams
 [facts.workers]
-report_s = ${workerFacts.reportS}
-lease_s = ${workerFacts.leaseS}
-cancel_s = ${workerFacts.cancelS}
+report_s = ${workerTiming.heartbeatPeriodS}
+lease_s = ${workerTiming.leaseS}
+cancel_s = ${workerTiming.cancelS}
 
 [facts.state]
-rps = ${stateFacts.rps}
-write_rps = ${stateFacts.writeRps}
-value_kb = ${stateFacts.valueKb}
-txn_ops = ${stateFacts.txnOps}
+rps = ${storeLimits.rps}
+write_rps = ${storeLimits.writeRps}
+value_kb = ${storeLimits.valueKb}
+txn_ops = ${storeLimits.txnOps}
 
 [facts.cloud]
 rps = 8.0
@@ -315,7 +316,7 @@
         const val MAX_BYTES = 16 * 1024 * 1024
         const val MANY = 10_000
         const val IDLE_S = 90L
-        const val MOST_TRIES = 60
+        const val MAX_TRIES = 60
         const val RETRY_MILLIS = 500L
         const val LOG_LINES = 30
         val REPORT_TIMEOUT = 4.seconds
--- a/src/test/kotlin/wardmux/http/HttpServerTest.kt
+++ b/src/test/kotlin/wardmux/http/HttpServerTest.kt
@@ -9,7 +9,7 @@
 import kotlin.test.assertEquals
 import kotlinx.serialization.json.JsonPrimitive
 import wardmux.core.Input
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.jobs.submission
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
@@ -22,7 +22,7 @@
         HttpServer(group, maxConnections = 3, maxWorkerConnections = 2, idleSeconds = 60, ::answer)
     private val address =
         server
-            .listen(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), Port.API)
+            .listen(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ListenerKind.API)
             .localAddress() as InetSocketAddress
 
     private fun answer(request: Input.Request) {
--- a/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.model.seconds
 import wardmux.peers.PeerHeartbeat
 import wardmux.peers.PeerHeartbeatCodec
@@ -59,7 +59,7 @@
         fun pass(inSeconds: Int, senders: List<ManualWorker>, withPeer: Boolean) =
             repeat(inSeconds) {
                 for (machine in senders) machine.report(token)
-                if (withPeer) harness.call("POST", "/beat", peerHeartbeat, Port.PEER)
+                if (withPeer) harness.call("POST", "/beat", peerHeartbeat, ListenerKind.PEER)
                 harness.run(1.seconds)
             }
     }
@@ -109,8 +109,11 @@
         val record = harness.stored("leader")!!.jsonObject
         assertEquals("rig", record.getValue("boot").jsonPrimitive.content)
         val heartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("stranger", token = Long.MAX_VALUE))
-        assertEquals(400, harness.call("POST", "/beat", heartbeat, Port.PEER)?.first)
-        assertEquals(400, harness.call("POST", "/beat", ByteArray(9) { -1 }, Port.PEER)?.first)
+        assertEquals(400, harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)?.first)
+        assertEquals(
+            400,
+            harness.call("POST", "/beat", ByteArray(9) { -1 }, ListenerKind.PEER)?.first,
+        )
         machine.token()
     }
 
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -8,8 +8,8 @@
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
 import wardmux.config.OperatorSettings
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.forwarding.ForwardingCodec
 import wardmux.forwarding.FullHeartbeat
 import wardmux.forwarding.HeartbeatBatch
@@ -30,7 +30,7 @@
  */
 class LeaderRenewalTest {
     private val harness =
-        ControllerHarness(peers = listOf("n1"), OperatorSettings(reportsPerCore = 0.0))
+        ControllerHarness(peers = listOf("n1"), OperatorSettings(heartbeatsPerCore = 0.0))
     private val machine = ManualWorker(harness, "i-000001")
     private val other = ManualWorker(harness, "i-000099")
     private val job = plainJob(1)
@@ -64,7 +64,7 @@
 
     private fun batch(token: Long, vararg reports: FullHeartbeat): HeartbeatBatchResponse {
         val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports.toList())
-        harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), Port.PEER)
+        harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), ListenerKind.PEER)
         return assertNotNull(ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall)))
     }
 
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -22,14 +22,14 @@
 
 /** A planner with its collaborators, for cluster states set up by hand. */
 class PlannerHarness(teams: List<TeamQuota>, types: List<MachineType>, now: Micros) {
-    val context = CoreContext().also { it.at(now, now) }
+    val context = CoreContext().also { it.setTime(now, now) }
     val cluster =
         ClusterState(
             context,
             teams,
             FairQueue(teams.associate { it.name to it.cpus }, 600.seconds, 600.0),
         )
-    private val workers = WorkerTiming(reportS = 6.0, leaseS = 36.0, cancelS = 66.0)
+    private val workers = WorkerTiming(heartbeatPeriodS = 6.0, leaseS = 36.0, cancelS = 66.0)
     val evictor = TaskEvictor(cluster, workers)
     val pools = MachinePools(context) { types }
     val planner = Planner(context, cluster, OperatorSettings(), workers, emptyList(), pools)
@@ -61,7 +61,7 @@
         val placement = placement(job, task, machine)
         placement.isCommitted = true
         placement.status = TaskStatus.RUNNING
-        job.place(placement, context.wall)
+        job.place(placement, context.wallTime)
         cluster.addPlacement(placement, machine)
     }
 
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -18,16 +18,16 @@
 import wardmux.core.Effect
 import wardmux.core.HttpStatus
 import wardmux.core.Input
+import wardmux.core.ListenerKind
 import wardmux.core.Outcome
-import wardmux.core.Port
 import wardmux.core.Target
+import wardmux.drain.DrainPlanning
 import wardmux.drain.SolverPlanner
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.model.seconds
-import wardmux.store.KeyValueStore
 
 /** Real controllers among fakes of all that they deal with, in simulated time. */
 class ClusterSimulation(
@@ -167,15 +167,16 @@
             when (effect) {
                 is Effect.Respond -> answers.remove(effect.id)?.invoke(effect.status, effect.body)
                 is Effect.SendRequest -> send(effect)
-                is Effect.Solve -> solve(effect)
+                is Effect.Compute -> compute(effect)
             }
         }
 
         /** Bounded by nodes and not by time, so that a seed always gives the same day. */
-        private fun solve(effect: Effect.Solve) {
+        private fun compute(effect: Effect.Compute) {
             if (lostPlans > 0 && clock.chance(lostPlans)) return
-            val plan = SolverPlanner.plan(effect.problem, 60.seconds, nodes = 2_000)
-            clock.after(200.milliseconds) { feed(Input.Solved(effect.id, plan)) }
+            val planning = effect.task as DrainPlanning
+            val plan = SolverPlanner.plan(planning.problem, 60.seconds, nodes = 2_000)
+            clock.after(200.milliseconds) { feed(Input.Computed(effect.id, plan)) }
         }
 
         private fun send(effect: Effect.SendRequest) {
@@ -215,7 +216,14 @@
                     else clock.after(late) { deliver(workers[host], effect.path, body, back) }
                 }
                 is Target.Peer ->
-                    call(target.member, Port.PEER, effect.method, effect.path, effect.body, answer)
+                    call(
+                        target.member,
+                        ListenerKind.PEER,
+                        effect.method,
+                        effect.path,
+                        effect.body,
+                        answer,
+                    )
             }
         }
     }
@@ -256,7 +264,7 @@
 
     private fun call(
         member: String,
-        port: Port,
+        port: ListenerKind,
         method: String,
         path: String,
         body: ByteArray,
@@ -274,7 +282,9 @@
         body: String,
         answer: (Int, String) -> Unit,
     ) {
-        val again = { call(node, Port.API, "POST", "/hello", body.encodeToByteArray()) { _, _ -> } }
+        val again = {
+            call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray()) { _, _ -> }
+        }
         network.copy(again)
         if (id in network.mute) return
         network.reportAgain(again)
@@ -283,7 +293,7 @@
                 network.send(node, id) { answer(status, text.decodeToString()) }
             }
             if (connections.admits(id, node))
-                call(node, Port.API, "POST", "/hello", body.encodeToByteArray(), back)
+                call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray(), back)
             else back(HttpStatus.SERVICE_UNAVAILABLE, ByteArray(0))
         }
     }
@@ -351,7 +361,7 @@
         body: String = "",
         by: String? = null,
         then: (status: Int?, text: String) -> Unit,
-    ) = users.ask(Port.OPERATOR, method, path, body.encodeToByteArray(), by, then)
+    ) = users.ask(ListenerKind.OPERATOR, method, path, body.encodeToByteArray(), by, then)
 
     /** See [SimulatedUsers.submit]. */
     fun submit(spec: JobSpec) = users.submit(spec)
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -104,7 +104,7 @@
     @MethodSource("relayedSeeds")
     fun `nor where all controllers take heartbeats`(seed: Long) {
         val scenario =
-            Scenario(seed, grown = true, operators = OperatorSettings(reportsPerCore = 0.0))
+            Scenario(seed, grown = true, operators = OperatorSettings(heartbeatsPerCore = 0.0))
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
         assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
@@ -113,7 +113,7 @@
     @ParameterizedTest
     @MethodSource("frozenSeeds")
     fun `nor with frozen controllers and cut zones besides`(seed: Long) {
-        val relays = OperatorSettings(reportsPerCore = 0.0)
+        val relays = OperatorSettings(heartbeatsPerCore = 0.0)
         val scenario = Scenario(seed, grown = true, fleet = true, operators = relays)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
@@ -128,7 +128,7 @@
     @ParameterizedTest
     @MethodSource("huntedSeeds")
     fun `nor with them where all controllers take heartbeats`(seed: Long) =
-        hunted(seed, OperatorSettings(reportsPerCore = 0.0))
+        hunted(seed, OperatorSettings(heartbeatsPerCore = 0.0))
 
     private fun hunted(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import wardmux.config.TeamQuota
-import wardmux.core.Port
+import wardmux.core.ListenerKind
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
@@ -19,7 +19,7 @@
     /** Calls [member] on [port]; [answer] is never called if it is down. */
     fun call(
         member: String,
-        port: Port,
+        port: ListenerKind,
         method: String,
         path: String,
         body: ByteArray,
@@ -59,11 +59,11 @@
         body: ByteArray,
         by: String? = null,
         then: (status: Int?, text: String) -> Unit,
-    ) = ask(Port.API, method, path, body, by, then)
+    ) = ask(ListenerKind.API, method, path, body, by, then)
 
     /** Asks the controller [by], or any; [then] gets no status if it never answers. */
     fun ask(
-        port: Port,
+        port: ListenerKind,
         method: String,
         path: String,
         body: ByteArray,
--- a/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
@@ -18,15 +18,16 @@
 
     private fun run(seconds: Int, request: () -> Unit = {}) =
         repeat(seconds * 10) {
-            context.at(context.now + 100.milliseconds, context.wall)
+            context.setTime(context.now + 100.milliseconds, context.wallTime)
             request()
             store.sendDue()
-            for (effect in context.take()) if (effect is Effect.SendRequest) sent.add(effect.path)
+            for (effect in context.takeEffects()) if (effect is Effect.SendRequest)
+                sent.add(effect.path)
         }
 
     @Test
     fun `behind many reads a follower still learns who leads`() {
-        context.at(1.seconds, 1.seconds)
+        context.setTime(1.seconds, 1.seconds)
         run(5) { repeat(5) { store.get("j/job-000001") {} } }
         store.watch("leader", Revision(1), 8.seconds, RequestPriority.LEASE) {}
         run(1) { repeat(5) { store.get("j/job-000001") {} } }
@@ -35,7 +36,7 @@
 
     @Test
     fun `a request whose turn never comes expires in time and is not left unanswered`() {
-        context.at(1.seconds, 1.seconds)
+        context.setTime(1.seconds, 1.seconds)
         var expired = 0
         run(4) {
             repeat(5) { store.get("j/job-000001", RequestPriority.LEADER) {} }
