--- a/src/main/kotlin/wardmux/forwarding/Forwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/Forwarder.kt
@@ -61,6 +61,6 @@
         rebalanceTarget = target
     }
 
-    /** How many workers it is to redirect; it is told so once. */
+    /** How many workers it is to redirect; 0 once this was read. */
     fun takeRebalanceCount(): Int = rebalanceCount.also { rebalanceCount = 0 }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -74,7 +74,7 @@
         sentAt: Micros,
         responses: MachineResponses,
     ) {
-        for (full in batch.reports) {
+        for (full in batch.fullHeartbeats) {
             val heartbeat = reader.read(full.body) ?: continue
             forwarder.store(full.number, heartbeat)
             apply(forwarder, heartbeat, sentAt, responses)
--- a/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
@@ -47,7 +47,7 @@
     @SerialName("echo") val echoedClock: Long,
     /** Time at the follower since that response, in microseconds. */
     @SerialName("since") val sinceEcho: Long,
-    @SerialName("reports") val reports: List<FullHeartbeat> = emptyList(),
+    @SerialName("reports") val fullHeartbeats: List<FullHeartbeat> = emptyList(),
     /**
      * Unchanged heartbeats, two numbers each: that of the [FullHeartbeat] which they equal, and
      * their tick.
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -210,7 +210,7 @@
                 // Heartbeats that are left out were answered too: the leader may not count on all.
                 echoedClock = if (isComplete) grant.leaderClock else 0,
                 sinceEcho = grant.sinceResponse.value,
-                reports = content.full,
+                fullHeartbeats = content.full,
                 unchanged = content.unchanged,
             )
         send(name, current, batch, content)
@@ -248,9 +248,10 @@
             if (JobId(job) !in cancellations) cancellations.observeStored(JobId(job))
         }
         for (machine in response.rejectedMachines) {
-            // One that only may not be renewed is still heard: its heartbeats may change that.
-            val isStillHeard = grant.cancellationView?.mustStopTasksOn(MachineId(machine)) == true
-            if (!isStillHeard) pending[machine]?.isRejected = true
+            // Where only renewal is withheld, the heartbeats go on: they may show that it is
+            // allowed.
+            val isOnlyWithheld = grant.cancellationView?.mustStopTasksOn(MachineId(machine)) == true
+            if (!isOnlyWithheld) pending[machine]?.isRejected = true
         }
         for (one in waiting.takeAll()) {
             if (!handleHeartbeat(one.call, one.heartbeat, one.body)) redirector.redirect(one.call)
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -270,7 +270,7 @@
             token = 4_711,
             echoedClock = 55_000_000,
             sinceEcho = 250_000,
-            reports = listOf(FullHeartbeat(6, REPORT_BODY.encodeToByteArray())),
+            fullHeartbeats = listOf(FullHeartbeat(6, REPORT_BODY.encodeToByteArray())),
             unchanged = listOf(4, 90, 5, 1_000_000),
         )
 
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -405,7 +405,7 @@
         assertEquals(4_711, batch.token)
         assertEquals(55_000_000, batch.echoedClock)
         assertEquals(250_000, batch.sinceEcho)
-        val report = batch.reports.single()
+        val report = batch.fullHeartbeats.single()
         assertEquals(6, report.number)
         assertContentEquals(FormatContents.REPORT_BODY.encodeToByteArray(), report.body)
         assertEquals(listOf<Long>(4, 90, 5, 1_000_000), batch.unchanged)
@@ -464,7 +464,7 @@
             assertEquals(4_711, batch.token)
             assertEquals(0, batch.echoedClock)
             assertEquals(0, batch.sinceEcho)
-            assertEquals(0, batch.reports.size)
+            assertEquals(0, batch.fullHeartbeats.size)
             assertEquals(emptyList(), batch.unchanged)
         }
     }
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -60,7 +60,7 @@
     }
 
     private fun forwardedBodies() =
-        batches.flatMap { b -> b.reports.map { it.body.decodeToString() } }
+        batches.flatMap { b -> b.fullHeartbeats.map { it.body.decodeToString() } }
 
     @Test
     fun `with a grant it answers under the leader's token and forwards what changed`() {
--- a/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/RelayRenewalTest.kt
@@ -65,7 +65,8 @@
         harness.run(1.seconds)
     }
 
-    private fun told() = batches.flatMap { batch -> batch.reports.map { it.body.decodeToString() } }
+    private fun told() =
+        batches.flatMap { batch -> batch.fullHeartbeats.map { it.body.decodeToString() } }
 
     @Test
     fun `a machine that shows the task is renewed with its halt, and keeps all others`() {
