--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -66,7 +66,7 @@
     }
 
     private fun reportedToLeader() =
-        batches.flatMap { batch -> batch.reports.map { it.body.decodeToString() } }
+        batches.flatMap { batch -> batch.fullHeartbeats.map { it.body.decodeToString() } }
 
     @Test
     fun `a machine that lists the task is renewed with its stop, and keeps all others`() {
