--- a/src/main/kotlin/wardmux/drain/UrgentWork.kt
+++ b/src/main/kotlin/wardmux/drain/UrgentWork.kt
@@ -38,7 +38,6 @@
     }
 
     private companion object {
-        /** A shorter wait is that for the next plan. */
         val URGENT_WAIT = 1.seconds
     }
 }
