--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.ParameterException
 import picocli.CommandLine.Spec
+import wardmux.cli.DrainCommand
 import wardmux.config.InvalidSettingsException
 import wardmux.config.OperatorSettings
 import wardmux.config.PlatformConfig
 import wardmux.config.SettingsFiles
-import wardmux.drain.DrainCommand
 
 /** The root of the command line. */
 @Command(
--- a/src/main/kotlin/wardmux/drain/DrainCommand.kt
+++ b/src/main/kotlin/wardmux/cli/DrainCommand.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.cli
 
 import picocli.CommandLine.Command
 import picocli.CommandLine.Mixin
@@ -6,6 +6,10 @@
 import picocli.CommandLine.ParameterException
 import picocli.CommandLine.Parameters
 import picocli.CommandLine.Spec
+import wardmux.drain.DrainCheck
+import wardmux.drain.DrainList
+import wardmux.drain.DrainPaths
+import wardmux.drain.DrainStatus
 
 /** The commands about drains. */
 @Command(
--- a/src/main/kotlin/wardmux/drain/DrainExit.kt
+++ b/src/main/kotlin/wardmux/cli/DrainExit.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.cli
 
 /** Exit codes of the drain commands. */
 object DrainExit {
--- a/src/main/kotlin/wardmux/drain/DrainOptions.kt
+++ b/src/main/kotlin/wardmux/cli/DrainOptions.kt
@@ -1,10 +1,15 @@
-package wardmux.drain
+package wardmux.cli
 
 import picocli.CommandLine.ArgGroup
 import picocli.CommandLine.Mixin
 import picocli.CommandLine.Model.CommandSpec
 import picocli.CommandLine.Option
 import picocli.CommandLine.ParameterException
+import wardmux.drain.DeadlineAction
+import wardmux.drain.DrainRequest
+import wardmux.drain.DrainSelector
+import wardmux.drain.StepOrder
+import wardmux.drain.operatorJson
 
 /** Options that select machines. */
 class SelectorOptions {
--- a/src/main/kotlin/wardmux/drain/DrainText.kt
+++ b/src/main/kotlin/wardmux/cli/DrainText.kt
@@ -1,6 +1,15 @@
-package wardmux.drain
+package wardmux.cli
 
 import kotlinx.serialization.SerializationException
+import wardmux.drain.BudgetStatus
+import wardmux.drain.DrainCheck
+import wardmux.drain.DrainError
+import wardmux.drain.DrainList
+import wardmux.drain.DrainRecord
+import wardmux.drain.DrainStatus
+import wardmux.drain.DrainStep
+import wardmux.drain.Source
+import wardmux.drain.operatorJson
 import wardmux.maintenance.MaintenanceWindows
 import wardmux.model.Micros
 
--- a/src/main/kotlin/wardmux/drain/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorClient.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.cli
 
 import io.netty.channel.nio.NioEventLoopGroup
 import java.net.InetSocketAddress
--- a/src/main/kotlin/wardmux/drain/OperatorCommand.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorCommand.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.cli
 
 import java.net.InetSocketAddress
 import java.util.concurrent.Callable
@@ -10,6 +10,8 @@
 import picocli.CommandLine.Spec
 import wardmux.config.SettingsFiles
 import wardmux.core.HttpStatus
+import wardmux.drain.DrainPaths
+import wardmux.drain.operatorJson
 import wardmux.model.seconds
 
 /** Options that all commands about drains share. */
--- a/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
@@ -113,7 +113,7 @@
     private companion object {
         const val ROOT = "wardmux"
         const val MAX_CONSTRUCTOR_PARAMETERS = 8
-        val OUTER_PACKAGES = listOf("http", "config", "logging", "drain.cli")
+        val OUTER_PACKAGES = listOf("http", "cli", "config", "logging")
         val SOCKETS_AND_THREADS =
             arrayOf(
                 "java.net..",
--- a/src/test/kotlin/wardmux/drain/DrainCommandTest.kt
+++ b/src/test/kotlin/wardmux/cli/DrainCommandTest.kt
@@ -1,4 +1,4 @@
-package wardmux.drain
+package wardmux.cli
 
 import java.io.PrintWriter
 import java.io.StringWriter
@@ -7,6 +7,15 @@
 import kotlin.test.assertTrue
 import picocli.CommandLine
 import wardmux.app.WardmuxCommand
+import wardmux.drain.BudgetStatus
+import wardmux.drain.DrainRecord
+import wardmux.drain.DrainRequest
+import wardmux.drain.DrainSelector
+import wardmux.drain.DrainState
+import wardmux.drain.DrainStatus
+import wardmux.drain.DrainStep
+import wardmux.drain.Source
+import wardmux.drain.StepPhase
 
 /** The command line where no controller can be asked, and what it says of answers. */
 class DrainCommandTest {
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.io.TempDir
 import picocli.CommandLine
 import wardmux.app.WardmuxCommand
+import wardmux.cli.DrainExit
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -7,6 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.EnumSource
+import wardmux.cli.DrainText
 import wardmux.config.BudgetSettings
 import wardmux.config.DrainSettings
 import wardmux.config.OperatorSettings
