--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -37,7 +37,7 @@
             for (type in known.sortedBy { if (spot) it.spotPrice else it.price }) {
                 val zone =
                     rentals.availableZones(type, spot).firstOrNull {
-                        eligibility.suits(job, type, it, spot)
+                        eligibility.couldRun(job, type, it, spot)
                     } ?: continue
                 if (rentals.request(MachineKind(type, zone, spot), 1)) return
             }
@@ -49,7 +49,7 @@
             !it.isDecommissioned &&
                 it.preemptionNoticeAt == null &&
                 (it.maintenance == Maintenance.NONE || it.maintenance == Maintenance.LEAVING) &&
-                eligibility.suits(job, it.type, it.zone, it.spot) &&
+                eligibility.couldRun(job, it.type, it.zone, it.spot) &&
                 mayBecomeFree(job, it)
         }
 
@@ -65,7 +65,7 @@
             }
 
     /** True if a machine that suits the job is being requested. */
-    fun isComing(job: Job) = rentals.any { eligibility.suits(job, it.type, it.zone, it.spot) }
+    fun isComing(job: Job) = rentals.any { eligibility.couldRun(job, it.type, it.zone, it.spot) }
 
     /**
      * Requests all that the gang lacks; for one zone if it must be in one: where it lacks least.
@@ -79,7 +79,7 @@
             listOf(true, false).flatMap { spot ->
                 rentals
                     .availableZones(type, spot)
-                    .filter { eligibility.suits(job, type, it, spot) }
+                    .filter { eligibility.couldRun(job, type, it, spot) }
                     .map { MachineKind(type, it, spot) }
             }
         val kind = choices.maxByOrNull { rooms[it.zone] ?: 0 } ?: return
@@ -90,13 +90,20 @@
 
     private fun roomFor(spec: JobSpec, zone: String) =
         cluster.machines.values
-            .filter { it.zone == zone && eligibility.usable(it) && eligibility.allowed(spec, it) }
+            .filter {
+                it.zone == zone &&
+                    eligibility.isSchedulable(it) &&
+                    eligibility.satisfiesConstraints(spec, it)
+            }
             .sumOf { it.roomFor(spec) }
 
     /** Machines requested or booting in [zone] that a task like this may use. */
     private fun comingTo(spec: JobSpec, zone: String) =
         rentals.count { it.zone == zone && (spec.spot || !it.spot) } +
             cluster.machines.values.count {
-                it.zone == zone && !it.isUp && !it.isDecommissioned && eligibility.allowed(spec, it)
+                it.zone == zone &&
+                    !it.isUp &&
+                    !it.isDecommissioned &&
+                    eligibility.satisfiesConstraints(spec, it)
             }
 }
--- a/src/main/kotlin/wardmux/cloud/ScaleIn.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleIn.kt
@@ -30,7 +30,7 @@
         for (machine in idle.sortedByDescending { pool.relativeCost(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !isIdleForLong(pool, machine)) continue
             // A gang waits for more machines like this: it would be rented again at once.
-            if (gangs.any { planner.eligibility.allowed(it.spec, machine) }) continue
+            if (gangs.any { planner.eligibility.satisfiesConstraints(it.spec, machine) }) continue
             left -= pool.weightOf(machine.type)
             decommissioning.decommission(machine, "idle")
         }
--- a/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
@@ -43,7 +43,7 @@
 
     private fun cordon(pool: MachinePool, own: List<Machine>, surplus: Double) {
         var left = surplus
-        val candidates = own.filter { !it.spot && eligibility.usable(it) }
+        val candidates = own.filter { !it.spot && eligibility.isSchedulable(it) }
         val order =
             compareByDescending<Machine> { pool.relativeCost(it.type, it.spot) }.thenBy { it.load }
         for (machine in candidates.filter { !it.isEmpty }.sortedWith(order)) {
@@ -63,7 +63,7 @@
         val stopping =
             cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
         var left = MAX_STOPPING - stopping
-        val targets = cluster.machines.values.filter { eligibility.usable(it) }
+        val targets = cluster.machines.values.filter { eligibility.isSchedulable(it) }
         val reserved = HashMap<Machine, Double>()
         for (machine in cordoned.sortedBy { it.placements.size }) {
             for (replica in machine.placements.values) {
@@ -93,12 +93,12 @@
         reserved: Map<Machine, Double>,
     ): Boolean {
         val spec = replica.job.spec
-        if (!eligibility.allowed(spec, machine) || !machine.fits(spec)) return false
+        if (!eligibility.satisfiesConstraints(spec, machine) || !machine.fits(spec)) return false
         if (machine.freeCpus - (reserved[machine] ?: 0.0) < spec.cpus - MachineType.EPSILON)
             return false
-        val zones = HashMap(eligibility.zonesOf(replica.job))
+        val zones = HashMap(eligibility.taskCountByZone(replica.job))
         zones.merge(replica.zone, -1, Int::plus)
-        return eligibility.mayGoTo(machine.zone, spec, zones) &&
+        return eligibility.isZoneAllowed(machine.zone, spec, zones) &&
             machine.images.waitTime(spec.image, spec.imageGb, context.now).value == 0L
     }
 
--- a/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -29,7 +29,7 @@
             cluster.machines.values.filter {
                 (it.maintenance == Maintenance.NONE || it in staying) &&
                     it !in leaving &&
-                    eligibility.usable(it)
+                    eligibility.isSchedulable(it)
             }
         val free = open.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
         val zones = HashMap<Job, HashMap<String, Int>>()
@@ -42,7 +42,7 @@
         zones: HashMap<Job, HashMap<String, Int>>,
     ): Boolean {
         val job = placement.job
-        val occupied = zones.getOrPut(job) { HashMap(eligibility.zonesOf(job)) }
+        val occupied = zones.getOrPut(job) { HashMap(eligibility.taskCountByZone(job)) }
         val without = HashMap(occupied)
         without.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
         val machine =
@@ -60,11 +60,11 @@
         zones: Map<String, Int>,
     ): Boolean {
         val spec = job.spec
-        return eligibility.allowed(spec, machine) &&
+        return eligibility.satisfiesConstraints(spec, machine) &&
             spec.cpus <= free.cpus + MachineType.EPSILON &&
             spec.gpus <= free.gpus + MachineType.EPSILON &&
             spec.memoryGb <= free.memoryGb + MachineType.EPSILON &&
-            eligibility.mayGoTo(machine.zone, spec, zones)
+            eligibility.isZoneAllowed(machine.zone, spec, zones)
     }
 
     private fun reserve(free: FreeResources, job: Job) {
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -63,14 +63,14 @@
             operators.usageNormS,
         )
     val cluster = ClusterState(context, deployment.teams, queue)
-    private val knowledge =
+    private val cancellationView =
         LeaderCancellationView(context, cluster, cancellations, role.token, deployment.workers)
-    val status = TermStatus(leadership, knowledge)
+    val status = TermStatus(leadership, cancellationView)
     val pools = MachinePools(context) { types.types.orEmpty() }
     val planner =
         Planner(context, cluster, operators, deployment.workers, deployment.objectives, pools)
-    private val stopper = TaskEvictor(cluster, deployment.workers)
-    val preemption = Preemption(context, cluster, planner, stopper, operators)
+    private val evictor = TaskEvictor(cluster, deployment.workers)
+    val preemption = Preemption(context, cluster, planner, evictor, operators)
     private val writeListener =
         PlacementWriteListener(services, leadership, this, completionListener)
     val placementStore =
@@ -85,11 +85,11 @@
             TaskReconciler(
                 context,
                 cluster,
-                stopper,
+                evictor,
                 TaskFailures(context, decommissioner),
                 role.token,
             ),
-            knowledge,
+            cancellationView,
         )
     private val workerClient =
         WorkerClient(
@@ -107,13 +107,13 @@
             context,
             registry,
             reconciler,
-            HeartbeatCommands(context, cluster, leadership, knowledge, deployment.workers),
+            HeartbeatCommands(context, cluster, leadership, cancellationView, deployment.workers),
             directCommands,
             renewals,
-            knowledge,
-            WorkerRedirects(context, leadership, deployment.workers, ::sendAway),
+            cancellationView,
+            WorkerRedirects(context, leadership, deployment.workers, ::redirectTarget),
         )
-    val relays =
+    val forwardingCoordinator =
         ForwardingCoordinator(
             context,
             cluster,
@@ -122,24 +122,29 @@
             role.token,
             platform,
             operators,
-            knowledge,
+            cancellationView,
         )
-    val batchHandler = HeartbeatBatchHandler(role.token, relays, planningLoop)
-    val storeRelay = StoredBatchServer(context, store, role, batchHandler::handle)
+    val batchHandler = HeartbeatBatchHandler(role.token, forwardingCoordinator, planningLoop)
+    val storedBatchServer = StoredBatchServer(context, store, role, batchHandler::handle)
     private val timeouts = HeartbeatTimeouts(deployment.workers, operators)
-    val health =
+    val healthMonitor =
         MachineHealthMonitor(
             context,
             cluster,
             timeouts,
-            LeaseExpiry(context, deployment.workers, operators, relays::latestPossibleRenewal),
+            LeaseExpiry(
+                context,
+                deployment.workers,
+                operators,
+                forwardingCoordinator::latestPossibleRenewal,
+            ),
             MachineProber(context, workerClient),
             UnconfirmedMachineMonitor(
                 context,
                 cluster,
                 registry,
                 decommissioner,
-                knowledge,
+                cancellationView,
                 timeouts,
                 deployment.workers,
             ),
@@ -157,7 +162,7 @@
                 registry,
                 planner,
                 pools,
-                stopper,
+                evictor,
                 machineLifecycle,
             ),
             deployment,
@@ -171,7 +176,7 @@
         }
     val jobs = JobRegistry(cluster, TaskPageCodec.tasksPerPage(store.pageLayoutBytes))
     val cancellationHandler = JobCancellationHandler(cluster, directCommands, cancellations)
-    val resignationCheck = ResignationCheck(services, leadership, reachability, health)
+    val resignationCheck = ResignationCheck(services, leadership, reachability, healthMonitor)
     val openJobWatcher = OpenJobWatcher(services, this)
     val loader = StoredStateLoader(services, this)
 
@@ -182,7 +187,7 @@
             machineLifecycle,
             cluster,
             planner.eligibility,
-            stopper,
+            evictor,
             provisioner,
             types,
         )
@@ -194,5 +199,5 @@
         loader.reload()
     }
 
-    private fun sendAway(): String? = relays.takeRedirect()
+    private fun redirectTarget(): String? = forwardingCoordinator.takeRedirect()
 }
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -35,13 +35,13 @@
 
     /** Followers are to forward the heartbeats of the workers that reach them. */
     val forwardingEnabled: Boolean
-        get() = components.relays.forwardingEnabled
+        get() = components.forwardingCoordinator.forwardingEnabled
 
     /** Ends the term for good; responses that are still to come are ignored. */
     fun end() {
         status.end()
         components.loader.end()
-        components.storeRelay.close()
+        components.storedBatchServer.close()
     }
 
     /** Answers [call], a worker's heartbeat that came to this controller itself. */
@@ -61,12 +61,12 @@
     fun tick() {
         cluster.referenceType = services.machineTypes.types?.maxByOrNull { it.cpus }
         components.pools.refreshIfDue(cluster.jobs.values)
-        components.relays.tick(status.isLoaded)
-        components.storeRelay.tick()
+        components.forwardingCoordinator.tick(status.isLoaded)
+        components.storedBatchServer.tick()
         components.loader.tick()
         if (!status.isLoaded) return
         components.openJobWatcher.tick()
-        components.health.check()
+        components.healthMonitor.check()
         if (components.resignationCheck.resignIfCutOff()) return
         components.provisioner.tick(leadership.leaseIsValid)
         drains?.tick()
--- a/src/main/kotlin/wardmux/leader/ResignationCheck.kt
+++ b/src/main/kotlin/wardmux/leader/ResignationCheck.kt
@@ -14,7 +14,7 @@
     services: ControllerServices,
     private val leadership: LeaderElection,
     private val reachability: CommandReachability,
-    private val health: MachineHealthMonitor,
+    private val healthMonitor: MachineHealthMonitor,
 ) {
     private val context = services.context
     private val store = services.store
@@ -42,7 +42,7 @@
     private fun resignationReason(): String? =
         when {
             !peerHeartbeats.isAnyPeerAlive() -> null
-            health.areMostSilent() -> "most machines are silent"
+            healthMonitor.areMostSilent() -> "most machines are silent"
             reachability.isCutOff -> "commands reach no machine"
             else -> null
         }
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -22,7 +22,7 @@
     /**
      * True if new tasks may be placed on [machine]: it is up, confirmed, not cordoned or leaving.
      */
-    fun usable(machine: Machine): Boolean {
+    fun isSchedulable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
         val maxSilence = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
         return machine.hasAdoptedToken &&
@@ -44,28 +44,28 @@
     fun exactTypesFor(spec: JobSpec): Set<String> = pools.exactTypesFor(spec)
 
     /** True if a task like this may run on [machine] by its type, zone and maintenance state. */
-    fun allowed(spec: JobSpec, machine: Machine): Boolean =
+    fun satisfiesConstraints(spec: JobSpec, machine: Machine): Boolean =
         (spec.spot || !machine.spot) &&
             (spec.types == null || machine.type.label in spec.types) &&
             (spec.zone == null || spec.zone == machine.zone) &&
             (machine.maintenance != Maintenance.YIELDING || spec.priority <= PriorityClass.HIGH)
 
     /** True if an empty machine of [type], in [zone], could take a task of [job]. */
-    fun suits(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
+    fun couldRun(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
         val spec = job.spec
         if (!type.allowedFor(spec) || (spot && !spec.spot)) return false
         if (spec.zone != null && spec.zone != zone) return false
-        return mayGoTo(zone, spec, zonesOf(job))
+        return isZoneAllowed(zone, spec, taskCountByZone(job))
     }
 
     /** True if one more task may be in [zone], with the job's others in [zones]. */
-    fun mayGoTo(zone: String, spec: JobSpec, zones: Map<String, Int>): Boolean {
+    fun isZoneAllowed(zone: String, spec: JobSpec, zones: Map<String, Int>): Boolean {
         if (spec.oneZone && zones.isNotEmpty() && zone !in zones) return false
         return !spec.spread || (zones[zone] ?: 0) < spec.zoneLimit
     }
 
     /** How many tasks of a zone-bound [job] are or may be in each zone; empty for other jobs. */
-    fun zonesOf(job: Job): Map<String, Int> {
+    fun taskCountByZone(job: Job): Map<String, Int> {
         if (!job.isZoneBound) return emptyMap()
         val zones = HashMap<String, Int>()
         for (placement in job.placements.values) {
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -33,8 +33,8 @@
      */
     fun machinesFor(job: Job, machines: List<Machine>): List<Machine>? {
         val spec = job.spec
-        val zones = eligibility.zonesOf(job)
-        val open = machines.filter { eligibility.mayGoTo(it.zone, spec, zones) }
+        val zones = eligibility.taskCountByZone(job)
+        val open = machines.filter { eligibility.isZoneAllowed(it.zone, spec, zones) }
         val groups = if (spec.oneZone) open.groupBy { it.zone }.values else listOf(open)
         if (job.placements.isEmpty() && PageSizeEstimate.requiresDensePacking(job, maxBytes)) {
             return groups.firstOrNull { group -> pagesHold(job, group) { it.roomFor(spec) } }
@@ -91,7 +91,7 @@
     private fun totalScore(job: Job, machines: List<Machine>): Double? {
         var left = job.waiting
         var total = 0.0
-        val zones = HashMap(eligibility.zonesOf(job))
+        val zones = HashMap(eligibility.taskCountByZone(job))
         val scored = machines.map { ScoredMachine(it, eligibility.score(job.spec, it)) }
         for (candidate in scored.sortedBy { it.score }) {
             val machine = candidate.machine
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -106,7 +106,7 @@
 
     private fun usableFor(job: Job): List<Machine> =
         cluster.machines.values.filter {
-            eligibility.usable(it) && eligibility.allowed(job.spec, it)
+            eligibility.isSchedulable(it) && eligibility.satisfiesConstraints(job.spec, it)
         }
 
     /** The machines among which all of the gang has to be. */
--- a/src/main/kotlin/wardmux/scheduling/NodeCandidates.kt
+++ b/src/main/kotlin/wardmux/scheduling/NodeCandidates.kt
@@ -50,18 +50,20 @@
     /** A job that is spread loses least with a zone if all zones have as much of it. */
     private fun zonePenalty(machine: Machine): Double {
         if (!job.spec.spread) return 0.0
-        val there = eligibility.zonesOf(job)[machine.zone] ?: 0
+        val there = eligibility.taskCountByZone(job)[machine.zone] ?: 0
         return SPREAD_WEIGHT * there / job.spec.tasks
     }
 
     /** The best machine that has room for one more task, or null. */
     fun best(): Machine? {
-        val zones = eligibility.zonesOf(job)
+        val zones = eligibility.taskCountByZone(job)
         while (true) {
             val candidate = queue.peek() ?: return null
             examined.count++
             val machine = candidate.machine
-            if (!machine.fits(job.spec) || !eligibility.mayGoTo(machine.zone, job.spec, zones)) {
+            if (
+                !machine.fits(job.spec) || !eligibility.isZoneAllowed(machine.zone, job.spec, zones)
+            ) {
                 queue.poll()
                 continue
             }
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -64,7 +64,7 @@
         gangReservations.update(ready)
         pools.refreshIfDue(cluster.jobs.values)
         typeReservations.update(ready)
-        val round = Round(cluster.machines.values.filter { eligibility.usable(it) }, budget)
+        val round = Round(cluster.machines.values.filter { eligibility.isSchedulable(it) }, budget)
         val queues = queuesOf(ready)
         for (exactFitsOnly in listOf(true, false)) {
             for (priority in PriorityClass.entries) {
@@ -130,7 +130,7 @@
                 val label = machine.type.label
                 (label in exactTypes || (!exactFitsOnly && !typeReservations.isReserved(label))) &&
                     !gangReservations.isReservedFromJob(job, machine) &&
-                    eligibility.allowed(spec, machine) &&
+                    eligibility.satisfiesConstraints(spec, machine) &&
                     machine.fits(spec) &&
                     mayRetryOn(machine, job)
             }
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -79,7 +79,7 @@
         val stoppable = ArrayList<Placement>()
         for (machine in cluster.machines.values) {
             if (machine.placements.isEmpty()) continue
-            val usable = planner.eligibility.usable(machine)
+            val usable = planner.eligibility.isSchedulable(machine)
             for (placement in machine.placements.values) {
                 val other = placement.job.spec.priority
                 if (placement.isStopping) stopping.add(placement)
@@ -136,7 +136,7 @@
     private fun makeRoom(job: Job, wanted: Double, victims: Victims, ownTeamOnly: Boolean): Double {
         var freed = 0.0
         var reclaimed = false
-        val zones = HashMap(planner.eligibility.zonesOf(job))
+        val zones = HashMap(planner.eligibility.taskCountByZone(job))
         for (victim in orderedFor(job, victims.of(job))) {
             if (freed >= wanted) break
             placementsExamined++
@@ -170,10 +170,11 @@
     /** True if room that comes free on the machine is of use to the job. */
     private fun isRoomFor(job: Job, machine: Machine, zones: Map<String, Int>): Boolean {
         val spec = job.spec
-        val fits = planner.eligibility.allowed(spec, machine) && machine.type.holds(spec)
+        val fits =
+            planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.holds(spec)
         if (!fits || planner.typeReservations.isReservedFromTask(spec, machine.type)) return false
         // Where its zone has its share of the job already, it is of no use.
-        if (!planner.eligibility.mayGoTo(machine.zone, spec, zones)) return false
+        if (!planner.eligibility.isZoneAllowed(machine.zone, spec, zones)) return false
         // Room that comes free elsewhere is of no use to a gang, and what is stopped comes back.
         return !spec.isGang || planner.gangReservations.isReservedFor(job, machine)
     }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -84,12 +84,13 @@
     @ValueSource(longs = [1, 2, 3, 4])
     fun `delayed commands of the first leader do not exceed the budget`(seed: Long) {
         val scenario = DrainScenario(seed).begin().start()
-        for (worker in scenario.workers()) scenario.simulation.lateOrders[worker.id] = 4.seconds
+        for (worker in scenario.workers()) scenario.simulation.delayedCommands[worker.id] =
+            4.seconds
         for (write in listOf(3, 6)) {
             scenario.atDrainWrite(write) { scenario.inject(LeaderFault.FREEZES) }
             scenario.simulation.run(scenario.clock.now + 60.seconds)
         }
-        scenario.simulation.lateOrders.clear()
+        scenario.simulation.delayedCommands.clear()
         scenario.runUntilDone()
         scenario.check(noticedAfter = 20.seconds)
     }
@@ -142,7 +143,7 @@
         val (scenario, machines) = sideBySide(seed)
         val network = scenario.simulation.network
         // Direct commands take long, and once the stop is sent nothing else gets through.
-        for (machine in machines) scenario.simulation.lateOrders[machine] = 8.seconds
+        for (machine in machines) scenario.simulation.delayedCommands[machine] = 8.seconds
         scenario.runUntil(200.seconds, "a stop is recorded") {
             listOf("d1", "d2").any { scenario.stored(it)?.step?.moved?.isNotEmpty() == true }
         }
@@ -157,7 +158,7 @@
         scenario.clock.after(9.seconds) { for (machine in machines) network.join(leader, machine) }
         scenario.simulation.run(scenario.clock.now + 12.seconds)
         assertTrue(swallowed > 0)
-        scenario.simulation.lateOrders.clear()
+        scenario.simulation.delayedCommands.clear()
         scenario.runUntilBothDone()
     }
 
@@ -170,7 +171,7 @@
         scenario.simulation.run(scenario.clock.now + 5.seconds)
         scenario.start()
         var said = false
-        while (scenario.simulation.rules.finalOf(urgent.id) == null) {
+        while (scenario.simulation.invariants.finalOf(urgent.id) == null) {
             if ("goes first" in scenario.status().waitsFor) said = true
             scenario.simulation.run(scenario.clock.now + 5.seconds)
             assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
--- a/src/test/kotlin/wardmux/drain/DrainScenario.kt
+++ b/src/test/kotlin/wardmux/drain/DrainScenario.kt
@@ -32,7 +32,7 @@
         )
     val simulation = ClusterSimulation(seed, operators = operators, capacity = capacity)
     val clock = simulation.clock
-    val losses = simulation.rules.losses
+    val losses = simulation.invariants.losses
 
     fun workers(): List<FakeWorker> = simulation.cloud.workers()
 
@@ -180,5 +180,5 @@
     }
 
     /** True if all replicas run. */
-    fun runs(spec: JobSpec): Boolean = simulation.rules.machinesOf(spec.id).size == spec.tasks
+    fun runs(spec: JobSpec): Boolean = simulation.invariants.machinesOf(spec.id).size == spec.tasks
 }
--- a/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -22,9 +22,9 @@
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 import wardmux.sim.FakeCloud
-import wardmux.sim.FakeStateService
+import wardmux.sim.FakeKeyValueStore
 import wardmux.sim.FakeWorker
-import wardmux.sim.Rules
+import wardmux.sim.Invariants
 import wardmux.sim.SimulatedClock
 import wardmux.worker.Redirect
 
@@ -49,8 +49,8 @@
     private val workerTiming = WorkerTiming(heartbeatPeriodS = 1.0, leaseS = 16.0, cancelS = 36.0)
     private val storeLimits =
         StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
-    private val state = FakeStateService(clock, storeLimits)
-    private val rules = Rules(teams, workerTiming.cancelS.seconds + Rules.SLACK)
+    private val state = FakeKeyValueStore(clock, storeLimits)
+    private val invariants = Invariants(teams, workerTiming.cancelS.seconds + Invariants.SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
     private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
@@ -71,7 +71,7 @@
         loop.scheduleWithFixedDelay(
             {
                 clock.run(Micros((System.nanoTime() - start) / NANOS_PER_MICRO)) {}
-                rules.check(clock.now)
+                invariants.check(clock.now)
             },
             0,
             PUMP_MILLIS,
@@ -129,7 +129,7 @@
                 clock,
                 workerTiming,
                 nodes,
-                rules,
+                invariants,
                 specs::get,
                 endpoint = "$HOST:$port",
             ) { node, body, answer ->
@@ -194,7 +194,7 @@
     fun submit(spec: JobSpec) {
         onLoop {
             specs[spec.id] = spec
-            rules.submitted(spec)
+            invariants.submitted(spec)
         }
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
         repeat(MAX_TRIES) {
@@ -227,19 +227,21 @@
     }
 
     /** How many replicas run. */
-    fun running(jobs: List<JobSpec>): Int = onLoop { jobs.sumOf { rules.machinesOf(it.id).size } }
+    fun running(jobs: List<JobSpec>): Int = onLoop {
+        jobs.sumOf { invariants.machinesOf(it.id).size }
+    }
 
     /** Invariants that the controllers broke, by the records of the fakes. */
     fun problems(limit: Int, noticedAfter: Micros): List<String> = onLoop {
-        rules.broken +
+        invariants.broken +
             state.problems +
             cloud.problems +
-            rules.losses.beyond({ limit }, noticedAfter)
+            invariants.losses.beyond({ limit }, noticedAfter)
     }
 
     /** The most tasks of each team that were disrupted at once. */
     fun peaks(): Map<String, Int> = onLoop {
-        teams.associate { it.name to rules.losses.peakOf(it.name) }
+        teams.associate { it.name to invariants.losses.peakOf(it.name) }
     }
 
     /** Time since the cluster was started. */
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -31,7 +31,7 @@
         val simulation =
             ClusterSimulation(seed, operators = OperatorSettings(heartbeatsPerCore = 0.0))
         val clock = simulation.clock
-        val rules = simulation.rules
+        val invariants = simulation.invariants
         val jobs = ArrayList<String>()
         private val late = HashSet<String>()
 
@@ -48,17 +48,17 @@
         fun begin(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
-            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(
+            while (jobs.any { invariants.placesOf(it).size < TASKS } && clock.now < START) runFor(
                 1.seconds
             )
-            for (job in jobs) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
+            for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
             // To the letter, without the slack of the rules.
             clock.every(100.milliseconds) { late += jobs.filter(::outlastsItsCancellation) }
         }
 
         private fun outlastsItsCancellation(job: String): Boolean {
-            val at = rules.cancelledAt(job) ?: return false
-            return clock.now - at > CANCEL && rules.placesOf(job).isNotEmpty()
+            val at = invariants.cancelledAt(job) ?: return false
+            return clock.now - at > CANCEL && invariants.placesOf(job).isNotEmpty()
         }
 
         fun cutOff(machine: String) {
@@ -92,8 +92,16 @@
         fun end() {
             assertEquals(emptySet(), late, "on a machine after their time")
             assertEquals(emptyList(), simulation.problems())
-            for (job in rules.over()) assertEquals(0, rules.placesOf(job).size, "$job is cancelled")
-            for (job in rules.open()) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
+            for (job in invariants.over()) assertEquals(
+                0,
+                invariants.placesOf(job).size,
+                "$job is cancelled",
+            )
+            for (job in invariants.open()) assertEquals(
+                TASKS,
+                invariants.placesOf(job).size,
+                "$job runs",
+            )
         }
     }
 
@@ -103,14 +111,14 @@
         Churn(seed).run {
             begin(count = 6)
             val job = jobs.last()
-            val machine = rules.machinesOf(job).first()
+            val machine = invariants.machinesOf(job).first()
             val worker = simulation.cloud.workers().first { it.id == machine }
             cutOff(machine)
             simulation.cancel(job)
             runFor(500.milliseconds)
-            assertEquals("cancelled", rules.finalOf(job))
+            assertEquals("cancelled", invariants.finalOf(job))
             var renewals = 0
-            while (rules.cancelledAt(job)?.let { clock.now - it > CANCEL } == false) {
+            while (invariants.cancelledAt(job)?.let { clock.now - it > CANCEL } == false) {
                 changeLeader()
                 val session = worker.sessions
                 val relay = simulation.nodes.first { it != simulation.leader() }
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -71,24 +71,24 @@
             cloud = CloudLimits(rps = 8.0, listLagS = 3.0),
             limits = ProcessLimits(fdLimit = fdLimit),
         )
-    val state = FakeStateService(clock, deployment.state)
-    val rules = Rules(teams, deployment.workers.cancelS.seconds + Rules.SLACK)
-    val gangs = FakeGangs(clock, rules, gangWaitS, gangPeerS)
+    val state = FakeKeyValueStore(clock, deployment.state)
+    val invariants = Invariants(teams, deployment.workers.cancelS.seconds + Invariants.SLACK)
+    val gangs = FakeGangs(clock, invariants, gangWaitS, gangPeerS)
     val cloud = FakeCloud(clock, zones, capacity, ::worker)
     private val workers = HashMap<String, FakeWorker>()
     private val running = HashMap<String, Process>()
 
     /** Those who submit jobs and ask about them. */
-    val users = SimulatedUsers(clock, network, nodes, teams, rules, ::call) { workers[it] }
+    val users = SimulatedUsers(clock, network, nodes, teams, invariants, ::call) { workers[it] }
 
     /** By machine: how long direct commands are held up on their way to it. */
-    val lateOrders = HashMap<String, Micros>()
+    val delayedCommands = HashMap<String, Micros>()
 
     /**
      * Told of each command to start when it is decided: by which controller, to which machine if it
      * is a direct one, and the task with its attempt.
      */
-    var startIsSent: ((by: String, machine: String?, task: String, attempt: Int) -> Unit)? = null
+    var onStartSent: ((by: String, machine: String?, task: String, attempt: Int) -> Unit)? = null
     private val connections = WorkerConnections(SocketBudget(fdLimit).workers)
     private var boots = 0L
     private var calls = 0L
@@ -97,8 +97,8 @@
     private inner class Process(val member: String) {
         /** Decisions to start are held against what users were told when they were made. */
         private fun noteOrders(effects: List<Effect>) {
-            startIsSent?.let { heard -> for (effect in effects) tellStarts(effect, heard) }
-            if (!rules.knowsCancelled) return
+            onStartSent?.let { heard -> for (effect in effects) tellStarts(effect, heard) }
+            if (!invariants.knowsCancelled) return
             for (effect in effects) {
                 val body =
                     when {
@@ -107,7 +107,7 @@
                         else -> continue
                     }.decodeToString()
                 for (start in startOrder.findAll(body)) {
-                    rules.ordered(clock.now, start.groupValues[1], start.value)
+                    invariants.ordered(clock.now, start.groupValues[1], start.value)
                 }
             }
         }
@@ -211,7 +211,7 @@
                 is Target.Cloud -> cloud.handle(effect.method, effect.path, body, back)
                 is Target.Worker -> {
                     val host = hostOf(target)
-                    val late = lateOrders[host]?.takeIf { effect.path != "/status" }
+                    val late = delayedCommands[host]?.takeIf { effect.path != "/status" }
                     if (late == null) deliver(workers[host], effect.path, body, back)
                     else clock.after(late) { deliver(workers[host], effect.path, body, back) }
                 }
@@ -311,7 +311,7 @@
                 clock,
                 deployment.workers,
                 nodes,
-                rules,
+                invariants,
                 users::specOf,
                 gangs,
                 send = send,
@@ -321,7 +321,7 @@
     }
 
     init {
-        rules.whenAllDone = users::jobEnded
+        invariants.whenAllDone = users::jobEnded
         for (node in nodes) boot(node)
         if (rented) for (zone in zones) cloud.rent(zone, spot = false)
     }
@@ -379,21 +379,21 @@
     fun plainService(team: String, tasks: Int): JobSpec =
         unconstrainedJob(JobKind.SERVICE, team, tasks, cpus = 2.0, estimateS = 0.0)
 
-    fun run(until: Micros) = clock.run(until) { rules.check(clock.now) }
+    fun run(until: Micros) = clock.run(until) { invariants.check(clock.now) }
 
     /** From now, which is calm, no job may wait beside a machine that has room for it. */
     fun watchWaiting() = watchWaitingAgain()
 
     private fun watchWaitingAgain() {
         val healthy = cloud.workers().filter { !it.hanging && !it.sick && it.recallS == null }
-        rules.rooms(clock.now, healthy.map { it.view() }, cloud.workers().map { it.view() })
+        invariants.rooms(clock.now, healthy.map { it.view() }, cloud.workers().map { it.view() })
         clock.after(1.seconds) { watchWaitingAgain() }
     }
 
     /** The checks at the end of a scenario whose troubles were over at [calm]. */
-    fun endOfDay(calm: Micros) = rules.endOfDay(clock.now, calm)
+    fun checkAtEnd(calm: Micros) = invariants.checkAtEnd(clock.now, calm)
 
-    fun problems(): List<String> = rules.broken + state.problems + cloud.problems
+    fun problems(): List<String> = invariants.broken + state.problems + cloud.problems
 
     private companion object {
         val startedTask = Regex("""\{"verb":"start","piece":"(job-\d+/\d+)","try":(\d+)""")
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -47,7 +47,7 @@
             deployment = given.deployment.let { it.copy(state = it.state.copy(next = told)) },
         )
     private val clock = SimulatedClock(1)
-    private val state = FakeStateService(clock, settings.deployment.state)
+    private val state = FakeKeyValueStore(clock, settings.deployment.state)
     private val core = Controller(settings, operators, "rig")
     private val answers = HashMap<Long, Pair<Int, String>>()
     private val bytes = HashMap<Long, ByteArray>()
--- a/src/test/kotlin/wardmux/sim/LossRecorder.kt
+++ b/src/test/kotlin/wardmux/sim/DisruptionCounter.kt
@@ -18,7 +18,7 @@
  * Which tasks each team has lost, by the workers' own records alone: from the moment a task that
  * ran is told to stop, fails or loses its machine, until it runs again or is over.
  */
-class LossRecorder {
+class DisruptionCounter {
     /** A task that was told to stop, and which of its team's tasks were lost with it then. */
     class Stop(val at: Micros, val team: String, val lost: Map<String, Loss>)
 
--- a/src/test/kotlin/wardmux/sim/LossRecorderTest.kt
+++ b/src/test/kotlin/wardmux/sim/DisruptionCounterTest.kt
@@ -5,8 +5,8 @@
 import wardmux.model.seconds
 
 /** The checker of budgets catches what goes beyond them, and counts from the workers alone. */
-class LossRecorderTest {
-    private val losses = LossRecorder()
+class DisruptionCounterTest {
+    private val losses = DisruptionCounter()
 
     private fun runs(vararg tasks: String) =
         tasks.forEach { losses.runs(0.seconds, "job-1/$it", "team-0") }
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -22,7 +22,7 @@
 /** How the tasks of gangs find each other across all machines, run, and end together. */
 class FakeGangs(
     private val clock: SimulatedClock,
-    private val rules: Rules,
+    private val invariants: Invariants,
     waitS: Double = 35.0,
     peerS: Double = 6.0,
 ) {
@@ -129,7 +129,7 @@
             broken = false
             allTold = false
             safe = false
-            rules.gangBegins(spec.id, number, all.map { it.task.index }.toSet())
+            invariants.gangBegins(spec.id, number, all.map { it.task.index }.toSet())
             for (member in all) member.running = true
             for (member in all) member.task.begin()
         }
--- a/src/test/kotlin/wardmux/sim/FakeStateService.kt
+++ b/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
@@ -49,7 +49,7 @@
 }
 
 /** The key-value store, written from PROTOCOL. */
-class FakeStateService(private val clock: SimulatedClock, private val deployment: StoreLimits) {
+class FakeKeyValueStore(private val clock: SimulatedClock, private val deployment: StoreLimits) {
     private class Entry(val data: JsonElement, val version: Long, val lease: Long?)
 
     private class Lease(val life: Micros, var until: Micros)
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -32,9 +32,9 @@
     private val clock: SimulatedClock,
     private val deployment: WorkerTiming,
     private val nodes: List<String>,
-    private val rules: Rules,
+    private val invariants: Invariants,
     private val specOf: (String) -> JobSpec?,
-    private val gangs: FakeGangs = FakeGangs(clock, rules),
+    private val gangs: FakeGangs = FakeGangs(clock, invariants),
     /** Where it takes direct commands. */
     private val endpoint: String = "$id:9000",
     private val send: SimulatedHeartbeat,
@@ -143,11 +143,11 @@
     /** It ends with its machine or its incarnation. */
     private fun lose(task: Task) {
         leave(task, done = false)
-        if (task.status != "ended") rules.losses.lost(clock.now, task.name, LossCause.CRASHED)
+        if (task.status != "ended") invariants.losses.lost(clock.now, task.name, LossCause.CRASHED)
     }
 
     private fun leave(task: Task, done: Boolean) {
-        if (task.status in onMachine) rules.ended(task.job, task.index, id, done)
+        if (task.status in onMachine) invariants.ended(task.job, task.index, id, done)
         task.seat?.let(gangs::gone)
     }
 
@@ -281,7 +281,7 @@
         when (order.getValue("verb").jsonPrimitive.content) {
             "start" ->
                 if (key !in tasks) {
-                    rules.startCarriedOut(name.substringBefore('/'))
+                    invariants.startCarriedOut(name.substringBefore('/'))
                     start(Task(name, attempt).also { tasks[key] = it })
                 }
             "halt" -> tasks[key]?.let { halt(it, order.getValue("letgo_s").jsonPrimitive.double) }
@@ -313,18 +313,18 @@
         if (!present(task) || task.status != "fetching") return
         if (hanging) return clock.after(1.seconds) { run(task, spec) }
         if (task.name in results || gangs.isDone(task.job)) {
-            rules.startsOfDone++
+            invariants.startsOfDone++
             return end(task, "done", false)
         }
         task.status = "running"
         changed = true
-        rules.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
+        invariants.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
         if (spec.kind == JobKind.GANG) {
             task.status = "gathering"
             return gangs.join(Seat(task).also { task.seat = it }, spec)
         }
         starts++
-        rules.losses.runs(clock.now, task.name, spec.team)
+        invariants.losses.runs(clock.now, task.name, spec.team)
         if (sick) return clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
         if (spec.estimateS > 0) {
             clock.after(clock.between(1.seconds, (spec.estimateS * 1.5).seconds)) { finish(task) }
@@ -336,7 +336,7 @@
         task.status = "running"
         changed = true
         starts++
-        specOf(task.job)?.let { rules.losses.runs(clock.now, task.name, it.team) }
+        specOf(task.job)?.let { invariants.losses.runs(clock.now, task.name, it.team) }
         if (sick) clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
     }
 
@@ -352,10 +352,10 @@
     private fun end(task: Task, cause: String, done: Boolean) {
         if (task.status == "ended") return
         leave(task, done)
-        if (done) rules.losses.done(task.name)
+        if (done) invariants.losses.done(task.name)
         else {
             val lossCause = if (cause == "stopped") causeOfStop() else LossCause.CRASHED
-            rules.losses.lost(clock.now, task.name, lossCause)
+            invariants.losses.lost(clock.now, task.name, lossCause)
         }
         task.status = "ended"
         task.cause = cause
@@ -370,7 +370,7 @@
             seat != null -> gangs.halt(seat, within)
             task.status == "running" && spec.isCheckpointable && within >= spec.saveS -> {
                 task.status = "saving"
-                rules.losses.lost(clock.now, task.name, causeOfStop())
+                invariants.losses.lost(clock.now, task.name, causeOfStop())
                 clock.after(spec.saveS.seconds) {
                     task.kept = true
                     if (present(task)) end(task, "stopped", false)
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -30,7 +30,8 @@
         val gang = scenario.gang(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
         when (phase) {
             Phase.WAITING -> simulation.cloud.down = true
-            Phase.STARTING -> for (i in 0..20) simulation.lateOrders["i-%06d".format(i)] = 3.seconds
+            Phase.STARTING ->
+                for (i in 0..20) simulation.delayedCommands["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
                 scenario.once({ scenario.allRun(gang) }) {
                     scenario.clock.after(6.seconds) {
@@ -54,7 +55,7 @@
     private fun inPhase(scenario: GangScenario, phase: Phase, gang: JobSpec, action: () -> Unit) {
         val simulation = scenario.simulation
         val page = { simulation.state.value("t/${gang.id}/0") }
-        val begun = { scenario.rules.gangsBegun > 0 }
+        val begun = { scenario.invariants.gangsBegun > 0 }
         when (phase) {
             Phase.WAITING ->
                 scenario.once({ scenario.stored("q", gang) != null }) {
@@ -80,7 +81,7 @@
                 scenario.once({ scenario.allRun(gang) }) { scenario.clock.after(6.seconds, action) }
             Phase.SAVING -> scenario.once({ simulation.gangs.isSaving(gang.id) }, action)
             Phase.BETWEEN -> scenario.once({ begun() && scenario.holding(gang).isEmpty() }, action)
-            Phase.DONE -> scenario.rules.whenAllDone = { action() }
+            Phase.DONE -> scenario.invariants.whenAllDone = { action() }
         }
     }
 
@@ -106,29 +107,29 @@
                     simulation.cloud.rent("b", spot = false)
                     simulation.cloud.rent("c", spot = false)
                 }
-                scenario.clock.after(20.seconds) { simulation.lateOrders.clear() }
+                scenario.clock.after(20.seconds) { simulation.delayedCommands.clear() }
             }
         }
         simulation.submit(gang)
         simulation.run(60.seconds)
         val asked = checkNotNull(cancelledAt) { "$phase was not reached" }
         // Whoever was under way has arrived by then.
-        val told = scenario.rules.cancelledAt(gang.id) ?: asked
+        val told = scenario.invariants.cancelledAt(gang.id) ?: asked
         assertTrue(told - asked < 10.seconds, "told after ${told - asked}")
         val settled = told + UNDER_WAY
         simulation.run(maxOf(scenario.clock.now, settled))
-        val starts = scenario.rules.starts
-        val begun = scenario.rules.gangsBegun
+        val starts = scenario.invariants.starts
+        val begun = scenario.invariants.gangsBegun
         simulation.run(told + CANCEL_TIME)
         assertEquals(emptyList(), scenario.states(gang), "still on machines")
         simulation.run(told + 120.seconds)
         scenario.holds()
         assertEquals(
             starts to begun,
-            scenario.rules.starts to scenario.rules.gangsBegun,
+            scenario.invariants.starts to scenario.invariants.gangsBegun,
             "started later",
         )
-        val final = scenario.rules.finalOf(gang.id)
+        val final = scenario.invariants.finalOf(gang.id)
         assertTrue(final == "cancelled" || (final == "done" && phase == Phase.DONE), "is $final")
         assertEquals(final, scenario.recordOf(gang).name.lowercase())
         for (prefix in listOf("q", "c")) assertEquals(null, scenario.stored(prefix, gang), prefix)
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -83,7 +83,7 @@
             if (target == null) {
                 target = machine
                 // Nothing that is sent later arrives before it.
-                simulation.lateOrders[machine] = late
+                simulation.delayedCommands[machine] = late
                 scenario.clock.after(12.milliseconds) {
                     if (seed % 2 == 0L) scenario.deaf(machine, 60.seconds)
                     else scenario.mute(machine, 60.seconds)
@@ -138,9 +138,11 @@
             scenario.clock.after(25.seconds) { scenario.simulation.cloud.takeBack(taken) }
             if (seed % 2 == 0L) scenario.hang(other, heldUp)
             else {
-                scenario.simulation.lateOrders[other.id] = heldUp
+                scenario.simulation.delayedCommands[other.id] = heldUp
                 scenario.mute(other.id, heldUp)
-                scenario.clock.after(heldUp) { scenario.simulation.lateOrders.remove(other.id) }
+                scenario.clock.after(heldUp) {
+                    scenario.simulation.delayedCommands.remove(other.id)
+                }
             }
         }
         scenario.beginsAgain(120.seconds)
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -114,7 +114,7 @@
         val simulation = scenario.simulation
         val gang = scenario.gang(tasks = 4, cpus = 9.0, length = 10.seconds)
         var doneAt: Micros? = null
-        scenario.rules.whenAllDone = {
+        scenario.invariants.whenAllDone = {
             if (doneAt == null) {
                 doneAt = scenario.clock.now
                 val rest = scenario.holding(gang).shuffled(scenario.clock.random).drop(1)
@@ -133,10 +133,10 @@
         simulation.run(30.seconds)
         simulation.run(checkNotNull(doneAt) { "it did not end" } + 20.seconds)
         assertEquals(JobState.DONE, scenario.recordOf(gang))
-        assertEquals("done", scenario.rules.finalOf(gang.id))
+        assertEquals("done", scenario.invariants.finalOf(gang.id))
         simulation.run(200.seconds)
-        assertEquals(1, scenario.rules.gangsBegun)
-        assertEquals(0, scenario.rules.startsOfDone, "run again")
+        assertEquals(1, scenario.invariants.gangsBegun)
+        assertEquals(0, scenario.invariants.startsOfDone, "run again")
         assertEquals(null, simulation.state.value("t/${gang.id}/0"))
         scenario.done(listOf(gang, next))
     }
@@ -255,7 +255,7 @@
         val took = HashMap<JobSpec, Micros>()
         scenario.clock.every(1.seconds) {
             for ((job, at) in since) {
-                if (scenario.rules.finalOf(job.id) == "done")
+                if (scenario.invariants.finalOf(job.id) == "done")
                     took.putIfAbsent(job, scenario.clock.now - at)
             }
         }
--- a/src/test/kotlin/wardmux/sim/GangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/GangScenario.kt
@@ -23,7 +23,7 @@
             capacity = capacity,
         )
     val clock = simulation.clock
-    val rules = simulation.rules
+    val invariants = simulation.invariants
 
     fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
 
@@ -72,7 +72,7 @@
 
     fun done(jobs: List<JobSpec>) {
         holds()
-        val open = jobs.map { it.id }.filter { rules.finalOf(it) != "done" }
+        val open = jobs.map { it.id }.filter { invariants.finalOf(it) != "done" }
         assertEquals(emptyList(), open, "ends of gangs: ${simulation.gangs.causes}")
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -66,17 +66,17 @@
             for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
             if (troubled) for (at in 10..170 step 9) clock.after(at.seconds) { trouble() }
             simulation.run(END)
-            if (troubled) simulation.endOfDay(CALM)
+            if (troubled) simulation.checkAtEnd(CALM)
         }
 
-        fun open() = gangs.filter { simulation.rules.finalOf(it) == null }
+        fun open() = gangs.filter { simulation.invariants.finalOf(it) == null }
     }
 
     private fun troubled(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.rules.gangsBegun > 0, "no gang ran")
+        assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
     }
 
     @ParameterizedTest
@@ -95,7 +95,7 @@
         scenario.play(troubled = false)
         assertEquals(emptyList(), scenario.simulation.problems())
         assertEquals(emptyList(), scenario.open())
-        assertTrue(scenario.simulation.rules.gangsBegun > 0, "no gang ran")
+        assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
     }
 
     private fun gang(
@@ -112,7 +112,7 @@
     private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
         simulation.run(within)
         assertEquals(emptyList(), simulation.problems())
-        val open = jobs.filter { simulation.rules.finalOf(it.id) != "done" }.map { it.id }
+        val open = jobs.filter { simulation.invariants.finalOf(it.id) != "done" }.map { it.id }
         assertEquals(emptyList(), open, "ends: ${simulation.gangs.causes}")
     }
 
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangsTest.kt
@@ -16,8 +16,8 @@
 /** The fake workers do with gangs what the page says, for worlds that rely on it. */
 class GangsTest {
     private val clock = SimulatedClock(7)
-    private val rules = Rules(listOf(TeamQuota("team-0", 100.0, 100.0)), 36.seconds)
-    private val gangs = FakeGangs(clock, rules)
+    private val invariants = Invariants(listOf(TeamQuota("team-0", 100.0, 100.0)), 36.seconds)
+    private val gangs = FakeGangs(clock, invariants)
     private val job = "job-000001"
     private val spec =
         plainJob(3, job)
@@ -34,7 +34,7 @@
                 clock,
                 deployment,
                 listOf("n0"),
-                rules,
+                invariants,
                 { specNow },
                 gangs,
             ) { _, _, answer ->
@@ -43,7 +43,7 @@
         }
 
     init {
-        rules.submitted(spec)
+        invariants.submitted(spec)
         // Each has its leader's token.
         clock.run(4.seconds) {}
     }
@@ -86,13 +86,13 @@
         start(1)
         wait(10.0)
         assertEquals(List(2) { "gathering" }, states(0, 1))
-        assertEquals(mapOf(0 to "m0", 1 to "m1"), rules.placesOf(job))
-        assertEquals(0, rules.gangsBegun)
+        assertEquals(mapOf(0 to "m0", 1 to "m1"), invariants.placesOf(job))
+        assertEquals(0, invariants.gangsBegun)
         start(2)
         wait(3.2)
         assertEquals(List(3) { "running" }, states(0, 1, 2))
-        assertEquals(1, rules.gangsBegun)
-        assertEquals(emptyList(), rules.broken)
+        assertEquals(1, invariants.gangsBegun)
+        assertEquals(emptyList(), invariants.broken)
     }
 
     @Test
@@ -104,8 +104,8 @@
         assertEquals(List(3) { "gathering" }, states(0, 1, 2))
         wait(5.0)
         assertEquals(List(3) { "ended alone" }, states(0, 1, 2))
-        assertEquals(emptyMap(), rules.placesOf(job))
-        assertEquals(0, rules.gangsBegun)
+        assertEquals(emptyMap(), invariants.placesOf(job))
+        assertEquals(0, invariants.gangsBegun)
     }
 
     @Test
@@ -239,12 +239,12 @@
         }
         assertEquals(List(3) { "ended done" }, states(0, 1, 2))
         assertTrue(attempt > 2, "in $attempt attempts")
-        assertEquals(3, rules.completedOf(job))
+        assertEquals(3, invariants.completedOf(job))
         // The result is kept.
         start(3, task = 1, attempt = 99)
         wait(3.2)
         assertEquals("ended done", stateOf(3))
-        assertEquals(emptyList(), rules.broken)
+        assertEquals(emptyList(), invariants.broken)
     }
 
     @Test
--- a/src/test/kotlin/wardmux/sim/Rules.kt
+++ b/src/test/kotlin/wardmux/sim/Invariants.kt
@@ -19,7 +19,7 @@
 )
 
 /** The rules at the end of PROTOCOL, as they look from outside the controllers. */
-class Rules(teams: List<TeamQuota>, private val cancelTime: Micros) {
+class Invariants(teams: List<TeamQuota>, private val cancelTime: Micros) {
     private class On(val machine: String, val zone: String, val attempt: Int)
 
     private class CancellationUpdate {
@@ -42,7 +42,7 @@
     val broken = ArrayList<String>()
 
     /** What each team lost, by the workers' own records. */
-    val losses = LossRecorder()
+    val losses = DisruptionCounter()
     var starts = 0
         private set
 
@@ -171,7 +171,7 @@
         get() = toldCancelledAt.isNotEmpty()
 
     /** Orders to start that were decided after their user was told of the cancellation. */
-    var ordersAfterCancel = 0
+    var commandsAfterCancel = 0
         private set
 
     /**
@@ -182,7 +182,7 @@
      */
     fun ordered(now: Micros, job: String, order: String) {
         val cancelled = toldCancelledAt[job] ?: return
-        ordersAfterCancel++
+        commandsAfterCancel++
         if (now - cancelled > HEARD_WITHIN) {
             breaks(
                 "started_cancelled",
@@ -339,7 +339,7 @@
      * the others, and of those that nobody cancelled at least half of each class, of each team and
      * of the largest of each class was served; the largest began within four minutes.
      */
-    fun endOfDay(now: Micros, calm: Micros) {
+    fun checkAtEnd(now: Micros, calm: Micros) {
         val accepted = told.filter { it.value.acceptedAt != null && it.key in specs }
         for ((job, known) in accepted) {
             val since = maxOf(known.answeredAt, calm, known.acceptedAt ?: calm)
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -36,7 +36,10 @@
         assertEquals(0, sessions, "leases ended")
         val known = simulation.cloud.workers().count { it.hasToken(simulation.leaderToken()) }
         assertEquals(MACHINES, known, "machines that have found the leader")
-        assertTrue(simulation.rules.starts >= MACHINES, "${simulation.rules.starts} starts")
+        assertTrue(
+            simulation.invariants.starts >= MACHINES,
+            "${simulation.invariants.starts} starts",
+        )
     }
 
     private fun longJob(simulation: ClusterSimulation) =
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -65,7 +65,11 @@
         simulation.run(TROUBLED + 160.seconds)
         simulation.assertWell()
         for (job in jobs) {
-            assertContains(listOf("done", "cancelled"), simulation.rules.finalOf(job.id), job.id)
+            assertContains(
+                listOf("done", "cancelled"),
+                simulation.invariants.finalOf(job.id),
+                job.id,
+            )
         }
         return simulation
     }
@@ -99,7 +103,7 @@
         assertTrue(late.isNotEmpty(), "the meeting did not come about")
         assertEquals(0, late.count { it.replaced(LeaderElection.KEY) })
         simulation.assertWell()
-        assertEquals("done", simulation.rules.finalOf(job.id))
+        assertEquals("done", simulation.invariants.finalOf(job.id))
     }
 
     // Tasks that end far apart.
@@ -116,7 +120,7 @@
         var seen = 0
         var changes = 0
         clock.every(50.milliseconds) {
-            if (simulation.rules.completedOf(job.id) > seen && seen + 1 < job.tasks) {
+            if (simulation.invariants.completedOf(job.id) > seen && seen + 1 < job.tasks) {
                 seen++
                 changes++
                 // Before or after the end is reported, written or forgotten.
@@ -128,9 +132,9 @@
         simulation.run(160.seconds)
         assertTrue(changes > 0)
         simulation.assertWell()
-        assertEquals("done", simulation.rules.finalOf(job.id))
-        assertEquals(job.tasks, simulation.rules.starts, "something ran again")
-        assertEquals(0, simulation.rules.startsOfDone, "something done was started again")
+        assertEquals("done", simulation.invariants.finalOf(job.id))
+        assertEquals(job.tasks, simulation.invariants.starts, "something ran again")
+        assertEquals(0, simulation.invariants.startsOfDone, "something done was started again")
     }
 
     // The end of a job's last task, with no other trouble.
@@ -149,7 +153,8 @@
         }
         clock.every(20.milliseconds) {
             for (job in jobs) {
-                if (simulation.rules.completedOf(job.id) < job.tasks || !ended.add(job.id)) continue
+                if (simulation.invariants.completedOf(job.id) < job.tasks || !ended.add(job.id))
+                    continue
                 val within = { action: () -> Unit ->
                     clock.after(clock.between(Micros.ZERO, 800.milliseconds), action)
                 }
@@ -160,7 +165,7 @@
         }
         simulation.run(90.seconds)
         simulation.assertWell()
-        val finals = jobs.map { simulation.rules.finalOf(it.id) }
+        val finals = jobs.map { simulation.invariants.finalOf(it.id) }
         // On both sides of the end's record.
         assertEquals(setOf<String?>("done", "cancelled"), finals.toSet())
     }
@@ -193,14 +198,14 @@
             }
         }
         clock.every(1.seconds) {
-            val atLimit = simulation.rules.starts == running.tasks && clock.now > 30.seconds
+            val atLimit = simulation.invariants.starts == running.tasks && clock.now > 30.seconds
             if (atLimit && cut.isEmpty()) spell()
         }
         simulation.run(200.seconds)
         assertEquals(2, cut.size, "the meeting did not come about")
         simulation.assertWell()
-        assertEquals("cancelled", simulation.rules.finalOf(running.id))
-        assertEquals("done", simulation.rules.finalOf(waiting.id))
+        assertEquals("cancelled", simulation.invariants.finalOf(running.id))
+        assertEquals("done", simulation.invariants.finalOf(waiting.id))
     }
 
     // Heartbeats that arrive late.
--- a/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
@@ -30,7 +30,7 @@
 
     private fun end() {
         over = true
-        simulation.lateOrders.clear()
+        simulation.delayedCommands.clear()
         for (worker in simulation.cloud.workers()) worker.wanders = false
     }
 
@@ -58,7 +58,7 @@
     private fun holdUpCommands() {
         for (worker in simulation.cloud.workers()) {
             if (clock.chance(LATE)) {
-                simulation.lateOrders[worker.id] = clock.between(2.seconds, 16.seconds)
+                simulation.delayedCommands[worker.id] = clock.between(2.seconds, 16.seconds)
             }
         }
     }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -73,8 +73,8 @@
             simulation.run(330.seconds)
             assertEquals(emptyList(), simulation.problems())
             assertEquals(emptyList(), simulation.state.beyond)
-            assertTrue(simulation.rules.starts > 0, "nothing ran")
-            assertEquals(emptyList(), jobs.filter { simulation.rules.finalOf(it) == null })
+            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+            assertEquals(emptyList(), jobs.filter { simulation.invariants.finalOf(it) == null })
         }
     }
 
@@ -154,10 +154,10 @@
             }
         }
         simulation.run(200.seconds)
-        val ended = { job: JobSpec -> simulation.rules.finalOf(job.id) }
+        val ended = { job: JobSpec -> simulation.invariants.finalOf(job.id) }
         assertEquals(emptyList(), (others + gang).filter { ended(it) != "done" }.map { it.tasks })
-        assertEquals(0, simulation.rules.machinesOf(never.id).size)
-        assertTrue(simulation.rules.machinesOf(service.id).isNotEmpty())
+        assertEquals(0, simulation.invariants.machinesOf(never.id).size)
+        assertTrue(simulation.invariants.machinesOf(service.id).isNotEmpty())
         for (job in listOf(never, service)) {
             assertEquals(null, ended(job), "it is known, and open")
             simulation.cancel(job.id)
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -64,14 +64,14 @@
 
         fun holds() {
             assertEquals(emptyList(), simulation.problems().distinct().take(4))
-            assertTrue(simulation.rules.starts > 0, "nothing ran")
+            assertTrue(simulation.invariants.starts > 0, "nothing ran")
         }
 
         fun done(vararg jobs: JobSpec) {
             holds()
             assertEquals(
                 emptyList(),
-                jobs.map { it.id }.filter { simulation.rules.finalOf(it) != "done" },
+                jobs.map { it.id }.filter { simulation.invariants.finalOf(it) != "done" },
             )
         }
     }
@@ -293,7 +293,7 @@
         }
         scenario.at(70.seconds) { simulation.network.slow.clear() }
         simulation.run(330.seconds)
-        simulation.endOfDay(calm = 70.seconds)
+        simulation.checkAtEnd(calm = 70.seconds)
         scenario.done(*jobs.toTypedArray())
     }
 }
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -23,7 +23,7 @@
                     if (relays) OperatorSettings(heartbeatsPerCore = 0.0) else OperatorSettings(),
             )
         val clock = simulation.clock
-        val rules = simulation.rules
+        val invariants = simulation.invariants
         val jobs = ArrayList<String>()
 
         constructor(way: Way) : this(way.seed, way.relays)
@@ -40,12 +40,12 @@
         fun begin() {
             clock.after(4.seconds) { submit(6) }
             simulation.run(30.seconds)
-            while (jobs.any { rules.placesOf(it).size < TASKS } && clock.now < START) runFor(
+            while (jobs.any { invariants.placesOf(it).size < TASKS } && clock.now < START) runFor(
                 1.seconds
             )
             // Nothing of what was done to get there is under way any more.
             runFor(clock.between(5.seconds, 6.seconds))
-            for (job in jobs) assertEquals(TASKS, rules.placesOf(job).size, "$job runs")
+            for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
         }
 
         fun leader() = simulation.leader() ?: error("nobody leads")
@@ -70,11 +70,12 @@
 
         /** What nobody cancelled runs again, all of it, and no rule was broken on the way. */
         fun end(calm: Micros) {
-            simulation.endOfDay(calm)
+            simulation.checkAtEnd(calm)
             assertEquals(emptyList(), simulation.problems())
             for (job in jobs) {
-                if (rules.finalOf(job) == "cancelled") assertEquals(0, rules.placesOf(job).size)
-                else assertEquals(TASKS, rules.placesOf(job).size, "$job runs again")
+                if (invariants.finalOf(job) == "cancelled")
+                    assertEquals(0, invariants.placesOf(job).size)
+                else assertEquals(TASKS, invariants.placesOf(job).size, "$job runs again")
             }
         }
 
@@ -96,7 +97,7 @@
             runFor(GAP)
             for (job in cancelled) assertEquals(
                 "cancelled",
-                rules.finalOf(job),
+                invariants.finalOf(job),
                 "$job is confirmed",
             )
             assertEquals(leader, simulation.leader(), "it still has its lease")
@@ -117,8 +118,10 @@
             clock.every(100.milliseconds) {
                 late +=
                     jobs.filter { job ->
-                        val at = rules.cancelledAt(job)
-                        at != null && clock.now - at > CANCEL && rules.placesOf(job).isNotEmpty()
+                        val at = invariants.cancelledAt(job)
+                        at != null &&
+                            clock.now - at > CANCEL &&
+                            invariants.placesOf(job).isNotEmpty()
                     }
             }
             return late
@@ -142,7 +145,7 @@
             begin()
             gap(way) { cancelled ->
                 // Some go on just before their lease is over, some just after it.
-                val hosts = cancelled.flatMap { rules.placesOf(it).values }.toSet()
+                val hosts = cancelled.flatMap { invariants.placesOf(it).values }.toSet()
                 for (worker in simulation.cloud.workers().filter { it.id in hosts }) {
                     worker.hanging = true
                     clock.after(clock.between(8.seconds, 20.seconds)) { worker.hanging = false }
@@ -156,15 +159,15 @@
         Meeting(way).run {
             begin()
             for (worker in simulation.cloud.workers()) {
-                simulation.lateOrders[worker.id] = clock.between(4.seconds, 13.seconds)
+                simulation.delayedCommands[worker.id] = clock.between(4.seconds, 13.seconds)
             }
             submit(1)
             // Decided on, written and sent, but not there; some go out with a report's answer.
             runFor(1500.milliseconds)
-            assertTrue(rules.placesOf(jobs.last()).size < TASKS)
+            assertTrue(invariants.placesOf(jobs.last()).size < TASKS)
             gap(way, count = 1)
             // Halted while it still waits for its image, it never comes to run.
-            val late = rules.startsAfterCancel + rules.startsCarriedOutAfterCancel
+            val late = invariants.startsAfterCancel + invariants.startsCarriedOutAfterCancel
             assertTrue(late > 0, "it was carried out late")
         }
 
@@ -191,7 +194,7 @@
             assertNotEquals(former, leader)
             if (way.lone) for (node in others()) apart(leader, node, OUTAGE)
             outage(null, OUTAGE)
-            for (job in cancelled) assertEquals("cancelled", rules.finalOf(job))
+            for (job in cancelled) assertEquals("cancelled", invariants.finalOf(job))
             runFor(OUTAGE + 90.seconds)
             end(calm = clock.now - 90.seconds)
         }
@@ -204,10 +207,10 @@
             begin()
             cancel(jobs.removeLast())
             runFor(6.seconds)
-            val before = jobs.associateWith { rules.placesOf(it) }
+            val before = jobs.associateWith { invariants.placesOf(it) }
             outage(null, OUTAGE)
             runFor(OUTAGE)
-            assertEquals(before, jobs.associateWith { rules.placesOf(it) })
+            assertEquals(before, jobs.associateWith { invariants.placesOf(it) })
             runFor(CALM)
             end(calm = clock.now - CALM)
         }
@@ -230,7 +233,7 @@
             runFor(OUTAGE)
             simulation.network.slow.remove("state")
             runFor(70.seconds)
-            assertEquals(4, jobs.count { rules.finalOf(it) == "cancelled" })
+            assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
         }
 
@@ -253,8 +256,8 @@
             // Asked of the lone one, which can't know and must not say that it was done.
             cancel(some[2], by = former)
             runFor(60.seconds)
-            for (job in some.take(2)) assertEquals("cancelled", rules.finalOf(job))
-            assertEquals(null, rules.finalOf(some[2]))
+            for (job in some.take(2)) assertEquals("cancelled", invariants.finalOf(job))
+            assertEquals(null, invariants.finalOf(some[2]))
             runFor(80.seconds)
             end(calm = clock.now - 60.seconds)
         }
@@ -282,7 +285,7 @@
             }
             assertTrue(tokens.size > 10, "${tokens.size} leaders")
             runFor(80.seconds)
-            assertEquals(4, jobs.count { rules.finalOf(it) == "cancelled" })
+            assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
         }
 
@@ -299,7 +302,7 @@
                 away + clock.between(1.seconds, 3.seconds),
             )
             runFor(away + 80.seconds)
-            assertEquals(2, jobs.count { rules.finalOf(it) == "cancelled" })
+            assertEquals(2, jobs.count { invariants.finalOf(it) == "cancelled" })
             end(calm = clock.now - 76.seconds)
         }
 
@@ -328,7 +331,7 @@
             runFor(30.seconds)
             assertEquals(first, simulation.leader(), "it leads by itself")
             runFor(100.seconds)
-            assertEquals(3, jobs.count { rules.finalOf(it) == "cancelled" })
+            assertEquals(3, jobs.count { invariants.finalOf(it) == "cancelled" })
             end(calm = clock.now - 85.seconds)
         }
 
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -52,7 +52,7 @@
                 clock.after(CALM) { simulation.watchWaiting() }
             }
             simulation.run(if (grown) 420.seconds else 320.seconds)
-            if (grown) simulation.endOfDay(CALM)
+            if (grown) simulation.checkAtEnd(CALM)
         }
 
         private fun trouble() {
@@ -88,7 +88,7 @@
         val scenario = Scenario(seed)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
+        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
@@ -97,7 +97,7 @@
         val scenario = Scenario(seed, grown = true)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
+        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
@@ -107,7 +107,7 @@
             Scenario(seed, grown = true, operators = OperatorSettings(heartbeatsPerCore = 0.0))
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
+        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
@@ -117,7 +117,7 @@
         val scenario = Scenario(seed, grown = true, fleet = true, operators = relays)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
+        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
     @ParameterizedTest
@@ -134,7 +134,7 @@
         val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.rules.starts > 0, "nothing ran")
+        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
     @Test
@@ -142,7 +142,7 @@
         val scenario = Scenario(100)
         scenario.play(troubled = false)
         assertEquals(emptyList(), scenario.simulation.problems())
-        val open = scenario.jobs.filter { scenario.simulation.rules.finalOf(it) == null }
+        val open = scenario.jobs.filter { scenario.simulation.invariants.finalOf(it) == null }
         assertEquals(emptyList(), open)
     }
 
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -29,14 +29,14 @@
 
 /**
  * Users who submit jobs, ask for their status and cancel some, as PROTOCOL says; what they are told
- * is held against [rules].
+ * is held against [invariants].
  */
 class SimulatedUsers(
     private val clock: SimulatedClock,
     private val network: Network,
     private val nodes: List<String>,
     private val teams: List<TeamQuota>,
-    private val rules: Rules,
+    private val invariants: Invariants,
     private val controllers: ControllerCalls,
     private val workerOf: (machine: String) -> FakeWorker?,
 ) {
@@ -94,7 +94,7 @@
     /** Submits [spec], and again until it is accepted; then asks for its status now and again. */
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
-        rules.submitted(spec)
+        invariants.submitted(spec)
         submitAgain(spec, clock.now + 60.seconds)
     }
 
@@ -103,7 +103,7 @@
         val askedAt = clock.now
         ask("POST", "/submissions", body) { status, text ->
             if (status != null)
-                rules.told(clock.now, spec.id, "POST", status, stateIn(text), askedAt)
+                invariants.told(clock.now, spec.id, "POST", status, stateIn(text), askedAt)
             if (status == 200 || status == 201) {
                 accepted++
                 // Some repeat a request that was carried out.
@@ -123,18 +123,20 @@
     fun poll(job: String) {
         val askedAt = clock.now
         ask("GET", "/submissions/$job", ByteArray(0)) { status, text ->
-            if (status != null) rules.told(clock.now, job, "GET", status, stateIn(text), askedAt)
-            rules.answered(clock.now, job, status == 200)
+            if (status != null)
+                invariants.told(clock.now, job, "GET", status, stateIn(text), askedAt)
+            invariants.answered(clock.now, job, status == 200)
             clock.after(clock.between(3.seconds, 6.seconds)) { poll(job) }
         }
     }
 
     /** Cancels [job] through the controller [by], or any, and again until it is confirmed. */
     fun cancel(job: String, by: String? = null) {
-        rules.askedToCancel(job)
+        invariants.askedToCancel(job)
         val askedAt = clock.now
         ask("POST", "/submissions/$job/abort", ByteArray(0), by) { status, text ->
-            if (status != null) rules.told(clock.now, job, "abort", status, stateIn(text), askedAt)
+            if (status != null)
+                invariants.told(clock.now, job, "abort", status, stateIn(text), askedAt)
             if (status != 200) clock.after(1.seconds) { cancel(job, by) }
             // Its submission was never answered, so this is the first that its user hears of it.
             else if (asked.add(job)) poll(job)
@@ -148,7 +150,7 @@
      */
     fun cancelNow(count: Int, hang: Micros) {
         val running =
-            rules.runningUncancelled().map(specs::getValue).sortedByDescending {
+            invariants.runningUncancelled().map(specs::getValue).sortedByDescending {
                 if (it.estimateS == 0.0) Double.MAX_VALUE else it.estimateS
             }
         val chosen = running.take(count).map { it.id }
@@ -156,7 +158,7 @@
             cancel(job)
         }
         if (hang == Micros.ZERO) return
-        for (machine in chosen.flatMap(rules::machinesOf).distinct().take(MOST_HANGING)) {
+        for (machine in chosen.flatMap(invariants::machinesOf).distinct().take(MOST_HANGING)) {
             val worker = workerOf(machine) ?: continue
             worker.hanging = true
             clock.after(hang) { worker.hanging = false }
@@ -177,12 +179,12 @@
     /** One of the requests that users seldom make; the answers to all of them are checked. */
     fun oddRequest() {
         when (clock.random.nextInt(5)) {
-            0 -> rules.open().randomOrNull(clock.random)?.let(::repeat)
-            1 -> rules.over().randomOrNull(clock.random)?.let(::repeat)
+            0 -> invariants.open().randomOrNull(clock.random)?.let(::repeat)
+            1 -> invariants.over().randomOrNull(clock.random)?.let(::repeat)
             2 ->
-                rules
+                invariants
                     .over()
-                    .filter { rules.finalOf(it) == "done" }
+                    .filter { invariants.finalOf(it) == "done" }
                     .randomOrNull(clock.random)
                     ?.let { cancelDone(it) }
             3 -> submitBad(422, encode(unfit()))
@@ -197,14 +199,15 @@
         val askedAt = clock.now
         val body = encode(specs.getValue(job)).toString().encodeToByteArray()
         ask("POST", "/submissions", body) { status, text ->
-            if (status != null) rules.repeated(clock.now, job, status, stateIn(text), askedAt)
+            if (status != null) invariants.repeated(clock.now, job, status, stateIn(text), askedAt)
         }
     }
 
     private fun cancelDone(job: String) {
         val askedAt = clock.now
         ask("POST", "/submissions/$job/abort", ByteArray(0)) { status, text ->
-            if (status != null) rules.told(clock.now, job, "abort", status, stateIn(text), askedAt)
+            if (status != null)
+                invariants.told(clock.now, job, "abort", status, stateIn(text), askedAt)
         }
     }
 
@@ -230,10 +233,10 @@
     private fun submitBad(expected: Int, body: JsonObject) {
         val job = body.getValue("name_id").jsonPrimitive.content
         ask("POST", "/submissions", body.toString().encodeToByteArray()) { status, _ ->
-            if (status != null) rules.answeredBad(job, expected, status, body.toString())
+            if (status != null) invariants.answeredBad(job, expected, status, body.toString())
             // Nor is it known afterwards.
             ask("GET", "/submissions/$job", ByteArray(0)) { later, text ->
-                if (later != null) rules.told(clock.now, job, "GET", later, stateIn(text))
+                if (later != null) invariants.told(clock.now, job, "GET", later, stateIn(text))
             }
         }
     }
--- a/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
@@ -20,8 +20,9 @@
 import wardmux.serialization.lenientJson
 
 /**
- * One gang in a simulated simulation. Beyond the [Rules], each command to start is held against the
- * stored pages, and no two attempts may be on machines at the same time, in whichever zones.
+ * One gang in a simulated simulation. Beyond the [Invariants], each command to start is held
+ * against the stored pages, and no two attempts may be on machines at the same time, in whichever
+ * zones.
  */
 internal class SingleGangScenario(seed: Long, txnOps: Int = 8, gangWaitS: Double = 35.0) {
     val simulation = ClusterSimulation(seed, txnOps, gangWaitS = gangWaitS)
@@ -51,10 +52,10 @@
                     oneZone = oneZone,
                     checkpointS = CHECKPOINT_S,
                 )
-        simulation.startIsSent = ::checkStart
+        simulation.onStartSent = ::checkStart
         clock.after(at) { simulation.submit(gang) }
         clock.every(20.milliseconds) {
-            val attempts = simulation.rules.attemptsOf(gang.id)
+            val attempts = simulation.invariants.attemptsOf(gang.id)
             if (attempts.size > 1) broken.add("attempts $attempts at once at ${clock.now}")
         }
     }
@@ -101,13 +102,13 @@
 
     /** Once, [after] the gang began to run. */
     fun onceItRuns(after: Micros, action: () -> Unit) {
-        if (simulation.rules.gangsBegun > 0) clock.after(after, action)
+        if (simulation.invariants.gangsBegun > 0) clock.after(after, action)
         else clock.after(20.milliseconds) { onceItRuns(after, action) }
     }
 
     /** The machines that hold tasks of the gang, in the order of these tasks. */
     fun machines(): List<FakeWorker> {
-        val places = simulation.rules.placesOf(gang.id).toSortedMap().values.distinct()
+        val places = simulation.invariants.placesOf(gang.id).toSortedMap().values.distinct()
         return places.mapNotNull { id -> simulation.cloud.workers().find { it.id == id } }
     }
 
@@ -154,21 +155,25 @@
         simulation.run(until)
         assertEquals(emptyList(), (simulation.problems() + broken).distinct().take(4))
         assertTrue(
-            simulation.rules.gangsBegun > 0,
+            simulation.invariants.gangsBegun > 0,
             "the gang never ran: ${simulation.gangs.causes}",
         )
     }
 
     fun isDone(until: Micros) {
         holds(until)
-        assertEquals("done", simulation.rules.finalOf(gang.id), "ends: ${simulation.gangs.causes}")
+        assertEquals(
+            "done",
+            simulation.invariants.finalOf(gang.id),
+            "ends: ${simulation.gangs.causes}",
+        )
     }
 
     /** An attempt after the first ran too. */
     fun beginsAgain(until: Micros) {
         holds(until)
         assertTrue(
-            simulation.rules.gangsBegun > 1,
+            simulation.invariants.gangsBegun > 1,
             "it never began again: ${simulation.gangs.causes}",
         )
     }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -203,12 +203,12 @@
 
         fun end() {
             simulation.run(END)
-            simulation.endOfDay(CALM)
+            simulation.checkAtEnd(CALM)
             assertEquals(emptyList(), simulation.problems())
             assertEquals(emptyList(), newBeyond)
             assertTrue(allNew, "some are still old")
-            assertTrue(simulation.rules.starts > 0, "nothing ran")
-            val open = jobs.filter { simulation.rules.finalOf(it.id) == null }
+            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+            val open = jobs.filter { simulation.invariants.finalOf(it.id) == null }
             assertEquals(emptyList(), open.map { "${it.id} ${it.kind}" })
         }
     }
