--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -23,7 +23,7 @@
  * ended the lease counted from the election of each leader, and so began anew with each.
  *
  * Proof: `a machine that only forwarders hear` plays just that. With forwarders that do not heed
- * what they and their leader know it fails on every seed, and so do days with other orders of the
+ * what they and their leader know it fails on every seed, and so do scenarios with other orders of the
  * same troubles; with forwarders that do, none fails.
  */
 class CancellationAcrossLeadersTest {
@@ -140,7 +140,7 @@
         }
 
     @ParameterizedTest
-    @MethodSource("days")
+    @MethodSource("scenarios")
     fun `leaders change every few seconds while cancelled tasks are out`(seed: Long) =
         Churn(seed).run {
             begin(count = 8)
