--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -303,7 +303,7 @@
         assertTrue(off.none { DrainPaths.FORWARDED in it })
     }
 
-    /** All that controllers ask of the state service on a short day. */
+    /** All that controllers ask of the key-value store in a short scenario. */
     private fun requests(operators: OperatorSettings): List<String> {
         val simulation = ClusterSimulation(1, operators = operators)
         val seen = ArrayList<String>()
@@ -314,7 +314,7 @@
     }
 
     private companion object {
-        /** A day on which nothing is drained, for requests that are wrong. */
+        /** A scenario in which nothing is drained, for requests that are wrong. */
         val WRONG =
             DrainScenario(22).begin().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
     }
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -23,8 +23,8 @@
  * ended the lease counted from the election of each leader, and so began anew with each.
  *
  * Proof: `a machine that only forwarders hear` plays just that. With forwarders that do not heed
- * what they and their leader know it fails on every seed, and so do scenarios with other orders of the
- * same troubles; with forwarders that do, none fails.
+ * what they and their leader know it fails on every seed, and so do scenarios with other orders of
+ * the same troubles; with forwarders that do, none fails.
  */
 class CancellationAcrossLeadersTest {
     private class Churn(seed: Long) {
@@ -121,9 +121,9 @@
             while (invariants.cancelledAt(job)?.let { clock.now - it > CANCEL } == false) {
                 changeLeader()
                 val session = worker.sessions
-                val relay = simulation.nodes.first { it != simulation.leader() }
-                join(machine, listOf(relay))
-                worker.turnTo(relay)
+                val forwarder = simulation.nodes.first { it != simulation.leader() }
+                join(machine, listOf(forwarder))
+                worker.turnTo(forwarder)
                 val until = clock.now + LONGEST_MEETING
                 while (!worker.hasToken(simulation.leaderToken()) && clock.now < until) {
                     runFor(1.milliseconds)
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -171,7 +171,7 @@
             }
         }
 
-        /** Bounded by nodes and not by time, so that a seed always gives the same day. */
+        /** Bounded by nodes and not by time, so that a seed always gives the same scenario. */
         private fun compute(effect: Effect.Compute) {
             if (lostPlans > 0 && clock.chance(lostPlans)) return
             val planning = effect.task as DrainPlanning
--- a/src/test/kotlin/wardmux/sim/FakeCloud.kt
+++ b/src/test/kotlin/wardmux/sim/FakeCloud.kt
@@ -114,7 +114,7 @@
                     if (listings.isEmpty()) """{"boxes":[],"truncated":false}"""
                     else listings[clock.random.nextInt((listings.size + 1) / 2)],
                 )
-            "POST /machines" -> hire(body, answer)
+            "POST /machines" -> rent(body, answer)
             "POST /machines/delete" -> {
                 if (keepsMachines) return answer(503, """{"error":"trouble"}""")
                 val ids = Json.parseToJsonElement(body).jsonObject.getValue("boxes").jsonArray
@@ -125,7 +125,7 @@
         }
     }
 
-    private fun hire(body: String, answer: (Int, String) -> Unit) {
+    private fun rent(body: String, answer: (Int, String) -> Unit) {
         val json = Json.parseToJsonElement(body).jsonObject
         val name = json.getValue("hire").jsonPrimitive.content
         hires[name]?.let {
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -4,7 +4,9 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** All that may happen to a [simulation], for days of every kind; [submit] brings one more job. */
+/**
+ * All that may happen to a [simulation], for scenarios of every kind; [submit] brings one more job.
+ */
 class FaultInjector(private val simulation: ClusterSimulation, private val submit: () -> Unit) {
     private val clock = simulation.clock
 
@@ -71,7 +73,8 @@
         )
 
     /**
-     * Deaf machines, copies and delays. A list of its own, so that earlier seeds keep their days.
+     * Deaf machines, copies and delays. A list of its own, so that earlier seeds keep their
+     * scenarios.
      */
     val networkFaults: List<() -> Unit> =
         listOf(
@@ -221,7 +224,7 @@
         if (clock.chance(0.5)) part(b, a, length)
     }
 
-    /** Its heartbeats arrive; answers and orders do not reach it. */
+    /** Its heartbeats arrive; responses and commands do not reach it. */
     private fun deaf(worker: String, length: Micros) {
         for (node in simulation.nodes) part(node, worker, length)
     }
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -128,7 +128,10 @@
 
     // Halts that reach only some.
 
-    /** The one machine is taken back, so all are to save; orders to another are held up. */
+    /**
+     * The one machine is preempted by the provider, so all are to save; commands to another are
+     * held up.
+     */
     private fun haltedInPart(seed: Long, heldUp: Micros): SingleGangScenario {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 3, cpus = 9.0, estimateS = LONG)
--- a/src/test/kotlin/wardmux/sim/Invariants.kt
+++ b/src/test/kotlin/wardmux/sim/Invariants.kt
@@ -170,7 +170,7 @@
     val knowsCancelled: Boolean
         get() = toldCancelledAt.isNotEmpty()
 
-    /** Orders to start that were decided after their user was told of the cancellation. */
+    /** Commands to start that were decided after their user was told of the cancellation. */
     var commandsAfterCancel = 0
         private set
 
--- a/src/test/kotlin/wardmux/sim/InvariantsTest.kt
+++ b/src/test/kotlin/wardmux/sim/InvariantsTest.kt
@@ -48,7 +48,7 @@
         )
 
     @Test
-    fun `a day in order breaks nothing`() {
+    fun `a scenario in order breaks nothing`() {
         invariants.submitted(spec(1))
         told("POST", 201, "queued")
         start(0)
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -13,20 +13,21 @@
 /** Outages of the key-value store that meet cancellations, lone leaders and changes of leader. */
 class OutageFaultsTest {
     /** How workers' heartbeats come in, and whether the leader that is refused hears its peers. */
-    data class Way(val seed: Long, val relays: Boolean, val lone: Boolean)
+    data class Way(val seed: Long, val forwarding: Boolean, val lone: Boolean)
 
-    private class Meeting(seed: Long, relays: Boolean) {
+    private class Meeting(seed: Long, forwarding: Boolean) {
         val simulation =
             ClusterSimulation(
                 seed,
                 operators =
-                    if (relays) OperatorSettings(heartbeatsPerCore = 0.0) else OperatorSettings(),
+                    if (forwarding) OperatorSettings(heartbeatsPerCore = 0.0)
+                    else OperatorSettings(),
             )
         val clock = simulation.clock
         val invariants = simulation.invariants
         val jobs = ArrayList<String>()
 
-        constructor(way: Way) : this(way.seed, way.relays)
+        constructor(way: Way) : this(way.seed, way.forwarding)
 
         /** Tasks that go on until they are cancelled. */
         fun submit(count: Int) =
@@ -217,7 +218,7 @@
 
     @ParameterizedTest
     @MethodSource("ways")
-    fun `a slow state service, then none for the leader, then none for all`(way: Way) =
+    fun `a slow key-value store, then none for the leader, then none for all`(way: Way) =
         Meeting(way).run {
             begin()
             val leader = leader()
@@ -353,8 +354,8 @@
         @JvmStatic
         fun ways(): List<Way> =
             SEEDS.flatMap { seed ->
-                listOf(false, true).flatMap { relays ->
-                    listOf(false, true).map { lone -> Way(seed, relays, lone) }
+                listOf(false, true).flatMap { forwarding ->
+                    listOf(false, true).map { lone -> Way(seed, forwarding, lone) }
                 }
             }
 
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -113,8 +113,8 @@
     @ParameterizedTest
     @MethodSource("frozenSeeds")
     fun `nor with frozen controllers and cut zones besides`(seed: Long) {
-        val relays = OperatorSettings(heartbeatsPerCore = 0.0)
-        val scenario = Scenario(seed, grown = true, fleet = true, operators = relays)
+        val forwarding = OperatorSettings(heartbeatsPerCore = 0.0)
+        val scenario = Scenario(seed, grown = true, fleet = true, operators = forwarding)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
@@ -172,7 +172,7 @@
         }
 
         /**
-         * Days on which a rule was once broken: a job in two zones, since a later leader did not
+         * Seeds with which a rule was once broken: a job in two zones, since a later leader did not
          * know where its tasks were (113, 184, 321); a cancelled job that stayed in memory, and so
          * on its machines, when what is stored was read twice (114, 242); a team over its cap,
          * since a later leader started again what had been released after its record was written
@@ -181,8 +181,8 @@
         private val FOUND = listOf(113L, 114L, 184L, 242L, 321L, 854L)
 
         /**
-         * A machine that orders did not reach was kept for ever, and with it the jobs that only its
-         * kind may run, as the leader had read again what is stored (200).
+         * A machine that commands did not reach was kept for ever, and with it the jobs that only
+         * its kind may run, as the leader had read again what is stored (200).
          */
         private val FOUND_RELAYED = listOf(200L)
     }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -180,7 +180,7 @@
             clock.after(length) { simulation.network.slow.remove("state") }
         }
 
-        /** Every third of them, so that three days in a row meet each once. */
+        /** Every third of them, so that three seeds in a row meet each once. */
         fun troubles(first: Int, from: Micros, apart: Micros) {
             val mine = troubles.filterIndexed { i, _ -> i % 3 == first }.shuffled(clock.random)
             for ((i, trouble) in mine.withIndex()) {
@@ -216,8 +216,8 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule is broken while both versions serve, whatever fails`(seed: Long) {
-        val relays = OperatorSettings(heartbeatsPerCore = 0.0)
-        val scenario = Scenario(seed, if (seed % 2 == 0L) relays else OperatorSettings())
+        val forwarding = OperatorSettings(heartbeatsPerCore = 0.0)
+        val scenario = Scenario(seed, if (seed % 2 == 0L) forwarding else OperatorSettings())
         val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
         val at =
             when (fall) {
