--- a/src/main/kotlin/wardmux/cloud/CostReport.kt
+++ b/src/main/kotlin/wardmux/cloud/CostReport.kt
@@ -40,10 +40,10 @@
         val sum = uses.sum()
         log.info(
             "cost of {} an hour for {}: {}",
-            Math.round(sum / PERIOD.inSeconds * 10) / 10.0,
+            Math.round(sum / PERIOD.inSeconds * TENTHS) / TENTHS,
             kind,
             Use.entries.joinToString { use ->
-                "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * 100)} %"
+                "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * PERCENT)} %"
             },
         )
     }
@@ -75,5 +75,7 @@
 
     private companion object {
         val PERIOD = 10.seconds
+        const val TENTHS = 10.0
+        const val PERCENT = 100
     }
 }
--- a/src/main/kotlin/wardmux/cloud/ScaleIn.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleIn.kt
@@ -19,14 +19,22 @@
      * expensive first.
      */
     fun returnIdle(pool: MachinePool, own: List<Machine>, surplus: Double, spot: Boolean) {
-        val emptied = own.filter { it.isScalingIn && it.isEmpty && it.spot == spot }
+        val candidates = own.filter { it.spot == spot && it.isEmpty }
+        returnEmptied(pool, candidates.filter { it.isScalingIn })
+        returnSurplus(pool, candidates, surplus + 1 - MIN_SURPLUS)
+    }
+
+    private fun returnEmptied(pool: MachinePool, emptied: List<Machine>) {
         for (machine in emptied) {
             if (isIdleForLong(pool, machine)) decommissioning.decommission(machine, "emptied")
         }
-        var left = surplus + 1 - MIN_SURPLUS
-        if (left < 1) return
+    }
+
+    private fun returnSurplus(pool: MachinePool, candidates: List<Machine>, surplus: Double) {
+        if (surplus < 1) return
+        var left = surplus
         val gangs = planner.jobsShortOfRoom().filter { it.spec.isGang && !it.isFailing }
-        val idle = own.filter { it.isUp && it.isEmpty && !it.isDecommissioned && it.spot == spot }
+        val idle = candidates.filter { it.isUp && !it.isDecommissioned }
         for (machine in idle.sortedByDescending { pool.relativeCost(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !isIdleForLong(pool, machine)) continue
             // A gang waits for more machines like this: it would be rented again at once.
@@ -38,8 +46,8 @@
 
     /** Idle for as long as another boot costs; less for a machine that costs more. */
     private fun isIdleForLong(pool: MachinePool, machine: Machine): Boolean {
-        val dearness = pool.relativeCost(machine.type, machine.spot)
-        val keep = (operators.idleKeepBoots * machine.type.bootS / dearness).seconds
+        val relativeCost = pool.relativeCost(machine.type, machine.spot)
+        val keep = (operators.idleKeepBoots * machine.type.bootS / relativeCost).seconds
         return context.now - machine.idleSince > keep
     }
 
