--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -6,7 +6,6 @@
 import kotlin.test.assertFalse
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.JsonPrimitive
-import wardmux.config.OperatorSettings
 import wardmux.core.ListenerKind
 import wardmux.core.Outcome
 import wardmux.model.Micros
@@ -15,11 +14,12 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
+import wardmux.sim.forwardingSettings
 import wardmux.sim.plainJob
 
 /** The leader's side: what follows from a batch, and what a grant leaves possible. */
 class ForwardingCoordinatorTest {
-    private val harness = ControllerHarness(listOf("n1"), OperatorSettings(heartbeatsPerCore = 0.0))
+    private val harness = ControllerHarness(listOf("n1"), forwardingSettings())
     private val directMachines = List(8) { ManualWorker(harness, "i-00001$it") }
     private var token = 0L
     private var echo = 0L
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -7,7 +7,6 @@
 import kotlin.test.assertNotNull
 import kotlin.test.assertTrue
 import kotlinx.serialization.json.Json
-import wardmux.config.OperatorSettings
 import wardmux.core.ListenerKind
 import wardmux.core.Outcome
 import wardmux.forwarding.ForwardingCodec
@@ -23,14 +22,14 @@
 import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 import wardmux.sim.ManualWorker
+import wardmux.sim.forwardingSettings
 import wardmux.sim.plainJob
 
 /**
  * What a leader that finds a cancelled job's task in the records lets renew its machine's lease.
  */
 class LeaderRenewalTest {
-    private val harness =
-        ControllerHarness(peers = listOf("n1"), OperatorSettings(heartbeatsPerCore = 0.0))
+    private val harness = ControllerHarness(peers = listOf("n1"), forwardingSettings())
     private val machine = ManualWorker(harness, "i-000001")
     private val other = ManualWorker(harness, "i-000099")
     private val job = plainJob(1)
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -4,7 +4,6 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.config.OperatorSettings
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.model.seconds
@@ -28,8 +27,7 @@
  */
 class CancellationAcrossLeadersTest {
     private class Churn(seed: Long) {
-        val simulation =
-            ClusterSimulation(seed, operators = OperatorSettings(heartbeatsPerCore = 0.0))
+        val simulation = ClusterSimulation(seed, operators = forwardingSettings())
         val clock = simulation.clock
         val invariants = simulation.invariants
         val jobs = ArrayList<String>()
--- a/src/test/kotlin/wardmux/sim/GangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/GangScenario.kt
@@ -1,7 +1,6 @@
 package wardmux.sim
 
 import kotlin.test.assertEquals
-import wardmux.config.OperatorSettings
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
@@ -16,9 +15,7 @@
     val simulation =
         ClusterSimulation(
             seed,
-            operators =
-                if (seed % 2 == 0L) OperatorSettings()
-                else OperatorSettings(heartbeatsPerCore = 0.0),
+            operators = forwardingSettings(seed % 2 != 0L),
             rented = rented,
             capacity = capacity,
         )
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -86,7 +86,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `nor where all controllers take heartbeats`(seed: Long) =
-        troubled(seed, OperatorSettings(heartbeatsPerCore = 0.0))
+        troubled(seed, forwardingSettings())
 
     @ParameterizedTest
     @MethodSource("quietSeeds")
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -115,7 +115,7 @@
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23])
     fun `nor do batches and answers that go round by the service`(seed: Long) {
-        val scenario = Scenario(seed, LOWER, OperatorSettings(heartbeatsPerCore = 0.0))
+        val scenario = Scenario(seed, LOWER, forwardingSettings())
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
         simulation.state.lower(LOWER)
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -4,7 +4,6 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import wardmux.config.OperatorSettings
 import wardmux.model.JobKind
 import wardmux.model.JobSpec
 import wardmux.model.Micros
@@ -16,13 +15,7 @@
 class MachineFaultsTest {
     private class Meeting(seed: Long) {
         // In every other scenario all controllers take reports.
-        val simulation =
-            ClusterSimulation(
-                seed,
-                operators =
-                    if (seed % 2 == 0L) OperatorSettings()
-                    else OperatorSettings(heartbeatsPerCore = 0.0),
-            )
+        val simulation = ClusterSimulation(seed, operators = forwardingSettings(seed % 2 != 0L))
         val clock = simulation.clock
 
         fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -5,7 +5,6 @@
 import kotlin.test.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import wardmux.config.OperatorSettings
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 import wardmux.model.seconds
@@ -16,13 +15,7 @@
     data class Way(val seed: Long, val forwarding: Boolean, val lone: Boolean)
 
     private class Meeting(seed: Long, forwarding: Boolean) {
-        val simulation =
-            ClusterSimulation(
-                seed,
-                operators =
-                    if (forwarding) OperatorSettings(heartbeatsPerCore = 0.0)
-                    else OperatorSettings(),
-            )
+        val simulation = ClusterSimulation(seed, operators = forwardingSettings(forwarding))
         val clock = simulation.clock
         val invariants = simulation.invariants
         val jobs = ArrayList<String>()
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -103,8 +103,7 @@
     @ParameterizedTest
     @MethodSource("relayedSeeds")
     fun `nor where all controllers take heartbeats`(seed: Long) {
-        val scenario =
-            Scenario(seed, grown = true, operators = OperatorSettings(heartbeatsPerCore = 0.0))
+        val scenario = Scenario(seed, grown = true, operators = forwardingSettings())
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
@@ -113,7 +112,7 @@
     @ParameterizedTest
     @MethodSource("frozenSeeds")
     fun `nor with frozen controllers and cut zones besides`(seed: Long) {
-        val forwarding = OperatorSettings(heartbeatsPerCore = 0.0)
+        val forwarding = forwardingSettings()
         val scenario = Scenario(seed, grown = true, fleet = true, operators = forwarding)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
@@ -128,7 +127,7 @@
     @ParameterizedTest
     @MethodSource("huntedSeeds")
     fun `nor with them where all controllers take heartbeats`(seed: Long) =
-        hunted(seed, OperatorSettings(heartbeatsPerCore = 0.0))
+        hunted(seed, forwardingSettings())
 
     private fun hunted(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -216,8 +216,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule is broken while both versions serve, whatever fails`(seed: Long) {
-        val forwarding = OperatorSettings(heartbeatsPerCore = 0.0)
-        val scenario = Scenario(seed, if (seed % 2 == 0L) forwarding else OperatorSettings())
+        val scenario = Scenario(seed, forwardingSettings(seed % 2 == 0L))
         val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
         val at =
             when (fall) {
