--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -90,6 +90,7 @@
      */
     var onStartSent: ((by: String, machine: String?, task: String, attempt: Int) -> Unit)? = null
     private val connections = WorkerConnections(SocketBudget(fdLimit).workers)
+    private val effectDigest = EffectDigest.start()
     private var boots = 0L
     private var calls = 0L
 
@@ -154,7 +155,10 @@
 
         private fun handle(input: Input): List<Effect> {
             val now = Micros((clock.now.value * drift).toLong())
-            return core.handle(now, clock.now + offset, input).also(::noteOrders)
+            val effects = core.handle(now, clock.now + offset, input)
+            effectDigest?.record(now, member, effects)
+            noteOrders(effects)
+            return effects
         }
 
         fun feed(input: Input) {
--- /dev/null
+++ b/src/test/kotlin/wardmux/sim/EffectDigest.kt
@@ -0,0 +1,74 @@
+package wardmux.sim
+
+import java.io.File
+import java.nio.ByteBuffer
+import java.security.MessageDigest
+import wardmux.core.Effect
+import wardmux.model.Micros
+
+/**
+ * The number and the SHA-256 hash of all effects of one simulated cluster, in their order. Two
+ * versions that decide alike have the same digests; `tools/compare-effects` compares them.
+ */
+class EffectDigest private constructor() {
+    private val hash = MessageDigest.getInstance("SHA-256")
+    private var count = 0L
+
+    /** Adds what the controller [member] asked for when it handled one input at the time [now]. */
+    fun record(now: Micros, member: String, effects: List<Effect>) {
+        for (effect in effects) {
+            count++
+            add(now.value)
+            add(member.encodeToByteArray())
+            add(effect)
+        }
+    }
+
+    private fun add(effect: Effect) {
+        when (effect) {
+            is Effect.Respond -> {
+                add(effect.id)
+                add(effect.status.toLong())
+                add(effect.body)
+            }
+            is Effect.SendRequest -> {
+                add(effect.id)
+                add("${effect.method} ${effect.path}".encodeToByteArray())
+                add(effect.body)
+                add(effect.timeout.value)
+            }
+            is Effect.Compute -> add(effect.id)
+        }
+    }
+
+    private fun add(bytes: ByteArray) {
+        add(bytes.size.toLong())
+        hash.update(bytes)
+    }
+
+    private fun add(number: Long) =
+        hash.update(ByteBuffer.allocate(Long.SIZE_BYTES).putLong(number).array())
+
+    override fun toString() = "$count ${hash.digest().toHexString()}"
+
+    companion object {
+        private val digests = ArrayList<EffectDigest>()
+
+        /**
+         * The digest of a new cluster, or null unless the property `wardmux.effects` names a file.
+         */
+        fun start(): EffectDigest? {
+            val path = System.getProperty("wardmux.effects") ?: return null
+            if (digests.isEmpty()) {
+                Runtime.getRuntime().addShutdownHook(Thread { write(File(path)) })
+            }
+            return EffectDigest().also { digests += it }
+        }
+
+        /** Sorted, as the order of the tests depends on their names. */
+        private fun write(file: File) =
+            file.writeText(
+                digests.map { it.toString() }.sorted().joinToString("\n", postfix = "\n")
+            )
+    }
+}
