--- a/src/main/kotlin/wardmux/fleet/CommandReachability.kt
+++ b/src/main/kotlin/wardmux/fleet/CommandReachability.kt
@@ -8,14 +8,14 @@
 /** Whether direct commands reach any machine at all. */
 class CommandReachability(private val context: CoreContext) {
     /** Machines that did not answer a command, and since when; empty once any does. */
-    private val unreachedSince = HashMap<Machine, Micros>()
+    private val unansweredSince = HashMap<Machine, Micros>()
 
     /** A machine answered a command. */
-    fun recordResponse() = unreachedSince.clear()
+    fun recordResponse() = unansweredSince.clear()
 
     /** [machine] did not answer a command. */
     fun recordNoResponse(machine: Machine) {
-        unreachedSince.putIfAbsent(machine, context.now)
+        unansweredSince.putIfAbsent(machine, context.now)
     }
 
     /**
@@ -25,15 +25,16 @@
      */
     val isCutOff: Boolean
         get() =
-            unreachedSince.size >= MIN_UNREACHED_MACHINES &&
-                unreachedSince.values.any { context.now - it > MIN_UNREACHED_TIME } &&
-                unreachedSince.count { (machine, at) -> machine.isAliveSince(at) } >=
-                    MIN_UNREACHED_MACHINES
+            unansweredSince.size >= MIN_UNANSWERED_MACHINES &&
+                unansweredSince.values.any { context.now - it > MIN_UNANSWERED_TIME } &&
+                unansweredSince.count { (machine, at) -> machine.hasSentHeartbeatSince(at) } >=
+                    MIN_UNANSWERED_MACHINES
 
-    private fun Machine.isAliveSince(at: Micros) = !isDecommissioned && (lastHeartbeatAt ?: at) > at
+    private fun Machine.hasSentHeartbeatSince(at: Micros) =
+        !isDecommissioned && (lastHeartbeatAt ?: at) > at
 
     private companion object {
-        const val MIN_UNREACHED_MACHINES = 6
-        val MIN_UNREACHED_TIME = 3.seconds
+        const val MIN_UNANSWERED_MACHINES = 6
+        val MIN_UNANSWERED_TIME = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/DirectCommandSender.kt
+++ b/src/main/kotlin/wardmux/fleet/DirectCommandSender.kt
@@ -37,11 +37,12 @@
             // One request at a time. A machine to which there was no connection is not tried again
             // at once either: where a whole zone is cut off, such attempts would hold up the
             // commands to all others.
-            val pausing = context.now - machine.connectionFailedAt < CONNECTION_RETRY_PAUSE
-            if (machine.isCommandInFlight || pausing) continue
-            val known = machine.hasAdoptedToken || machine.holdsCancelled
-            val reachable = known && !machine.isDecommissioned && machine.endpoint.isNotEmpty()
-            if (!reachable || machine.hasUnansweredStart) {
+            val isConnectionRetryPaused =
+                context.now - machine.connectionFailedAt < CONNECTION_RETRY_PAUSE
+            if (machine.isCommandInFlight || isConnectionRetryPaused) continue
+            val mayCommand = machine.hasAdoptedToken || machine.holdsCancelled
+            val canSend = mayCommand && !machine.isDecommissioned && machine.endpoint.isNotEmpty()
+            if (!canSend || machine.hasUnansweredStart) {
                 machines.remove()
                 continue
             }
@@ -73,7 +74,7 @@
                 commands.add(stop(placement))
                 placement.isStopSent = true
             } else if (isStartDue(machine, placement)) {
-                if (starts.size < MAX_STARTS) starts.add(placement) else hasMore = true
+                if (starts.size < MAX_STARTS_PER_REQUEST) starts.add(placement) else hasMore = true
             } else if (!placement.isCommitted || isWaitingForGang(placement)) {
                 hasMore = true
             }
@@ -98,9 +99,9 @@
      */
     private fun isStopDue(machine: Machine, placement: Placement): Boolean {
         if (placement.isStopSent) return false
-        val toBeGone = placement.isStopping || placement.job.hasEnded
-        val unverified = placement.job.isCancelled && !machine.hasAdoptedToken
-        return toBeGone && (placement.status != null || unverified)
+        val shouldBeAbsent = placement.isStopping || placement.job.hasEnded
+        val isAbsenceUnverified = placement.job.isCancelled && !machine.hasAdoptedToken
+        return shouldBeAbsent && (placement.status != null || isAbsenceUnverified)
     }
 
     private fun isStartDue(machine: Machine, placement: Placement) =
@@ -124,7 +125,7 @@
                 is Outcome.NotSent -> {
                     machine.connectionFailedAt = context.now
                     for (placement in starts) placement.isStartSent = false
-                    confirm(machine, incarnation, starts)
+                    removeUnconfirmed(machine, incarnation, starts)
                 }
                 is Outcome.NoResponse -> handleNoResponse(machine, incarnation, starts)
             }
@@ -139,7 +140,7 @@
     ) {
         val accepted = response.status == HttpStatus.OK
         if (!accepted) for (placement in starts) placement.isStartSent = false
-        confirm(machine, incarnation, starts)
+        removeUnconfirmed(machine, incarnation, starts)
         // Also a worker that refuses the commands, for their token or incarnation, sends its state.
         if (accepted || response.status == HttpStatus.CONFLICT) client.accept(machine, response)
     }
@@ -151,7 +152,7 @@
     }
 
     /** The starts were carried out or never will be. */
-    private fun confirm(machine: Machine, incarnation: Long, starts: List<Placement>) {
+    private fun removeUnconfirmed(machine: Machine, incarnation: Long, starts: List<Placement>) {
         if (machine.incarnation != incarnation) return
         for (placement in starts) machine.unconfirmedStarts.remove(placement.taskAttempt)
     }
@@ -160,6 +161,6 @@
         val CONNECTION_RETRY_PAUSE = 2.seconds
 
         /** In one request. */
-        const val MAX_STARTS = 300
+        const val MAX_STARTS_PER_REQUEST = 300
     }
 }
--- a/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
@@ -29,7 +29,7 @@
      * since. A completed task is not run again by it; all others are forgotten only after this
      * time, or with the worker's incarnation.
      */
-    private val endedAttemptsKept = (workers.leaseS * ENDED_ATTEMPTS_KEPT_LEASES).seconds
+    private val endedAttemptRetention = (workers.leaseS * ENDED_ATTEMPT_RETENTION_LEASES).seconds
 
     /** What [machine] is to do after [heartbeat]; [withStarts] also what it is to start. */
     fun commandsFor(
@@ -70,7 +70,7 @@
         commands: ArrayList<WorkerCommand>,
     ) {
         for (placement in machine.placements.values) {
-            if (commands.size >= MAX_COMMANDS) break
+            if (commands.size >= MAX_COMMANDS_PER_RESPONSE) break
             if (placement.lastSeenTick == heartbeat.tick) continue
             if (!placement.mayStartOn(machine)) continue
             commands.add(WorkerCommand.start(placement.name, placement.attempt))
@@ -82,7 +82,7 @@
     private fun mayForget(machine: Machine, reported: ReportedTask): Boolean {
         if (reported.taskAttempt in machine.unconfirmedStarts) return false
         if (reported.cause != TaskEndCause.DONE) {
-            return machine.mayForget(reported.taskAttempt, context.now, endedAttemptsKept)
+            return machine.mayForget(reported.taskAttempt, context.now, endedAttemptRetention)
         }
         val task = TaskId.parse(reported.task) ?: return true
         val job = cluster.jobs[task.job] ?: return true
@@ -90,7 +90,7 @@
     }
 
     private companion object {
-        const val MAX_COMMANDS = 400
-        const val ENDED_ATTEMPTS_KEPT_LEASES = 10.0
+        const val MAX_COMMANDS_PER_RESPONSE = 400
+        const val ENDED_ATTEMPT_RETENTION_LEASES = 10.0
     }
 }
--- a/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
@@ -34,28 +34,32 @@
             return context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
         }
         val machine = registry.findOrAdd(heartbeat)
-        if (machine != null && turnAway(call, machine, heartbeat)) return
+        if (machine != null && rejectOrRedirect(call, machine, heartbeat)) return
         // Accepted whether or not the lease is renewed: what it says, a new incarnation above all,
         // holds in any case, and may be the evidence that lets the lease be renewed.
         val accepted = machine != null && reconciler.accept(machine, heartbeat, null, context.now)
         when (val decision = renewals.decide(heartbeat, cancellations)) {
             is RenewalDecision.Withhold -> {
-                if (machine != null) verifyAbsence(machine, decision)
+                if (machine != null) verifyAbsenceOfCancelled(machine, decision)
                 context.answerBytes(call, HttpStatus.OK, decision.response)
             }
             is RenewalDecision.Renew -> {
                 machine?.renewedAt = context.now
-                val toSend =
+                val commandsToSend =
                     if (machine != null && accepted) {
                         commands.commandsFor(machine, heartbeat, withStarts = true)
                     } else emptyList()
-                context.answerBytes(call, HttpStatus.OK, decision.renewal.response(toSend))
+                context.answerBytes(call, HttpStatus.OK, decision.renewal.response(commandsToSend))
             }
         }
     }
 
     /** Answers the heartbeat of a machine that is decommissioned or redirected; false otherwise. */
-    private fun turnAway(call: Long, machine: Machine, heartbeat: WorkerHeartbeat): Boolean {
+    private fun rejectOrRedirect(
+        call: Long,
+        machine: Machine,
+        heartbeat: WorkerHeartbeat,
+    ): Boolean {
         if (isDecommissioned(machine, heartbeat)) {
             context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
             return true
@@ -87,7 +91,7 @@
         val accepted = reconciler.accept(machine, heartbeat, forwarder, sentAt)
         val decision = renewals.decide(heartbeat, cancellations)
         if (decision is RenewalDecision.Withhold) {
-            verifyAbsence(machine, decision)
+            verifyAbsenceOfCancelled(machine, decision)
             // Forwarders withhold the renewal themselves; those of an earlier version refuse it.
             if (decision.reason == WithholdingReason.ABSENCE_UNVERIFIED) return null
         }
@@ -100,11 +104,11 @@
 
     /** A decommissioned machine gets no answer: its lease is to end if its deletion takes long. */
     private fun isDecommissioned(machine: Machine, heartbeat: WorkerHeartbeat): Boolean {
-        if (machine.isDecommissioned) reconciler.recordOnly(machine, heartbeat)
+        if (machine.isDecommissioned) reconciler.recordMachineState(machine, heartbeat)
         return machine.isDecommissioned
     }
 
-    private fun verifyAbsence(machine: Machine, decision: RenewalDecision.Withhold) {
+    private fun verifyAbsenceOfCancelled(machine: Machine, decision: RenewalDecision.Withhold) {
         if (decision.reason == WithholdingReason.ABSENCE_UNVERIFIED) {
             directCommands.resendStopsOfCancelled(machine)
         }
--- a/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -50,7 +50,7 @@
     }
 
     /** Records what [heartbeat] says of the machine, but not what it says of its tasks. */
-    fun recordOnly(machine: Machine, heartbeat: WorkerHeartbeat) {
+    fun recordMachineState(machine: Machine, heartbeat: WorkerHeartbeat) {
         if (isNewer(machine, heartbeat)) record(machine, heartbeat, context.now)
     }
 
--- a/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
@@ -15,14 +15,14 @@
 
     /** A machine that was silent for longer and answered no probe is decommissioned. */
     val unreachable: Micros =
-        maxOf((workers.heartbeatPeriodS * UNREACHABLE_HEARTBEATS).seconds, MIN_UNREACHABLE)
+        maxOf((workers.heartbeatPeriodS * UNREACHABLE_HEARTBEATS).seconds, MIN_UNREACHABLE_SILENCE)
 
     /** If most machines were silent for longer, they may be talking to other controllers. */
     val quiet: Micros = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
 
     /** A start that was sent this long ago is listed in a heartbeat, if it was carried out. */
-    val startListed: Micros =
-        maxOf((workers.heartbeatPeriodS * START_LISTED_HEARTBEATS).seconds, MIN_START_LISTED)
+    val unlistedStart: Micros =
+        maxOf((workers.heartbeatPeriodS * UNLISTED_START_HEARTBEATS).seconds, MIN_UNLISTED_START)
 
     private companion object {
         /** A heartbeat comes after at most one and a quarter of its usual time. */
@@ -30,8 +30,8 @@
         const val UNREACHABLE_HEARTBEATS = 2.0
 
         /** Short hangs and network cuts pass by themselves. */
-        val MIN_UNREACHABLE = 8.seconds
-        const val START_LISTED_HEARTBEATS = 2.5
-        val MIN_START_LISTED = 8.seconds
+        val MIN_UNREACHABLE_SILENCE = 8.seconds
+        const val UNLISTED_START_HEARTBEATS = 2.5
+        val MIN_UNLISTED_START = 8.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/wardmux/fleet/LeaseExpiry.kt
@@ -32,7 +32,7 @@
      * Whether the lease of [machine] is over. The machine has to have adopted this leader's token:
      * then only this leader and its forwarders can have renewed its lease.
      */
-    fun isOver(machine: Machine): Boolean {
+    fun hasExpired(machine: Machine): Boolean {
         val start = machine.leaseStart
         if (context.now - start <= maxLeaseDuration) return false
         val latest = forwardedRenewals.latestRenewal(start, maxLeaseDuration)
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -14,7 +14,7 @@
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val timeouts: HeartbeatTimeouts,
-    private val leases: LeaseExpiry,
+    private val leaseExpiry: LeaseExpiry,
     private val prober: MachineProber,
     private val unconfirmedMachines: UnconfirmedMachineMonitor,
     private val decommissioner: MachineDecommissioner,
@@ -26,10 +26,10 @@
     private var reachableSince: Micros? = null
 
     /** Machines that may have to be decommissioned, by the reason for it. */
-    private class Suspects {
+    private class DecommissionCandidates {
         val silent = ArrayList<Machine>()
         val unreachable = ArrayList<Machine>()
-        val startsNotListed = ArrayList<Machine>()
+        val withUnlistedStart = ArrayList<Machine>()
     }
 
     /** Checks all machines, if that is due. To be called only while the stored state is loaded. */
@@ -38,23 +38,23 @@
         nextCheckAt = context.now + CHECK_PERIOD
         val since = reachableSince ?: context.now.also { reachableSince = it }
         val up = upMachines()
-        val suspects = Suspects()
-        for (machine in up) check(machine, suspects)
+        val candidates = DecommissionCandidates()
+        for (machine in up) check(machine, candidates)
         // Then it is this controller that is cut off, and no machine is decommissioned for it.
         if (allAreSilent(up)) return
-        decommission(suspects, up.size)
+        decommission(candidates, up.size)
         unconfirmedMachines.check(since)
     }
 
-    private fun check(machine: Machine, suspects: Suspects) {
+    private fun check(machine: Machine, candidates: DecommissionCandidates) {
         val silence = context.now - (machine.lastHeartbeatAt ?: return)
-        if (!machine.isEmpty && leases.isOver(machine)) expireLease(machine, silence)
+        if (!machine.isEmpty && leaseExpiry.hasExpired(machine)) expireLease(machine, silence)
         if (machine.hasUnansweredStart && machine.forwardedBy != null) releaseUnsentStarts(machine)
         if (isPreempted(machine, silence)) {
             decommissioner.decommission(machine, DecommissionReason.PREEMPTED)
         }
         if (silence > timeouts.overdue) prober.probe(machine)
-        addSuspect(machine, silence, suspects)
+        addCandidate(machine, silence, candidates)
     }
 
     /**
@@ -64,15 +64,19 @@
     private fun isPreempted(machine: Machine, silence: Micros) =
         context.now > machine.preemptedAt + PREEMPTION_MARGIN && silence > PREEMPTION_MARGIN
 
-    private fun addSuspect(machine: Machine, silence: Micros, suspects: Suspects) {
+    private fun addCandidate(
+        machine: Machine,
+        silence: Micros,
+        candidates: DecommissionCandidates,
+    ) {
         when {
-            silence > timeouts.lost -> suspects.silent.add(machine)
+            silence > timeouts.lost -> candidates.silent.add(machine)
             silence > timeouts.unreachable && machine.hasProbeFailed ->
-                suspects.unreachable.add(machine)
+                candidates.unreachable.add(machine)
             // Nothing new is started there, so the unanswered start can do no harm.
             machine.hasUnansweredStart && machine.isEmpty ->
                 decommissioner.decommission(machine, DecommissionReason.START_UNANSWERED)
-            lacksStart(machine) -> suspects.startsNotListed.add(machine)
+            hasUnlistedStart(machine) -> candidates.withUnlistedStart.add(machine)
         }
     }
 
@@ -80,7 +84,7 @@
         log.info("the lease of {} is over", machine.id)
         // If the machine hangs, cancelled tasks end when it is deleted. A later leader would not
         // know of them any more.
-        if (silence > leases.maxLeaseDuration && machine.holdsCancelled) {
+        if (silence > leaseExpiry.maxLeaseDuration && machine.holdsCancelled) {
             decommissioner.decommission(machine, DecommissionReason.LEASE_EXPIRED)
         }
         cluster.releaseAll(machine, "lease over")
@@ -100,21 +104,26 @@
     }
 
     /** Many at once: more likely the network than the machines. Then their leases decide. */
-    private fun decommission(suspects: Suspects, up: Int) {
-        val many = maxOf(MIN_MANY, up / MANY_DIVISOR)
-        for (machine in suspects.silent) {
+    private fun decommission(candidates: DecommissionCandidates, up: Int) {
+        val maxAtOnce = maxOf(MIN_BULK_LIMIT, up / BULK_LIMIT_DIVISOR)
+        for (machine in candidates.silent) {
             val silence = context.now - (machine.lastHeartbeatAt ?: continue)
-            val duration = leases.maxLeaseDuration
-            if (suspects.silent.size <= many || silence > duration + duration)
+            val maxLeaseDuration = leaseExpiry.maxLeaseDuration
+            if (
+                candidates.silent.size <= maxAtOnce || silence > maxLeaseDuration + maxLeaseDuration
+            )
                 decommissioner.decommission(machine, DecommissionReason.SILENT)
         }
-        if (suspects.unreachable.size <= maxOf(MIN_MANY, up / UNREACHABLE_MANY_DIVISOR)) {
-            for (machine in suspects.unreachable) {
+        if (
+            candidates.unreachable.size <=
+                maxOf(MIN_BULK_LIMIT, up / UNREACHABLE_BULK_LIMIT_DIVISOR)
+        ) {
+            for (machine in candidates.unreachable) {
                 decommissioner.decommission(machine, DecommissionReason.SILENT_AND_UNREACHABLE)
             }
         }
-        if (suspects.startsNotListed.size <= many) {
-            for (machine in suspects.startsNotListed) {
+        if (candidates.withUnlistedStart.size <= maxAtOnce) {
+            for (machine in candidates.withUnlistedStart) {
                 decommissioner.decommission(machine, DecommissionReason.STARTS_NOT_REPORTED)
             }
         }
@@ -125,25 +134,25 @@
      * in flight, so only the machine's deletion frees the task, its room and its quota. If the
      * stored state was loaded again since, only the unconfirmed starts tell that it was sent.
      */
-    private fun lacksStart(machine: Machine): Boolean {
+    private fun hasUnlistedStart(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
         return machine.placements.values.any {
             if (it.status != null) return@any false
-            val startedAt = it.startedAt ?: unansweredSince(machine, it)
-            startedAt != null && lastHeartbeatAt - startedAt > timeouts.startListed
+            val startedAt = it.startedAt ?: unansweredStartSince(machine, it)
+            startedAt != null && lastHeartbeatAt - startedAt > timeouts.unlistedStart
         }
     }
 
-    private fun unansweredSince(machine: Machine, placement: Placement): Micros? =
+    private fun unansweredStartSince(machine: Machine, placement: Placement): Micros? =
         machine.startUnansweredSince.takeIf { placement.taskAttempt in machine.unconfirmedStarts }
 
     private fun upMachines() = cluster.machines.values.filter { it.isUp && !it.isDecommissioned }
 
     /** So many machines do not fall silent within one heartbeat of each other. */
     private fun allAreSilent(up: List<Machine>): Boolean {
-        if (up.size < MIN_MACHINES) return false
+        if (up.size < MIN_MACHINES_FOR_PARTITION_CHECK) return false
         val last = up.maxOf { it.lastHeartbeatAt ?: Micros.LONG_AGO }
-        return context.now - last > maxOf(timeouts.overdue, MIN_ALL_SILENT)
+        return context.now - last > maxOf(timeouts.overdue, MIN_SILENCE_OF_ALL)
     }
 
     /** Whether most machines fell silent: perhaps they are talking to other controllers. */
@@ -151,7 +160,7 @@
         val up = upMachines()
         if (allAreSilent(up)) return true
         val silent = up.count { context.now - (it.lastHeartbeatAt ?: context.now) > timeouts.quiet }
-        return up.size >= MIN_MACHINES && silent * 2 > up.size
+        return up.size >= MIN_MACHINES_FOR_PARTITION_CHECK && silent * 2 > up.size
     }
 
     private companion object {
@@ -159,12 +168,12 @@
         val PREEMPTION_MARGIN = 1.seconds
 
         /** Up to so many, or to one in so many, are decommissioned at once. */
-        const val MIN_MANY = 2
-        const val MANY_DIVISOR = 3
-        const val UNREACHABLE_MANY_DIVISOR = 5
+        const val MIN_BULK_LIMIT = 2
+        const val BULK_LIMIT_DIVISOR = 3
+        const val UNREACHABLE_BULK_LIMIT_DIVISOR = 5
 
         /** With fewer machines it is not told whether this controller is cut off. */
-        const val MIN_MACHINES = 4
-        val MIN_ALL_SILENT = 6.seconds
+        const val MIN_MACHINES_FOR_PARTITION_CHECK = 4
+        val MIN_SILENCE_OF_ALL = 6.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/MachineProber.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineProber.kt
@@ -13,12 +13,12 @@
     fun probe(machine: Machine) {
         if (context.now < machine.nextProbeAt || machine.endpoint.isEmpty()) return
         if (!client.hasCapacity) return
-        machine.nextProbeAt = context.now + PROBE_PAUSE
+        machine.nextProbeAt = context.now + MIN_PROBE_INTERVAL
         client.requestStatus(machine, PROBE_TIMEOUT) { machine.hasProbeFailed = true }
     }
 
     private companion object {
         val PROBE_TIMEOUT = 3.seconds
-        val PROBE_PAUSE = 5.seconds
+        val MIN_PROBE_INTERVAL = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -31,8 +31,10 @@
         val job = placement.job
         val since = placement.runningSince ?: return
         if (job.failedMachines.isEmpty() || job.spec.kind != JobKind.SERVICE) return
-        val isSound = machine.id !in job.failedMachines && context.now - since >= SOUND_RUN
-        if (isSound && placement.status == TaskStatus.RUNNING) job.failedMachines.clear()
+        val showsHealthyService =
+            machine.id !in job.failedMachines && context.now - since >= MIN_HEALTHY_RUN_TIME
+        if (showsHealthyService && placement.status == TaskStatus.RUNNING)
+            job.failedMachines.clear()
     }
 
     /**
@@ -42,13 +44,13 @@
         machine.failures.merge(job.id.value, 1, Int::plus)
         job.failedMachines.add(machine.id)
         machine.pausedUntil = context.now + FAILURE_PAUSE
-        val count = machine.failures.values.sum()
-        log.info("a task of {} failed on {}, {} in a row there", job.id, machine.id, count)
+        val failureCount = machine.failures.values.sum()
+        log.info("a task of {} failed on {}, {} in a row there", job.id, machine.id, failureCount)
         if (job.isFailing) {
-            val pauses = job.failedMachines.size.coerceAtMost(MAX_PAUSES).toDouble()
-            job.backoffUntil = context.wallTime + FAILURE_PAUSE * pauses
+            val backoffPauses = job.failedMachines.size.coerceAtMost(MAX_BACKOFF_PAUSES).toDouble()
+            job.backoffUntil = context.wallTime + FAILURE_PAUSE * backoffPauses
         }
-        val isMachineFaulty = !job.isFailing && count >= MAX_FAILURES_IN_A_ROW
+        val isMachineFaulty = !job.isFailing && failureCount >= FAULTY_MACHINE_FAILURES
         if (machine.failures.size >= 2 || isMachineFaulty) {
             decommissioner.decommission(machine, DecommissionReason.TASKS_FAIL)
         }
@@ -58,10 +60,10 @@
         val FAILURE_PAUSE = 8.seconds
 
         /** The backoff of a job at fault grows with the machines that it failed on, up to this. */
-        const val MAX_PAUSES = 12
-        const val MAX_FAILURES_IN_A_ROW = 3
+        const val MAX_BACKOFF_PAUSES = 12
+        const val FAULTY_MACHINE_FAILURES = 3
 
         /** A replica that has run for this long does not fail for its job's mistake. */
-        val SOUND_RUN = 30.seconds
+        val MIN_HEALTHY_RUN_TIME = 30.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -59,8 +59,8 @@
         if (heartbeat.token != token.value) return
         val absent =
             machine.placements.values.filter {
-                val toBeGone = it.isStopping || it.job.hasEnded || it.isRestored
-                toBeGone &&
+                val shouldBeAbsent = it.isStopping || it.job.hasEnded || it.isRestored
+                shouldBeAbsent &&
                     it.isCommitted &&
                     it.lastSeenTick != heartbeat.tick &&
                     it.taskAttempt !in machine.unconfirmedStarts
@@ -116,7 +116,7 @@
     private fun handleRefusal(machine: Machine, placement: Placement, reported: ReportedTask) {
         log.info("{} was refused by {}: {}", placement.task, machine.id, reported.causeName)
         cluster.release(placement, "refused")
-        machine.pausedUntil = context.now + REFUSED_PAUSE
+        machine.pausedUntil = context.now + REFUSAL_PAUSE
         if (reported.cause == TaskEndCause.TASK_UNKNOWN) {
             placement.job.backoffUntil = context.wallTime + TASK_UNKNOWN_BACKOFF
         }
@@ -134,7 +134,7 @@
     }
 
     private companion object {
-        val REFUSED_PAUSE = 1.seconds
+        val REFUSAL_PAUSE = 1.seconds
         val TASK_UNKNOWN_BACKOFF = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
@@ -23,7 +23,7 @@
     private val workers: WorkerTiming,
 ) {
     private val electedAt = context.now
-    private val patienceWithMany = workers.leaseS.seconds + timeouts.lost
+    private val longFirstHeartbeatTimeout = workers.leaseS.seconds + timeouts.lost
 
     /** Decommissions what is due; workers could reach this leader since [reachableSince]. */
     fun check(reachableSince: Micros) {
@@ -33,35 +33,38 @@
             cluster.machines.values.filter {
                 !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
             }
-        val unknown = cluster.unknownMachines.machines.toList()
+        val unknownIds = cluster.unknownMachines.machines.toList()
         // How long ago the cancellation was is not known, so these get one heartbeat's time.
-        if (context.now - reachableSince >= HEARTBEAT_TIME + timeouts.overdue) {
-            decommissionCancelled(unconfirmed, unknown)
+        if (context.now - reachableSince >= HEARTBEAT_FAILOVER_TIME + timeouts.overdue) {
+            decommissionCancelled(unconfirmed, unknownIds)
         }
-        if (context.now - electedAt < patience(unconfirmed.size + unknown.size)) return
+        if (context.now - electedAt < firstHeartbeatTimeout(unconfirmed.size + unknownIds.size))
+            return
         for (machine in unconfirmed) {
             decommissioner.decommission(machine, DecommissionReason.NEVER_REPORTED)
         }
-        for (id in unknown) decommissionUnknown(id)
+        for (id in unknownIds) decommissionUnknown(id)
     }
 
-    private fun decommissionCancelled(unconfirmed: List<Machine>, unknown: List<MachineId>) {
+    private fun decommissionCancelled(unconfirmed: List<Machine>, unknownIds: List<MachineId>) {
         for (machine in unconfirmed) {
             if (!machine.holdsCancelled) continue
             decommissioner.decommission(machine, DecommissionReason.CANCELLED_TASKS_UNREPORTED)
         }
-        for (id in unknown) if (cluster.unknownMachines.holdsCancelled(id)) decommissionUnknown(id)
+        for (id in unknownIds) if (cluster.unknownMachines.holdsCancelled(id))
+            decommissionUnknown(id)
     }
 
     /**
-     * How long after the election machines may be silent, if there are [silent] of them. Where most
-     * have found this leader, the others are not silent because of it. But until a lease is over, a
-     * machine that comes back is worth more than its tasks' time.
+     * How long after the election machines may be silent, if there are [silentCount] of them. Where
+     * most have found this leader, the others are not silent because of it. But until a lease is
+     * over, a machine that comes back is worth more than its tasks' time.
      */
-    private fun patience(silent: Int): Micros {
-        val isMinority = silent * 2 <= cluster.machines.values.count { it.isUp }
-        return if (isMinority) maxOf(workers.leaseS.seconds, timeouts.lost) + HEARTBEAT_TIME
-        else patienceWithMany
+    private fun firstHeartbeatTimeout(silentCount: Int): Micros {
+        val isMinority = silentCount * 2 <= cluster.machines.values.count { it.isUp }
+        return if (isMinority)
+            maxOf(workers.leaseS.seconds, timeouts.lost) + HEARTBEAT_FAILOVER_TIME
+        else longFirstHeartbeatTimeout
     }
 
     /** A machine known only by a heartbeat under an older token may have been deleted long ago. */
@@ -69,7 +72,7 @@
         for (machine in cluster.machines.values) {
             val since = machine.firstStaleHeartbeatAt ?: continue
             if (machine.isUp || machine.isDecommissioned) continue
-            if (context.now - since < patienceWithMany) continue
+            if (context.now - since < longFirstHeartbeatTimeout) continue
             decommissioner.decommission(machine, DecommissionReason.TOKEN_NEVER_ADOPTED)
         }
     }
@@ -82,6 +85,6 @@
 
     private companion object {
         /** How long a worker waits for a response, and until it tries the next controller. */
-        val HEARTBEAT_TIME = 5.seconds
+        val HEARTBEAT_FAILOVER_TIME = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/WorkerClient.kt
+++ b/src/main/kotlin/wardmux/fleet/WorkerClient.kt
@@ -39,13 +39,13 @@
         }
     }
 
-    /** Sends [commands] to [machine]; [then] gets the outcome. */
-    fun sendCommands(machine: Machine, commands: DirectCommands, then: (Outcome) -> Unit) {
+    /** Sends [commands] to [machine]; [onOutcome] gets the outcome. */
+    fun sendCommands(machine: Machine, commands: DirectCommands, onOutcome: (Outcome) -> Unit) {
         openRequests++
         val target = Target.Worker(machine.endpoint)
         context.send(target, "POST", COMMAND_PATH, commands.encode(), COMMAND_TIMEOUT) { outcome ->
             openRequests--
-            then(outcome)
+            onOutcome(outcome)
         }
     }
 
--- a/src/main/kotlin/wardmux/fleet/WorkerRedirects.kt
+++ b/src/main/kotlin/wardmux/fleet/WorkerRedirects.kt
@@ -22,7 +22,9 @@
 ) {
     /** Whether workers are redirected by this leader and by its forwarders, to whoever leads. */
     val areActive: Boolean
-        get() = leadership.leaseUncertainSince?.let { context.now - it >= MIN_UNCERTAIN } == true
+        get() =
+            leadership.leaseUncertainSince?.let { context.now - it >= MIN_LEASE_UNCERTAINTY } ==
+                true
 
     /**
      * Whether [machine] is to ask any other controller who leads, which is not asked of it again
@@ -40,10 +42,11 @@
     fun rebalancingTarget(): String? = rebalancing.nextTarget()
 
     companion object {
-        private val MIN_UNCERTAIN = 2.seconds
-        private const val PAUSE_LEASE_SHARE = 0.5
+        private val MIN_LEASE_UNCERTAINTY = 2.seconds
+        private const val REDIRECT_PAUSE_LEASE_SHARE = 0.5
 
         /** How long a worker is not redirected again. */
-        fun pause(workers: WorkerTiming): Micros = workers.leaseS.seconds * PAUSE_LEASE_SHARE
+        fun pause(workers: WorkerTiming): Micros =
+            workers.leaseS.seconds * REDIRECT_PAUSE_LEASE_SHARE
     }
 }
--- a/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
@@ -32,19 +32,19 @@
 
     /** The heartbeat in [body], or null if there is none. */
     fun read(body: ByteArray): WorkerHeartbeat? {
-        val machine = textAfter(body, MACHINE_FIELD)
-        val tickStart = numberAfter(body, TICK_FIELD)
+        val machine = stringAfter(body, MACHINE_FIELD)
+        val tickStart = indexOfNumberAfter(body, TICK_FIELD)
         if (machine == null || tickStart < 0) return parse(body)
-        val tickEnd = digitsEnd(body, tickStart)
+        val tickEnd = indexAfterDigits(body, tickStart)
         val previous = cache.getAndMoveToLast(machine)
-        if (previous != null && equalsButTick(body, tickStart, tickEnd, previous)) {
-            val tick = number(body, tickStart, tickEnd)
+        if (previous != null && differsOnlyInTick(body, tickStart, tickEnd, previous)) {
+            val tick = parseNumber(body, tickStart, tickEnd)
             if (tick != null) return previous.heartbeat.copy(tick = tick)
         }
         val heartbeat = parse(body) ?: return null
-        val fieldsMatch =
-            heartbeat.machine == machine && heartbeat.tick == number(body, tickStart, tickEnd)
-        if (fieldsMatch && body.size <= MAX_CACHED_BODY_BYTES) {
+        val scannedFieldsMatch =
+            heartbeat.machine == machine && heartbeat.tick == parseNumber(body, tickStart, tickEnd)
+        if (scannedFieldsMatch && body.size <= MAX_CACHED_BODY_BYTES) {
             cache(machine, CachedHeartbeat(body, tickStart, tickEnd, heartbeat))
         }
         return heartbeat
@@ -61,7 +61,7 @@
         return WorkerHeartbeat.parse(body)
     }
 
-    private fun equalsButTick(
+    private fun differsOnlyInTick(
         body: ByteArray,
         tickStart: Int,
         tickEnd: Int,
@@ -78,42 +78,45 @@
                 previous.body.size,
             )
 
-    private fun number(body: ByteArray, from: Int, to: Int): Long? =
+    private fun parseNumber(body: ByteArray, from: Int, to: Int): Long? =
         String(body, from, to - from, Charsets.ISO_8859_1).toLongOrNull()
 
-    private fun digitsEnd(body: ByteArray, from: Int): Int {
-        var at = from
-        while (at < body.size && body[at] in ZERO..NINE) at++
-        return at
+    private fun indexAfterDigits(body: ByteArray, from: Int): Int {
+        var index = from
+        while (index < body.size && body[index] in ZERO..NINE) index++
+        return index
     }
 
     /** Index of the number that follows the first [field], or -1. */
-    private fun numberAfter(body: ByteArray, field: ByteArray): Int {
-        val at = valueAfter(body, field)
-        return if (at in body.indices && body[at] in ZERO..NINE) at else -1
+    private fun indexOfNumberAfter(body: ByteArray, field: ByteArray): Int {
+        val index = indexOfValueAfter(body, field)
+        return if (index in body.indices && body[index] in ZERO..NINE) index else -1
     }
 
-    private fun textAfter(body: ByteArray, field: ByteArray): String? {
-        val at = valueAfter(body, field)
-        if (at !in body.indices || body[at] != QUOTE) return null
-        var end = at + 1
+    private fun stringAfter(body: ByteArray, field: ByteArray): String? {
+        val index = indexOfValueAfter(body, field)
+        if (index !in body.indices || body[index] != QUOTE) return null
+        var end = index + 1
         while (end < body.size && body[end] != QUOTE) end++
-        return String(body, at + 1, end - at - 1, Charsets.ISO_8859_1)
+        return String(body, index + 1, end - index - 1, Charsets.ISO_8859_1)
     }
 
-    private fun valueAfter(body: ByteArray, field: ByteArray): Int {
-        var at = indexOf(body, field)
-        if (at < 0) return -1
-        at += field.size
-        while (at < body.size && (body[at] == SPACE || body[at] == COLON)) at++
-        return at
+    private fun indexOfValueAfter(body: ByteArray, field: ByteArray): Int {
+        var index = indexOf(body, field)
+        if (index < 0) return -1
+        index += field.size
+        while (index < body.size && (body[index] == SPACE || body[index] == COLON)) index++
+        return index
     }
 
     private fun indexOf(body: ByteArray, field: ByteArray): Int {
         val last = body.size - field.size
-        for (at in 0..last) {
-            if (body[at] == QUOTE && Arrays.equals(body, at, at + field.size, field, 0, field.size))
-                return at
+        for (index in 0..last) {
+            if (
+                body[index] == QUOTE &&
+                    Arrays.equals(body, index, index + field.size, field, 0, field.size)
+            )
+                return index
         }
         return -1
     }
--- a/src/test/kotlin/wardmux/fleet/HeartbeatCommandsTest.kt
+++ b/src/test/kotlin/wardmux/fleet/HeartbeatCommandsTest.kt
@@ -21,13 +21,13 @@
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
-        val again = """{"piece":"job-000001/0","try":2,"status":"running"}"""
-        val answers =
+        val secondAttempt = """{"piece":"job-000001/0","try":2,"status":"running"}"""
+        val responses =
             List(170) {
                 harness.run(1.seconds)
-                machine.handleHeartbeat(token, "$stopped,$again")
+                machine.handleHeartbeat(token, "$stopped,$secondAttempt")
             }
-        assertTrue(answers.take(150).none { "forget" in it })
-        assertContains(answers.drop(150).joinToString(), "forget")
+        assertTrue(responses.take(150).none { "forget" in it })
+        assertContains(responses.drop(150).joinToString(), "forget")
     }
 }
--- a/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
+++ b/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
@@ -15,24 +15,25 @@
     private val first = ManualWorker(harness, "i-000001")
     private val second = ManualWorker(harness, "i-000002")
 
-    private fun deletions(machine: String) =
+    private fun deletionRequestCount(machine: String) =
         harness.cloud.count { it.startsWith("/machines/delete") && machine in it }
 
-    private fun startsOf(task: String) = harness.direct.count { "\"start\"" in it && task in it }
+    private fun directStartCount(task: String) =
+        harness.direct.count { "\"start\"" in it && task in it }
 
     /** The start of a job's only task is sent to the first machine and goes unanswered. */
-    private fun startUnanswered(): Long {
+    private fun sendUnansweredStart(): Long {
         harness.run(2.seconds)
         val token = first.token()
         first.handleHeartbeat(token)
         harness.directOutcome = Outcome.NoResponse
         harness.accept(plainJob(1))
         harness.run(2.seconds)
-        assertEquals(1, startsOf("job-000001/0"))
+        assertEquals(1, directStartCount("job-000001/0"))
         return token
     }
 
-    private fun sendHeartbeats(token: Long) =
+    private fun sendHeartbeatsOfBoth(token: Long) =
         repeat(20) {
             first.report(token)
             second.report(token)
@@ -41,7 +42,7 @@
 
     @Test
     fun `a machine that commands do not reach gets no more, and only its deletion frees the task`() {
-        val token = startUnanswered()
+        val token = sendUnansweredStart()
         // Its heartbeats go on, and none lists the task.
         repeat(3) {
             first.handleHeartbeat(token)
@@ -49,20 +50,24 @@
             harness.run(1.seconds)
         }
         harness.accept(plainJob(1, "job-000002"))
-        sendHeartbeats(token)
-        assertTrue(deletions("i-000001") > 0, "kept, though commands do not reach it")
-        assertEquals(0, startsOf(""""job-000001/0","try":2"""), "started while it may still start")
-        assertEquals(1, startsOf("job-000002/0"))
+        sendHeartbeatsOfBoth(token)
+        assertTrue(deletionRequestCount("i-000001") > 0, "kept, though commands do not reach it")
+        assertEquals(
+            0,
+            directStartCount(""""job-000001/0","try":2"""),
+            "started while it may still start",
+        )
+        assertEquals(1, directStartCount("job-000002/0"))
     }
 
     @Test
     fun `nor is it kept for ever if the stored state is loaded again meanwhile`() {
-        val token = startUnanswered()
+        val token = sendUnansweredStart()
         // Somebody else's write: the leader no longer knows what is stored.
         harness.write("tags", harness.stored("tags")!!)
         harness.accept(plainJob(1, "job-000002"))
-        sendHeartbeats(token)
-        assertTrue(deletions("i-000001") > 0, "kept, though commands do not reach it")
+        sendHeartbeatsOfBoth(token)
+        assertTrue(deletionRequestCount("i-000001") > 0, "kept, though commands do not reach it")
     }
 
     @Test
@@ -74,8 +79,8 @@
             first.report(0, at = 7)
             harness.run(1.seconds)
         }
-        assertEquals(0, startsOf("job-000001/0"))
-        assertTrue(deletions("i-000001") > 0, "kept for the copies' sake")
+        assertEquals(0, directStartCount("job-000001/0"))
+        assertTrue(deletionRequestCount("i-000001") > 0, "kept for the copies' sake")
     }
 
     @Test
@@ -87,7 +92,7 @@
             harness.run(1.seconds)
             first.report(token, at = 1)
         }
-        assertTrue(deletions("i-000001") > 0, "a copy counted as a sign of life")
+        assertTrue(deletionRequestCount("i-000001") > 0, "a copy counted as a sign of life")
     }
 
     @Test
@@ -101,9 +106,9 @@
         // A heartbeat each 2.5 s: probed after 3.75 s, decommissioned after 8 s, unprobed after 10
         // s.
         harness.run(7.seconds)
-        assertEquals(0, deletions("i-000001"))
+        assertEquals(0, deletionRequestCount("i-000001"))
         harness.run(2.seconds)
-        assertTrue(deletions("i-000001") > 0, "still kept")
+        assertTrue(deletionRequestCount("i-000001") > 0, "still kept")
     }
 
     /**
@@ -127,18 +132,18 @@
         first.incarnation = 3
         first.report(token)
         second.report(token)
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        val report =
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        val heartbeatOfNewIncarnation =
             """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","shift":3,""" +
-                """"tick":900,"baton":$token,"pieces":[$running]}"""
-        harness.directOutcome = Outcome.Response(200, report.encodeToByteArray())
+                """"tick":900,"baton":$token,"pieces":[$runningTask]}"""
+        harness.directOutcome = Outcome.Response(200, heartbeatOfNewIncarnation.encodeToByteArray())
         harness.outageOver()
         harness.accept(plainJob(1))
-        val starts = { harness.direct.count { "\"start\"" in it && "job-000001/0" in it } }
+        val directStarts = { harness.direct.count { "\"start\"" in it && "job-000001/0" in it } }
         harness.run(3.seconds)
-        assertEquals(0, starts(), "started where no lease is renewed")
+        assertEquals(0, directStarts(), "started where no lease is renewed")
         first.report(token)
         harness.run(3.seconds)
-        assertEquals(1, starts())
+        assertEquals(1, directStarts())
     }
 }
--- a/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
+++ b/src/test/kotlin/wardmux/worker/WorkerHeartbeatReaderTest.kt
@@ -33,14 +33,15 @@
                     changes++
                 }
                 val text = body(machine, round * 8 + random.nextInt(8), tasks = tasks[machine])
-                assertEquals(parsed(text), read(text))
+                assertEquals(parsedWithoutCache(text), read(text))
             }
         }
         assertEquals(machines + changes, reader.parsedCount)
     }
 
     /** As a reader that has cached nothing reads it. */
-    private fun parsed(text: String) = WorkerHeartbeatReader().read(text.encodeToByteArray())
+    private fun parsedWithoutCache(text: String) =
+        WorkerHeartbeatReader().read(text.encodeToByteArray())
 
     @Test
     fun `any other difference counts, and what is no heartbeat is rejected`() {
@@ -50,12 +51,12 @@
         assertSame(first.tasks, second.tasks)
         assertNotEquals(first.token, read(body(1, 17, token = 8))!!.token)
         assertEquals(2, reader.parsedCount)
-        for (bad in
+        for (invalidBody in
             listOf("", "[]", "{", """{"box":"i-000001","tick":}""", "{\"tick\":5,\"box\":")) {
-            assertNull(read(bad))
+            assertNull(read(invalidBody))
         }
         // A name that only looks like the machine's must not find another one's heartbeat.
-        val odd = body(1, 18).replace("\"pieces\"", "\"other\":\"i-000002\",\"pieces\"")
-        assertEquals("i-000001", read(odd)?.machine)
+        val withDecoyField = body(1, 18).replace("\"pieces\"", "\"other\":\"i-000002\",\"pieces\"")
+        assertEquals("i-000001", read(withDecoyField)?.machine)
     }
 }
