--- a/src/main/kotlin/wardmux/fleet/CommandReachability.kt
+++ b/src/main/kotlin/wardmux/fleet/CommandReachability.kt
@@ -5,23 +5,26 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Whether direct commands reach any machine at all. */
+/** Tracks whether direct commands of this controller reach any machine. */
 class CommandReachability(private val context: CoreContext) {
-    /** Machines that did not answer a command, and since when; empty once any does. */
+    /**
+     * When each machine first failed to answer a command. Cleared as soon as any machine answers.
+     */
     private val unansweredSince = HashMap<Machine, Micros>()
 
-    /** A machine answered a command. */
+    /** Records that a machine answered a command. */
     fun recordResponse() = unansweredSince.clear()
 
-    /** [machine] did not answer a command. */
+    /** Records that [machine] did not answer a command. */
     fun recordNoResponse(machine: Machine) {
         unansweredSince.putIfAbsent(machine, context.now)
     }
 
     /**
-     * Whether commands have reached no machine for a while, although several of those that were
-     * tried have sent a heartbeat since, through forwarders then. Another controller may reach
-     * them.
+     * Whether commands have reached no machine for more than [MIN_UNANSWERED_TIME], although at
+     * least [MIN_UNANSWERED_MACHINES] of the machines that did not answer have sent a heartbeat
+     * since. Those heartbeats came through forwarders, so another controller may be able to reach
+     * the machines.
      */
     val isCutOff: Boolean
         get() =
--- a/src/main/kotlin/wardmux/fleet/DirectCommandSender.kt
+++ b/src/main/kotlin/wardmux/fleet/DirectCommandSender.kt
@@ -15,9 +15,9 @@
 import wardmux.worker.WorkerCommand
 
 /**
- * Sends new commands to the machines themselves, rather than in the response to their next
- * heartbeat. Without a response it stays open whether a command is carried out: see
- * [Machine.unconfirmedStarts].
+ * Sends new commands directly to the machines, instead of waiting for their next heartbeat and
+ * putting the commands in the response to it. If a machine does not respond, it is unknown whether
+ * it carries out a command: see [Machine.unconfirmedStarts].
  */
 class DirectCommandSender(
     private val context: CoreContext,
@@ -29,14 +29,14 @@
 ) {
     private val log = logger<DirectCommandSender>()
 
-    /** Sends all commands that are due, as far as the bound on open requests allows. */
+    /** Sends all commands that are due, until the limit on open requests is reached. */
     fun sendDue() {
         val machines = cluster.machinesWithCommands.iterator()
         while (machines.hasNext() && client.hasCapacity) {
             val machine = machines.next()
-            // One request at a time. A machine to which there was no connection is not tried again
-            // at once either: where a whole zone is cut off, such attempts would hold up the
-            // commands to all others.
+            // A machine gets one request at a time. After a failed connection it is not retried at
+            // once: if a whole zone is cut off, the retries would delay the commands to all other
+            // machines.
             val isConnectionRetryPaused =
                 context.now - machine.connectionFailedAt < CONNECTION_RETRY_PAUSE
             if (machine.isCommandInFlight || isConnectionRetryPaused) continue
@@ -52,9 +52,10 @@
     }
 
     /**
-     * Stops the tasks of cancelled jobs on [machine] once more, unless a command to it is in
-     * flight. This needs no lease renewal, tells whether they are there, and makes the machine
-     * adopt this leader's token, so that no earlier start is carried out any more.
+     * Schedules the stop commands for tasks of cancelled jobs on [machine] to be sent again, unless
+     * a command to it is in flight. The stops need no lease renewal. The response shows whether the
+     * tasks are on the machine. The machine also adopts this leader's fencing token, so it refuses
+     * all starts that were sent earlier under an older token.
      */
     fun resendStopsOfCancelled(machine: Machine) {
         if (machine.isCommandInFlight) return
@@ -64,7 +65,10 @@
         cluster.machinesWithCommands.add(machine)
     }
 
-    /** True if some commands for the machine can't be sent yet. */
+    /**
+     * Sends the commands that are due to [machine] in one request. Returns true if some of its
+     * commands cannot be sent yet.
+     */
     private fun sendDue(machine: Machine): Boolean {
         val starts = ArrayList<Placement>()
         val commands = ArrayList<WorkerCommand>()
@@ -95,7 +99,9 @@
     }
 
     /**
-     * Also that of a cancelled task which a machine that never adopted this token does not list.
+     * Whether a stop has to be sent for the task of [placement]. This includes a task of a
+     * cancelled job that [machine] does not list, if the machine has never adopted this leader's
+     * fencing token, because its heartbeats then do not prove that the task is absent.
      */
     private fun isStopDue(machine: Machine, placement: Placement): Boolean {
         if (placement.isStopSent) return false
@@ -141,17 +147,21 @@
         val accepted = response.status == HttpStatus.OK
         if (!accepted) for (placement in starts) placement.isStartSent = false
         removeUnconfirmed(machine, incarnation, starts)
-        // Also a worker that refuses the commands, for their token or incarnation, sends its state.
+        // A worker that refuses the commands because of their fencing token or incarnation also
+        // responds with its state.
         if (accepted || response.status == HttpStatus.CONFLICT) client.accept(machine, response)
     }
 
     private fun handleNoResponse(machine: Machine, incarnation: Long, starts: List<Placement>) {
         if (machine.incarnation != incarnation || starts.isEmpty()) return
-        log.info("{} did not answer {} starts", machine.id, starts.size)
+        log.info("machine {} did not respond to {} direct start commands", machine.id, starts.size)
         machine.recordUnansweredStart(context.now)
     }
 
-    /** The starts were carried out or never will be. */
+    /**
+     * Removes [starts] from the unconfirmed starts of [machine], unless its worker has a new
+     * incarnation. Each of them was either carried out or never will be.
+     */
     private fun removeUnconfirmed(machine: Machine, incarnation: Long, starts: List<Placement>) {
         if (machine.incarnation != incarnation) return
         for (placement in starts) machine.unconfirmedStarts.remove(placement.taskAttempt)
@@ -159,8 +169,6 @@
 
     private companion object {
         val CONNECTION_RETRY_PAUSE = 2.seconds
-
-        /** In one request. */
         const val MAX_STARTS_PER_REQUEST = 300
     }
 }
--- a/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
@@ -15,7 +15,7 @@
 import wardmux.worker.WorkerCommand
 import wardmux.worker.WorkerHeartbeat
 
-/** The commands in the response to a heartbeat. */
+/** Determines the commands that the response to a heartbeat contains. */
 class HeartbeatCommands(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -24,14 +24,19 @@
     workers: WorkerTiming,
 ) {
     /**
-     * How long an ended attempt is kept on its machine. A copy of a direct start may come late, and
-     * would start a forgotten attempt again: beside the next one, or of a job that was cancelled
-     * since. A completed task is not run again by it; all others are forgotten only after this
-     * time, or with the worker's incarnation.
+     * How long a machine remembers an ended attempt that did not complete its task. A duplicate of
+     * a direct start may be delivered late. If the machine had forgotten the attempt, it would run
+     * the attempt again, in parallel with the task's next attempt or although its job was cancelled
+     * since. Such attempts are therefore forgotten only after this time, or when the worker's
+     * incarnation ends. A late start does not run a completed task again.
      */
     private val endedAttemptRetention = (workers.leaseS * ENDED_ATTEMPT_RETENTION_LEASES).seconds
 
-    /** What [machine] is to do after [heartbeat]; [withStarts] also what it is to start. */
+    /**
+     * Returns the commands for [machine] in response to [heartbeat]: stop and forget commands for
+     * the tasks that it lists and, if [withStarts] is true and the leader's lease is valid, start
+     * commands. Returns none before the cancellations are loaded.
+     */
     fun commandsFor(
         machine: Machine,
         heartbeat: WorkerHeartbeat,
@@ -44,7 +49,7 @@
         return commands
     }
 
-    /** What is to be done with a task that is on the machine, or null if it goes on. */
+    /** Returns the command for a task that is on the machine, or null if none is needed. */
     private fun commandFor(machine: Machine, reported: ReportedTask): WorkerCommand? {
         if (reported.status == TaskStatus.ENDED) {
             if (!mayForget(machine, reported)) return null
@@ -53,7 +58,7 @@
         return stopFor(machine, reported)
     }
 
-    /** The command to stop a task that is not to go on, or null if it does. */
+    /** Returns the command to stop a task that has not ended, or null if it may go on. */
     private fun stopFor(machine: Machine, reported: ReportedTask): WorkerCommand? {
         val placement = machine.placementOf(reported.task, reported.attempt)
         if (placement == null || placement.job.hasEnded) {
@@ -78,7 +83,11 @@
         }
     }
 
-    /** A completed task is recorded before the only other place that knows of it forgets it. */
+    /**
+     * Whether [machine] may forget the ended task [reported]. A completed task may be forgotten
+     * only after its completion is recorded in the key-value store, because until then the machine
+     * is the only other place that knows of it.
+     */
     private fun mayForget(machine: Machine, reported: ReportedTask): Boolean {
         if (reported.taskAttempt in machine.unconfirmedStarts) return false
         if (reported.cause != TaskEndCause.DONE) {
--- a/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
@@ -13,7 +13,7 @@
 import wardmux.worker.WorkerCommand
 import wardmux.worker.WorkerHeartbeat
 
-/** Answers workers' heartbeats for the leader, whether they come directly or by a forwarder. */
+/** Handles workers' heartbeats in the leader, both direct ones and those sent on by forwarders. */
 class HeartbeatHandler(
     private val context: CoreContext,
     private val registry: MachineRegistry,
@@ -24,19 +24,20 @@
     private val cancellations: LeaderCancellationView,
     private val redirects: WorkerRedirects,
 ) {
-    /** Whether forwarders, like this leader, redirect workers now. */
+    /** Whether this leader and its forwarders currently redirect workers to other controllers. */
     val isRedirecting: Boolean
         get() = redirects.areActive
 
-    /** Answers [call], by which a worker sent [heartbeat] to this controller itself. */
+    /** Answers [call], the request in which a worker sent [heartbeat] to this controller. */
     fun handle(call: Long, heartbeat: WorkerHeartbeat) {
         if (registry.isDeleted(MachineId(heartbeat.machine))) {
             return context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
         }
         val machine = registry.findOrAdd(heartbeat)
         if (machine != null && rejectOrRedirect(call, machine, heartbeat)) return
-        // Accepted whether or not the lease is renewed: what it says, a new incarnation above all,
-        // holds in any case, and may be the evidence that lets the lease be renewed.
+        // The heartbeat is accepted before the decision on the lease. Its content, in particular a
+        // new incarnation, is valid whether or not the lease is renewed, and may be the evidence
+        // that allows the renewal.
         val accepted = machine != null && reconciler.accept(machine, heartbeat, null, context.now)
         when (val decision = renewals.decide(heartbeat, cancellations)) {
             is RenewalDecision.Withhold -> {
@@ -54,7 +55,10 @@
         }
     }
 
-    /** Answers the heartbeat of a machine that is decommissioned or redirected; false otherwise. */
+    /**
+     * Answers [call] if [machine] is decommissioned or its worker is redirected to another
+     * controller. Returns whether [call] was answered.
+     */
     private fun rejectOrRedirect(
         call: Long,
         machine: Machine,
@@ -74,9 +78,10 @@
     }
 
     /**
-     * Takes in [heartbeat], which [forwarder] has answered at [sentAt], and returns what the
-     * machine is to be told, or null if the forwarder is to refuse its heartbeats. Starts are sent
-     * to the machine itself, so that one in flight can be told from one that is not.
+     * Processes [heartbeat], which [forwarder] answered at [sentAt]. Returns the commands for the
+     * machine, or null if the forwarder has to refuse its heartbeats. The commands contain no
+     * starts: those are sent directly to the machine, so that the leader can distinguish a start in
+     * flight from one that is not.
      */
     fun handleForwarded(
         heartbeat: WorkerHeartbeat,
@@ -85,29 +90,38 @@
     ): List<WorkerCommand>? {
         if (registry.isDeleted(MachineId(heartbeat.machine))) return null
         val machine = registry.findOrAdd(heartbeat) ?: return emptyList()
-        // The forwarder may have renewed the lease, so it may run from here.
+        // The forwarder may have renewed the lease, so the lease may last from now on.
         machine.renewedAt = context.now
         if (isDecommissioned(machine, heartbeat)) return null
         val accepted = reconciler.accept(machine, heartbeat, forwarder, sentAt)
         val decision = renewals.decide(heartbeat, cancellations)
         if (decision is RenewalDecision.Withhold) {
             verifyAbsenceOfCancelled(machine, decision)
-            // Forwarders withhold the renewal themselves; those of an earlier version refuse it.
+            // Forwarders withhold the renewal themselves. Forwarders of an earlier version refuse
+            // the heartbeat instead.
             if (decision.reason == WithholdingReason.ABSENCE_UNVERIFIED) return null
         }
         val stops = (decision as? RenewalDecision.Renew)?.renewal?.requiredStops.orEmpty()
-        // While the stored state is loaded, perhaps for long, cancellations are known already.
+        // While the stored state is still being loaded, which may take long, only the stops of
+        // cancelled tasks are returned, because the cancellations are already known.
         return if (accepted && cancellations.isLoaded) {
             commands.commandsFor(machine, heartbeat, withStarts = false)
         } else stops
     }
 
-    /** A decommissioned machine gets no answer: its lease is to end if its deletion takes long. */
+    /**
+     * Whether [machine] is decommissioned. If so, [heartbeat] is only recorded, without its tasks.
+     * Its lease is not renewed, so that the lease expires even if the deletion takes long.
+     */
     private fun isDecommissioned(machine: Machine, heartbeat: WorkerHeartbeat): Boolean {
         if (machine.isDecommissioned) reconciler.recordMachineState(machine, heartbeat)
         return machine.isDecommissioned
     }
 
+    /**
+     * Sends the stops of cancelled tasks on [machine] again if the renewal was withheld because
+     * such a task may still be there although the heartbeat does not list it.
+     */
     private fun verifyAbsenceOfCancelled(machine: Machine, decision: RenewalDecision.Withhold) {
         if (decision.reason == WithholdingReason.ABSENCE_UNVERIFIED) {
             directCommands.resendStopsOfCancelled(machine)
--- a/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -10,7 +10,7 @@
 import wardmux.scheduling.ClusterState
 import wardmux.worker.WorkerHeartbeat
 
-/** Brings the leader's state of a machine in line with the machine's heartbeats. */
+/** Updates the leader's state of a machine from the machine's heartbeats. */
 class HeartbeatReconciler(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -21,8 +21,10 @@
     private val token = cancellations.token.value
 
     /**
-     * Takes in [heartbeat], which [forwarder] sent on, or which came to the leader itself. False if
-     * it says nothing new: late, a copy, or overtaken by the response to a direct command.
+     * Updates [machine] and its placements from [heartbeat]. [forwarder] is the controller that
+     * sent it on, or null if the worker sent it to the leader; [sentAt] is when the worker sent it.
+     * Returns false, without any change, if a newer heartbeat was accepted before: this one was
+     * delayed, is a duplicate, or was overtaken by the response to a direct command.
      */
     fun accept(
         machine: Machine,
@@ -40,8 +42,8 @@
     }
 
     /**
-     * Takes in the heartbeat in the response to a direct command. A task that it lacks may still be
-     * on the machine: see [TaskReconciler.releaseAbsent].
+     * Updates [machine] from [heartbeat], which is the response to a direct command or a probe. A
+     * task that it does not list may still be on the machine: see [TaskReconciler.releaseAbsent].
      */
     fun acceptDirectResponse(machine: Machine, heartbeat: WorkerHeartbeat) {
         if (MachineId(heartbeat.machine) != machine.id || !isNewer(machine, heartbeat)) return
@@ -49,7 +51,7 @@
         if (cancellations.isLoaded) tasks.reconcile(machine, heartbeat)
     }
 
-    /** Records what [heartbeat] says of the machine, but not what it says of its tasks. */
+    /** Updates [machine] from [heartbeat], but ignores the tasks that it lists. */
     fun recordMachineState(machine: Machine, heartbeat: WorkerHeartbeat) {
         if (isNewer(machine, heartbeat)) record(machine, heartbeat, context.now)
     }
@@ -68,11 +70,18 @@
         val preemptedInS = heartbeat.preemptedInS
         if (preemptedInS != null && machine.preemptionNoticeAt == null) {
             machine.recordPreemptionNotice(context.now, context.now + preemptedInS.seconds)
-            log.info("{} is preempted by the provider in {} s", machine.id, preemptedInS)
+            log.info(
+                "machine {} will be preempted by the provider in {} s",
+                machine.id,
+                preemptedInS,
+            )
         }
     }
 
-    /** A new incarnation of a worker begins without tasks; the images on the machine stay. */
+    /**
+     * Releases the placements of earlier incarnations, because a new incarnation of a worker starts
+     * without tasks. The images on the machine are kept.
+     */
     private fun startIncarnation(machine: Machine, heartbeat: WorkerHeartbeat) {
         for (placement in machine.placements.values.toList()) {
             if (placement.incarnation < heartbeat.incarnation)
@@ -82,7 +91,7 @@
     }
 
     private fun adoptToken(machine: Machine) {
-        log.info("{} is up", machine.id)
+        log.info("machine {} is up", machine.id)
         machine.adoptToken(context.now)
         cluster.machinesWithCommands.add(machine)
         cluster.markChanged()
--- a/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
@@ -5,31 +5,39 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** How long machines may send no heartbeat, by the workers' heartbeat period. */
+/** Limits on the time without a heartbeat, derived from the workers' heartbeat period. */
 class HeartbeatTimeouts(workers: WorkerTiming, operators: OperatorSettings) {
-    /** A machine that was silent for longer is decommissioned. */
+    /** A machine that is silent for longer than this is decommissioned. */
     val lost: Micros = (workers.heartbeatPeriodS * operators.lostHeartbeats).seconds
 
-    /** A machine that was silent for longer is probed. */
+    /** A machine that is silent for longer than this is probed. */
     val overdue: Micros = (workers.heartbeatPeriodS * OVERDUE_HEARTBEATS).seconds
 
-    /** A machine that was silent for longer and answered no probe is decommissioned. */
+    /** A machine that is silent for longer than this and failed a probe is decommissioned. */
     val unreachable: Micros =
         maxOf((workers.heartbeatPeriodS * UNREACHABLE_HEARTBEATS).seconds, MIN_UNREACHABLE_SILENCE)
 
-    /** If most machines were silent for longer, they may be talking to other controllers. */
+    /**
+     * If most machines are silent for longer than this, they may be sending their heartbeats to
+     * other controllers.
+     */
     val quiet: Micros = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
 
-    /** A start that was sent this long ago is listed in a heartbeat, if it was carried out. */
+    /**
+     * A heartbeat lists every task whose start was sent at least this long before and was carried
+     * out.
+     */
     val unlistedStart: Micros =
         maxOf((workers.heartbeatPeriodS * UNLISTED_START_HEARTBEATS).seconds, MIN_UNLISTED_START)
 
     private companion object {
-        /** A heartbeat comes after at most one and a quarter of its usual time. */
+        /** A heartbeat on time arrives after at most 1.25 heartbeat periods. */
         const val OVERDUE_HEARTBEATS = 1.5
         const val UNREACHABLE_HEARTBEATS = 2.0
 
-        /** Short hangs and network cuts pass by themselves. */
+        /**
+         * Shorter hangs of a machine and shorter network faults usually pass without intervention.
+         */
         val MIN_UNREACHABLE_SILENCE = 8.seconds
         const val UNLISTED_START_HEARTBEATS = 2.5
         val MIN_UNLISTED_START = 8.seconds
--- a/src/main/kotlin/wardmux/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/wardmux/fleet/LeaseExpiry.kt
@@ -8,29 +8,34 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** What forwarders may have done to leases without the leader knowing of it yet. */
+/** Lease renewals by forwarders that the leader may not know of yet. */
 fun interface ForwardedRenewals {
     /**
-     * The latest time at which the lease of a machine last known to be renewed at [renewedAt] may
-     * have been renewed, if a lease is over after [leaseDuration].
+     * Returns the latest time at which a forwarder may have renewed the lease of a machine. The
+     * leader knows of renewals up to [renewedAt]; a lease expires [leaseDuration] after its last
+     * renewal.
      */
     fun latestRenewal(renewedAt: Micros, leaseDuration: Micros): Micros
 }
 
-/** Tells which machines' leases are surely over, so that nothing runs there any more. */
+/** Determines whether the lease of a machine has certainly expired, so that no tasks run there. */
 class LeaseExpiry(
     private val context: CoreContext,
     workers: WorkerTiming,
     operators: OperatorSettings,
     private val forwardedRenewals: ForwardedRenewals,
 ) {
-    /** A lease that was not renewed for longer is over, by any clock. */
+    /**
+     * The longest time from the renewal of a lease to its expiry, measured by this controller's
+     * clock. It includes the largest clock drift between two machines and the operators' margin.
+     */
     val maxLeaseDuration: Micros =
         workers.leaseS.seconds * (1 + MAX_CLOCK_DRIFT) + operators.leaseMarginS.seconds
 
     /**
-     * Whether the lease of [machine] is over. The machine has to have adopted this leader's token:
-     * then only this leader and its forwarders can have renewed its lease.
+     * Whether the lease of [machine] has expired. The machine must have adopted this leader's
+     * fencing token, because only then can nobody but this leader and its forwarders have renewed
+     * its lease.
      */
     fun hasExpired(machine: Machine): Boolean {
         val start = machine.leaseStart
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -9,7 +9,10 @@
 import wardmux.model.seconds
 import wardmux.scheduling.ClusterState
 
-/** Decommissions machines that fell silent or that commands do not reach. */
+/**
+ * Checks the machines that are up. It decommissions those that stopped sending heartbeats, were
+ * preempted or do not receive commands, and releases the tasks of machines whose lease has expired.
+ */
 class MachineHealthMonitor(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -22,17 +25,26 @@
     private val log = logger<MachineHealthMonitor>()
     private var nextCheckAt = Micros.LONG_AGO
 
-    /** Since when workers could reach this leader: the stored state was loaded. */
+    /**
+     * When the first check ran, or null before it. The stored state was loaded by then, so workers
+     * have been able to reach this leader since.
+     */
     private var reachableSince: Micros? = null
 
-    /** Machines that may have to be decommissioned, by the reason for it. */
+    /**
+     * Machines that one check found to have a problem, by problem. Whether they are decommissioned
+     * depends on how many have the same problem.
+     */
     private class DecommissionCandidates {
         val silent = ArrayList<Machine>()
         val unreachable = ArrayList<Machine>()
         val withUnlistedStart = ArrayList<Machine>()
     }
 
-    /** Checks all machines, if that is due. To be called only while the stored state is loaded. */
+    /**
+     * Checks all machines if the last check is at least [CHECK_PERIOD] ago. Must be called only
+     * while the stored state is loaded.
+     */
     fun check() {
         if (context.now < nextCheckAt) return
         nextCheckAt = context.now + CHECK_PERIOD
@@ -40,7 +52,7 @@
         val up = upMachines()
         val candidates = DecommissionCandidates()
         for (machine in up) check(machine, candidates)
-        // Then it is this controller that is cut off, and no machine is decommissioned for it.
+        // In that case this controller, not the machines, is probably cut off from the network.
         if (allAreSilent(up)) return
         decommission(candidates, up.size)
         unconfirmedMachines.check(since)
@@ -58,12 +70,17 @@
     }
 
     /**
-     * Past the time in the provider's notice, and silent. Deleting the machine proves that it is
-     * preempted, sooner than waiting for the end of its lease does.
+     * Whether the preemption time in the provider's notice has passed and the machine is silent.
+     * Deleting such a machine proves that it is gone, which is faster than waiting for its lease to
+     * expire.
      */
     private fun isPreempted(machine: Machine, silence: Micros) =
         context.now > machine.preemptedAt + PREEMPTION_MARGIN && silence > PREEMPTION_MARGIN
 
+    /**
+     * Adds [machine] to the list in [candidates] for the problem it has, if any. A machine with an
+     * unanswered start and no tasks is decommissioned at once.
+     */
     private fun addCandidate(
         machine: Machine,
         silence: Micros,
@@ -73,37 +90,47 @@
             silence > timeouts.lost -> candidates.silent.add(machine)
             silence > timeouts.unreachable && machine.hasProbeFailed ->
                 candidates.unreachable.add(machine)
-            // Nothing new is started there, so the unanswered start can do no harm.
+            // No new tasks are started on this machine, so the unanswered start can do no harm.
             machine.hasUnansweredStart && machine.isEmpty ->
                 decommissioner.decommission(machine, DecommissionReason.START_UNANSWERED)
             hasUnlistedStart(machine) -> candidates.withUnlistedStart.add(machine)
         }
     }
 
+    /**
+     * Releases the tasks of [machine], whose lease has expired. The machine is decommissioned first
+     * if it may hold tasks of cancelled jobs.
+     */
     private fun expireLease(machine: Machine, silence: Micros) {
-        log.info("the lease of {} is over", machine.id)
-        // If the machine hangs, cancelled tasks end when it is deleted. A later leader would not
-        // know of them any more.
+        log.info("lease of machine {} expired", machine.id)
+        // If the machine hangs, its cancelled tasks end only when it is deleted. The release below
+        // removes their records, so a later leader would not know of these tasks.
         if (silence > leaseExpiry.maxLeaseDuration && machine.holdsCancelled) {
             decommissioner.decommission(machine, DecommissionReason.LEASE_EXPIRED)
         }
-        cluster.releaseAll(machine, "lease over")
+        cluster.releaseAll(machine, "lease expired")
     }
 
     /**
-     * Direct starts are not sent to a machine any more once one went unanswered, and the responses
-     * of forwarders hold none. Placements recorded there since, whose start only this leader could
-     * have sent and did not, would wait for as long as the machine lives.
+     * Releases the placements on [machine] whose start cannot be sent. After an unanswered direct
+     * start the machine gets no further direct starts, and responses of forwarders contain no
+     * starts. Without the release, committed placements that this leader created but has not
+     * started would wait until the machine is deleted.
      */
     private fun releaseUnsentStarts(machine: Machine) {
         val unsent =
             machine.placements.values.filter {
                 it.isCommitted && !it.isRestored && it.startedAt == null && !it.isStartSent
             }
-        for (placement in unsent) cluster.release(placement, "its start can't be sent")
+        for (placement in unsent) cluster.release(placement, "its start cannot be sent")
     }
 
-    /** Many at once: more likely the network than the machines. Then their leases decide. */
+    /**
+     * Decommissions the [candidates], out of [up] machines that are up. If too many have the same
+     * problem at once, a network fault is more likely than faults of the machines: they are kept,
+     * and only the expiry of a lease releases the tasks. Machines that are silent for more than
+     * twice the longest lease duration are decommissioned in any case.
+     */
     private fun decommission(candidates: DecommissionCandidates, up: Int) {
         val maxAtOnce = maxOf(MIN_BULK_LIMIT, up / BULK_LIMIT_DIVISOR)
         for (machine in candidates.silent) {
@@ -130,9 +157,9 @@
     }
 
     /**
-     * Its heartbeats arrive, but still lack a start that was sent long ago. The start may still be
-     * in flight, so only the machine's deletion frees the task, its room and its quota. If the
-     * stored state was loaded again since, only the unconfirmed starts tell that it was sent.
+     * Whether heartbeats of [machine] arrive but do not list a task whose start was sent more than
+     * [HeartbeatTimeouts.unlistedStart] before the last of them. The start may still be in flight,
+     * so only deleting the machine frees the task, its resources and its quota.
      */
     private fun hasUnlistedStart(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
@@ -143,19 +170,31 @@
         }
     }
 
+    /**
+     * Since when a direct start to [machine] has gone unanswered, if the start of [placement] is
+     * unconfirmed; null otherwise. After the stored state was loaded again, the placement itself no
+     * longer tells that its start was sent.
+     */
     private fun unansweredStartSince(machine: Machine, placement: Placement): Micros? =
         machine.startUnansweredSince.takeIf { placement.taskAttempt in machine.unconfirmedStarts }
 
     private fun upMachines() = cluster.machines.values.filter { it.isUp && !it.isDecommissioned }
 
-    /** So many machines do not fall silent within one heartbeat of each other. */
+    /**
+     * Whether none of the machines [up] sent a heartbeat recently; false if there are fewer than
+     * [MIN_MACHINES_FOR_PARTITION_CHECK]. It is unlikely that all of them fail within one heartbeat
+     * period, so this controller is probably cut off from the network.
+     */
     private fun allAreSilent(up: List<Machine>): Boolean {
         if (up.size < MIN_MACHINES_FOR_PARTITION_CHECK) return false
         val last = up.maxOf { it.lastHeartbeatAt ?: Micros.LONG_AGO }
         return context.now - last > maxOf(timeouts.overdue, MIN_SILENCE_OF_ALL)
     }
 
-    /** Whether most machines fell silent: perhaps they are talking to other controllers. */
+    /**
+     * Whether most machines that were up are silent. They may be sending their heartbeats to other
+     * controllers. False if there are fewer than [MIN_MACHINES_FOR_PARTITION_CHECK].
+     */
     fun areMostSilent(): Boolean {
         val up = upMachines()
         if (allAreSilent(up)) return true
@@ -165,15 +204,25 @@
 
     private companion object {
         val CHECK_PERIOD = 400.milliseconds
+
+        /**
+         * How long a machine must be silent, and past its preemption time, to count as preempted.
+         */
         val PREEMPTION_MARGIN = 1.seconds
 
-        /** Up to so many, or to one in so many, are decommissioned at once. */
+        /** This many machines with the same problem are always decommissioned together. */
         const val MIN_BULK_LIMIT = 2
+
+        /** At most the machines that are up divided by this are decommissioned for one problem. */
         const val BULK_LIMIT_DIVISOR = 3
+
+        /** Replaces [BULK_LIMIT_DIVISOR] for silent machines whose probe failed. */
         const val UNREACHABLE_BULK_LIMIT_DIVISOR = 5
 
-        /** With fewer machines it is not told whether this controller is cut off. */
+        /** With fewer machines, their silence does not show that this controller is cut off. */
         const val MIN_MACHINES_FOR_PARTITION_CHECK = 4
+
+        /** All machines must be silent for at least this long before they count as silent. */
         val MIN_SILENCE_OF_ALL = 6.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/MachineProber.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineProber.kt
@@ -4,11 +4,12 @@
 import wardmux.model.Machine
 import wardmux.model.seconds
 
-/** Asks machines whose heartbeat is overdue for their state. */
+/** Requests the status of machines whose heartbeat is overdue. */
 class MachineProber(private val context: CoreContext, private val client: WorkerClient) {
     /**
-     * Probes [machine], unless that was done a short time ago. A response is a sign of life like a
-     * heartbeat; without one the machine is decommissioned sooner.
+     * Probes [machine], unless it was probed less than [MIN_PROBE_INTERVAL] ago, its endpoint is
+     * not known, or too many requests to workers are open. A response counts like a heartbeat. A
+     * failed probe lowers the silence after which the machine is decommissioned.
      */
     fun probe(machine: Machine) {
         if (context.now < machine.nextProbeAt || machine.endpoint.isEmpty()) return
--- a/src/main/kotlin/wardmux/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineRegistry.kt
@@ -7,7 +7,7 @@
 import wardmux.scheduling.ClusterState
 import wardmux.worker.WorkerHeartbeat
 
-/** Finds machines by id, adds those that are new, and remembers those that were deleted. */
+/** Looks up machines by id, adds new machines, and remembers the ids of deleted ones. */
 class MachineRegistry(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -15,15 +15,21 @@
 ) {
     private val deleted = HashSet<MachineId>()
 
-    /** Whether this leader had the machine deleted; heartbeats that still arrive are late. */
+    /**
+     * Whether the provider has confirmed the deletion of the machine with this [id] to this leader.
+     * Heartbeats of such a machine that still arrive were delayed.
+     */
     fun isDeleted(id: MachineId): Boolean = id in deleted
 
-    /** The provider has confirmed that the machine is deleted. */
+    /** Records that the provider has confirmed the deletion of the machine with this [id]. */
     fun markDeleted(id: MachineId) {
         deleted.add(id)
     }
 
-    /** The machine, which is added if it was not known; null if its type is not known. */
+    /**
+     * Returns the machine with this [id], and adds it if it is new. Returns null if it is new and
+     * no machine type has the label [typeLabel].
+     */
     fun findOrAdd(id: MachineId, typeLabel: String, zone: String, spot: Boolean): Machine? {
         cluster.machines[id]?.let {
             return it
@@ -36,15 +42,19 @@
     }
 
     /**
-     * A machine of which only records tell, not its type: any type serves, as such a machine gets
-     * no tasks. Null if no types are known.
+     * Returns the machine with this [id], which stored records name without its type. If the
+     * machine is new, it is added with an arbitrary type, because such a machine gets no new tasks.
+     * Returns null if no machine types are known.
      */
     fun findOrAddRecorded(id: MachineId): Machine? {
         val type = types.types?.firstOrNull() ?: return null
         return findOrAdd(id, type.label, zone = "", spot = false)
     }
 
-    /** The machine that sent [heartbeat]; null if its type is not known. */
+    /**
+     * Returns the machine that sent [heartbeat], and adds it if it is new. Returns null if it is
+     * new and its type is not known.
+     */
     fun findOrAdd(heartbeat: WorkerHeartbeat): Machine? {
         val id = MachineId(heartbeat.machine)
         cluster.machines[id]?.let {
--- a/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -15,7 +15,7 @@
 import wardmux.worker.ReportedTask
 import wardmux.worker.WorkerHeartbeat
 
-/** Brings placements in line with the tasks that a machine's heartbeat lists. */
+/** Updates placements from the tasks that a machine's heartbeat lists. */
 class TaskReconciler(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -25,7 +25,10 @@
 ) {
     private val log = logger<TaskReconciler>()
 
-    /** Takes in the status of each task in [heartbeat], and finds those without a record. */
+    /**
+     * Updates the placements on [machine] from the status of each task in [heartbeat]. Listed tasks
+     * without a placement that have not ended become the machine's orphans.
+     */
     fun reconcile(machine: Machine, heartbeat: WorkerHeartbeat) {
         var orphans: ArrayList<JobSpec>? = null
         for (reported in heartbeat.tasks) {
@@ -49,11 +52,15 @@
     }
 
     /**
-     * Releases the tasks to be stopped that [heartbeat] does not list. Under its token only this
-     * leader commands the machine, and in its responses to one heartbeat at a time: what a later
-     * heartbeat lacks is not on the machine, and no command for it is in flight. This holds only
-     * for heartbeats that the worker sends by itself; the response to a direct command may have
-     * overtaken the response to a heartbeat.
+     * Releases the placements on [machine] that should be absent and that [heartbeat] does not
+     * list: those being stopped, those of ended jobs, and those restored from records of an earlier
+     * leader.
+     *
+     * Once the machine has adopted this leader's fencing token, only this leader commands it, and a
+     * worker sends the next heartbeat only after the response to the previous one. A task that a
+     * later heartbeat does not list is therefore not on the machine, and no command for it is in
+     * flight. This holds only for heartbeats that the worker sends on its own; the response to a
+     * direct command may have overtaken the response to a heartbeat.
      */
     fun releaseAbsent(machine: Machine, heartbeat: WorkerHeartbeat) {
         if (heartbeat.token != token.value) return
@@ -72,7 +79,7 @@
         if (status == TaskStatus.RUNNING && placement.runningSince == null) {
             placement.runningSince = context.now
             placement.job.gangAttempt?.hasRun = true
-            log.debug("{} runs on {}", placement.task, machine.id)
+            log.debug("task {} runs on machine {}", placement.task, machine.id)
         }
         placement.status = status
         failures.observeRunning(machine, placement)
@@ -92,9 +99,11 @@
     ) {
         val job = placement.job
         val cause = reported.cause
-        // A copy from before this leader's time frees nothing; what is done stays done.
+        // A delayed heartbeat from before this leader's term must not release the placement. A
+        // completion is final, so it counts under any token.
         if (cause != TaskEndCause.DONE && heartbeat.token != token.value) return
-        // The other tasks of its gang wait or run for nothing.
+        // Without this task the other tasks of its gang wait or run in vain, so their attempt is
+        // aborted.
         if (cause != TaskEndCause.DONE && !job.allTasksDone) cluster.abortGangAttempt(job)
         when (cause) {
             TaskEndCause.DONE -> {
@@ -114,7 +123,12 @@
     }
 
     private fun handleRefusal(machine: Machine, placement: Placement, reported: ReportedTask) {
-        log.info("{} was refused by {}: {}", placement.task, machine.id, reported.causeName)
+        log.info(
+            "task {} was refused by machine {}: {}",
+            placement.task,
+            machine.id,
+            reported.causeName,
+        )
         cluster.release(placement, "refused")
         machine.pausedUntil = context.now + REFUSAL_PAUSE
         if (reported.cause == TaskEndCause.TASK_UNKNOWN) {
@@ -122,7 +136,11 @@
         }
     }
 
-    /** The result is kept on the machine, so a completed task counts wherever it is found. */
+    /**
+     * Records the completion of [task], which a machine reports without having a placement for it.
+     * The machine keeps the result, so the completion counts on whichever machine it is found. The
+     * report is ignored if the task did not complete or has a placement elsewhere.
+     */
     private fun handleEndWithoutPlacement(task: TaskId, reported: ReportedTask) {
         val job = cluster.jobs[task.job] ?: return
         if (reported.cause != TaskEndCause.DONE) return
@@ -134,7 +152,10 @@
     }
 
     private companion object {
+        /** How long a machine gets no new tasks after it refused one. */
         val REFUSAL_PAUSE = 1.seconds
+
+        /** How long no tasks of a job are started after a machine did not know one of its tasks. */
         val TASK_UNKNOWN_BACKOFF = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
@@ -10,8 +10,9 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * Decommissions machines with placements that never sent a heartbeat under this leader's token. An
- * earlier leader may keep their leases alive, so only their deletion proves that nothing runs.
+ * Decommissions machines that have placements but never sent a heartbeat under this leader's
+ * fencing token. An earlier leader may still renew their leases, so only deleting them proves that
+ * no tasks run there.
  */
 class UnconfirmedMachineMonitor(
     private val context: CoreContext,
@@ -23,9 +24,17 @@
     private val workers: WorkerTiming,
 ) {
     private val electedAt = context.now
+
+    /**
+     * How long machines may take to send their first heartbeat under this leader's token if many
+     * have not sent one.
+     */
     private val longFirstHeartbeatTimeout = workers.leaseS.seconds + timeouts.lost
 
-    /** Decommissions what is due; workers could reach this leader since [reachableSince]. */
+    /**
+     * Decommissions the unconfirmed machines whose time for a first heartbeat has passed. Workers
+     * have been able to reach this leader since [reachableSince].
+     */
     fun check(reachableSince: Micros) {
         if (!cancellations.isLoaded) return
         decommissionStale()
@@ -34,7 +43,8 @@
                 !it.isUp && !it.isDecommissioned && it.placements.isNotEmpty()
             }
         val unknownIds = cluster.unknownMachines.machines.toList()
-        // How long ago the cancellation was is not known, so these get one heartbeat's time.
+        // It is unknown how long ago a job was cancelled, so machines that may hold tasks of
+        // cancelled jobs get only the time of one heartbeat.
         if (context.now - reachableSince >= HEARTBEAT_FAILOVER_TIME + timeouts.overdue) {
             decommissionCancelled(unconfirmed, unknownIds)
         }
@@ -46,6 +56,7 @@
         for (id in unknownIds) decommissionUnknown(id)
     }
 
+    /** Decommissions the machines that may hold tasks of cancelled jobs. */
     private fun decommissionCancelled(unconfirmed: List<Machine>, unknownIds: List<MachineId>) {
         for (machine in unconfirmed) {
             if (!machine.holdsCancelled) continue
@@ -56,9 +67,11 @@
     }
 
     /**
-     * How long after the election machines may be silent, if there are [silentCount] of them. Where
-     * most have found this leader, the others are not silent because of it. But until a lease is
-     * over, a machine that comes back is worth more than its tasks' time.
+     * Returns how long after the election machines may take to send their first heartbeat, if
+     * [silentCount] of them have not sent one. If most machines have found this leader, the others
+     * are not silent because of the change of leader, so they get less time. They still get at
+     * least the duration of a lease, because a machine that returns before its lease expires is
+     * worth more than the time that its tasks lose.
      */
     private fun firstHeartbeatTimeout(silentCount: Int): Micros {
         val isMinority = silentCount * 2 <= cluster.machines.values.count { it.isUp }
@@ -67,7 +80,11 @@
         else longFirstHeartbeatTimeout
     }
 
-    /** A machine known only by a heartbeat under an older token may have been deleted long ago. */
+    /**
+     * Decommissions machines that sent a heartbeat under an older fencing token and then did not
+     * adopt this leader's token in time. The heartbeat may be a delayed one of a machine that was
+     * deleted long ago.
+     */
     private fun decommissionStale() {
         for (machine in cluster.machines.values) {
             val since = machine.firstStaleHeartbeatAt ?: continue
@@ -77,14 +94,17 @@
         }
     }
 
-    /** One that is known only from records. */
+    /** Decommissions the machine with this [id], which is known only from stored records. */
     private fun decommissionUnknown(id: MachineId) {
         val machine = registry.findOrAddRecorded(id) ?: return
         decommissioner.decommission(machine, DecommissionReason.NEVER_REPORTED)
     }
 
     private companion object {
-        /** How long a worker waits for a response, and until it tries the next controller. */
+        /**
+         * How long a worker waits for a response to its heartbeat before it tries another
+         * controller.
+         */
         val HEARTBEAT_FAILOVER_TIME = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/fleet/WorkerClient.kt
+++ b/src/main/kotlin/wardmux/fleet/WorkerClient.kt
@@ -13,7 +13,7 @@
 import wardmux.worker.DirectCommands
 import wardmux.worker.WorkerHeartbeat
 
-/** Requests to workers themselves, with a bound on how many are open at once. */
+/** Sends requests to workers and limits how many of them are open at once to [maxOpenRequests]. */
 class WorkerClient(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -23,11 +23,16 @@
 ) {
     private var openRequests = 0
 
-    /** Whether one more request can be sent. */
+    /**
+     * Whether the limit on open requests allows another one. Callers check this before they send.
+     */
     val hasCapacity: Boolean
         get() = openRequests < maxOpenRequests
 
-    /** Asks [machine] for its state and takes that in; [onFailure] runs if it does not answer. */
+    /**
+     * Requests the state of [machine] and updates the leader's view of it from the response.
+     * [onFailure] runs if there is no response with status 200 within [timeout].
+     */
     fun requestStatus(machine: Machine, timeout: Micros, onFailure: () -> Unit) {
         openRequests++
         val target = Target.Worker(machine.endpoint)
@@ -39,7 +44,7 @@
         }
     }
 
-    /** Sends [commands] to [machine]; [onOutcome] gets the outcome. */
+    /** Sends [commands] to [machine] and passes the outcome to [onOutcome]. */
     fun sendCommands(machine: Machine, commands: DirectCommands, onOutcome: (Outcome) -> Unit) {
         openRequests++
         val target = Target.Worker(machine.endpoint)
@@ -49,11 +54,11 @@
         }
     }
 
-    /** Takes in the heartbeat in a worker's response. */
+    /** Updates [machine] from the heartbeat in its worker's [response]. */
     fun accept(machine: Machine, response: Outcome.Response) {
         val heartbeat = WorkerHeartbeat.parse(response.body) ?: return
         leadership.observeToken(FencingToken(heartbeat.token))
-        // Deleted meanwhile.
+        // The machine was deleted while the request was open.
         if (cluster.machines[machine.id] !== machine) return
         reconciler.acceptDirectResponse(machine, heartbeat)
     }
--- a/src/main/kotlin/wardmux/fleet/WorkerRedirects.kt
+++ b/src/main/kotlin/wardmux/fleet/WorkerRedirects.kt
@@ -7,30 +7,39 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Spreads the workers' heartbeats over the controllers. */
+/** Distributes the workers' heartbeats over the controllers. */
 fun interface WorkerRebalancing {
-    /** Where the worker that is answered next is to go, or null if it stays. */
+    /**
+     * Returns the controller to which the next worker that is answered has to switch, or null if it
+     * stays with this one.
+     */
     fun nextTarget(): String?
 }
 
-/** Decides which workers are sent to another controller. */
+/** Decides which workers are redirected to another controller. */
 class WorkerRedirects(
     private val context: CoreContext,
     private val leadership: LeaderElection,
     private val workers: WorkerTiming,
     private val rebalancing: WorkerRebalancing,
 ) {
-    /** Whether workers are redirected by this leader and by its forwarders, to whoever leads. */
+    /**
+     * Whether this leader and its forwarders redirect workers, so that they find the current
+     * leader. This is the case once the leader has been uncertain of its lease for
+     * [MIN_LEASE_UNCERTAINTY].
+     */
     val areActive: Boolean
         get() =
             leadership.leaseUncertainSince?.let { context.now - it >= MIN_LEASE_UNCERTAINTY } ==
                 true
 
     /**
-     * Whether [machine] is to ask any other controller who leads, which is not asked of it again
-     * for a while. A leader that has been uncertain of its lease for some time may be cut off from
-     * all but its workers, and its successor can't reach them then. In a mere outage of the
-     * key-value store the others name this leader, and the worker comes back.
+     * Returns whether the worker of [machine] has to ask another controller who leads, and if so
+     * records the redirect, so that the worker is not redirected again for [pause].
+     *
+     * A leader that has been uncertain of its lease for some time may be cut off by a network
+     * partition from everything but its workers, and its successor cannot reach them then. If only
+     * the key-value store is down, the other controllers name this leader, and the worker returns.
      */
     fun redirectIfDue(machine: Machine): Boolean {
         if (!areActive || context.now - machine.lastRedirectAt < pause(workers)) return false
@@ -38,14 +47,17 @@
         return true
     }
 
-    /** The controller that a worker is to go to, so that all have their share; null if it stays. */
+    /**
+     * Returns the controller to which a worker has to switch so that the heartbeats are evenly
+     * distributed, or null if it stays with this one.
+     */
     fun rebalancingTarget(): String? = rebalancing.nextTarget()
 
     companion object {
         private val MIN_LEASE_UNCERTAINTY = 2.seconds
         private const val REDIRECT_PAUSE_LEASE_SHARE = 0.5
 
-        /** How long a worker is not redirected again. */
+        /** Returns how long a worker is not redirected again after a redirect. */
         fun pause(workers: WorkerTiming): Micros =
             workers.leaseS.seconds * REDIRECT_PAUSE_LEASE_SHARE
     }
--- a/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
@@ -4,33 +4,33 @@
 import java.util.Arrays
 
 /**
- * Reads workers' heartbeats. Most equal the machine's previous one but for the tick: these are
- * recognized by comparing bytes and are not parsed. Their [WorkerHeartbeat.tasks] is the same list
- * object as that of the previous heartbeat.
+ * Reads workers' heartbeats. Most heartbeats differ from the machine's previous one only in the
+ * tick. The reader recognizes these by comparing bytes and does not parse them; their
+ * [WorkerHeartbeat.tasks] is the same list object as in the previous heartbeat.
  */
 class WorkerHeartbeatReader(
-    /** The most bytes that all cached heartbeats may take together. */
+    /** The maximum total size of all cached heartbeats, in bytes. */
     private val maxCachedBytes: Long = Long.MAX_VALUE
 ) {
     private class CachedHeartbeat(
         val body: ByteArray,
-        /** Index of the tick's first digit. */
+        /** The index of the tick's first digit in [body]. */
         val tickStart: Int,
-        /** Index after the tick's last digit. */
+        /** The index after the tick's last digit in [body]. */
         val tickEnd: Int,
         val heartbeat: WorkerHeartbeat,
     )
 
-    /** By machine, the least recently read one first. */
+    /** The newest parsed heartbeats by machine id, the least recently read first. */
     private val cache = Object2ObjectLinkedOpenHashMap<String, CachedHeartbeat>()
 
     private var cachedBytes = 0L
 
-    /** How many heartbeats had to be parsed. */
+    /** The number of heartbeats that were parsed, including invalid ones. */
     var parsedCount = 0L
         private set
 
-    /** The heartbeat in [body], or null if there is none. */
+    /** Returns the heartbeat in [body], or null if [body] is not a valid heartbeat. */
     fun read(body: ByteArray): WorkerHeartbeat? {
         val machine = stringAfter(body, MACHINE_FIELD)
         val tickStart = indexOfNumberAfter(body, TICK_FIELD)
@@ -87,7 +87,9 @@
         return index
     }
 
-    /** Index of the number that follows the first [field], or -1. */
+    /**
+     * Returns the index of the number after the first [field] in [body], or -1 if there is none.
+     */
     private fun indexOfNumberAfter(body: ByteArray, field: ByteArray): Int {
         val index = indexOfValueAfter(body, field)
         return if (index in body.indices && body[index] in ZERO..NINE) index else -1
--- a/src/main/kotlin/wardmux/worker/WorkerMessages.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerMessages.kt
@@ -7,7 +7,7 @@
 import wardmux.model.TaskStatus
 import wardmux.serialization.lenientJson
 
-/** One task in a worker's heartbeat. */
+/** One task in a worker's heartbeat, as the worker reports it. */
 @Serializable
 data class ReportedTask(
     @SerialName("piece") val task: String,
@@ -20,7 +20,7 @@
     val taskAttempt: TaskAttempt
         get() = TaskAttempt(task, attempt)
 
-    /** A status that this version does not know is taken for one in which the task runs. */
+    /** The status of the task. A status name that this version does not know counts as running. */
     val status: TaskStatus
         get() =
             when (statusName) {
@@ -31,12 +31,12 @@
                 else -> TaskStatus.RUNNING
             }
 
-    /** Why it ended; of no meaning before [status] says that it did. */
+    /** Why the task ended. Meaningful only if [status] is [TaskStatus.ENDED]. */
     val cause: TaskEndCause
         get() = TaskEndCause.of(causeName)
 }
 
-/** What a worker says of its machine, several times in a lease. */
+/** A worker's report on its machine, sent several times within the duration of a lease. */
 @Serializable
 data class WorkerHeartbeat(
     @SerialName("box") val machine: String,
@@ -45,89 +45,97 @@
     @SerialName("boxkind") val type: String,
     @SerialName("ward") val zone: String,
     @SerialName("loaners") val spot: Boolean = false,
-    /** Grows with each start of the worker. */
+    /** The number of the worker's incarnation, which grows with each start of the worker. */
     @SerialName("shift") val incarnation: Long,
-    /** Grows with each heartbeat of one incarnation. */
+    /** The number of the heartbeat, which grows with each heartbeat of one incarnation. */
     @SerialName("tick") val tick: Long,
     /** The largest fencing token that the worker has adopted, or 0. */
     @SerialName("baton") val token: Long = 0,
-    /** Seconds until the provider preempts the machine, once it has given notice. */
+    /** Seconds until the provider preempts the machine, or null before it has given notice. */
     @SerialName("recall_s") val preemptedInS: Double? = null,
     @SerialName("pieces") val tasks: List<ReportedTask> = emptyList(),
 ) {
-    /** Whether [attempt] is on the machine, in whatever status. */
+    /** Whether the heartbeat lists [attempt], in any status. */
     fun lists(attempt: TaskAttempt): Boolean =
         tasks.any { it.task == attempt.task && it.attempt == attempt.attempt }
 
     companion object {
-        /** The heartbeat in [body], or null if there is none. */
+        /** Returns the heartbeat in [body], or null if [body] is not a valid heartbeat. */
         fun parse(body: ByteArray): WorkerHeartbeat? =
             try {
                 lenientJson.decodeFromString(serializer(), body.decodeToString())
             } catch (e: IllegalArgumentException) {
-                // SerializationException is one too.
+                // SerializationException is a subclass.
                 null
             }
     }
 }
 
-/** What a worker can be told to do with a task. */
+/** The kinds of command that a worker carries out for a task. */
 enum class WorkerCommandType(val wireName: String) {
     START("start"),
     STOP("halt"),
 
-    /** Removes what is kept of a task that ended. */
+    /** Removes the data that the machine keeps of a task that ended. */
     FORGET("forget"),
 }
 
-/** Tells a worker to do something with one attempt at a task. */
+/** A command to a worker for one attempt at a task. */
 @Serializable
 data class WorkerCommand(
-    /** The [WorkerCommandType]; others pass through a forwarder of an older version unchanged. */
+    /**
+     * The [WorkerCommandType.wireName]. It is a string so that a forwarder of an older version
+     * passes on types that it does not know unchanged.
+     */
     @SerialName("verb") val typeName: String,
     @SerialName("piece") val task: String,
     @SerialName("try") val attempt: Int,
-    /** For how long, in seconds, a task that is stopped may save its state. */
+    /** How long a task that is stopped may take to save its state, in seconds. */
     @SerialName("letgo_s") val gracePeriodS: Double? = null,
 ) {
     /** The task and the attempt at it. */
     val taskAttempt: TaskAttempt
         get() = TaskAttempt(task, attempt)
 
-    /** Whether it stops the task. */
+    /** Whether the command stops the task. */
     val isStop: Boolean
         get() = typeName == WorkerCommandType.STOP.wireName
 
     companion object {
-        /** Starts an attempt. */
+        /** Returns a command that starts an attempt. */
         fun start(task: String, attempt: Int) =
             WorkerCommand(WorkerCommandType.START.wireName, task, attempt)
 
-        /** Stops an attempt, which may take [gracePeriodS] seconds to save its state. */
+        /**
+         * Returns a command that stops an attempt, which has [gracePeriodS] seconds to save its
+         * state.
+         */
         fun stop(task: String, attempt: Int, gracePeriodS: Double) =
             WorkerCommand(WorkerCommandType.STOP.wireName, task, attempt, gracePeriodS)
 
-        /** Removes what is kept of an attempt that ended. */
+        /** Returns a command that removes the data kept of an ended attempt. */
         fun forget(task: String, attempt: Int) =
             WorkerCommand(WorkerCommandType.FORGET.wireName, task, attempt)
     }
 }
 
-/** Commands sent to the worker itself, rather than in the response to its heartbeat. */
+/** Commands sent directly to a worker instead of in the response to its heartbeat. */
 @Serializable
 data class DirectCommands(
     @SerialName("baton") val token: Long,
-    /** A worker of any other incarnation refuses them. */
+    /**
+     * The incarnation that the commands are for. A worker of any other incarnation refuses them.
+     */
     @SerialName("shift") val incarnation: Long,
     @SerialName("orders") val commands: List<WorkerCommand>,
 ) {
-    /** The body of a request to a worker. */
+    /** Returns the body of a request to a worker. */
     fun encode(): ByteArray = lenientJson.encodeToString(serializer(), this).encodeToByteArray()
 }
 
-/** Sends a worker to another controller. */
+/** The response to a heartbeat that redirects the worker to the controller named [controller]. */
 @Serializable
 data class Redirect(@SerialName("steward") val controller: String) {
-    /** The body of a response to a heartbeat. */
+    /** Returns the body of the response to a heartbeat. */
     fun encode(): ByteArray = lenientJson.encodeToString(serializer(), this).encodeToByteArray()
 }
--- a/src/test/kotlin/wardmux/fleet/HeartbeatCommandsTest.kt
+++ b/src/test/kotlin/wardmux/fleet/HeartbeatCommandsTest.kt
@@ -8,13 +8,17 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** What the response to a heartbeat tells a machine to do. */
+/**
+ * Commands in the response to a heartbeat. A duplicate of a direct start that is delivered late
+ * starts an attempt again if the machine has forgotten that it ended. The attempt then runs in
+ * parallel with the task's next attempt, so a stopped attempt must be remembered long enough.
+ */
 class HeartbeatCommandsTest {
     private val harness = ControllerHarness()
     private val machine = ManualWorker(harness, "i-000001")
 
     @Test
-    fun `an attempt that was stopped is not forgotten while a copy of its start may come`() {
+    fun `a stopped attempt is not forgotten while a duplicate of its start may be delivered`() {
         harness.accept(plainJob(1))
         harness.run(2.seconds)
         val token = machine.token()
@@ -27,7 +31,14 @@
                 harness.run(1.seconds)
                 machine.handleHeartbeat(token, "$stopped,$secondAttempt")
             }
-        assertTrue(responses.take(150).none { "forget" in it })
-        assertContains(responses.drop(150).joinToString(), "forget")
+        assertTrue(
+            responses.take(150).none { "forget" in it },
+            "expected no forget command in the first 150 responses, one a second: $responses",
+        )
+        assertContains(
+            responses.drop(150).joinToString(),
+            "forget",
+            message = "expected a forget command after 150 responses, one a second",
+        )
     }
 }
--- a/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
+++ b/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
@@ -9,19 +9,30 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** What heartbeats and unanswered commands tell of a machine, and what they do not. */
+/**
+ * Decommissioning of machines because of missing heartbeats or unanswered commands. Guards against
+ * two failures: a machine that is lost or does not receive commands is kept, so that its tasks
+ * never run elsewhere; and a task is started a second time while its first start may still be
+ * carried out. Delayed duplicates of old heartbeats must count neither as signs of life nor as new
+ * machines.
+ */
 class MachineHealthMonitorTest {
     private val harness = ControllerHarness()
     private val first = ManualWorker(harness, "i-000001")
     private val second = ManualWorker(harness, "i-000002")
 
+    /** The number of requests to the provider to delete [machine]. */
     private fun deletionRequestCount(machine: String) =
         harness.cloud.count { it.startsWith("/machines/delete") && machine in it }
 
+    /** The number of direct commands that start [task]. */
     private fun directStartCount(task: String) =
         harness.direct.count { "\"start\"" in it && task in it }
 
-    /** The start of a job's only task is sent to the first machine and goes unanswered. */
+    /**
+     * Submits a job with one task, whose direct start to the first machine gets no response.
+     * Returns the leader's fencing token.
+     */
     private fun sendUnansweredStart(): Long {
         harness.run(2.seconds)
         val token = first.token()
@@ -29,10 +40,11 @@
         harness.directOutcome = Outcome.NoResponse
         harness.accept(plainJob(1))
         harness.run(2.seconds)
-        assertEquals(1, directStartCount("job-000001/0"))
+        assertEquals(1, directStartCount("job-000001/0"), "direct starts of job-000001/0")
         return token
     }
 
+    /** Sends a heartbeat without tasks from each machine every second for 20 s. */
     private fun sendHeartbeatsOfBoth(token: Long) =
         repeat(20) {
             first.report(token)
@@ -41,9 +53,9 @@
         }
 
     @Test
-    fun `a machine that commands do not reach gets no more, and only its deletion frees the task`() {
+    fun `a machine with an unanswered start gets no more, and only its deletion frees the task`() {
         val token = sendUnansweredStart()
-        // Its heartbeats go on, and none lists the task.
+        // The first machine still sends heartbeats, but none of them lists the task.
         repeat(3) {
             first.handleHeartbeat(token)
             second.handleHeartbeat(token)
@@ -51,40 +63,55 @@
         }
         harness.accept(plainJob(1, "job-000002"))
         sendHeartbeatsOfBoth(token)
-        assertTrue(deletionRequestCount("i-000001") > 0, "kept, though commands do not reach it")
+        assertTrue(
+            deletionRequestCount("i-000001") > 0,
+            "expected i-000001, which commands do not reach, to be deleted; no deletion requested",
+        )
         assertEquals(
             0,
             directStartCount(""""job-000001/0","try":2"""),
-            "started while it may still start",
+            "second attempt of job-000001/0 started while the first start may be carried out",
         )
-        assertEquals(1, directStartCount("job-000002/0"))
+        assertEquals(1, directStartCount("job-000002/0"), "direct starts of job-000002/0")
     }
 
     @Test
-    fun `nor is it kept for ever if the stored state is loaded again meanwhile`() {
+    fun `a machine with an unanswered start is deleted even if the stored state is loaded again`() {
         val token = sendUnansweredStart()
-        // Somebody else's write: the leader no longer knows what is stored.
+        // After a write by another process the leader no longer knows the stored state, so it loads
+        // the state again.
         harness.write("tags", harness.stored("tags")!!)
         harness.accept(plainJob(1, "job-000002"))
         sendHeartbeatsOfBoth(token)
-        assertTrue(deletionRequestCount("i-000001") > 0, "kept, though commands do not reach it")
+        assertTrue(
+            deletionRequestCount("i-000001") > 0,
+            "expected i-000001, which commands do not reach, to be deleted; no deletion requested",
+        )
     }
 
     @Test
-    fun `a copy of an old heartbeat is no sign of life and brings no machine back`() {
+    fun `duplicates of a heartbeat under an older token neither keep nor revive a machine`() {
         harness.run(2.seconds)
         harness.accept(plainJob(1))
-        // Under an older token, over and over: all that a leader knows of a machine long gone.
+        // The same heartbeat under an older token arrives repeatedly. The leader knows nothing else
+        // of the machine, which may have been deleted long ago.
         repeat(40) {
             first.report(0, at = 7)
             harness.run(1.seconds)
         }
-        assertEquals(0, directStartCount("job-000001/0"))
-        assertTrue(deletionRequestCount("i-000001") > 0, "kept for the copies' sake")
+        assertEquals(
+            0,
+            directStartCount("job-000001/0"),
+            "direct starts of job-000001/0 on a machine known only from duplicates",
+        )
+        assertTrue(
+            deletionRequestCount("i-000001") > 0,
+            "expected i-000001 to be deleted despite the duplicates; no deletion requested",
+        )
     }
 
     @Test
-    fun `copies do not keep a silent machine alive`() {
+    fun `duplicates of a heartbeat do not keep a silent machine from being decommissioned`() {
         harness.run(2.seconds)
         val token = first.token()
         first.handleHeartbeat(token)
@@ -92,32 +119,39 @@
             harness.run(1.seconds)
             first.report(token, at = 1)
         }
-        assertTrue(deletionRequestCount("i-000001") > 0, "a copy counted as a sign of life")
+        assertTrue(
+            deletionRequestCount("i-000001") > 0,
+            "expected silent i-000001 to be deleted despite duplicates; no deletion requested",
+        )
     }
 
     @Test
-    fun `an overdue machine that answers no probe is decommissioned before others`() {
+    fun `a silent machine that answers no probe is decommissioned earlier than without a probe`() {
         harness.run(2.seconds)
         val token = first.token()
         repeat(2) {
             first.handleHeartbeat(token)
             harness.run(0.5.seconds)
         }
-        // A heartbeat each 2.5 s: probed after 3.75 s, decommissioned after 8 s, unprobed after 10
-        // s.
+        // The heartbeat period is 2.5 s. A silent machine is probed after 3.75 s. It is
+        // decommissioned after 8 s if the probe fails, otherwise after 10 s.
         harness.run(7.seconds)
-        assertEquals(0, deletionRequestCount("i-000001"))
+        assertEquals(0, deletionRequestCount("i-000001"), "deletions of i-000001 before 8 s")
         harness.run(2.seconds)
-        assertTrue(deletionRequestCount("i-000001") > 0, "still kept")
+        assertTrue(
+            deletionRequestCount("i-000001") > 0,
+            "expected i-000001 to be deleted after 8 s; no deletion requested",
+        )
     }
 
     /**
-     * A leader that may not renew leases still gets heartbeats of its workers, whose incarnations
-     * end and begin. If the lease of a new one counted from the last renewal before, it would be
-     * over at once, and the task would be started a second time elsewhere.
+     * While a leader may not renew leases, it still receives heartbeats, and a worker may start a
+     * new incarnation. If the lease of the new incarnation counted from the last renewal before it,
+     * the lease would count as expired at once, and the task would be started a second time on
+     * another machine.
      */
     @Test
-    fun `an incarnation that began without a renewal has a lease from its beginning`() {
+    fun `the lease of an incarnation without a renewal counts from the start of the incarnation`() {
         val harness = ControllerHarness(peers = listOf("n1"))
         val first = ManualWorker(harness, "i-000001")
         val second = ManualWorker(harness, "i-000002")
@@ -141,9 +175,9 @@
         harness.accept(plainJob(1))
         val directStarts = { harness.direct.count { "\"start\"" in it && "job-000001/0" in it } }
         harness.run(3.seconds)
-        assertEquals(0, directStarts(), "started where no lease is renewed")
+        assertEquals(0, directStarts(), "direct starts of job-000001/0 while no lease is renewed")
         first.report(token)
         harness.run(3.seconds)
-        assertEquals(1, directStarts())
+        assertEquals(1, directStarts(), "direct starts of job-000001/0 after a renewal")
     }
 }
