--- a/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
@@ -85,8 +85,8 @@
 
     /**
      * Whether [machine] may forget the ended task [reported]. A completed task may be forgotten
-     * only after its completion is recorded in the key-value store, because until then the machine
-     * is the only other place that knows of it.
+     * only after its completion is recorded in the key-value store, because until then only this
+     * leader and the machine know of it.
      */
     private fun mayForget(machine: Machine, reported: ReportedTask): Boolean {
         if (reported.taskAttempt in machine.unconfirmedStarts) return false
--- a/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
@@ -111,7 +111,8 @@
 
     /**
      * Whether [machine] is decommissioned. If so, [heartbeat] is only recorded, without its tasks.
-     * Its lease is not renewed, so that the lease expires even if the deletion takes long.
+     * The lease of such a machine is not renewed, so that it expires even if the deletion takes
+     * long.
      */
     private fun isDecommissioned(machine: Machine, heartbeat: WorkerHeartbeat): Boolean {
         if (machine.isDecommissioned) reconciler.recordMachineState(machine, heartbeat)
--- a/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -22,9 +22,10 @@
 
     /**
      * Updates [machine] and its placements from [heartbeat]. [forwarder] is the controller that
-     * sent it on, or null if the worker sent it to the leader; [sentAt] is when the worker sent it.
-     * Returns false, without any change, if a newer heartbeat was accepted before: this one was
-     * delayed, is a duplicate, or was overtaken by the response to a direct command.
+     * sent it on, or null if the worker sent it to the leader; [sentAt] counts as the time at which
+     * the worker sent it. Returns false, without any change, if a newer heartbeat was accepted
+     * before: this one was delayed, is a duplicate, or was overtaken by the response to a direct
+     * command.
      */
     fun accept(
         machine: Machine,
--- a/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
@@ -5,7 +5,10 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Limits on the time without a heartbeat, derived from the workers' heartbeat period. */
+/**
+ * Time limits for missing heartbeats, and for started tasks that heartbeats do not list, derived
+ * from the workers' heartbeat period.
+ */
 class HeartbeatTimeouts(workers: WorkerTiming, operators: OperatorSettings) {
     /** A machine that is silent for longer than this is decommissioned. */
     val lost: Micros = (workers.heartbeatPeriodS * operators.lostHeartbeats).seconds
--- a/src/main/kotlin/wardmux/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/wardmux/fleet/LeaseExpiry.kt
@@ -34,8 +34,8 @@
 
     /**
      * Whether the lease of [machine] has expired. The machine must have adopted this leader's
-     * fencing token, because only then can nobody but this leader and its forwarders have renewed
-     * its lease.
+     * fencing token. Only then is it certain that nobody but this leader and its forwarders has
+     * renewed its lease since.
      */
     fun hasExpired(machine: Machine): Boolean {
         val start = machine.leaseStart
--- a/src/main/kotlin/wardmux/fleet/MachineDecommissioner.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineDecommissioner.kt
@@ -18,7 +18,7 @@
     fun decommission(machine: Machine, reason: String) {
         if (machine.isDecommissioned) return
         log.info(
-            "decommissioning machine {} with {} placed tasks: {}",
+            "decommissioning machine {} with {} placements: {}",
             machine.id,
             machine.placements.size,
             reason,
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -213,7 +213,10 @@
         /** This many machines with the same problem are always decommissioned together. */
         const val MIN_BULK_LIMIT = 2
 
-        /** At most the machines that are up divided by this are decommissioned for one problem. */
+        /**
+         * If more than the number of machines that are up, divided by this, have the same problem,
+         * they are not decommissioned for it.
+         */
         const val BULK_LIMIT_DIVISOR = 3
 
         /** Replaces [BULK_LIMIT_DIVISOR] for silent machines whose probe failed. */
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -31,7 +31,7 @@
      * failed, shows that the service is not faulty. Otherwise failures on two faulty machines would
      * keep the other replicas of the service from ever being started.
      */
-    fun observeRunning(machine: Machine, placement: Placement) {
+    fun recordRunning(machine: Machine, placement: Placement) {
         val job = placement.job
         val since = placement.runningSince ?: return
         if (job.failedMachines.isEmpty() || job.spec.kind != JobKind.SERVICE) return
--- a/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -82,7 +82,7 @@
             log.debug("task {} runs on machine {}", placement.task, machine.id)
         }
         placement.status = status
-        failures.observeRunning(machine, placement)
+        failures.recordRunning(machine, placement)
         val spec = placement.job.spec
         if (status != TaskStatus.FETCHING)
             machine.images.markReady(spec.image, spec.imageGb, context.now)
--- a/src/main/kotlin/wardmux/fleet/WorkerClient.kt
+++ b/src/main/kotlin/wardmux/fleet/WorkerClient.kt
@@ -13,7 +13,10 @@
 import wardmux.worker.DirectCommands
 import wardmux.worker.WorkerHeartbeat
 
-/** Sends requests to workers and limits how many of them are open at once to [maxOpenRequests]. */
+/**
+ * Sends requests to workers. Callers check [hasCapacity] first, so that at most [maxOpenRequests]
+ * requests are open at once.
+ */
 class WorkerClient(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -23,9 +26,7 @@
 ) {
     private var openRequests = 0
 
-    /**
-     * Whether the limit on open requests allows another one. Callers check this before they send.
-     */
+    /** Whether the limit on open requests allows another one. */
     val hasCapacity: Boolean
         get() = openRequests < maxOpenRequests
 
--- a/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerHeartbeatReader.kt
@@ -45,12 +45,12 @@
         val scannedFieldsMatch =
             heartbeat.machine == machine && heartbeat.tick == parseNumber(body, tickStart, tickEnd)
         if (scannedFieldsMatch && body.size <= MAX_CACHED_BODY_BYTES) {
-            cache(machine, CachedHeartbeat(body, tickStart, tickEnd, heartbeat))
+            addToCache(machine, CachedHeartbeat(body, tickStart, tickEnd, heartbeat))
         }
         return heartbeat
     }
 
-    private fun cache(machine: String, entry: CachedHeartbeat) {
+    private fun addToCache(machine: String, entry: CachedHeartbeat) {
         val replaced = cache.putAndMoveToLast(machine, entry)
         cachedBytes += entry.body.size - (replaced?.body?.size ?: 0)
         while (cachedBytes > maxCachedBytes) cachedBytes -= cache.removeFirst().body.size
