--- a/src/main/kotlin/wardmux/election/LeaderCampaign.kt
+++ b/src/main/kotlin/wardmux/election/LeaderCampaign.kt
@@ -32,31 +32,31 @@
     private val leaseDuration: Micros,
 ) {
     /** The lease that this process was last granted and may lead with; any other is not its own. */
-    private var granted: LeaseId? = null
+    private var grantedLease: LeaseId? = null
 
     /** The key bound to [lease] was written by this process, and it has not led with it yet. */
-    fun isOwn(lease: LeaseId): Boolean = lease == granted
+    fun isOwnLease(lease: LeaseId): Boolean = lease == grantedLease
 
     /** Should the key still stand, it is not taken again: no fencing token may lead twice. */
     fun forgetLease() {
-        granted = null
+        grantedLease = null
     }
 
-    /** Asks for a lease and takes the key if nobody has it; [then] gets the result. */
-    fun run(then: (CampaignResult) -> Unit) {
+    /** Asks for a lease and takes the key if nobody has it; [onResult] gets the result. */
+    fun run(onResult: (CampaignResult) -> Unit) {
         val sentAt = context.now
         store.grantLease(leaseDuration) { result ->
             if (result is StoreResult.Ok) {
                 val lease = result.value
-                granted = lease
-                takeKey(lease, sentAt, then)
+                grantedLease = lease
+                takeKey(lease, sentAt, onResult)
             } else {
-                then(CampaignResult.Failed)
+                onResult(CampaignResult.Failed)
             }
         }
     }
 
-    private fun takeKey(lease: LeaseId, sentAt: Micros, then: (CampaignResult) -> Unit) {
+    private fun takeKey(lease: LeaseId, sentAt: Micros, onResult: (CampaignResult) -> Unit) {
         val change =
             WriteOperation(
                 put = LeaderElection.KEY,
@@ -68,13 +68,13 @@
             when (written) {
                 is StoreResult.Ok -> {
                     val leader = Role.Leader(FencingToken(written.value.value), lease)
-                    then(CampaignResult.Won(leader, sentAt))
+                    onResult(CampaignResult.Won(leader, sentAt))
                 }
                 is StoreResult.Conflict -> {
                     store.revokeLease(lease) {}
-                    then(CampaignResult.Lost)
+                    onResult(CampaignResult.Lost)
                 }
-                else -> then(CampaignResult.Failed)
+                else -> onResult(CampaignResult.Failed)
             }
         }
     }
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -54,7 +54,7 @@
     private var leaderConfirmedAt = Micros.LONG_AGO
 
     /** When to read the key again; null while a request or watch is under way. */
-    private var readAt: Micros? = Micros.LONG_AGO
+    private var nextReadAt: Micros? = Micros.LONG_AGO
 
     /** This controller leads, and surely holds its lease. */
     val leaseIsValid: Boolean
@@ -73,7 +73,7 @@
 
     /** Reads the key and renews the lease when these are due. */
     fun tick() {
-        val due = readAt
+        val due = nextReadAt
         if (due != null && context.now >= due) readKey()
         lease.tick()
     }
@@ -124,35 +124,35 @@
         stepDown(leader.token, Micros.ZERO)
     }
 
-    /** Becomes a follower that knows no leader, and reads the key again after [pause]. */
-    private fun stepDown(token: FencingToken, pause: Micros) {
+    /** Becomes a follower that knows no leader, and reads the key again after [delay]. */
+    private fun stepDown(token: FencingToken, delay: Micros) {
         role = Role.Follower(null, token)
         lease.release()
         campaign.forgetLease()
         store.setLeading(false)
         listener.deposed()
-        readAfter(pause)
+        scheduleRead(delay)
     }
 
-    private fun readAfter(pause: Micros) {
-        readAt = context.now + pause
+    private fun scheduleRead(delay: Micros) {
+        nextReadAt = context.now + delay
     }
 
     private fun readKey() {
-        readAt = null
+        nextReadAt = null
         store.get(KEY, RequestPriority.LEASE) { result ->
             when (result) {
                 is StoreResult.Ok -> {
                     val key = result.value
-                    keyFound(key.data, key.version, key.lease)
+                    handleLeaderKey(key.data, key.version, key.lease)
                 }
                 is StoreResult.NotFound -> runCampaign()
-                else -> readAfter(RETRY_PERIOD)
+                else -> scheduleRead(RETRY_PERIOD)
             }
         }
     }
 
-    private fun keyFound(data: JsonElement, version: KeyVersion, keyLease: LeaseId?) {
+    private fun handleLeaderKey(data: JsonElement, version: KeyVersion, keyLease: LeaseId?) {
         val token = FencingToken(version.value)
         val record =
             try {
@@ -160,22 +160,22 @@
             } catch (e: IllegalArgumentException) {
                 // Nobody can be named; the key is removed when its lease ends.
                 log.error("the leader record can't be read: {}", e.message)
-                return readAfter(RETRY_PERIOD)
+                return scheduleRead(RETRY_PERIOD)
             }
         when {
             record.member != member -> follow(record.member, token)
-            keyLease == null -> readAfter(RETRY_PERIOD)
-            record.processIncarnation == processIncarnation && campaign.isOwn(keyLease) -> {
+            keyLease == null -> scheduleRead(RETRY_PERIOD)
+            record.processIncarnation == processIncarnation && campaign.isOwnLease(keyLease) -> {
                 // This process wrote it and the response was lost. The age of the lease is not
                 // known, so it is renewed before anything rests on it.
-                lead(Role.Leader(token, keyLease), context.now)
-                lease.renewBeforeUse()
+                becomeLeader(Role.Leader(token, keyLease), context.now)
+                lease.requireRenewalBeforeUse()
             }
             else -> {
                 log.info("revoking the lease of a former process of this member")
                 // Followers that were up meanwhile know the cluster, and lead sooner than this
                 // fresh process: they go first.
-                store.revokeLease(keyLease) { readAfter(HEAD_START) }
+                store.revokeLease(keyLease) { scheduleRead(RESTARTED_MEMBER_CAMPAIGN_DELAY) }
             }
         }
     }
@@ -183,15 +183,15 @@
     private fun runCampaign() {
         campaign.run { result ->
             when (result) {
-                is CampaignResult.Won -> lead(result.leader, result.sentAt)
-                is CampaignResult.Lost -> readAfter(Micros.ZERO)
-                is CampaignResult.Failed -> readAfter(RETRY_PERIOD)
+                is CampaignResult.Won -> becomeLeader(result.leader, result.sentAt)
+                is CampaignResult.Lost -> scheduleRead(Micros.ZERO)
+                is CampaignResult.Failed -> scheduleRead(RETRY_PERIOD)
             }
         }
     }
 
-    private fun lead(leader: Role.Leader, sentAt: Micros) {
-        readAt = null
+    private fun becomeLeader(leader: Role.Leader, sentAt: Micros) {
+        nextReadAt = null
         role = leader
         lease.acquire(leader, sentAt)
         store.setLeading(true)
@@ -217,9 +217,9 @@
                         leaderConfirmedAt = context.now
                         watchKey(maxOf(revision, result.value.revision))
                     } else {
-                        readAfter(Micros.ZERO)
+                        scheduleRead(Micros.ZERO)
                     }
-                else -> readAfter(RETRY_PERIOD)
+                else -> scheduleRead(RETRY_PERIOD)
             }
         }
     }
@@ -228,7 +228,7 @@
         /** The leader key. */
         const val KEY = "leader"
         private val RETRY_PERIOD = 300.milliseconds
-        private val HEAD_START = 500.milliseconds
+        private val RESTARTED_MEMBER_CAMPAIGN_DELAY = 500.milliseconds
         private val WATCH_TIMEOUT = 8.seconds
 
         /** Longer than a watch that shows no change. */
--- a/src/main/kotlin/wardmux/election/LeaderLease.kt
+++ b/src/main/kotlin/wardmux/election/LeaderLease.kt
@@ -27,7 +27,7 @@
     private var holder: Role.Leader? = null
     private var validUntil = Micros.LONG_AGO
     private var acquiredAt = Micros.LONG_AGO
-    private var renewAt = Micros.ZERO
+    private var nextRenewalAt = Micros.ZERO
     private var isRenewing = false
 
     /** The lease surely runs. */
@@ -47,9 +47,9 @@
     }
 
     /** Holds the lease as uncertain until it is renewed, at the next tick. */
-    fun renewBeforeUse() {
+    fun requireRenewalBeforeUse() {
         validUntil = Micros.LONG_AGO
-        renewAt = context.now
+        nextRenewalAt = context.now
     }
 
     /** Holds the lease no longer. */
@@ -61,7 +61,7 @@
     /** Renews a lease that is due. */
     fun tick() {
         val leader = holder ?: return
-        if (!isRenewing && context.now >= renewAt) renew(leader)
+        if (!isRenewing && context.now >= nextRenewalAt) renew(leader)
     }
 
     private fun renew(leader: Role.Leader) {
@@ -73,20 +73,20 @@
             when (result) {
                 is StoreResult.Ok -> extend(sentAt)
                 is StoreResult.NotFound -> listener.expired(leader)
-                else -> renewAt = context.now + RETRY_PERIOD
+                else -> nextRenewalAt = context.now + RETRY_PERIOD
             }
         }
     }
 
     private fun extend(sentAt: Micros) {
-        validUntil = sentAt + duration * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN
-        renewAt = sentAt + duration * RENEWAL_SHARE
+        validUntil = sentAt + duration * (1 - MAX_CLOCK_DRIFT) - LEASE_EXPIRY_MARGIN
+        nextRenewalAt = sentAt + duration * RENEWAL_SHARE_OF_DURATION
     }
 
     private companion object {
         /** The share of its duration after which a lease is renewed. */
-        const val RENEWAL_SHARE = 0.3
-        val SAFETY_MARGIN = 100.milliseconds
+        const val RENEWAL_SHARE_OF_DURATION = 0.3
+        val LEASE_EXPIRY_MARGIN = 100.milliseconds
         val RETRY_PERIOD = 300.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/jobs/FinalJobStates.kt
+++ b/src/main/kotlin/wardmux/jobs/FinalJobStates.kt
@@ -18,7 +18,7 @@
     /** Keeps [state] if it is final, before its user is told of it. */
     fun record(job: JobId, state: JobState) {
         if (state == JobState.ACCEPTED) return
-        if (state == JobState.CANCELLED) cancellations.acknowledged(job)
+        if (state == JobState.CANCELLED) cancellations.recordAcknowledged(job)
         openVersions.remove(job)
         states.putAndMoveToLast(job.value, state)
         if (states.size > MAX_JOBS) states.removeFirst()
--- a/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
+++ b/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
@@ -26,28 +26,28 @@
     private var generation = 0
 
     /** When to watch next; null while a watch is open or nothing is loaded. */
-    private var watchAt: Micros? = null
+    private var nextWatchAt: Micros? = null
     private var nextRevision = Revision.ZERO
 
     /** Watches from [revision] on, beginning at the next tick. */
     fun start(revision: Revision) {
         nextRevision = revision
-        watchAt = context.now
+        nextWatchAt = context.now
     }
 
     /** Ignores an open watch; there is no other until [start]. */
     fun stop() {
         generation++
-        watchAt = null
+        nextWatchAt = null
     }
 
     /** Opens a watch that is due. */
     fun tick() {
-        watchAt?.let { if (context.now >= it) watch() }
+        nextWatchAt?.let { if (context.now >= it) watch() }
     }
 
     private fun watch() {
-        watchAt = null
+        nextWatchAt = null
         val watchGeneration = generation
         val sentAt = context.now
         services.store.watch(
@@ -61,14 +61,14 @@
                 is StoreResult.Ok -> {
                     nextRevision = maxOf(nextRevision, result.value.revision)
                     for (event in result.value.events) apply(event)
-                    cancellations.storeReadAsOf(sentAt)
-                    watchAt = context.now + WATCH_INTERVAL
+                    cancellations.recordStoreRead(asOf = sentAt)
+                    nextWatchAt = context.now + WATCH_INTERVAL
                     components.planningLoop.planAndWrite()
                 }
                 // The revision is no longer kept, so changes may have been missed.
                 is StoreResult.InvalidRequest,
                 is StoreResult.Compacted -> components.reload()
-                else -> watchAt = context.now + RETRY_PERIOD
+                else -> nextWatchAt = context.now + RETRY_PERIOD
             }
         }
     }
--- a/src/main/kotlin/wardmux/leader/PlanningLoop.kt
+++ b/src/main/kotlin/wardmux/leader/PlanningLoop.kt
@@ -16,26 +16,26 @@
     private val status: TermStatus,
 ) {
     /** The cluster's count of changes when the last plan was made. */
-    private var plannedChanges = -1L
+    private var plannedChangeCount = -1L
 
     /** When the next plan is made even if nothing has changed. */
-    private var planUnchangedAt = Micros.LONG_AGO
+    private var nextUnchangedPlanAt = Micros.LONG_AGO
 
     /** When a heartbeat may trigger the next plan. */
     private var nextPlanAt = Micros.LONG_AGO
 
     /** Plans after a heartbeat: what has ended makes room, but not each heartbeat needs a plan. */
     fun planIfChanged() {
-        if (plannedChanges != cluster.changeCount && context.now >= nextPlanAt) planAndWrite()
+        if (plannedChangeCount != cluster.changeCount && context.now >= nextPlanAt) planAndWrite()
     }
 
     /** Plans and writes, unless the last write is still under way. */
     fun planAndWrite() {
         nextPlanAt = context.now + MIN_PLAN_PERIOD
         if (!status.mayDecide || !placementStore.isReady) return
-        if (plannedChanges != cluster.changeCount || context.now >= planUnchangedAt) {
-            plannedChanges = cluster.changeCount
-            planUnchangedAt = context.now + MAX_PLAN_PERIOD
+        if (plannedChangeCount != cluster.changeCount || context.now >= nextUnchangedPlanAt) {
+            plannedChangeCount = cluster.changeCount
+            nextUnchangedPlanAt = context.now + MAX_PLAN_PERIOD
             planner.plan(placementStore.pageBudget())
         }
         placementStore.flush()
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -29,24 +29,24 @@
     private val reader = StoredStateReader(services.store)
 
     /** When to load; null while a load is under way or nothing is to be loaded. */
-    private var loadAt: Micros? = Micros.LONG_AGO
+    private var nextLoadAt: Micros? = Micros.LONG_AGO
 
     /** Starts a load that is due, once the machine types are known. */
     fun tick() {
-        loadAt?.let { if (context.now >= it && types.types != null) load() }
+        nextLoadAt?.let { if (context.now >= it && types.types != null) load() }
     }
 
     /** Abandons a load under way, and loads everything again at the next tick. */
     fun reload() {
         reader.abandon()
-        loadAt = context.now
+        nextLoadAt = context.now
     }
 
     /** Abandons a load under way: the term has ended. */
     fun end() = reader.abandon()
 
     private fun load() {
-        loadAt = null
+        nextLoadAt = null
         val sentAt = context.now
         // Also what an earlier load that failed half-way has added: a job that was cancelled since
         // would stay, and its tasks with it.
@@ -54,7 +54,7 @@
         reader.read { result ->
             when (result) {
                 is StoredStateResult.Complete -> apply(result.state, sentAt)
-                is StoredStateResult.Failed -> loadAt = context.now + RETRY_PERIOD
+                is StoredStateResult.Failed -> nextLoadAt = context.now + RETRY_PERIOD
             }
         }
     }
@@ -66,7 +66,7 @@
             components.jobs.add(item.data ?: continue, item.version)
         }
         for (item in state.cancelledJobs) addCancelledJob(item)
-        cancellations.storeReadAsOf(sentAt)
+        cancellations.recordStoreRead(asOf = sentAt)
         for (item in state.pages) addPage(item)
         for (item in state.decommissionedMachines) {
             markDecommissioned(
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -46,11 +46,11 @@
     private var current: Reading? = null
 
     /**
-     * Starts a reading and abandons the one before. [then] gets its result, and is not called at
-     * all for a reading that was abandoned.
+     * Starts a reading and abandons the one before. [onResult] gets its result, and is not called
+     * at all for a reading that was abandoned.
      */
-    fun read(then: (StoredStateResult) -> Unit) {
-        val reading = Reading(then)
+    fun read(onResult: (StoredStateResult) -> Unit) {
+        val reading = Reading(onResult)
         current = reading
         reading.readTags()
     }
@@ -60,7 +60,7 @@
         current = null
     }
 
-    private inner class Reading(private val then: (StoredStateResult) -> Unit) {
+    private inner class Reading(private val onResult: (StoredStateResult) -> Unit) {
         private var tags: KeyValue? = null
         private lateinit var openJobs: ScanResult<JobRecord>
         private lateinit var pages: List<ScannedKey<StoredTaskPage>>
@@ -113,10 +113,10 @@
 
         private fun <T : Any> scan(
             prefix: String,
-            values: KSerializer<T>,
+            serializer: KSerializer<T>,
             next: (ScanResult<T>) -> Unit,
         ) {
-            store.scan(prefix, values) { found ->
+            store.scan(prefix, serializer) { found ->
                 if (current !== this) return@scan
                 if (found == null) finish(StoredStateResult.Failed) else next(found)
             }
@@ -124,7 +124,7 @@
 
         private fun finish(result: StoredStateResult) {
             current = null
-            then(result)
+            onResult(result)
         }
     }
 }
--- a/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
@@ -13,20 +13,20 @@
      * stopping its tasks. A forwarder may go on until its grant ends, and the lease then runs out,
      * all before the tasks have to be gone.
      */
-    val renewableFor: Micros =
+    val renewablePeriod: Micros =
         maxOf(
             workers.cancelS.seconds -
                 workers.leaseS.seconds * (1 + MAX_CLOCK_DRIFT) -
                 ForwardingGrant.duration(workers) -
-                MARGIN,
-            MIN_RENEWABLE,
+                LEASE_EXPIRY_MARGIN,
+            MIN_RENEWABLE_PERIOD,
         )
 
     private companion object {
         /** For network delays and the workers' own timers. */
-        val MARGIN = 1500.milliseconds
+        val LEASE_EXPIRY_MARGIN = 1500.milliseconds
 
         /** Longer than a healthy leader goes without confirming that it knows all cancellations. */
-        val MIN_RENEWABLE = 1.seconds
+        val MIN_RENEWABLE_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/lease/CheckedHeartbeats.kt
+++ b/src/main/kotlin/wardmux/lease/CheckedHeartbeats.kt
@@ -11,22 +11,22 @@
     /** [tasks] were checked when [cancellationCount] cancellations were known. */
     private class Check(val tasks: List<ReportedTask>, val cancellationCount: Long)
 
-    private val checks = HashMap<String, Check>()
+    private val checksByMachine = HashMap<String, Check>()
 
     /** Whether the tasks in [heartbeat] were checked against the same cancellations before. */
-    fun isKnownFree(heartbeat: WorkerHeartbeat, cancellationCount: Long): Boolean {
-        val check = checks[heartbeat.machine] ?: return false
+    fun isKnownWithoutCancelledTasks(heartbeat: WorkerHeartbeat, cancellationCount: Long): Boolean {
+        val check = checksByMachine[heartbeat.machine] ?: return false
         return check.tasks === heartbeat.tasks && check.cancellationCount == cancellationCount
     }
 
     /** No task in [heartbeat] is among the cancellations known so far. */
-    fun recordFree(heartbeat: WorkerHeartbeat, cancellationCount: Long) {
-        if (checks.size >= MAX_MACHINES) checks.clear()
-        checks[heartbeat.machine] = Check(heartbeat.tasks, cancellationCount)
+    fun recordWithoutCancelledTasks(heartbeat: WorkerHeartbeat, cancellationCount: Long) {
+        if (checksByMachine.size >= MAX_MACHINES) checksByMachine.clear()
+        checksByMachine[heartbeat.machine] = Check(heartbeat.tasks, cancellationCount)
     }
 
-    /** Forgets all checks, as another leader knows other cancellations. */
-    fun clear() = checks.clear()
+    /** Forgets all checksByMachine, as another leader knows other cancellations. */
+    fun clear() = checksByMachine.clear()
 
     private companion object {
         /** Far more machines than a cluster has; entries of deleted machines are not removed. */
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -30,7 +30,7 @@
     override val token: FencingToken,
     private val workers: WorkerTiming,
 ) : CancellationView {
-    private val renewableFor = CancellationDeadline(workers).renewableFor
+    private val renewablePeriod = CancellationDeadline(workers).renewablePeriod
     private val electedAt = context.now
 
     /** The stored state has been loaded at least once. */
@@ -53,9 +53,10 @@
 
     override val usableUntil: Micros
         get() {
-            val early = context.now - electedAt <= workers.leaseS.seconds * MAX_LOAD_LEASE_SHARE
-            if (!wasLoaded && early) return Micros.LONG_AGO
-            return cancellations.completeUntil + renewableFor
+            val isFirstLoadOnTime =
+                context.now - electedAt <= workers.leaseS.seconds * MAX_LOAD_LEASE_SHARE
+            if (!wasLoaded && isFirstLoadOnTime) return Micros.LONG_AGO
+            return cancellations.completeUntil + renewablePeriod
         }
 
     override val cancellationCount: Long
@@ -70,7 +71,7 @@
     override fun tasksToStop(machine: MachineId): List<TaskAttempt> {
         var attempts: ArrayList<TaskAttempt>? = null
         for (placement in cluster.placementsOn(machine)) {
-            if (!isUrgent(placement)) continue
+            if (!mustBeStopped(placement)) continue
             attempts = (attempts ?: ArrayList()).also { it.add(placement.taskAttempt) }
         }
         if (!isLoaded) {
@@ -88,10 +89,10 @@
         }
 
     /** It may be on its machine, and its job was cancelled too long ago for one more lease. */
-    private fun isUrgent(placement: Placement) =
+    private fun mustBeStopped(placement: Placement) =
         placement.job.isCancelled &&
             placement.mayBeStarted &&
-            context.now - placement.job.cancelledSince > renewableFor
+            context.now - placement.job.cancelledSince > renewablePeriod
 
     /** The tasks that a forwarder has to stop while its next grant runs, by machine. */
     fun tasksToStop(): List<CancelledTasks> {
@@ -99,7 +100,7 @@
         for (job in cluster.jobs.values) {
             if (!job.isCancelled) continue
             for (placement in job.placements.values) {
-                if (!isUrgent(placement)) continue
+                if (!mustBeStopped(placement)) continue
                 byMachine.getOrPut(placement.machine) { ArrayList() }.add(placement.taskAttempt)
             }
         }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewal.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewal.kt
@@ -39,8 +39,8 @@
 ) {
     /** The response that renews the lease, with [commands] after the required stops. */
     fun response(commands: List<WorkerCommand>): ByteArray {
-        val isPlain = requiredStops.isEmpty() && commands.isEmpty()
-        if (isPlain && cachedResponse != null) return cachedResponse
+        val hasNoCommands = requiredStops.isEmpty() && commands.isEmpty()
+        if (hasNoCommands && cachedResponse != null) return cachedResponse
         val stopped = requiredStops.mapTo(HashSet()) { it.taskAttempt }
         val others = commands.filter { !it.isStop || it.taskAttempt !in stopped }
         return WorkerHeartbeatResponse.renewing(this, requiredStops + others).encode()
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -29,13 +29,13 @@
 
     /** Machines whose lease was not renewed last time, so that each change is logged once. */
     private val withheldMachines = HashSet<String>()
-    private var isOutdated = false
-    private val checked = CheckedHeartbeats()
+    private var areCancellationsOutdated = false
+    private val checkedHeartbeats = CheckedHeartbeats()
 
     /** Whether the response to [heartbeat] may renew the lease, by what [cancellations] knows. */
     fun decide(heartbeat: WorkerHeartbeat, cancellations: CancellationView): RenewalDecision {
         if (context.now >= cancellations.usableUntil) return withholdOutdated(cancellations)
-        if (isOutdated) logUpToDate(cancellations)
+        if (areCancellationsOutdated) logUpToDate(cancellations)
         val tasksToStop = cancellations.tasksToStop(MachineId(heartbeat.machine))
         val listed = tasksToStop.count { heartbeat.lists(it) }
         if (listed < tasksToStop.size) {
@@ -46,7 +46,7 @@
         }
         val responseWithoutCommands = responseWithoutCommands(cancellations.token)
         val stops = requiredStops(heartbeat, tasksToStop, cancellations)
-        counters.renewed(stops.size)
+        counters.countRenewal(stops.size)
         if (tasksToStop.isNotEmpty()) logStops(heartbeat, stops, cancellations)
         return RenewalDecision.Renew(
             LeaseRenewal(cancellations.token, stops, responseWithoutCommands)
@@ -59,7 +59,11 @@
         cancellations: CancellationView,
     ): List<WorkerCommand> {
         val count = cancellations.cancellationCount
-        if (tasksToStop.isEmpty() && checked.isKnownFree(heartbeat, count)) return emptyList()
+        if (
+            tasksToStop.isEmpty() &&
+                checkedHeartbeats.isKnownWithoutCancelledTasks(heartbeat, count)
+        )
+            return emptyList()
         var stops: ArrayList<WorkerCommand>? = null
         for (task in heartbeat.tasks) {
             if (task.status == TaskStatus.ENDED) continue
@@ -68,7 +72,7 @@
             stops = (stops ?: ArrayList()).also { it.add(stop) }
         }
         if (stops != null) return stops
-        checked.recordFree(heartbeat, count)
+        checkedHeartbeats.recordWithoutCancelledTasks(heartbeat, count)
         return emptyList()
     }
 
@@ -88,22 +92,22 @@
             cachedResponse = LeaseRenewal(token, emptyList(), null).response(emptyList())
             // Another leader: what it withholds is logged anew.
             withheldMachines.clear()
-            checked.clear()
+            checkedHeartbeats.clear()
         }
         return cachedResponse
     }
 
     private fun withholdOutdated(cancellations: CancellationView): RenewalDecision {
-        counters.withheld(WithholdingReason.CANCELLATIONS_OUTDATED)
-        if (!isOutdated) {
-            isOutdated = true
+        counters.countWithheld(WithholdingReason.CANCELLATIONS_OUTDATED)
+        if (!areCancellationsOutdated) {
+            areCancellationsOutdated = true
             log.info("renewal=withheld reason=cancellations-outdated token={}", cancellations.token)
         }
         return RenewalDecision.Withhold(WithholdingReason.CANCELLATIONS_OUTDATED)
     }
 
     private fun logUpToDate(cancellations: CancellationView) {
-        isOutdated = false
+        areCancellationsOutdated = false
         log.info("renewal=resumed reason=cancellations-current token={}", cancellations.token)
     }
 
@@ -112,7 +116,7 @@
         tasksToStop: List<TaskAttempt>,
         cancellations: CancellationView,
     ): RenewalDecision {
-        counters.withheld(WithholdingReason.ABSENCE_UNVERIFIED)
+        counters.countWithheld(WithholdingReason.ABSENCE_UNVERIFIED)
         if (withheldMachines.add(heartbeat.machine)) {
             log.info(
                 "renewal=withheld reason=absence-unverified machine={} token={} tasks={}",
--- a/src/main/kotlin/wardmux/lease/RenewalCounters.kt
+++ b/src/main/kotlin/wardmux/lease/RenewalCounters.kt
@@ -13,35 +13,35 @@
     private val metrics = MetricRegistry()
     private val renewals: Counter = metrics.counter("renewals")
     private val stops: Counter = metrics.counter("stops")
-    private val outdated: Counter = metrics.counter("withheld.cancellations-outdated")
-    private val unverified: Counter = metrics.counter("withheld.absence-unverified")
+    private val withheldOutdated: Counter = metrics.counter("withheld.cancellations-outdated")
+    private val withheldUnverified: Counter = metrics.counter("withheld.absence-unverified")
     private var nextLogAt = Micros.LONG_AGO
 
     /** A response renewed a lease and stopped [stoppedTasks] tasks of cancelled jobs. */
-    fun renewed(stoppedTasks: Int) {
+    fun countRenewal(stoppedTasks: Int) {
         renewals.inc()
         if (stoppedTasks > 0) stops.inc(stoppedTasks.toLong())
     }
 
     /** A response did not renew a lease. */
-    fun withheld(reason: WithholdingReason) =
+    fun countWithheld(reason: WithholdingReason) =
         when (reason) {
-            WithholdingReason.CANCELLATIONS_OUTDATED -> outdated.inc()
-            WithholdingReason.ABSENCE_UNVERIFIED -> unverified.inc()
+            WithholdingReason.CANCELLATIONS_OUTDATED -> withheldOutdated.inc()
+            WithholdingReason.ABSENCE_UNVERIFIED -> withheldUnverified.inc()
         }
 
     /** Logs the counts since the start of the process, once a minute. */
     fun tick() {
         if (context.now < nextLogAt) return
         nextLogAt = context.now + LOG_PERIOD
-        if (renewals.count + outdated.count + unverified.count == 0L) return
+        if (renewals.count + withheldOutdated.count + withheldUnverified.count == 0L) return
         log.info(
             "renewals={} stops={} withheld_cancellations_outdated={} " +
                 "withheld_absence_unverified={}",
             renewals.count,
             stops.count,
-            outdated.count,
-            unverified.count,
+            withheldOutdated.count,
+            withheldUnverified.count,
         )
     }
 
--- a/src/main/kotlin/wardmux/peers/AcknowledgedCancellations.kt
+++ b/src/main/kotlin/wardmux/peers/AcknowledgedCancellations.kt
@@ -13,33 +13,37 @@
     private val processIncarnation: String,
     private val retention: Micros,
 ) {
-    private class Acknowledgement(val job: JobId, val at: Micros)
+    private class Acknowledgement(val job: JobId, val acknowledgedAt: Micros)
 
-    private val kept = ArrayDeque<Acknowledgement>()
+    private val acknowledgements = ArrayDeque<Acknowledgement>()
 
     /** How many were removed because they are older than [retention]. */
-    private var removed = 0L
+    private var removedCount = 0L
 
     /** Records that the cancellation of [job] is acknowledged now; once is enough. */
     fun add(job: JobId) {
-        if (kept.none { it.job == job }) kept.addLast(Acknowledgement(job, context.now))
+        if (acknowledgements.none { it.job == job })
+            acknowledgements.addLast(Acknowledgement(job, context.now))
     }
 
     /** What a peer that is at [cursor] does not know yet, from a process that runs for [uptime]. */
     fun updateAfter(cursor: CancellationCursor?, uptime: Micros): CancellationUpdate {
-        val ours = cursor?.takeIf { it.processIncarnation == processIncarnation }
-        val first = maxOf(ours?.count ?: 0, removed)
-        val rest = kept.drop((first - removed).toInt())
-        val jobs = rest.take(MAX_REPORTED_JOBS).map { it.job.value }
-        val hasMore = rest.size > MAX_REPORTED_JOBS
-        return CancellationUpdate(processIncarnation, uptime.value, first, jobs, hasMore)
+        val ownCursor = cursor?.takeIf { it.processIncarnation == processIncarnation }
+        val firstIndex = maxOf(ownCursor?.count ?: 0, removedCount)
+        val remaining = acknowledgements.drop((firstIndex - removedCount).toInt())
+        val jobs = remaining.take(MAX_REPORTED_JOBS).map { it.job.value }
+        val hasMore = remaining.size > MAX_REPORTED_JOBS
+        return CancellationUpdate(processIncarnation, uptime.value, firstIndex, jobs, hasMore)
     }
 
     /** Removes those that are too old to matter. */
-    fun removeOld() {
-        while (kept.isNotEmpty() && context.now - kept.first().at > retention) {
-            kept.removeFirst()
-            removed++
+    fun removeExpired() {
+        while (
+            acknowledgements.isNotEmpty() &&
+                context.now - acknowledgements.first().acknowledgedAt > retention
+        ) {
+            acknowledgements.removeFirst()
+            removedCount++
         }
     }
 
--- a/src/main/kotlin/wardmux/peers/CancellationTracker.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationTracker.kt
@@ -42,7 +42,7 @@
 
     /** How much of what a peer's present process acknowledged is known, and up to when. */
     private class PeerProgress(val processIncarnation: String, val startedAt: Micros) {
-        var count = 0L
+        var knownCount = 0L
         var completeUntil = Micros.LONG_AGO
     }
 
@@ -55,7 +55,7 @@
     /** The store has shown all that was recorded before. */
     private var storeReadAsOf = Micros.LONG_AGO
     private var nextScanAt = Micros.LONG_AGO
-    private var scanning = false
+    private var isScanning = false
 
     /** Counts the cancellations that became known. */
     var observedCount = 0L
@@ -65,7 +65,7 @@
     operator fun contains(job: JobId) = known.containsKey(job)
 
     /** Records that this process is about to tell a user that [job] is cancelled. */
-    fun acknowledged(job: JobId) {
+    fun recordAcknowledged(job: JobId) {
         acknowledged.add(job)
         observe(job)
     }
@@ -80,10 +80,10 @@
     fun observeStored(job: JobId) = observe(job, since = Micros.LONG_AGO)
 
     private fun observe(job: JobId, since: Micros) {
-        val before = known[job]
-        val earliest = before?.acknowledgedSince ?: since
+        val previous = known[job]
+        val earliest = previous?.acknowledgedSince ?: since
         known.putAndMoveToLast(job, KnownCancellation(context.now, earliest))
-        if (before != null) return
+        if (previous != null) return
         observedCount++
         listener.onCancelled(job)
     }
@@ -95,8 +95,8 @@
     fun all(): Set<JobId> = known.keys
 
     /** Records that the store has shown all cancellations recorded before [time]. */
-    fun storeReadAsOf(time: Micros) {
-        storeReadAsOf = maxOf(storeReadAsOf, time)
+    fun recordStoreRead(asOf: Micros) {
+        storeReadAsOf = maxOf(storeReadAsOf, asOf)
     }
 
     /** Every cancellation that any user was told of before then is known. */
@@ -104,28 +104,29 @@
         get() = maxOf(storeReadAsOf, peersCompleteUntil() ?: storeReadAsOf)
 
     private fun peersCompleteUntil(): Micros? {
-        if (!isCovered(startedAt ?: return null)) return null
+        if (!areAcknowledgementsKnownBefore(startedAt ?: return null)) return null
         var earliest = context.now
         for (peer in peers) {
             val progress = peerProgress[peer] ?: return null
-            if (!isCovered(progress.startedAt)) return null
+            if (!areAcknowledgementsKnownBefore(progress.startedAt)) return null
             earliest = minOf(earliest, progress.completeUntil)
         }
         return earliest
     }
 
     /** Whether what processes before [start] acknowledged is known, or too old to matter. */
-    private fun isCovered(start: Micros) = storeReadAsOf >= start || context.now - start > retention
+    private fun areAcknowledgementsKnownBefore(start: Micros) =
+        storeReadAsOf >= start || context.now - start > retention
 
     /** How much of what each peer acknowledged is known here, to be sent to them. */
     fun cursors(): List<CancellationCursor> =
         peerProgress.map { (name, progress) ->
-            CancellationCursor(name, progress.processIncarnation, progress.count)
+            CancellationCursor(name, progress.processIncarnation, progress.knownCount)
         }
 
     /** What a peer that is at [cursor] does not know yet of what this process acknowledged. */
     fun updateAfter(cursor: CancellationCursor?): CancellationUpdate {
-        removeOld()
+        removeExpired()
         return acknowledged.updateAfter(cursor, context.now - (startedAt ?: context.now))
     }
 
@@ -141,7 +142,7 @@
             peerProgress[member] = progress
         }
         for (job in update.jobs) observe(JobId(job))
-        progress.count = maxOf(progress.count, update.firstIndex + update.jobs.size)
+        progress.knownCount = maxOf(progress.knownCount, update.firstIndex + update.jobs.size)
         if (!update.hasMore) progress.completeUntil = maxOf(progress.completeUntil, sentAt)
     }
 
@@ -151,24 +152,28 @@
      */
     fun tick() {
         val start = startedAt ?: context.now.also { startedAt = it }
-        if (scanning || context.now < nextScanAt) return
-        if (isCovered(start) && peerProgress.values.all { isCovered(it.startedAt) }) return
-        scanning = true
-        nextScanAt = context.now + SCAN_PERIOD
+        if (isScanning || context.now < nextScanAt) return
+        if (
+            areAcknowledgementsKnownBefore(start) &&
+                peerProgress.values.all { areAcknowledgementsKnownBefore(it.startedAt) }
+        )
+            return
+        isScanning = true
+        nextScanAt = context.now + STORE_SCAN_PERIOD
         val sentAt = context.now
-        store.scan(JobRecord.CANCELLED_PREFIX, IgnoredValue.serializer()) { found ->
-            scanning = false
-            if (found == null) return@scan
-            for (item in found.items) {
+        store.scan(JobRecord.CANCELLED_PREFIX, IgnoredValue.serializer()) { result ->
+            isScanning = false
+            if (result == null) return@scan
+            for (item in result.items) {
                 observeStored(JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX)))
             }
-            storeReadAsOf(sentAt)
+            recordStoreRead(asOf = sentAt)
             log.debug("{} cancelled jobs are known", known.size)
         }
     }
 
-    private fun removeOld() {
-        acknowledged.removeOld()
+    private fun removeExpired() {
+        acknowledged.removeExpired()
         while (
             !known.isEmpty() &&
                 context.now - known[known.firstKey()]!!.observedAt > retention + retention
@@ -178,7 +183,7 @@
     }
 
     companion object {
-        private val SCAN_PERIOD = 2.seconds
+        private val STORE_SCAN_PERIOD = 2.seconds
         private const val RETENTION_FACTOR = 1.1
         private val RETENTION_MARGIN = 5.seconds
 
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
@@ -12,7 +12,7 @@
     /** The leader's fencing token; null from all others. */
     @SerialName("token") val token: Long? = null,
     /** How long ago the key-value store last answered the sender, in microseconds. */
-    @SerialName("stateSilence") val storeSilence: Long = 0,
+    @SerialName("stateSilence") val timeSinceStoreResponse: Long = 0,
     /** The leader's counts of tasks; empty from all others. */
     @SerialName("progress") val progress: List<JobProgress> = emptyList(),
     /** The leader wants its followers to answer workers too. */
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -20,12 +20,12 @@
     private val peers: List<String>,
     private val cancellations: CancellationTracker,
 ) {
-    private class PeerStatus(val lastHeartbeatAt: Micros, val storeSilence: Micros)
+    private class PeerStatus(val lastHeartbeatAt: Micros, val timeSinceStoreResponse: Micros)
 
     private var nextHeartbeatAt = Micros.ZERO
 
     /** Peers that have not answered the last heartbeat yet. */
-    private val inFlight = HashSet<String>()
+    private val unansweredPeers = HashSet<String>()
     private val statusByPeer = HashMap<String, PeerStatus>()
     private var progress = emptyMap<String, JobProgress>()
     private var progressAt = Micros.LONG_AGO
@@ -46,7 +46,7 @@
     }
 
     private fun record(heartbeat: PeerHeartbeat) {
-        val status = PeerStatus(context.now, Micros(heartbeat.storeSilence))
+        val status = PeerStatus(context.now, Micros(heartbeat.timeSinceStoreResponse))
         statusByPeer[heartbeat.member] = status
         val token = FencingToken(heartbeat.token ?: return)
         // A late heartbeat of a former leader.
@@ -72,7 +72,7 @@
     fun isIsolatedFromStore(): Boolean {
         if (peers.isEmpty()) return false
         val alive = statusByPeer.values.filter { isRecent(it.lastHeartbeatAt) }
-        return alive.isEmpty() || alive.any { it.storeSilence < MAX_STORE_SILENCE }
+        return alive.isEmpty() || alive.any { it.timeSinceStoreResponse < MAX_STORE_RESPONSE_AGE }
     }
 
     private fun isRecent(time: Micros) = context.now - time < MAX_HEARTBEAT_AGE
@@ -85,7 +85,7 @@
         progress: () -> List<JobProgress>,
     ) {
         if (context.now < nextHeartbeatAt) return
-        nextHeartbeatAt = context.now + PERIOD
+        nextHeartbeatAt = context.now + HEARTBEAT_PERIOD
         val heartbeat =
             PeerHeartbeat(
                 member,
@@ -96,13 +96,13 @@
                 cancellations.cursors(),
             )
         val body = PeerHeartbeatCodec.encode(heartbeat)
-        for (peer in peers) if (inFlight.add(peer)) send(peer, body)
+        for (peer in peers) if (unansweredPeers.add(peer)) send(peer, body)
     }
 
     private fun send(peer: String, body: ByteArray) {
         val sentAt = context.now
-        context.send(Target.Peer(peer), "POST", PATH, body, TIMEOUT) { outcome ->
-            inFlight.remove(peer)
+        context.send(Target.Peer(peer), "POST", PATH, body, HEARTBEAT_TIMEOUT) { outcome ->
+            unansweredPeers.remove(peer)
             val response = outcome as? Outcome.Response
             if (response?.status != HttpStatus.OK) return@send
             val update = PeerHeartbeatCodec.decodeUpdate(response.body) ?: return@send
@@ -113,9 +113,9 @@
     companion object {
         /** Where heartbeats are sent to. */
         const val PATH = "/beat"
-        private val PERIOD = 1.seconds
+        private val HEARTBEAT_PERIOD = 1.seconds
         private val MAX_HEARTBEAT_AGE = 3.seconds
-        private val MAX_STORE_SILENCE = 2.seconds
-        private val TIMEOUT = 900.milliseconds
+        private val MAX_STORE_RESPONSE_AGE = 2.seconds
+        private val HEARTBEAT_TIMEOUT = 900.milliseconds
     }
 }
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -239,7 +239,7 @@
         PeerHeartbeat(
             member = "n1",
             token = 4_711,
-            storeSilence = 1_250_000,
+            timeSinceStoreResponse = 1_250_000,
             progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0)),
             forwardingEnabled = true,
             cancellationCursors =
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -371,7 +371,7 @@
             val heartbeat = assertNotNull(PeerHeartbeatCodec.decode(it))
             assertEquals("n1", heartbeat.member)
             assertEquals(4_711, heartbeat.token)
-            assertEquals(1_250_000, heartbeat.storeSilence)
+            assertEquals(1_250_000, heartbeat.timeSinceStoreResponse)
             val progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0))
             assertEquals(progress, heartbeat.progress)
             assertTrue(heartbeat.forwardingEnabled)
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -20,7 +20,7 @@
         repeat(inSeconds) {
             val heartbeat =
                 PeerHeartbeatCodec.encode(
-                    PeerHeartbeat("n1", storeSilence = peerSilenceS(it) * 1_000_000)
+                    PeerHeartbeat("n1", timeSinceStoreResponse = peerSilenceS(it) * 1_000_000)
                 )
             harness.call("POST", "/beat", heartbeat, ListenerKind.PEER)
             harness.call("GET", "/submissions/job-000001")
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -157,11 +157,11 @@
     @Test
     fun `a cancellation counts from when it was last known that there was none`() =
         TrackerHarness().run {
-            cancellations.storeReadAsOf(90.seconds)
+            cancellations.recordStoreRead(asOf = 90.seconds)
             at(120)
             observe()
             assertEquals(90.seconds, acknowledgedSince())
-            cancellations.storeReadAsOf(119.seconds)
+            cancellations.recordStoreRead(asOf = 119.seconds)
             at(130)
             // Observed once more, and read from the store: no later for that.
             observe()
@@ -172,7 +172,7 @@
     @Test
     fun `one that is read from what is stored counts from as long ago as can be`() =
         TrackerHarness().run {
-            cancellations.storeReadAsOf(119.seconds)
+            cancellations.recordStoreRead(asOf = 119.seconds)
             at(120)
             observeStored()
             assertEquals(Micros.LONG_AGO, acknowledgedSince())
@@ -182,7 +182,7 @@
     fun `one that a peer reports counts from when all peers had last answered`() =
         TrackerHarness().run {
             // Nothing is known of what former processes acknowledged.
-            cancellations.storeReadAsOf(100.seconds)
+            cancellations.recordStoreRead(asOf = 100.seconds)
             cancellations.tick()
             at(101)
             peerReports(emptyList())
