--- a/src/test/kotlin/wardmux/leader/FailoverTest.kt
+++ b/src/test/kotlin/wardmux/leader/FailoverTest.kt
@@ -21,9 +21,9 @@
 class FailoverTest {
     private val harness = ControllerHarness()
 
-    private fun spec(tasks: Int, oneZone: Boolean = false) = plainJob(tasks, oneZone = oneZone)
+    private fun arrayJob(tasks: Int, oneZone: Boolean = false) = plainJob(tasks, oneZone = oneZone)
 
-    private fun placed(machine: String, zone: String) =
+    private fun storePlacement(machine: String, zone: String) =
         harness.write(
             "t/job-000001/0",
             Json.parseToJsonElement(
@@ -31,7 +31,7 @@
             ),
         )
 
-    private var tick = 0
+    private var nextTick = 0
 
     private fun handleHeartbeat(
         machine: String,
@@ -39,7 +39,9 @@
         token: Long,
         tasks: String = "",
     ): String =
-        ManualWorker(harness, machine, zone).also { it.tick = tick++ }.handleHeartbeat(token, tasks)
+        ManualWorker(harness, machine, zone)
+            .also { it.tick = nextTick++ }
+            .handleHeartbeat(token, tasks)
 
     /** With time for direct commands to go out after each. */
     private fun handleHeartbeats(times: Int, machine: String, zone: String, token: Long) =
@@ -48,13 +50,14 @@
             harness.run(0.5.seconds)
         }
 
-    private fun token(): Long = ManualWorker(harness, "i-000099").also { it.tick = tick++ }.token()
+    private fun leaderToken(): Long =
+        ManualWorker(harness, "i-000099").also { it.tick = nextTick++ }.token()
 
     @Test
     fun `a job cancelled between two loads of the stored state is stopped`() {
-        val job = spec(1)
+        val job = arrayJob(1)
         harness.accept(job)
-        placed("i-000001", "a")
+        storePlacement("i-000001", "a")
         // The first load fails after it has read the job as accepted: at the cancelled jobs.
         var refused = false
         harness.refuse = { path ->
@@ -68,8 +71,11 @@
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
         harness.remove(JobRecord.openKey(job.jobId))
         harness.run(2.seconds)
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        assertContains(handleHeartbeat("i-000001", "a", token(), running), "\"verb\":\"halt\"")
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        assertContains(
+            handleHeartbeat("i-000001", "a", leaderToken(), runningTask),
+            "\"verb\":\"halt\"",
+        )
     }
 
     @Test
@@ -104,9 +110,9 @@
         harness.run(3.seconds)
         val machine = ManualWorker(harness, "i-000001")
         val token = machine.token()
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
         val answers =
-            List(3) { machine.handleHeartbeat(token, running).also { harness.run(1.seconds) } }
+            List(3) { machine.handleHeartbeat(token, runningTask).also { harness.run(1.seconds) } }
         assertContains(answers.joinToString() + harness.direct, "\"verb\":\"halt\"")
     }
 
@@ -114,7 +120,7 @@
     fun `task pages of completed jobs are read without a request for each, and removed`() {
         val page = Json.parseToJsonElement("""{"d":[0,0]}""")
         repeat(300) { harness.write("t/job-%06d/0".format(it + 10), page) }
-        val job = spec(1)
+        val job = arrayJob(1)
         val cancelled = JobRecord(JobState.CANCELLED, 0, job).toJson()
         harness.write(JobRecord.key(job.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
@@ -127,10 +133,10 @@
 
     @Test
     fun `a job bound to one zone stays there though its machine has sent no heartbeat yet`() {
-        harness.accept(spec(2, oneZone = true))
-        placed("i-000009", "b")
+        harness.accept(arrayJob(2, oneZone = true))
+        storePlacement("i-000009", "b")
         harness.run(2.seconds)
-        val token = token()
+        val token = leaderToken()
         handleHeartbeats(6, "i-000001", "a", token)
         assertFalse(harness.direct.any { "job-000001/1" in it }, "started in the other zone")
         handleHeartbeats(4, "i-000002", "b", token)
@@ -140,10 +146,10 @@
 
     @Test
     fun `a stored placement that its machine lacks is not started again but placed anew`() {
-        harness.accept(spec(1))
-        placed("i-000001", "a")
+        harness.accept(arrayJob(1))
+        storePlacement("i-000001", "a")
         harness.run(2.seconds)
-        val token = token()
+        val token = leaderToken()
         // Its capacity and quota may have gone to others after the record was written.
         val answers =
             List(4) { handleHeartbeat("i-000001", "a", token).also { harness.run(0.5.seconds) } }
@@ -165,10 +171,10 @@
 
     @Test
     fun `a heartbeat with an older fencing token frees no placement`() {
-        harness.accept(spec(1))
-        placed("i-000001", "a")
+        harness.accept(arrayJob(1))
+        storePlacement("i-000001", "a")
         harness.run(2.seconds)
-        val token = token()
+        val token = leaderToken()
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
         handleHeartbeat("i-000001", "a", token - 1, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
@@ -180,16 +186,16 @@
 
     @Test
     fun `a late heartbeat gets no commands and verifies nothing`() {
-        harness.accept(spec(1))
-        placed("i-000001", "a")
+        harness.accept(arrayJob(1))
+        storePlacement("i-000001", "a")
         harness.run(2.seconds)
-        val token = token()
-        tick = 50
+        val token = leaderToken()
+        nextTick = 50
         handleHeartbeat("i-000001", "a", token)
         harness.run(0.5.seconds)
-        tick = 60
+        nextTick = 60
         assertContains(handleHeartbeat("i-000001", "a", token), "start")
-        tick = 10
+        nextTick = 10
         assertFalse("start" in handleHeartbeat("i-000001", "a", token))
     }
 }
--- a/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
@@ -55,11 +55,11 @@
         val token = machines.first().token()
         private val peerHeartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
 
-        /** Seconds in which [senders] send heartbeats, and the peer does if [withPeer]. */
-        fun pass(inSeconds: Int, senders: List<ManualWorker>, withPeer: Boolean) =
-            repeat(inSeconds) {
+        /** Seconds in which [senders] send heartbeats, and the peer does if [includePeer]. */
+        fun sendHeartbeatsFor(seconds: Int, senders: List<ManualWorker>, includePeer: Boolean) =
+            repeat(seconds) {
                 for (machine in senders) machine.report(token)
-                if (withPeer) harness.call("POST", "/beat", peerHeartbeat, ListenerKind.PEER)
+                if (includePeer) harness.call("POST", "/beat", peerHeartbeat, ListenerKind.PEER)
                 harness.run(1.seconds)
             }
     }
@@ -67,19 +67,19 @@
     @Test
     fun `a leader that most machines send no heartbeats resigns for a peer to lead`() {
         val leader = LeaderWithPeer(6, "i-00000")
-        leader.pass(4, leader.machines, withPeer = true)
-        leader.pass(10, leader.machines.take(4), withPeer = true)
+        leader.sendHeartbeatsFor(4, leader.machines, includePeer = true)
+        leader.sendHeartbeatsFor(10, leader.machines.take(4), includePeer = true)
         val record = leader.harness.stored("leader")
         assertTrue(record != null, "resigned for two silent machines of six")
-        leader.pass(8, leader.machines.take(1), withPeer = true)
+        leader.sendHeartbeatsFor(8, leader.machines.take(1), includePeer = true)
         assertEquals(null, leader.harness.stored("leader"))
     }
 
     @Test
     fun `a leader without any heartbeat decommissions no machine, and soon resigns`() {
         val leader = LeaderWithPeer(11, "i-0000")
-        leader.pass(5, leader.machines, withPeer = false)
-        leader.pass(7, emptyList(), withPeer = true)
+        leader.sendHeartbeatsFor(5, leader.machines, includePeer = false)
+        leader.sendHeartbeatsFor(7, emptyList(), includePeer = true)
         assertEquals(null, leader.harness.stored("leader"))
         assertTrue(
             leader.harness.cloud.none { "delete" in it },
@@ -90,11 +90,11 @@
     @Test
     fun `a leader does not resign in an outage, in which nobody could take its lease`() {
         val leader = LeaderWithPeer(11, "i-0000")
-        leader.pass(5, leader.machines, withPeer = false)
+        leader.sendHeartbeatsFor(5, leader.machines, includePeer = false)
         // No heartbeat for long enough that it would resign, had the outage not begun.
         leader.harness.run(3.seconds)
         leader.harness.outage()
-        leader.pass(4, emptyList(), withPeer = true)
+        leader.sendHeartbeatsFor(4, emptyList(), includePeer = true)
         val response = leader.machines.first().handleHeartbeat(leader.token)
         assertContains(response, "\"baton\":${leader.token}")
     }
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -31,10 +31,10 @@
 class LeaderRenewalTest {
     private val harness = ControllerHarness(peers = listOf("n1"), forwardingSettings())
     private val machine = ManualWorker(harness, "i-000001")
-    private val other = ManualWorker(harness, "i-000099")
+    private val otherMachine = ManualWorker(harness, "i-000099")
     private val job = plainJob(1)
-    private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-    private val stop = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
+    private val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+    private val stopCommand = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
 
     /**
      * A leader whose predecessor placed the task; when the user was told is not known. Its token.
@@ -49,25 +49,25 @@
                 """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001"],"n":[1,0,1,0,1,0]}"""
             ),
         )
-        peerReportsCancelled()
+        setPeerCancellations()
         harness.run(2.seconds)
-        return other.token()
+        return otherMachine.token()
     }
 
-    private fun peerReportsCancelled(vararg jobs: String) {
-        val report = CancellationUpdate("b", 1_000_000_000, 0, jobs.toList())
+    private fun setPeerCancellations(vararg jobs: String) {
+        val update = CancellationUpdate("b", 1_000_000_000, 0, jobs.toList())
         harness.peer = { path, _ ->
-            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(report) else null
+            if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(update) else null
         }
     }
 
-    private fun batch(token: Long, vararg reports: FullHeartbeat): HeartbeatBatchResponse {
-        val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports.toList())
+    private fun sendBatch(token: Long, vararg heartbeats: FullHeartbeat): HeartbeatBatchResponse {
+        val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, heartbeats.toList())
         harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), ListenerKind.PEER)
         return assertNotNull(ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall)))
     }
 
-    private fun report(token: Long, tick: Int, tasks: String): FullHeartbeat {
+    private fun fullHeartbeat(token: Long, tick: Int, tasks: String): FullHeartbeat {
         val body =
             """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","loaners":""" +
                 """false,"shift":1,"tick":$tick,"baton":$token,"pieces":[$tasks]}"""
@@ -82,17 +82,17 @@
     @Test
     fun `the first response to a machine renews its lease with the stop`() {
         val token = startAfterFailover()
-        val answer = machine.handleHeartbeat(token - 1, running)
+        val answer = machine.handleHeartbeat(token - 1, runningTask)
         assertContains(answer, "\"baton\":$token")
-        assertContains(answer, stop)
+        assertContains(answer, stopCommand)
     }
 
     @Test
     fun `so does the response to a heartbeat that was overtaken, or is a copy`() {
         val token = startAfterFailover()
-        machine.report(token - 1, running, at = 9)
-        val answer = machine.report(token - 1, running, at = 8)
-        assertContains(assertNotNull(answer).second, stop)
+        machine.report(token - 1, runningTask, at = 9)
+        val answer = machine.report(token - 1, runningTask, at = 8)
+        assertContains(assertNotNull(answer).second, stopCommand)
     }
 
     @Test
@@ -102,7 +102,7 @@
         assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
         // An earlier leader's start may still be in flight: the stop makes it void.
         harness.run(0.5.seconds)
-        assertEquals(1, harness.direct.count { stop in it && "\"baton\":$token" in it })
+        assertEquals(1, harness.direct.count { stopCommand in it && "\"baton\":$token" in it })
         assertContains(machine.handleHeartbeat(token), "\"baton\":$token")
     }
 
@@ -114,12 +114,12 @@
             assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
             harness.run(1.5.seconds)
         }
-        assertTrue(harness.direct.count { stop in it } >= 3, "sent once")
+        assertTrue(harness.direct.count { stopCommand in it } >= 3, "sent once")
     }
 
     @Test
     fun `a start that went unanswered before the cancellation ends the lease in time`() {
-        peerReportsCancelled()
+        setPeerCancellations()
         harness.accept(job)
         harness.run(2.seconds)
         val token = machine.token()
@@ -127,7 +127,7 @@
         harness.directOutcome = Outcome.NoResponse
         harness.run(1.seconds)
         assertEquals(1, harness.direct.count { "\"start\"" in it })
-        peerReportsCancelled(job.id)
+        setPeerCancellations(job.id)
         harness.run(1.1.seconds)
         // Of 36 s a lease of 16 s, a forwarder's grant of 5.3 s and a margin are taken off.
         val renewed =
@@ -142,47 +142,53 @@
     @Test
     fun `forwarders are told of the task until its absence is verified, and of its job`() {
         val token = startAfterFailover()
-        assertEquals(listOf(cancelledTask), tasksToStop(batch(token)))
-        assertEquals(listOf(job.id), batch(token).cancelledJobs)
-        val listed = batch(token, report(token, 5, running))
+        assertEquals(listOf(cancelledTask), tasksToStop(sendBatch(token)))
+        assertEquals(listOf(job.id), sendBatch(token).cancelledJobs)
+        val listed = sendBatch(token, fullHeartbeat(token, 5, runningTask))
         assertEquals(listOf(cancelledTask), tasksToStop(listed))
         assertEquals("halt", listed.undelivered.single().commands.single().typeName)
-        batch(token, report(token, 6, ""))
-        assertEquals(emptyList(), tasksToStop(batch(token)))
-        assertTrue(batch(token).renewalAllowed)
+        sendBatch(token, fullHeartbeat(token, 6, ""))
+        assertEquals(emptyList(), tasksToStop(sendBatch(token)))
+        assertTrue(sendBatch(token).renewalAllowed)
     }
 
     @Test
     fun `a forwarder of an earlier version is to refuse a machine that does not list it`() {
         val token = startAfterFailover()
-        assertEquals(listOf("i-000001"), batch(token, report(token - 1, 5, "")).rejectedMachines)
-        assertEquals(emptyList(), batch(token, report(token - 1, 6, running)).rejectedMachines)
+        assertEquals(
+            listOf("i-000001"),
+            sendBatch(token, fullHeartbeat(token - 1, 5, "")).rejectedMachines,
+        )
+        assertEquals(
+            emptyList(),
+            sendBatch(token, fullHeartbeat(token - 1, 6, runningTask)).rejectedMachines,
+        )
     }
 
     @Test
     fun `a cancellation that it observed itself counts from when it last knew of none`() {
-        peerReportsCancelled()
+        setPeerCancellations()
         harness.accept(job)
         harness.run(2.seconds)
         val token = machine.token()
         machine.handleHeartbeat(token)
         harness.run(1.seconds)
-        machine.handleHeartbeat(token, running)
-        peerReportsCancelled(job.id)
+        machine.handleHeartbeat(token, runningTask)
+        setPeerCancellations(job.id)
         harness.run(1.1.seconds)
-        assertEquals(emptyList(), tasksToStop(batch(token)), "stopped without haste")
+        assertEquals(emptyList(), tasksToStop(sendBatch(token)), "stopped without haste")
         harness.run(12.seconds)
-        assertEquals(listOf(cancelledTask), tasksToStop(batch(token)))
+        assertEquals(listOf(cancelledTask), tasksToStop(sendBatch(token)))
     }
 
     @Test
     fun `what does not fit into the key-value store stops all renewals`() {
         val token = startAfterFailover()
-        val answer = batch(token)
+        val answer = sendBatch(token)
         assertTrue(answer.renewalAllowed)
         assertFalse(answer.withoutCommands().renewalAllowed)
         assertEquals(emptyList(), answer.withoutCommands().mustHalt)
-        batch(token, report(token, 6, ""))
-        assertTrue(batch(token).withoutCommands().renewalAllowed, "nothing is left out")
+        sendBatch(token, fullHeartbeat(token, 6, ""))
+        assertTrue(sendBatch(token).withoutCommands().renewalAllowed, "nothing is left out")
     }
 }
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -20,16 +20,20 @@
 class CancellationTrackerTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
-    private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-    private var heartbeats = 0
-
-    private fun peerAcknowledges(vararg jobs: String, boot: String = "b", upS: Long = 1_000) {
+    private val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+    private var peerHeartbeatCount = 0
+
+    private fun setPeerAcknowledgements(
+        vararg jobs: String,
+        incarnation: String = "b",
+        uptimeS: Long = 1_000,
+    ) {
         harness.peer = { path, _ ->
             if (path != PeerHeartbeats.PATH) null
             else {
-                heartbeats++
+                peerHeartbeatCount++
                 PeerHeartbeatCodec.encode(
-                    CancellationUpdate(boot, upS * 1_000_000, 0, jobs.toList())
+                    CancellationUpdate(incarnation, uptimeS * 1_000_000, 0, jobs.toList())
                 )
             }
         }
@@ -45,68 +49,68 @@
     }
 
     /** Renewed in each of so many seconds: an answer under no token renews nothing. */
-    private fun renewals(token: Long, seconds: Int): List<Boolean> =
+    private fun renewedEachSecond(token: Long, seconds: Int): List<Boolean> =
         List(seconds) {
             harness.run(1.seconds)
-            val answer = machine.report(token, running)
+            val answer = machine.report(token, runningTask)
             answer?.first == 200 && "\"baton\":$token" in answer.second
         }
 
     @Test
     fun `a leader that all peers answer renews leases in an outage of any length`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
-        val renewed = renewals(token, 60)
+        val renewed = renewedEachSecond(token, 60)
         assertTrue(
             renewed.count { !it } <= 8,
             "redirected once in half a lease, else renewed: $renewed",
         )
-        assertTrue(heartbeats > 40)
+        assertTrue(peerHeartbeatCount > 40)
     }
 
     @Test
     fun `one that they do not answer stops in time, counted from its last heartbeat`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
         harness.peer = { _, _ -> null }
         // Cancelled 36 s before, all must be gone: minus a lease of 16 s and a forwarder's grant.
-        val renewed = renewals(token, 40)
+        val renewed = renewedEachSecond(token, 40)
         assertTrue(renewed.take(8).any { it }, "$renewed")
         assertFalse(renewed.drop(15).any { it }, "$renewed")
     }
 
     @Test
     fun `one whose peer was replaced by a process that knows nothing of the last stops too`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
-        peerAcknowledges(boot = "c", upS = 0)
-        assertFalse(renewals(token, 40).drop(15).any { it })
+        setPeerAcknowledgements(incarnation = "c", uptimeS = 0)
+        assertFalse(renewedEachSecond(token, 40).drop(15).any { it })
         // The store shows what the process before has acknowledged.
         harness.outageOver()
         harness.run(3.seconds)
-        assertTrue(renewals(token, 3).any { it })
+        assertTrue(renewedEachSecond(token, 3).any { it })
     }
 
     @Test
     fun `a cancellation that a peer acknowledged is enforced in an outage of the store`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
         harness.run(5.seconds)
-        peerAcknowledges("job-000001")
+        setPeerAcknowledgements("job-000001")
         harness.run(2.seconds)
-        val answers = List(4) { machine.report(token, running)?.second.orEmpty() }
+        val answers = List(4) { machine.report(token, runningTask)?.second.orEmpty() }
         assertContains(answers.joinToString(), "\"verb\":\"halt\"")
     }
 
     @Test
     fun `a cancellation that this controller acknowledged is sent to each peer once`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         becomeLeader()
-        val heartbeat = { cursors: List<CancellationCursor> ->
+        val sendHeartbeat = { cursors: List<CancellationCursor> ->
             harness.call(
                 "POST",
                 "/beat",
@@ -115,21 +119,21 @@
             )
             PeerHeartbeatCodec.decodeUpdate(harness.bytesOf(harness.lastCall))!!
         }
-        assertEquals(emptyList(), heartbeat(emptyList()).jobs)
+        assertEquals(emptyList(), sendHeartbeat(emptyList()).jobs)
         assertEquals(200, harness.call("POST", "/submissions/job-000001/abort")?.first)
-        val update = heartbeat(emptyList())
+        val update = sendHeartbeat(emptyList())
         assertEquals(listOf("job-000001"), update.jobs)
         assertEquals(
             emptyList(),
-            heartbeat(listOf(CancellationCursor("n0", update.processIncarnation, 1))).jobs,
+            sendHeartbeat(listOf(CancellationCursor("n0", update.processIncarnation, 1))).jobs,
         )
         assertEquals(
             1,
-            heartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
+            sendHeartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
         )
         // Of no use to anybody any more.
         harness.run(60.seconds)
-        assertEquals(emptyList(), heartbeat(emptyList()).jobs)
+        assertEquals(emptyList(), sendHeartbeat(emptyList()).jobs)
     }
 
     private class TrackerHarness {
@@ -138,9 +142,9 @@
         val cancellations = CancellationTracker(context, store, "own", listOf("n1"), 60.seconds) {}
         private val job = JobId("job-000001")
 
-        fun at(second: Int) = context.setTime(second.seconds, second.seconds)
+        fun setTime(second: Int) = context.setTime(second.seconds, second.seconds)
 
-        fun peerReports(jobs: List<String>) =
+        fun applyPeerUpdate(jobs: List<String>) =
             cancellations.applyUpdate(
                 "n1",
                 CancellationUpdate("b", 1_000_000_000, 0, jobs),
@@ -158,11 +162,11 @@
     fun `a cancellation counts from when it was last known that there was none`() =
         TrackerHarness().run {
             cancellations.recordStoreRead(asOf = 90.seconds)
-            at(120)
+            setTime(120)
             observe()
             assertEquals(90.seconds, acknowledgedSince())
             cancellations.recordStoreRead(asOf = 119.seconds)
-            at(130)
+            setTime(130)
             // Observed once more, and read from the store: no later for that.
             observe()
             observeStored()
@@ -173,7 +177,7 @@
     fun `one that is read from what is stored counts from as long ago as can be`() =
         TrackerHarness().run {
             cancellations.recordStoreRead(asOf = 119.seconds)
-            at(120)
+            setTime(120)
             observeStored()
             assertEquals(Micros.LONG_AGO, acknowledgedSince())
         }
@@ -184,10 +188,10 @@
             // Nothing is known of what former processes acknowledged.
             cancellations.recordStoreRead(asOf = 100.seconds)
             cancellations.tick()
-            at(101)
-            peerReports(emptyList())
-            at(150)
-            peerReports(listOf("job-000001"))
+            setTime(101)
+            applyPeerUpdate(emptyList())
+            setTime(150)
+            applyPeerUpdate(listOf("job-000001"))
             assertEquals(101.seconds, acknowledgedSince())
         }
 }
