--- a/src/main/kotlin/wardmux/election/LeaderCampaign.kt
+++ b/src/main/kotlin/wardmux/election/LeaderCampaign.kt
@@ -12,37 +12,46 @@
 import wardmux.store.VersionCondition
 import wardmux.store.WriteOperation
 
-/** What came of an attempt to take the leader key. */
+/** The result of an attempt to take the leader key. */
 sealed interface CampaignResult {
-    /** This controller leads as [leader]; its lease was asked for at [sentAt]. */
+    /** This controller leads as [leader]. The request for its lease was sent at [sentAt]. */
     class Won(val leader: Role.Leader, val sentAt: Micros) : CampaignResult
 
     /** Another controller has taken the key. */
     data object Lost : CampaignResult
 
-    /** A request failed; the key may have been taken. */
+    /** A request failed. This controller may nevertheless have taken the key. */
     data object Failed : CampaignResult
 }
 
-/** Takes the leader key for this process, bound to a lease of its own. */
+/** Takes the leader key for this process and binds it to a new lease of the key-value store. */
 class LeaderCampaign(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val record: LeaderRecord,
     private val leaseDuration: Micros,
 ) {
-    /** The lease that this process was last granted and may lead with; any other is not its own. */
+    /**
+     * The lease that this process was last granted and may lead with, or null if there is none. A
+     * leader key that is bound to any other lease does not belong to this process.
+     */
     private var grantedLease: LeaseId? = null
 
-    /** The key bound to [lease] was written by this process, and it has not led with it yet. */
+    /**
+     * Whether this process may lead with the leader key that is bound to [lease]. It may if it
+     * wrote the key and has not stepped down since.
+     */
     fun isOwnLease(lease: LeaseId): Boolean = lease == grantedLease
 
-    /** Should the key still stand, it is not taken again: no fencing token may lead twice. */
+    /**
+     * Forgets the lease when this controller steps down. If the leader key still exists, this
+     * process does not lead with it again, because no fencing token may lead twice.
+     */
     fun forgetLease() {
         grantedLease = null
     }
 
-    /** Asks for a lease and takes the key if nobody has it; [onResult] gets the result. */
+    /** Requests a lease and takes the key if no controller holds it. [onResult] gets the result. */
     fun run(onResult: (CampaignResult) -> Unit) {
         val sentAt = context.now
         store.grantLease(leaseDuration) { result ->
--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -16,28 +16,28 @@
 import wardmux.store.StoreResult
 
 /**
- * Elects one controller as the leader: the one whose record is in the leader key, which is bound to
- * a lease of the key-value store. The fencing token is the revision of the write that took the key,
- * so a later leader's token is larger.
+ * Elects one controller as the leader. The leader is the controller whose record is stored under
+ * the leader key, which is bound to a lease of the key-value store. The fencing token is the
+ * revision of the write that took the key, so a later leader has a larger token.
  *
- * A follower watches the key and campaigns once it is absent. A leader keeps its lease renewed
- * until it expires, is resigned, or a newer token is observed.
+ * A follower watches the key and campaigns once the key is absent. A leader renews its lease until
+ * the lease expires, the leader resigns, or it observes a newer token.
  */
 class LeaderElection(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val member: String,
-    /** Differs between any two processes, also those of one member. */
+    /** Identifies this process. It differs between any two processes, also of the same member. */
     private val processIncarnation: String,
     private val leaseDuration: Micros,
     private val listener: Listener,
 ) {
-    /** Is told when this controller begins and ceases to lead. */
+    /** Receives the start and the end of this controller's leadership. */
     interface Listener {
-        /** This controller leads with the token of [role]. */
+        /** Called when this controller starts to lead with the token of [role]. */
         fun elected(role: Role.Leader)
 
-        /** This controller no longer leads. */
+        /** Called when this controller no longer leads. */
         fun deposed()
     }
 
@@ -46,50 +46,60 @@
     private val campaign =
         LeaderCampaign(context, store, LeaderRecord(member, processIncarnation), leaseDuration)
 
-    /** What this controller is now. */
+    /** The current role of this controller. */
     var role: Role = Role.Follower(null, null)
         private set
 
-    /** When what a follower knows of the leader was last confirmed. */
+    /** The time when a follower's knowledge of the leader was last confirmed. */
     private var leaderConfirmedAt = Micros.LONG_AGO
 
-    /** When to read the key again; null while a request or watch is under way. */
+    /** When to read the key again, or null while a request or a watch is pending or this leads. */
     private var nextReadAt: Micros? = Micros.LONG_AGO
 
-    /** This controller leads, and surely holds its lease. */
+    /** Whether this controller leads and its lease cannot have expired yet. */
     val leaseIsValid: Boolean
         get() = lease.isValid
 
-    /** Since when a leader's lease may have ended; null if it surely runs, or for a follower. */
+    /**
+     * The time since which the lease of this leader may have expired, or null if the lease cannot
+     * have expired yet or this controller does not lead.
+     */
     val leaseUncertainSince: Micros?
         get() = lease.uncertainSince
 
-    /** The other controller that leads, for redirects; null if that was not confirmed lately. */
+    /**
+     * The other controller that leads, to which requests are redirected. Null if no other leader is
+     * known or its leadership was not confirmed recently.
+     */
     val knownLeader: String?
         get() =
             (role as? Role.Follower)?.leader?.takeIf {
                 it != member && context.now - leaderConfirmedAt < MAX_CONFIRMATION_AGE
             }
 
-    /** Reads the key and renews the lease when these are due. */
+    /** Reads the key and renews the lease when either is due. */
     fun tick() {
         val due = nextReadAt
         if (due != null && context.now >= due) readKey()
         lease.tick()
     }
 
-    /** Steps down if [token], seen in any message, is newer than this leader's own. */
+    /** Steps down if [token], received in any message, is newer than the token of this leader. */
     fun observeToken(token: FencingToken) {
         val leader = role as? Role.Leader ?: return
         if (token > leader.token) {
-            log.info("stepping down with fencing token {}: observed {}", leader.token, token)
+            log.info(
+                "stepping down with fencing token {}: observed the newer token {}",
+                leader.token,
+                token,
+            )
             stepDown(token, Micros.ZERO)
         }
     }
 
     /**
-     * Notes that a peer says it is the [leader] with [token]. The key decides who leads; this only
-     * tells sooner whom workers are to be redirected to.
+     * Records that the peer [leader] claims to lead with [token]. Only the leader key decides which
+     * controller leads. The claim lets this controller redirect workers to a new leader sooner.
      */
     fun observeLeader(leader: String, token: FencingToken) {
         observeToken(token)
@@ -102,8 +112,9 @@
     }
 
     /**
-     * Gives up leadership for another controller to take: this one has its lease, but does not
-     * reach the workers. It campaigns again only after others have had the time to.
+     * Gives up leadership because of [reason], so that another controller can take it. This
+     * controller reads the key again, and may campaign, only after twice the duration of the lease,
+     * so that other controllers have the time to campaign first.
      */
     fun resign(reason: String) {
         val leader = role as? Role.Leader ?: return
@@ -112,7 +123,7 @@
         store.revokeLease(leader.lease) {}
     }
 
-    /** Steps down after a write was refused because the leader key is not as it was written. */
+    /** Steps down after the store rejected a write because the leader key has changed. */
     fun fenced() {
         val leader = role as? Role.Leader ?: return
         log.info("stepping down with fencing token {}: the leader key has changed", leader.token)
@@ -124,7 +135,10 @@
         stepDown(leader.token, Micros.ZERO)
     }
 
-    /** Becomes a follower that knows no leader, and reads the key again after [delay]. */
+    /**
+     * Becomes a follower that knows no leader, and reads the key again after [delay]. [token] is
+     * the newest fencing token that this controller knows.
+     */
     private fun stepDown(token: FencingToken, delay: Micros) {
         role = Role.Follower(null, token)
         lease.release()
@@ -158,23 +172,23 @@
             try {
                 lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), data)
             } catch (e: IllegalArgumentException) {
-                // Nobody can be named; the key is removed when its lease ends.
-                log.error("the leader record can't be read: {}", e.message)
+                // The record names no leader. The store removes the key when its lease expires.
+                log.error("cannot decode the leader record stored under {}: {}", KEY, e.message)
                 return scheduleRead(RETRY_PERIOD)
             }
         when {
             record.member != member -> follow(record.member, token)
             keyLease == null -> scheduleRead(RETRY_PERIOD)
             record.processIncarnation == processIncarnation && campaign.isOwnLease(keyLease) -> {
-                // This process wrote it and the response was lost. The age of the lease is not
-                // known, so it is renewed before anything rests on it.
+                // This process wrote the key but the response was lost. The age of the lease is
+                // not known, so the lease has to be renewed before it counts as valid.
                 becomeLeader(Role.Leader(token, keyLease), context.now)
                 lease.requireRenewalBeforeUse()
             }
             else -> {
-                log.info("revoking the lease of a former process of this member")
-                // Followers that were up meanwhile know the cluster, and lead sooner than this
-                // fresh process: they go first.
+                log.info("revoking the leader lease of a former process of {}", member)
+                // Followers that kept running know the cluster and are ready to lead sooner than
+                // this new process. The delay lets them campaign first.
                 store.revokeLease(keyLease) { scheduleRead(RESTARTED_MEMBER_CAMPAIGN_DELAY) }
             }
         }
@@ -195,20 +209,21 @@
         role = leader
         lease.acquire(leader, sentAt)
         store.setLeading(true)
-        log.info("{} leads with fencing token {}", member, leader.token)
+        log.info("{} becomes the leader with fencing token {}", member, leader.token)
         listener.elected(leader)
     }
 
     private fun follow(leader: String, token: FencingToken) {
         val follower = Role.Follower(leader, token)
-        if (role != follower) log.info("following {} with fencing token {}", leader, token)
+        if (role != follower) log.info("following leader {} with fencing token {}", leader, token)
         role = follower
         leaderConfirmedAt = context.now
         watchKey(Revision(token.value))
     }
 
     private fun watchKey(revision: Revision) {
-        // Ahead of users' reads: behind many of these a follower would not learn who leads.
+        // The watch has priority over users' reads. Queued behind many of them, a follower would
+        // not learn which controller leads.
         store.watch(KEY, revision, WATCH_TIMEOUT, RequestPriority.LEASE) { result ->
             if (role is Role.Leader) return@watch
             when (result) {
@@ -225,13 +240,16 @@
     }
 
     companion object {
-        /** The leader key. */
+        /** The leader key in the key-value store. */
         const val KEY = "leader"
         private val RETRY_PERIOD = 300.milliseconds
+        /**
+         * How long the new process of a member waits after it revoked the lease of the former one.
+         */
         private val RESTARTED_MEMBER_CAMPAIGN_DELAY = 500.milliseconds
         private val WATCH_TIMEOUT = 8.seconds
 
-        /** Longer than a watch that shows no change. */
+        /** Longer than [WATCH_TIMEOUT], because a watch without changes confirms the leader. */
         private val MAX_CONFIRMATION_AGE = 12.seconds
     }
 }
--- a/src/main/kotlin/wardmux/election/LeaderLease.kt
+++ b/src/main/kotlin/wardmux/election/LeaderLease.kt
@@ -8,8 +8,9 @@
 import wardmux.store.StoreResult
 
 /**
- * The lease that this controller leads with: how long it surely runs, and its renewal. All times
- * count from before a request was sent, so that the lease ends here before it ends in the store.
+ * The lease with which this controller leads: its renewal, and the time until which it cannot
+ * expire. The duration counts from the time when the request was sent, so that the lease ends for
+ * this controller before it ends in the key-value store.
  */
 class LeaderLease(
     private val context: CoreContext,
@@ -17,28 +18,30 @@
     private val duration: Micros,
     private val listener: Listener,
 ) {
-    /** Is told of the end of a lease that was held. */
+    /** Receives the expiry of a lease that this controller held. */
     fun interface Listener {
-        /** The key-value store no longer knows the lease of [leader]. */
+        /** Called when the key-value store no longer knows the lease of [leader]. */
         fun expired(leader: Role.Leader)
     }
 
-    /** Who holds the lease; null while this controller does not lead. */
+    /** The role that holds the lease, or null while this controller does not lead. */
     private var holder: Role.Leader? = null
     private var validUntil = Micros.LONG_AGO
     private var acquiredAt = Micros.LONG_AGO
     private var nextRenewalAt = Micros.ZERO
     private var isRenewing = false
 
-    /** The lease surely runs. */
+    /** Whether a lease is held and cannot have expired yet. */
     val isValid: Boolean
         get() = holder != null && context.now < validUntil
 
-    /** Since when a lease that is held may have ended; null if it surely runs, or none is held. */
+    /**
+     * The time since which the held lease may have expired, or null if it is valid or none is held.
+     */
     val uncertainSince: Micros?
         get() = if (holder != null && !isValid) maxOf(validUntil, acquiredAt) else null
 
-    /** Begins to hold the lease of [leader], which was asked for at [sentAt]. */
+    /** Starts to hold the lease of [leader]. The request for the lease was sent at [sentAt]. */
     fun acquire(leader: Role.Leader, sentAt: Micros) {
         holder = leader
         acquiredAt = context.now
@@ -46,19 +49,19 @@
         isRenewing = false
     }
 
-    /** Holds the lease as uncertain until it is renewed, at the next tick. */
+    /** Treats the lease as possibly expired until its renewal, which the next tick requests. */
     fun requireRenewalBeforeUse() {
         validUntil = Micros.LONG_AGO
         nextRenewalAt = context.now
     }
 
-    /** Holds the lease no longer. */
+    /** Stops holding the lease. Does not revoke it in the key-value store. */
     fun release() {
         holder = null
         validUntil = Micros.LONG_AGO
     }
 
-    /** Renews a lease that is due. */
+    /** Renews the lease if its renewal is due. */
     fun tick() {
         val leader = holder ?: return
         if (!isRenewing && context.now >= nextRenewalAt) renew(leader)
@@ -86,6 +89,7 @@
     private companion object {
         /** The share of its duration after which a lease is renewed. */
         const val RENEWAL_SHARE_OF_DURATION = 0.3
+        /** The time before its possible expiry from which the lease no longer counts as valid. */
         val LEASE_EXPIRY_MARGIN = 100.milliseconds
         val RETRY_PERIOD = 300.milliseconds
     }
--- a/src/main/kotlin/wardmux/election/LeaderRecord.kt
+++ b/src/main/kotlin/wardmux/election/LeaderRecord.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What the leader key holds: the member that leads, and which of its processes it is. */
+/** The value of the leader key: the member that leads, and the process of it that leads. */
 @Serializable
 data class LeaderRecord(
     @SerialName("member") val member: String,
--- a/src/main/kotlin/wardmux/election/Role.kt
+++ b/src/main/kotlin/wardmux/election/Role.kt
@@ -5,14 +5,17 @@
 import wardmux.model.LeaseId
 import wardmux.store.VersionCondition
 
-/** The part that a controller has among its peers. */
+/** The role of a controller among its peers. */
 sealed interface Role {
-    /** Another controller leads: the last known [leader] with its [token], or null if unknown. */
+    /**
+     * This controller does not lead. [leader] is the last known leader and [token] the newest known
+     * fencing token. Either is null if it is not known.
+     */
     data class Follower(val leader: String?, val token: FencingToken?) : Role
 
-    /** This controller leads with [token]; its key is bound to [lease]. */
+    /** This controller leads with [token]. The leader key is bound to [lease]. */
     data class Leader(val token: FencingToken, val lease: LeaseId) : Role {
-        /** The condition of each write of the leader: its key is as it was written. */
+        /** The condition of every write of the leader: nothing has changed the leader key since. */
         val condition: VersionCondition
             get() = VersionCondition(LeaderElection.KEY, KeyVersion(token.value))
     }
--- a/src/main/kotlin/wardmux/leader/ControllerServices.kt
+++ b/src/main/kotlin/wardmux/leader/ControllerServices.kt
@@ -14,16 +14,16 @@
 import wardmux.store.KeyValueStore
 import wardmux.worker.WorkerHeartbeatReader
 
-/** Is told of each cancellation that this process did not know of before. */
+/** Receives each cancellation that this process did not know before. */
 fun interface CancellationListener {
-    /** [job] was cancelled, here or on another controller. */
+    /** Called when [job] was cancelled through this controller or another one. */
     fun jobCancelled(job: JobId)
 }
 
 /**
- * What a controller has for as long as its process runs, whether or not it leads. Each [LeaderTerm]
- * is built on these. [processIncarnation] differs between any two processes, also of the same
- * member.
+ * The components that a controller has for the lifetime of its process, whether or not it leads.
+ * Each [LeaderTerm] uses them. [processIncarnation] differs between any two processes, also of the
+ * same member.
  */
 class ControllerServices(
     val platform: PlatformConfig,
--- a/src/main/kotlin/wardmux/leader/HeartbeatBatchHandler.kt
+++ b/src/main/kotlin/wardmux/leader/HeartbeatBatchHandler.kt
@@ -5,13 +5,15 @@
 import wardmux.forwarding.HeartbeatBatchResponse
 import wardmux.model.FencingToken
 
-/** Takes in batches of worker heartbeats, whichever way their forwarder sent them. */
+/** Handles batches of worker heartbeats, over whichever route their forwarder sent them. */
 class HeartbeatBatchHandler(
     private val token: FencingToken,
     private val coordinator: ForwardingCoordinator,
     private val planningLoop: PlanningLoop,
 ) {
-    /** The response to [batch]; null if it is meant for a leader with another fencing token. */
+    /**
+     * Returns the response to [batch], or null if it is for a leader with another fencing token.
+     */
     fun handle(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         if (batch.token != token.value) return null
         return coordinator.handleBatch(batch).also { planningLoop.planIfChanged() }
--- a/src/main/kotlin/wardmux/leader/JobCancellationHandler.kt
+++ b/src/main/kotlin/wardmux/leader/JobCancellationHandler.kt
@@ -7,7 +7,7 @@
 import wardmux.peers.CancellationTracker
 import wardmux.scheduling.ClusterState
 
-/** Takes cancelled jobs out of the leader's plans and stops their tasks. */
+/** Removes cancelled jobs from the leader's planning and stops their tasks. */
 class JobCancellationHandler(
     private val cluster: ClusterState,
     private val directCommands: DirectCommandSender,
@@ -15,20 +15,21 @@
 ) {
     private val log = logger<JobCancellationHandler>()
 
-    /** A user was told, by this controller or another, that the job [id] is cancelled. */
+    /** Handles the cancellation of the job [id], which any controller may have acknowledged. */
     fun jobCancelled(id: JobId) {
         val job = cluster.jobs[id] ?: return
         if (job.isDone || job.hasEnded || job.allTasksDone) return
-        log.info("{} is cancelled; {} placements to stop", job.id, job.placements.size)
+        log.info("job {} is cancelled: {} placements to stop", job.id, job.placements.size)
         cluster.cancel(job, cancellations.acknowledgedSince(id))
         directCommands.sendDue()
     }
 
-    /** A write of this leader showed that the record of [job] has changed. */
+    /** Handles a write of this leader that failed because the record of [job] has changed. */
     fun recordChanged(job: Job) {
-        // Only its user's cancellation changes it; the watch of the open jobs will show that too.
+        // Only a user's cancellation changes the record of a job that is not done. The watch of the
+        // open jobs will report it too.
         if (!job.isDone) {
-            log.info("{} was cancelled while it was being written", job.id)
+            log.info("job {} was cancelled while this leader was writing its record", job.id)
             cluster.cancel(job, cancellations.completeUntil)
         }
     }
--- a/src/main/kotlin/wardmux/leader/JobRegistry.kt
+++ b/src/main/kotlin/wardmux/leader/JobRegistry.kt
@@ -11,9 +11,12 @@
 import wardmux.records.JobRecord
 import wardmux.scheduling.ClusterState
 
-/** Adds the jobs that are found in the key-value store to the cluster's state. */
+/** Adds jobs found in the key-value store to the cluster's state. */
 class JobRegistry(private val cluster: ClusterState, private val pageSize: Int) {
-    /** Adds the job of [record]; null if it is known already or its record holds no spec. */
+    /**
+     * Adds and returns the job of [record]. Returns null if the job is known already or the record
+     * contains no specification. [version] is the version of the stored record.
+     */
     fun add(record: JobRecord, version: KeyVersion): Job? {
         val spec = record.spec ?: return null
         if (spec.jobId in cluster.jobs) return null
@@ -24,8 +27,9 @@
     }
 
     /**
-     * The job [id], or a placeholder for it: only pages are left of a job that is done, and they
-     * are removed like those of any other job.
+     * Returns the job [id], or adds a placeholder if it is not known. Of an unknown job that is
+     * done, only task pages are left. The placeholder lets them be removed like those of any other
+     * job.
      */
     fun getOrAddCompleted(id: JobId): Job = cluster.jobs.getOrPut(id) { completedPlaceholder(id) }
 
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -36,8 +36,8 @@
 import wardmux.scheduling.TaskEvictor
 
 /**
- * Builds the parts of one leader term and connects them; the parts themselves do the work. A part
- * that needs one that is built later reaches it through this class.
+ * Creates the components of one leader term and connects them. This class does no other work. A
+ * component that depends on one created later accesses it through this class.
  */
 class LeaderComponents(
     services: ControllerServices,
@@ -169,7 +169,7 @@
             operators,
             role.token,
         )
-    /** Drains that operators asked for; null where these are switched off. */
+    /** The drains that operators requested, or null if the settings do not enable drains. */
     val drains: LeaderDrains? =
         operators.drain?.let {
             LeaderDrains(context, drainEnvironment(), deployment, operators, it)
@@ -192,7 +192,7 @@
             types,
         )
 
-    /** Treats what is stored as unknown until it is loaded again. */
+    /** Treats the stored state as unknown until it has been loaded again. */
     fun reload() {
         status.markStale()
         openJobWatcher.stop()
--- a/src/main/kotlin/wardmux/leader/LeaderTerm.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderTerm.kt
@@ -13,8 +13,9 @@
 import wardmux.worker.WorkerHeartbeat
 
 /**
- * One term of a leader, from its election until it is deposed: it loads what is stored, and then
- * plans, writes and commands workers. A term that has ended does nothing more.
+ * One term of a leader, from its election until it is deposed. It first loads the stored state.
+ * From then on it plans placements, writes them and sends commands to workers. A term that has
+ * ended does nothing more.
  */
 class LeaderTerm(
     private val services: ControllerServices,
@@ -29,35 +30,39 @@
     private val directCommands = components.directCommands
     private var nextPreemptionAt = Micros.LONG_AGO
 
-    /** Drains that operators asked for; null where these are switched off. */
+    /** The drains that operators requested, or null if the settings do not enable drains. */
     val drains: LeaderDrains?
         get() = components.drains
 
-    /** Followers are to forward the heartbeats of the workers that reach them. */
+    /**
+     * Whether followers are asked to answer the workers that reach them and forward the heartbeats.
+     */
     val forwardingEnabled: Boolean
         get() = components.forwardingCoordinator.forwardingEnabled
 
-    /** Ends the term for good; responses that are still to come are ignored. */
+    /** Ends the term permanently. Responses that arrive later are ignored. */
     fun end() {
         status.end()
         components.loader.end()
         components.storedBatchServer.close()
     }
 
-    /** Answers [call], a worker's heartbeat that came to this controller itself. */
+    /**
+     * Answers the request [call] with a [heartbeat] that a worker sent directly to this controller.
+     */
     fun handleHeartbeat(call: Long, heartbeat: WorkerHeartbeat) {
         components.heartbeats.handle(call, heartbeat)
         components.planningLoop.planIfChanged()
     }
 
-    /** The response to a forwarder's [batch]; null if it is meant for another leader. */
+    /** Returns the response to a forwarder's [batch], or null if it is for another leader. */
     fun handleBatch(batch: HeartbeatBatch): HeartbeatBatchResponse? =
         components.batchHandler.handle(batch)
 
-    /** A user was told, by this controller or another, that the job [id] is cancelled. */
+    /** Handles the cancellation of the job [id], which any controller may have acknowledged. */
     fun jobCancelled(id: JobId) = components.cancellationHandler.jobCancelled(id)
 
-    /** Does what is due; to be called several times a second. */
+    /** Performs the actions that are due. The caller calls it several times a second. */
     fun tick() {
         cluster.referenceType = services.machineTypes.types?.maxByOrNull { it.cpus }
         components.pools.refreshIfDue(cluster.jobs.values)
@@ -83,11 +88,11 @@
         directCommands.sendDue()
     }
 
-    /** The progress of the jobs, of the first [MAX_PROGRESS_JOBS] if there are more. */
+    /** The progress of the jobs, limited to the first [MAX_PROGRESS_JOBS]. */
     fun progress(): List<JobProgress> =
         cluster.jobs.values.take(MAX_PROGRESS_JOBS).map { progressOf(it) }
 
-    /** How far the job [id] is; null if this leader does not know it. */
+    /** The progress of the job [id], or null if this leader does not know the job. */
     fun progressOf(id: JobId): JobProgress? = cluster.jobs[id]?.let { progressOf(it) }
 
     private fun progressOf(job: Job) = JobProgress(job.id.value, job.doneCount, job.running)
@@ -96,8 +101,8 @@
         val PREEMPTION_PERIOD = 500.milliseconds
 
         /**
-         * At some 50 bytes for each job well below what a heartbeat between controllers may hold;
-         * the counts are only for display.
+         * Limits the size of the heartbeats between controllers. At about 50 bytes for each job, a
+         * heartbeat stays well below its maximum size. The omitted counts are only for display.
          */
         const val MAX_PROGRESS_JOBS = 5_000
     }
--- a/src/main/kotlin/wardmux/leader/MachineLifecycle.kt
+++ b/src/main/kotlin/wardmux/leader/MachineLifecycle.kt
@@ -7,7 +7,7 @@
 import wardmux.model.Machine
 import wardmux.scheduling.PlacementStore
 
-/** What provisioning and drains may do to machines within a leader's term. */
+/** The operations on machines that provisioning and drains may use within a leader's term. */
 class MachineLifecycle(
     private val status: TermStatus,
     private val decommissioner: MachineDecommissioner,
--- a/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
+++ b/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
@@ -11,8 +11,8 @@
 import wardmux.store.WatchEvent
 
 /**
- * Follows the changes to the open jobs after they were loaded: adds new jobs, and stops those that
- * users cancelled.
+ * Watches the open jobs for changes after they were loaded. Adds new jobs and stops jobs that users
+ * cancelled.
  */
 class OpenJobWatcher(
     private val services: ControllerServices,
@@ -22,26 +22,29 @@
     private val cancellations = services.cancellations
     private val cluster = components.cluster
 
-    /** Counts the loads that were begun again: the response to an earlier watch is dropped. */
+    /**
+     * The number of times the watch was stopped. The response to a watch that was opened before the
+     * last stop is ignored.
+     */
     private var generation = 0
 
-    /** When to watch next; null while a watch is open or nothing is loaded. */
+    /** When to open the next watch, or null while a watch is open or the state is not loaded. */
     private var nextWatchAt: Micros? = null
     private var nextRevision = Revision.ZERO
 
-    /** Watches from [revision] on, beginning at the next tick. */
+    /** Starts to watch for changes after [revision] at the next tick. */
     fun start(revision: Revision) {
         nextRevision = revision
         nextWatchAt = context.now
     }
 
-    /** Ignores an open watch; there is no other until [start]. */
+    /** Ignores the response to an open watch, and opens no other until [start] is called. */
     fun stop() {
         generation++
         nextWatchAt = null
     }
 
-    /** Opens a watch that is due. */
+    /** Opens the next watch if it is due. */
     fun tick() {
         nextWatchAt?.let { if (context.now >= it) watch() }
     }
@@ -65,7 +68,7 @@
                     nextWatchAt = context.now + WATCH_INTERVAL
                     components.planningLoop.planAndWrite()
                 }
-                // The revision is no longer kept, so changes may have been missed.
+                // The store no longer keeps the revision, so changes may have been missed.
                 is StoreResult.InvalidRequest,
                 is StoreResult.Compacted -> components.reload()
                 else -> nextWatchAt = context.now + RETRY_PERIOD
@@ -79,18 +82,21 @@
         if (put != null && event.data != null) {
             JobRecord.decode(event.data)?.let { components.jobs.add(it, event.version) }
         } else if (removed != null) {
-            // Of a job that is done it was this leader that removed it.
+            // The open key of a job that is done was removed by this leader.
             val job = cluster.jobs[JobId(removed.removePrefix(JobRecord.OPEN_PREFIX))] ?: return
             if (job.isDone) return
             cancellations.observe(job.id)
-            // A peer may have reported it during the load, before the job was known here; then
-            // learning it has no effect.
+            // A peer may have reported the cancellation during the load, before this leader knew
+            // the job. Observing it again then notifies no listener, so the handler is called here.
             components.cancellationHandler.jobCancelled(job.id)
         }
     }
 
     private companion object {
-        /** Short, because what is known of cancellations is as old as the watch's request. */
+        /**
+         * Short, because a response confirms the cancellations only up to the time when the watch
+         * was requested.
+         */
         val WATCH_TIMEOUT = 2.seconds
         val WATCH_INTERVAL = 80.milliseconds
         val RETRY_PERIOD = 400.milliseconds
--- a/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
+++ b/src/main/kotlin/wardmux/leader/PlacementWriteListener.kt
@@ -7,13 +7,13 @@
 import wardmux.model.Machine
 import wardmux.scheduling.PlacementStore
 
-/** Is told of jobs whose completion was recorded. */
+/** Receives the jobs whose completion was stored. */
 fun interface JobCompletionListener {
-    /** All tasks of [job] are done, and its record says so. */
+    /** Called when all tasks of [job] are done and its stored record says so. */
     fun jobCompleted(job: JobId)
 }
 
-/** Acts on the results of the leader's writes. */
+/** Handles the results of the leader's writes. */
 class PlacementWriteListener(
     private val services: ControllerServices,
     private val leadership: LeaderElection,
@@ -31,7 +31,7 @@
     override fun onJobDone(job: Job) {
         val turnaround = services.context.wallTime - job.acceptedAt
         log.info(
-            "{} is done: {} {} tasks for {} took {} s, deadline: {} s",
+            "job {} is done: {} tasks of class {} for team {} took {} s, deadline: {} s",
             job.id,
             job.spec.tasks,
             job.spec.jobClass,
--- a/src/main/kotlin/wardmux/leader/PlanningLoop.kt
+++ b/src/main/kotlin/wardmux/leader/PlanningLoop.kt
@@ -7,7 +7,9 @@
 import wardmux.scheduling.PlacementStore
 import wardmux.scheduling.Planner
 
-/** Plans placements whenever the cluster's state has changed, and writes them. */
+/**
+ * Plans placements when the cluster's state has changed or a period has passed, and writes them.
+ */
 class PlanningLoop(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -15,21 +17,24 @@
     private val placementStore: PlacementStore,
     private val status: TermStatus,
 ) {
-    /** The cluster's count of changes when the last plan was made. */
+    /** The value of [ClusterState.changeCount] when the last plan was made. */
     private var plannedChangeCount = -1L
 
-    /** When the next plan is made even if nothing has changed. */
+    /** When to make the next plan even if the state has not changed. */
     private var nextUnchangedPlanAt = Micros.LONG_AGO
 
-    /** When a heartbeat may trigger the next plan. */
+    /** The earliest time at which a heartbeat may trigger the next plan. */
     private var nextPlanAt = Micros.LONG_AGO
 
-    /** Plans after a heartbeat: what has ended makes room, but not each heartbeat needs a plan. */
+    /**
+     * Plans after a heartbeat if the state has changed, because ended tasks free capacity. Does not
+     * plan more often than every [MIN_PLAN_PERIOD], since not every heartbeat needs a plan.
+     */
     fun planIfChanged() {
         if (plannedChangeCount != cluster.changeCount && context.now >= nextPlanAt) planAndWrite()
     }
 
-    /** Plans and writes, unless the last write is still under way. */
+    /** Plans and writes, unless the term may not decide or the last write is still pending. */
     fun planAndWrite() {
         nextPlanAt = context.now + MIN_PLAN_PERIOD
         if (!status.mayDecide || !placementStore.isReady) return
--- a/src/main/kotlin/wardmux/leader/ResignationCheck.kt
+++ b/src/main/kotlin/wardmux/leader/ResignationCheck.kt
@@ -7,8 +7,8 @@
 import wardmux.model.seconds
 
 /**
- * Decides whether another controller is better placed to lead: this one has its lease, but does not
- * reach the workers.
+ * Checks whether this leader should resign for another controller to lead. It should if it holds
+ * its lease but has lost the connection to the workers.
  */
 class ResignationCheck(
     services: ControllerServices,
@@ -20,10 +20,13 @@
     private val store = services.store
     private val peerHeartbeats = services.peerHeartbeats
 
-    /** Not before workers had the time of one lease to find this leader. */
+    /**
+     * The next check. The first one waits for one leader lease, so that workers can find the
+     * leader.
+     */
     private var nextCheckAt = context.now + services.operators.leaderLeaseS.seconds
 
-    /** Gives up leadership if it should go to another controller; true if it did. */
+    /** Resigns if another controller should lead. Returns whether it resigned. */
     fun resignIfCutOff(): Boolean {
         if (!canHandOver || context.now < nextCheckAt) return false
         nextCheckAt = context.now + CHECK_PERIOD
@@ -33,16 +36,18 @@
     }
 
     /**
-     * While the key-value store does not answer, nobody can take the lease: to give it up then
-     * would leave all workers without a leader until their leases end.
+     * Whether another controller could take over. While the key-value store does not answer, no
+     * controller can take the leader lease. Resigning then would leave all workers without a leader
+     * until their leases expire.
      */
     private val canHandOver: Boolean
         get() = leadership.leaseIsValid && store.unavailableSince == null
 
+    /** The reason to resign, or null if there is none or no peer is alive to take over. */
     private fun resignationReason(): String? =
         when {
             !peerHeartbeats.isAnyPeerAlive() -> null
-            healthMonitor.areMostSilent() -> "most machines are silent"
+            healthMonitor.areMostSilent() -> "most machines send no heartbeats"
             reachability.isCutOff -> "commands reach no machine"
             else -> null
         }
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -13,8 +13,8 @@
 import wardmux.store.ScannedKey
 
 /**
- * Loads what is stored into the cluster's state: when a term begins, and again when the leader can
- * no longer be sure of what is stored.
+ * Loads the stored state into the cluster's state when a term begins, and again when the leader no
+ * longer knows for certain what is stored.
  */
 class StoredStateLoader(
     private val services: ControllerServices,
@@ -28,28 +28,28 @@
     private val registry = components.registry
     private val reader = StoredStateReader(services.store)
 
-    /** When to load; null while a load is under way or nothing is to be loaded. */
+    /** When to load next, or null while a load is running or none is needed. */
     private var nextLoadAt: Micros? = Micros.LONG_AGO
 
-    /** Starts a load that is due, once the machine types are known. */
+    /** Starts a load if it is due and the machine types are known. */
     fun tick() {
         nextLoadAt?.let { if (context.now >= it && types.types != null) load() }
     }
 
-    /** Abandons a load under way, and loads everything again at the next tick. */
+    /** Abandons a running load and loads everything again at the next tick. */
     fun reload() {
         reader.abandon()
         nextLoadAt = context.now
     }
 
-    /** Abandons a load under way: the term has ended. */
+    /** Abandons a running load because the term has ended. */
     fun end() = reader.abandon()
 
     private fun load() {
         nextLoadAt = null
         val sentAt = context.now
-        // Also what an earlier load that failed half-way has added: a job that was cancelled since
-        // would stay, and its tasks with it.
+        // Remove also the jobs that a former load added. Otherwise a job that was cancelled since
+        // then would stay open, and its tasks would go on running.
         cluster.removeAllJobs()
         reader.read { result ->
             when (result) {
@@ -77,8 +77,8 @@
         components.openJobWatcher.start(state.openJobs.revision)
         components.status.markLoaded()
         log.info(
-            "loaded with fencing token {}: {} jobs ({} of them cancelled) with {} placements, " +
-                "as stored {} s ago",
+            "loaded the stored state with fencing token {}: {} jobs ({} of them cancelled) with " +
+                "{} placements; the load began {} s ago",
             components.role.token,
             cluster.jobs.size,
             cluster.jobs.values.count { it.isCancelled },
@@ -90,16 +90,20 @@
     private fun addCancelledJob(item: ScannedKey<JobRecord>) {
         val id = JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX))
         cancellations.observeStored(id)
-        // It was cancelled after the open jobs were read: the watch of these will show that.
+        // The job was cancelled after the open jobs were read. The watch of these will report it.
         if (id in cluster.jobs) return
-        // The time of the cancellation is not stored: unless this process knows it, the earliest
-        // possible one is assumed.
+        // The time of the cancellation is not stored. If this process does not know it, the
+        // earliest
+        // possible time is assumed.
         components.jobs.add(item.data ?: return, item.version)?.let {
             cluster.cancel(it, cancellations.acknowledgedSince(id))
         }
     }
 
-    /** Recorded by an earlier leader, which may have ended before it deleted the machine. */
+    /**
+     * Marks a machine that an earlier leader recorded as decommissioned. The term of that leader
+     * may have ended before it deleted the machine, so the deletion is due again.
+     */
     private fun markDecommissioned(id: MachineId) {
         val machine = registry.findOrAddRecorded(id) ?: return
         machine.decommission("decommissioned earlier")
@@ -111,7 +115,7 @@
         val page = item.key.substringAfterLast('/').toIntOrNull() ?: return
         val job = components.jobs.getOrAddCompleted(id)
         val placed = TaskPageCodec.restore(job, page, item.version, item.data)
-        // Nothing of a done job is on a machine; its pages are only to be removed.
+        // No task of a job that is done is on a machine. Its pages only have to be removed.
         if (job.isDone) return job.placements.clear()
         for (placement in placed) cluster.addPlacement(
             placement,
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -14,33 +14,33 @@
 import wardmux.store.ScannedKey
 import wardmux.store.StoreResult
 
-/** All that the key-value store holds for a leader, as one reading found it. */
+/** The state that the key-value store holds for a leader, as found by one reading. */
 class StoredState(
-    /** Tags and usage of all teams; null if no leader has written them yet. */
+    /** The tags and usage of all teams, or null if no leader has written them yet. */
     val tags: KeyValue?,
-    /** Jobs that were open, with the revision from which changes to them are watched. */
+    /** The open jobs, with the revision from which the leader watches them for changes. */
     val openJobs: ScanResult<JobRecord>,
     val pages: List<ScannedKey<StoredTaskPage>>,
     val decommissionedMachines: List<ScannedKey<JsonElement>>,
     val cancelledJobs: List<ScannedKey<JobRecord>>,
 )
 
-/** What came of a reading. */
+/** The result of a reading. */
 sealed interface StoredStateResult {
-    /** All that is stored, in [state]. */
+    /** The reading was complete and found [state]. */
     class Complete(val state: StoredState) : StoredStateResult
 
-    /** A request failed; nothing is known. */
+    /** A request failed, so the reading has no result. */
     data object Failed : StoredStateResult
 }
 
 /**
- * Reads what a leader needs before it decides anything, one request after the other. The order
- * matters:
- * - the tags come first, because every leader write replaces them and is conditional on their
- *   version: a write that is applied from then on makes this leader's next write fail;
- * - the cancelled jobs come last, after the open ones: a job that left the open ones meanwhile is
- *   either among the cancelled ones, or done.
+ * Reads the stored state that a leader needs before it makes decisions, one request after the
+ * other. The order matters:
+ * - The tags are read first. Every leader write replaces them and is conditional on their version,
+ *   so a write that is applied after this point makes this leader's next write fail.
+ * - The cancelled jobs are read last, after the open jobs. A job that stopped being open in the
+ *   meantime is therefore either among the cancelled jobs or done.
  */
 class StoredStateReader(private val store: KeyValueStore) {
     private var current: Reading? = null
@@ -55,7 +55,7 @@
         reading.readTags()
     }
 
-    /** Ignores the responses that are still to come. */
+    /** Abandons the current reading and ignores responses that arrive later. */
     fun abandon() {
         current = null
     }
--- a/src/main/kotlin/wardmux/leader/TermStatus.kt
+++ b/src/main/kotlin/wardmux/leader/TermStatus.kt
@@ -3,20 +3,23 @@
 import wardmux.election.LeaderElection
 import wardmux.lease.LeaderCancellationView
 
-/** How far a leader term is: loading what is stored, deciding, or ended. */
+/** The status of a leader term: loading the stored state, making decisions, or ended. */
 class TermStatus(
     private val leadership: LeaderElection,
     private val cancellationView: LeaderCancellationView,
 ) {
-    /** The controller no longer leads in this term. */
+    /** Whether the term has ended, so that the controller no longer leads in it. */
     var isEnded = false
         private set
 
-    /** What is stored is known; false also while it is loaded again. */
+    /** Whether the stored state is known. It is not while the leader loads it again. */
     val isLoaded: Boolean
         get() = cancellationView.isLoaded
 
-    /** The term may decide and write: it is loaded, not ended, and sure of its lease. */
+    /**
+     * Whether the term may make decisions and write. It may if the stored state is loaded, the term
+     * has not ended, and the leader lease cannot have expired yet.
+     */
     val mayDecide: Boolean
         get() = isLoaded && !isEnded && leadership.leaseIsValid
 
@@ -30,7 +33,7 @@
         cancellationView.markStale()
     }
 
-    /** Ends the term for good. */
+    /** Ends the term permanently. */
     fun end() {
         isEnded = true
     }
--- a/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
@@ -6,12 +6,16 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** The time by which a cancelled job's tasks have to be gone, as a bound on lease renewals. */
+/**
+ * Limits how long after a cancellation a worker's lease may be renewed without stopping the tasks
+ * of the cancelled job, so that these tasks are gone by the deadline of the cancellation.
+ */
 class CancellationDeadline(workers: WorkerTiming) {
     /**
-     * For how long after a user may have been told of a cancellation a lease may be renewed without
-     * stopping its tasks. A forwarder may go on until its grant ends, and the lease then runs out,
-     * all before the tasks have to be gone.
+     * The period after a user may have been told of a cancellation in which a lease may still be
+     * renewed without stopping the tasks of the cancelled job. The tasks have to be gone
+     * [WorkerTiming.cancelS] after the cancellation. Until then a forwarder may go on renewing
+     * leases until its grant ends, and the last renewed lease has to run out.
      */
     val renewablePeriod: Micros =
         maxOf(
@@ -23,10 +27,13 @@
         )
 
     private companion object {
-        /** For network delays and the workers' own timers. */
+        /** Covers network delays and the inaccuracy of the workers' own timers. */
         val LEASE_EXPIRY_MARGIN = 1500.milliseconds
 
-        /** Longer than a healthy leader goes without confirming that it knows all cancellations. */
+        /**
+         * The lower bound of [renewablePeriod]: longer than a healthy leader goes without
+         * confirming that it knows all cancellations.
+         */
         val MIN_RENEWABLE_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
+++ b/src/main/kotlin/wardmux/lease/LeaderCancellationView.kt
@@ -14,14 +14,15 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * The leader's view of cancelled tasks: the records of where each task may be, and the
- * cancellations that users were told of.
+ * The leader's view of cancelled tasks. It combines the placements, which record where each task
+ * may be, with the cancellations that users were told of.
  *
- * A leader that does not know of a cancellation can't stop its tasks, so the view expires a fixed
- * time after the request was sent that last confirmed it. The leader's own lease does not extend
- * it, and neither does an open watch, which the key-value store may have stopped serving. A leader
- * that has not loaded the stored state yet renews leases only once loading takes so long that all
- * work would be lost otherwise.
+ * A leader that does not know a cancellation cannot stop its tasks. The view therefore expires a
+ * fixed time after the leader sent the request that last confirmed the view. The leader's own lease
+ * does not extend it. An open watch does not extend it either, because the key-value store may have
+ * stopped serving the watch. A leader that has not loaded the stored state yet renews no leases,
+ * unless loading takes so long that the workers would otherwise lose their leases and all running
+ * work with them.
  */
 class LeaderCancellationView(
     private val context: CoreContext,
@@ -33,20 +34,20 @@
     private val renewablePeriod = CancellationDeadline(workers).renewablePeriod
     private val electedAt = context.now
 
-    /** The stored state has been loaded at least once. */
+    /** Whether the stored state has been loaded at least once. */
     private var wasLoaded = false
 
-    /** Whether the stored state is known; false also while it is loaded again. */
+    /** Whether the stored state is known. It is not while the leader loads it again. */
     var isLoaded = false
         private set
 
-    /** The stored state has been loaded. */
+    /** Records that the stored state has been loaded. */
     fun markLoaded() {
         isLoaded = true
         wasLoaded = true
     }
 
-    /** The stored state is not known any more and has to be loaded again. */
+    /** Records that the stored state is no longer known and has to be loaded again. */
     fun markStale() {
         isLoaded = false
     }
@@ -82,19 +83,25 @@
         return attempts ?: emptyList()
     }
 
-    /** While the stored state is loaded again, only unconfirmed starts are known of a machine. */
+    /**
+     * Starts that were sent to [machine] without confirmation and belong to cancelled jobs. While
+     * the stored state is loaded again, nothing else is known about the tasks on a machine.
+     */
     private fun cancelledUnconfirmedStarts(machine: MachineId): List<TaskAttempt> =
         cluster.machines[machine]?.unconfirmedStarts.orEmpty().filter { attempt ->
             TaskId.parse(attempt.task)?.let { isCancelled(it.job) } == true
         }
 
-    /** It may be on its machine, and its job was cancelled too long ago for one more lease. */
+    /**
+     * Whether the task of [placement] may be on its machine and its job was cancelled too long ago
+     * to renew the machine's lease once more without stopping the task.
+     */
     private fun mustBeStopped(placement: Placement) =
         placement.job.isCancelled &&
             placement.mayBeStarted &&
             context.now - placement.job.cancelledSince > renewablePeriod
 
-    /** The tasks that a forwarder has to stop while its next grant runs, by machine. */
+    /** The tasks that a forwarder has to stop during its next grant, grouped by machine. */
     fun tasksToStop(): List<CancelledTasks> {
         val byMachine = LinkedHashMap<MachineId, ArrayList<TaskAttempt>>()
         for (job in cluster.jobs.values) {
@@ -115,8 +122,8 @@
     }
 
     /**
-     * Cancelled jobs of which something may be on a machine; while the stored state is not loaded,
-     * all cancelled jobs that are known.
+     * The ids of the cancelled jobs with tasks that may be on a machine. While the stored state is
+     * not loaded, these are all cancelled jobs that are known.
      */
     fun cancelledJobs(): List<String> {
         if (!isLoaded) return cancellations.all().map { it.value }
@@ -126,7 +133,10 @@
     }
 
     private companion object {
-        /** A first load that takes longer than this share of a worker's lease is late. */
+        /**
+         * The share of a worker's lease duration that the first load of the stored state may take
+         * before the leader renews leases without it.
+         */
         const val MAX_LOAD_LEASE_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewal.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewal.kt
@@ -3,41 +3,47 @@
 import wardmux.model.FencingToken
 import wardmux.worker.WorkerCommand
 
-/** Why the response to a heartbeat does not renew the lease. */
+/** The reason why the response to a heartbeat does not renew the lease. */
 enum class WithholdingReason {
-    /** Users may have been told of cancellations that are not known here. */
+    /** Users may have been told of cancellations that this controller does not know. */
     CANCELLATIONS_OUTDATED,
 
-    /** A cancelled task may be on the machine although the heartbeat does not list it. */
+    /** A cancelled task may be on the machine, although the heartbeat does not list it. */
     ABSENCE_UNVERIFIED,
 }
 
 /** Whether the response to one heartbeat renews the lease of its machine. */
 sealed interface RenewalDecision {
-    /** It does, by the right of [renewal]. */
+    /** The response renews the lease, as [renewal] permits. */
     class Renew(val renewal: LeaseRenewal) : RenewalDecision
 
-    /** It does not: the worker ignores the response and stays with this controller. */
+    /** The response does not renew the lease. */
     class Withhold(val reason: WithholdingReason) : RenewalDecision {
-        /** The response, under no leader's token. */
+        /**
+         * The response to send. It carries no leader's token, so the worker ignores it and keeps
+         * sending its heartbeats to this controller.
+         */
         val response: ByteArray
             get() = WorkerHeartbeatResponse.IGNORED
     }
 }
 
 /**
- * The right to renew the lease of the one machine whose heartbeat it was made for, in the response
- * to that heartbeat. Only [LeaseRenewals] makes it.
+ * The permission to renew a machine's lease in the response to one heartbeat of that machine. Only
+ * [LeaseRenewals] creates it.
  */
 class LeaseRenewal
 internal constructor(
     val token: FencingToken,
-    /** Stops that the response has to carry: without them it must not be sent. */
+    /** Stop commands that the response has to carry. It must not be sent without them. */
     val requiredStops: List<WorkerCommand>,
-    /** The response without any commands, if [LeaseRenewals] has it at hand. */
+    /** The encoded response without any commands, or null if [LeaseRenewals] has not cached it. */
     private val cachedResponse: ByteArray?,
 ) {
-    /** The response that renews the lease, with [commands] after the required stops. */
+    /**
+     * The encoded response that renews the lease. It carries the required stops, followed by those
+     * of [commands] that do not stop the same task attempts again.
+     */
     fun response(commands: List<WorkerCommand>): ByteArray {
         val hasNoCommands = requiredStops.isEmpty() && commands.isEmpty()
         if (hasNoCommands && cachedResponse != null) return cachedResponse
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -12,27 +12,33 @@
 import wardmux.worker.WorkerHeartbeat
 
 /**
- * Decides for each response to a heartbeat, of a leader or of a forwarder, whether it renews the
- * lease.
+ * Decides for each heartbeat, on the leader and on a forwarder, whether the response renews the
+ * lease of the machine.
  *
- * A response that renews either rests on a recent enough view of the cancellations by which nothing
- * cancelled is on this machine, or carries the stops itself. The heartbeat lists what is on the
- * machine, so the same response stops each task of a cancelled job in it. A task that it does not
- * list may still be started by a command in flight: then the lease has to run out in time.
+ * A response may renew the lease in two cases. Either a recent view of the cancellations shows that
+ * no cancelled task is on the machine, or the response itself stops the cancelled tasks. The
+ * heartbeat lists the tasks on the machine, so the response can stop each one whose job is
+ * cancelled. A cancelled task that the heartbeat does not list may still be started by a command in
+ * flight. In that case the response does not renew the lease, so that the lease runs out before the
+ * deadline of the cancellation.
  */
 class LeaseRenewals(private val context: CoreContext, private val counters: RenewalCounters) {
     private val log = logger<LeaseRenewals>()
 
-    /** The response without commands under [cachedToken], which most heartbeats get. */
+    /** The response without commands under [cachedToken], which answers most heartbeats. */
     private var cachedResponse = ByteArray(0)
     private var cachedToken: FencingToken? = null
 
-    /** Machines whose lease was not renewed last time, so that each change is logged once. */
+    /**
+     * Machines whose last heartbeat did not renew the lease, so that each change is logged once.
+     */
     private val withheldMachines = HashSet<String>()
     private var areCancellationsOutdated = false
     private val checkedHeartbeats = CheckedHeartbeats()
 
-    /** Whether the response to [heartbeat] may renew the lease, by what [cancellations] knows. */
+    /**
+     * Decides whether the response to [heartbeat] may renew the lease, based on [cancellations].
+     */
     fun decide(heartbeat: WorkerHeartbeat, cancellations: CancellationView): RenewalDecision {
         if (context.now >= cancellations.usableUntil) return withholdOutdated(cancellations)
         if (areCancellationsOutdated) logUpToDate(cancellations)
@@ -90,7 +96,7 @@
         if (cachedToken != token) {
             cachedToken = token
             cachedResponse = LeaseRenewal(token, emptyList(), null).response(emptyList())
-            // Another leader: what it withholds is logged anew.
+            // The renewals that another leader withholds are logged again.
             withheldMachines.clear()
             checkedHeartbeats.clear()
         }
--- a/src/main/kotlin/wardmux/lease/RenewalCounters.kt
+++ b/src/main/kotlin/wardmux/lease/RenewalCounters.kt
@@ -17,20 +17,24 @@
     private val withheldUnverified: Counter = metrics.counter("withheld.absence-unverified")
     private var nextLogAt = Micros.LONG_AGO
 
-    /** A response renewed a lease and stopped [stoppedTasks] tasks of cancelled jobs. */
+    /**
+     * Counts a response that renewed a lease and stopped [stoppedTasks] tasks of cancelled jobs.
+     */
     fun countRenewal(stoppedTasks: Int) {
         renewals.inc()
         if (stoppedTasks > 0) stops.inc(stoppedTasks.toLong())
     }
 
-    /** A response did not renew a lease. */
+    /** Counts a response that did not renew a lease because of [reason]. */
     fun countWithheld(reason: WithholdingReason) =
         when (reason) {
             WithholdingReason.CANCELLATIONS_OUTDATED -> withheldOutdated.inc()
             WithholdingReason.ABSENCE_UNVERIFIED -> withheldUnverified.inc()
         }
 
-    /** Logs the counts since the start of the process, once a minute. */
+    /**
+     * Logs the counts since the start of the process once a minute, unless all of them are zero.
+     */
     fun tick() {
         if (context.now < nextLogAt) return
         nextLogAt = context.now + LOG_PERIOD
--- a/src/main/kotlin/wardmux/peers/AcknowledgedCancellations.kt
+++ b/src/main/kotlin/wardmux/peers/AcknowledgedCancellations.kt
@@ -5,8 +5,8 @@
 import wardmux.model.Micros
 
 /**
- * The cancellations that this process acknowledged to users, in their order, for as long as a task
- * of them can be on a machine.
+ * The cancellations that this process acknowledged to users, in the order of acknowledgement. Each
+ * is kept for [retention], as long as a task of the cancelled job can be on a machine.
  */
 internal class AcknowledgedCancellations(
     private val context: CoreContext,
@@ -17,16 +17,21 @@
 
     private val acknowledgements = ArrayDeque<Acknowledgement>()
 
-    /** How many were removed because they are older than [retention]. */
+    /** The number of acknowledgements removed because they were older than [retention]. */
     private var removedCount = 0L
 
-    /** Records that the cancellation of [job] is acknowledged now; once is enough. */
+    /**
+     * Records that the cancellation of [job] is acknowledged now, unless it is recorded already.
+     */
     fun add(job: JobId) {
         if (acknowledgements.none { it.job == job })
             acknowledgements.addLast(Acknowledgement(job, context.now))
     }
 
-    /** What a peer that is at [cursor] does not know yet, from a process that runs for [uptime]. */
+    /**
+     * The acknowledgements that a peer at [cursor] does not know yet. A null cursor means that the
+     * peer knows none. [uptime] is how long this process has run.
+     */
     fun updateAfter(cursor: CancellationCursor?, uptime: Micros): CancellationUpdate {
         val ownCursor = cursor?.takeIf { it.processIncarnation == processIncarnation }
         val firstIndex = maxOf(ownCursor?.count ?: 0, removedCount)
@@ -36,7 +41,7 @@
         return CancellationUpdate(processIncarnation, uptime.value, firstIndex, jobs, hasMore)
     }
 
-    /** Removes those that are too old to matter. */
+    /** Removes the acknowledgements that are older than [retention]. */
     fun removeExpired() {
         while (
             acknowledgements.isNotEmpty() &&
@@ -48,7 +53,7 @@
     }
 
     private companion object {
-        /** In one answer to a heartbeat. */
+        /** The maximum number of jobs in one answer to a peer's heartbeat. */
         const val MAX_REPORTED_JOBS = 500
     }
 }
--- a/src/main/kotlin/wardmux/peers/CancellationMessages.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationMessages.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * How many of the cancellations that the process [processIncarnation] of [member] acknowledged to
- * users are known to the sender.
+ * Tells a peer how much the sender knows: of the cancellations that the process
+ * [processIncarnation] of [member] acknowledged to users, the sender knows the first [count].
  */
 @Serializable
 class CancellationCursor(
@@ -14,15 +14,18 @@
     @SerialName("count") val count: Long,
 )
 
-/** The cancellations that a process acknowledged to users; its answer to a peer's heartbeat. */
+/** The cancellations that a process acknowledged to users, sent in answer to a peer's heartbeat. */
 @Serializable
 class CancellationUpdate(
     @SerialName("boot") val processIncarnation: String,
-    /** How long this process has run, in microseconds: it answers for no former one. */
+    /**
+     * How long the process has run, in microseconds. The update does not cover what former
+     * processes of the same member acknowledged.
+     */
     @SerialName("up") val uptime: Long,
-    /** Which of the cancellations that this process acknowledged is the first of [jobs]. */
+    /** The index of the first of [jobs] among all cancellations that this process acknowledged. */
     @SerialName("from") val firstIndex: Long,
     @SerialName("jobs") val jobs: List<String> = emptyList(),
-    /** There are more than fit into one answer. */
+    /** Whether there are more cancellations than fit into one answer. */
     @SerialName("more") val hasMore: Boolean = false,
 )
--- a/src/main/kotlin/wardmux/peers/CancellationTracker.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationTracker.kt
@@ -11,36 +11,44 @@
 import wardmux.store.IgnoredValue
 import wardmux.store.KeyValueStore
 
-/** Called for every cancellation that becomes known to this process. */
+/** Receives every cancellation that becomes known to this process. */
 fun interface CancellationListener {
-    /** [job] is cancelled, and was not known to be. */
+    /** Called when this process first learns that [job] is cancelled. */
     fun onCancelled(job: JobId)
 }
 
 /**
- * Tracks which cancellations users were told of, by any controller, and up to when this process
- * surely knows all of them ([completeUntil]).
+ * Tracks the cancellations that any controller acknowledged to users, and the time until which this
+ * process knows all of them ([completeUntil]).
  *
- * There are two sources: the key-value store, and the peers, each for what its present process
- * acknowledged. A leader that the store does not answer thus still knows all cancellations, and may
- * go on renewing leases in an outage of the store, in which nobody can cancel anything.
+ * There are two sources: the key-value store, and the peers, each of which reports what its current
+ * process acknowledged. A leader that gets no answer from the store therefore still knows all
+ * cancellations. It may go on renewing leases during an outage of the store, in which nobody can
+ * cancel a job.
  *
- * What a peer reports is as good as what the store shows: it was recorded first. But a process that
- * ended, or can't be reached, may have acknowledged something that no peer knows.
+ * A peer's report is as reliable as the store, because a cancellation is stored before it is
+ * acknowledged. A process that has ended or cannot be reached may, however, have acknowledged
+ * cancellations that no peer knows.
  */
 class CancellationTracker(
     private val context: CoreContext,
     private val store: KeyValueStore,
     processIncarnation: String,
     private val peers: List<String>,
-    /** What was cancelled longer ago can't be on a machine any more. */
+    /** The time after a cancellation from which none of its tasks can be on a machine any more. */
     private val retention: Micros,
     private val listener: CancellationListener,
 ) {
-    /** A user may have been told of it from [acknowledgedSince] on. */
+    /**
+     * A cancellation that this process last observed at [observedAt]. A user may have been told of
+     * it from [acknowledgedSince] on.
+     */
     private class KnownCancellation(val observedAt: Micros, val acknowledgedSince: Micros)
 
-    /** How much of what a peer's present process acknowledged is known, and up to when. */
+    /**
+     * How many of the cancellations that a peer's current process acknowledged are known, and the
+     * time until which these are all. The process started at [startedAt] or earlier.
+     */
     private class PeerProgress(val processIncarnation: String, val startedAt: Micros) {
         var knownCount = 0L
         var completeUntil = Micros.LONG_AGO
@@ -52,12 +60,12 @@
     private val peerProgress = HashMap<String, PeerProgress>()
     private val known = Object2ObjectLinkedOpenHashMap<JobId, KnownCancellation>()
 
-    /** The store has shown all that was recorded before. */
+    /** All cancellations stored before this time have been read from the store. */
     private var storeReadAsOf = Micros.LONG_AGO
     private var nextScanAt = Micros.LONG_AGO
     private var isScanning = false
 
-    /** Counts the cancellations that became known. */
+    /** The number of cancellations that became known so far. */
     var observedCount = 0L
         private set
 
@@ -70,13 +78,14 @@
         observe(job)
     }
 
-    /** Records that [job] was cancelled lately, whichever controller told its user. */
+    /** Records that [job] was cancelled recently, by whichever controller. */
     fun observe(job: JobId) {
-        // All that was acknowledged before that is known, so this was acknowledged later.
+        // All cancellations acknowledged before `completeUntil` are known. A cancellation that was
+        // not known yet was therefore acknowledged later.
         observe(job, since = completeUntil)
     }
 
-    /** Records that [job] is stored as cancelled, perhaps for very long. */
+    /** Records that [job] is stored as cancelled. Its cancellation may be of any age. */
     fun observeStored(job: JobId) = observe(job, since = Micros.LONG_AGO)
 
     private fun observe(job: JobId, since: Micros) {
@@ -99,10 +108,14 @@
         storeReadAsOf = maxOf(storeReadAsOf, asOf)
     }
 
-    /** Every cancellation that any user was told of before then is known. */
+    /** Every cancellation that any user was told of before this time is known. */
     val completeUntil: Micros
         get() = maxOf(storeReadAsOf, peersCompleteUntil() ?: storeReadAsOf)
 
+    /**
+     * The time until which the peers and this process cover all acknowledged cancellations, or null
+     * if a peer has not reported yet or a former process may have acknowledged unknown ones.
+     */
     private fun peersCompleteUntil(): Micros? {
         if (!areAcknowledgementsKnownBefore(startedAt ?: return null)) return null
         var earliest = context.now
@@ -114,25 +127,27 @@
         return earliest
     }
 
-    /** Whether what processes before [start] acknowledged is known, or too old to matter. */
+    /** Whether all cancellations acknowledged before [start] are known or past their retention. */
     private fun areAcknowledgementsKnownBefore(start: Micros) =
         storeReadAsOf >= start || context.now - start > retention
 
-    /** How much of what each peer acknowledged is known here, to be sent to them. */
+    /**
+     * For each peer, how much this process knows of what the peer acknowledged; sent to the peers.
+     */
     fun cursors(): List<CancellationCursor> =
         peerProgress.map { (name, progress) ->
             CancellationCursor(name, progress.processIncarnation, progress.knownCount)
         }
 
-    /** What a peer that is at [cursor] does not know yet of what this process acknowledged. */
+    /** The cancellations acknowledged by this process that a peer at [cursor] does not know yet. */
     fun updateAfter(cursor: CancellationCursor?): CancellationUpdate {
         removeExpired()
         return acknowledged.updateAfter(cursor, context.now - (startedAt ?: context.now))
     }
 
     /**
-     * Takes in the answer of [member] to a heartbeat that was sent at [sentAt]: it holds all that
-     * the peer's process had acknowledged by then.
+     * Applies the answer of [member] to a heartbeat that was sent at [sentAt]. Unless the answer
+     * says that there is more, it completes what the peer's process had acknowledged by then.
      */
     fun applyUpdate(member: String, update: CancellationUpdate, sentAt: Micros) {
         var progress = peerProgress[member]
@@ -147,8 +162,8 @@
     }
 
     /**
-     * Reads the cancelled jobs from the store if this process or another one of a member is new:
-     * what the process before it acknowledged only the store knows.
+     * Reads the cancelled jobs from the store if this process or the process of a peer is new. Only
+     * the store knows what the former process of the same member acknowledged.
      */
     fun tick() {
         val start = startedAt ?: context.now.also { startedAt = it }
@@ -168,7 +183,7 @@
                 observeStored(JobId(item.key.removePrefix(JobRecord.CANCELLED_PREFIX)))
             }
             recordStoreRead(asOf = sentAt)
-            log.debug("{} cancelled jobs are known", known.size)
+            log.debug("read the cancelled jobs from the store, {} are known", known.size)
         }
     }
 
@@ -187,7 +202,10 @@
         private const val RETENTION_FACTOR = 1.1
         private val RETENTION_MARGIN = 5.seconds
 
-        /** How long cancellations are kept: somewhat longer than their tasks may run on. */
+        /**
+         * How long cancellations are kept. [cancelTime] is the time within which the tasks of a
+         * cancelled job have to be gone, and the retention is somewhat longer.
+         */
         fun retention(cancelTime: Micros) = cancelTime * RETENTION_FACTOR + RETENTION_MARGIN
     }
 }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeat.kt
@@ -5,29 +5,29 @@
 import wardmux.model.JobProgress
 import wardmux.serialization.CborFormat
 
-/** What a controller tells each of its peers about once a second. */
+/** The message that a controller sends to each of its peers about once a second. */
 @Serializable
 data class PeerHeartbeat(
     @SerialName("member") val member: String,
-    /** The leader's fencing token; null from all others. */
+    /** The leader's fencing token, or null if the sender does not lead. */
     @SerialName("token") val token: Long? = null,
-    /** How long ago the key-value store last answered the sender, in microseconds. */
+    /** The time since the key-value store last answered the sender, in microseconds. */
     @SerialName("stateSilence") val timeSinceStoreResponse: Long = 0,
-    /** The leader's counts of tasks; empty from all others. */
+    /** The leader's task counts for each job, empty if the sender does not lead. */
     @SerialName("progress") val progress: List<JobProgress> = emptyList(),
-    /** The leader wants its followers to answer workers too. */
+    /** Whether the leader wants its followers to answer worker heartbeats too. */
     @SerialName("wantsRelays") val forwardingEnabled: Boolean = false,
-    /** How many of the cancellations that its peers acknowledged the sender knows. */
+    /** For each peer, how many of the cancellations that it acknowledged the sender knows. */
     @SerialName("heard") val cancellationCursors: List<CancellationCursor> = emptyList(),
 )
 
-/** Peer heartbeats and their answers as bytes. */
+/** Encodes and decodes peer heartbeats and the answers to them. */
 object PeerHeartbeatCodec {
     /** Encodes a heartbeat. */
     fun encode(heartbeat: PeerHeartbeat): ByteArray =
         CborFormat.encode(PeerHeartbeat.serializer(), heartbeat)
 
-    /** Decodes a heartbeat; null if [bytes] hold none. */
+    /** Decodes a heartbeat, or returns null if [bytes] are not a valid one. */
     fun decode(bytes: ByteArray): PeerHeartbeat? =
         CborFormat.decode(PeerHeartbeat.serializer(), bytes)
 
@@ -35,7 +35,7 @@
     fun encode(update: CancellationUpdate): ByteArray =
         CborFormat.encode(CancellationUpdate.serializer(), update)
 
-    /** Decodes the answer to a heartbeat; null if [bytes] hold none. */
+    /** Decodes the answer to a heartbeat, or returns null if [bytes] are not a valid one. */
     fun decodeUpdate(bytes: ByteArray): CancellationUpdate? =
         CborFormat.decode(CancellationUpdate.serializer(), bytes)
 }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -11,8 +11,9 @@
 import wardmux.model.seconds
 
 /**
- * Sends and receives heartbeats between controllers: each tells its peers that it is alive and
- * whether the key-value store answers it; the leader also its token and the progress of jobs.
+ * Sends and receives heartbeats between controllers. A heartbeat tells the peers that its sender is
+ * alive and when the key-value store last answered it. The leader's heartbeats also carry its
+ * fencing token and the progress of jobs.
  */
 class PeerHeartbeats(
     private val context: CoreContext,
@@ -35,10 +36,12 @@
     /** Whether [member] is one of the peers in the settings. */
     fun isPeer(member: String) = member in peers
 
-    /** The leader's counts for [job], or null if they are not known or too old. */
+    /** The leader's task counts for [job], or null if they are not known or too old. */
     fun progressOf(job: String): JobProgress? = if (isRecent(progressAt)) progress[job] else null
 
-    /** Takes in a peer's heartbeat; the answer holds the cancellations that it does not know. */
+    /**
+     * Records a peer's heartbeat. The answer holds the cancellations that the peer does not know.
+     */
     fun receive(heartbeat: PeerHeartbeat): CancellationUpdate {
         record(heartbeat)
         val cursor = heartbeat.cancellationCursors.find { it.member == member }
@@ -49,7 +52,7 @@
         val status = PeerStatus(context.now, Micros(heartbeat.timeSinceStoreResponse))
         statusByPeer[heartbeat.member] = status
         val token = FencingToken(heartbeat.token ?: return)
-        // A late heartbeat of a former leader.
+        // This is a delayed heartbeat of a former leader.
         if (token < progressToken) return
         progressToken = token
         progress = heartbeat.progress.associateBy { it.job }
@@ -57,17 +60,18 @@
         forwardingEnabledByLeader = heartbeat.forwardingEnabled
     }
 
-    /** Whether the leader of token [leader] has lately said that followers answer workers too. */
+    /** Whether the leader with token [leader] recently asked followers to answer workers too. */
     fun isForwardingEnabledBy(leader: FencingToken) =
         forwardingEnabledByLeader && progressToken == leader && isRecent(progressAt)
 
-    /** Whether a heartbeat of any peer came lately. */
+    /** Whether a heartbeat from any peer arrived recently. */
     fun isAnyPeerAlive() = statusByPeer.values.any { isRecent(it.lastHeartbeatAt) }
 
     /**
-     * For a controller that the key-value store does not answer: whether it alone is cut off. So it
-     * is if the store answers a peer (the leader sends it more than one request in two seconds), or
-     * if no peer is alive either.
+     * Tells a controller that gets no answer from the key-value store whether the fault is its own
+     * connection rather than an outage of the store. This is assumed if the store answers a peer,
+     * or if no peer is alive either. A store in service answers at least one peer often enough,
+     * because the leader sends it more than one request in two seconds.
      */
     fun isIsolatedFromStore(): Boolean {
         if (peers.isEmpty()) return false
@@ -77,7 +81,9 @@
 
     private fun isRecent(time: Micros) = context.now - time < MAX_HEARTBEAT_AGE
 
-    /** Sends a heartbeat to each peer once a second, one at a time to each. */
+    /**
+     * Sends a heartbeat once a second to each peer that has answered the previous one or timed out.
+     */
     fun tick(
         token: FencingToken?,
         forwardingEnabled: Boolean,
@@ -111,7 +117,7 @@
     }
 
     companion object {
-        /** Where heartbeats are sent to. */
+        /** The path of the request that carries a heartbeat. */
         const val PATH = "/beat"
         private val HEARTBEAT_PERIOD = 1.seconds
         private val MAX_HEARTBEAT_AGE = 3.seconds
