--- a/src/main/kotlin/wardmux/election/LeaderElection.kt
+++ b/src/main/kotlin/wardmux/election/LeaderElection.kt
@@ -53,7 +53,10 @@
     /** The time when a follower's knowledge of the leader was last confirmed. */
     private var leaderConfirmedAt = Micros.LONG_AGO
 
-    /** When to read the key again, or null while a request or a watch is pending or this leads. */
+    /**
+     * When to read the key again. Null while a request or a watch is pending, and while this
+     * controller leads.
+     */
     private var nextReadAt: Micros? = Micros.LONG_AGO
 
     /** Whether this controller leads and its lease cannot have expired yet. */
--- a/src/main/kotlin/wardmux/election/LeaderLease.kt
+++ b/src/main/kotlin/wardmux/election/LeaderLease.kt
@@ -87,7 +87,7 @@
     }
 
     private companion object {
-        /** The share of its duration after which a lease is renewed. */
+        /** The share of its duration after which the lease is renewed. */
         const val RENEWAL_SHARE_OF_DURATION = 0.3
         /** The time before its possible expiry from which the lease no longer counts as valid. */
         val LEASE_EXPIRY_MARGIN = 100.milliseconds
--- a/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
+++ b/src/main/kotlin/wardmux/leader/OpenJobWatcher.kt
@@ -32,7 +32,7 @@
     private var nextWatchAt: Micros? = null
     private var nextRevision = Revision.ZERO
 
-    /** Starts to watch for changes after [revision] at the next tick. */
+    /** Watches for changes from [revision] on, starting at the next tick. */
     fun start(revision: Revision) {
         nextRevision = revision
         nextWatchAt = context.now
--- a/src/main/kotlin/wardmux/leader/ResignationCheck.kt
+++ b/src/main/kotlin/wardmux/leader/ResignationCheck.kt
@@ -21,8 +21,8 @@
     private val peerHeartbeats = services.peerHeartbeats
 
     /**
-     * The next check. The first one waits for one leader lease, so that workers can find the
-     * leader.
+     * The time of the next check. The first check waits for the duration of one leader lease, so
+     * that workers have the time to find this leader.
      */
     private var nextCheckAt = context.now + services.operators.leaderLeaseS.seconds
 
--- a/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateLoader.kt
@@ -48,8 +48,8 @@
     private fun load() {
         nextLoadAt = null
         val sentAt = context.now
-        // Remove also the jobs that a former load added. Otherwise a job that was cancelled since
-        // then would stay open, and its tasks would go on running.
+        // This also removes the jobs that a failed earlier load added. Otherwise a job that was
+        // cancelled since then would stay open, and its tasks would go on running.
         cluster.removeAllJobs()
         reader.read { result ->
             when (result) {
@@ -93,8 +93,7 @@
         // The job was cancelled after the open jobs were read. The watch of these will report it.
         if (id in cluster.jobs) return
         // The time of the cancellation is not stored. If this process does not know it, the
-        // earliest
-        // possible time is assumed.
+        // earliest possible time is assumed.
         components.jobs.add(item.data ?: return, item.version)?.let {
             cluster.cancel(it, cancellations.acknowledgedSince(id))
         }
--- a/src/main/kotlin/wardmux/leader/StoredStateReader.kt
+++ b/src/main/kotlin/wardmux/leader/StoredStateReader.kt
@@ -46,8 +46,8 @@
     private var current: Reading? = null
 
     /**
-     * Starts a reading and abandons the one before. [onResult] gets its result, and is not called
-     * at all for a reading that was abandoned.
+     * Starts a reading and abandons the previous one. [onResult] gets the result, but is not called
+     * for a reading that was abandoned.
      */
     fun read(onResult: (StoredStateResult) -> Unit) {
         val reading = Reading(onResult)
--- a/src/main/kotlin/wardmux/peers/CancellationTracker.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationTracker.kt
@@ -55,6 +55,7 @@
     }
 
     private val log = logger<CancellationTracker>()
+    /** The time of the first tick, or null before it. */
     private var startedAt: Micros? = null
     private val acknowledged = AcknowledgedCancellations(context, processIncarnation, retention)
     private val peerProgress = HashMap<String, PeerProgress>()
@@ -103,7 +104,7 @@
     /** All jobs that are known to be cancelled. */
     fun all(): Set<JobId> = known.keys
 
-    /** Records that the store has shown all cancellations recorded before [time]. */
+    /** Records that the store has shown all cancellations stored before [asOf]. */
     fun recordStoreRead(asOf: Micros) {
         storeReadAsOf = maxOf(storeReadAsOf, asOf)
     }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -70,8 +70,8 @@
     /**
      * Tells a controller that gets no answer from the key-value store whether the fault is its own
      * connection rather than an outage of the store. This is assumed if the store answers a peer,
-     * or if no peer is alive either. A store in service answers at least one peer often enough,
-     * because the leader sends it more than one request in two seconds.
+     * or if no peer is alive either. A store that works has answered at least the leader in the
+     * last two seconds, because the leader sends it more than one request in that time.
      */
     fun isIsolatedFromStore(): Boolean {
         if (peers.isEmpty()) return false
--- a/src/test/kotlin/wardmux/leader/FailoverTest.kt
+++ b/src/test/kotlin/wardmux/leader/FailoverTest.kt
@@ -17,12 +17,17 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** How a new leader treats what is stored; each test reproduces a fault that once occurred. */
+/**
+ * Guards against a new leader that misreads the stored state after a failover. Each test reproduces
+ * a fault that has occurred, such as lost cancellations or tasks started twice.
+ */
 class FailoverTest {
     private val harness = ControllerHarness()
 
+    /** A job of [tasks] tasks, all in one zone if [oneZone] is set. */
     private fun arrayJob(tasks: Int, oneZone: Boolean = false) = plainJob(tasks, oneZone = oneZone)
 
+    /** Stores that the first task of the job is placed on [machine] in [zone]. */
     private fun storePlacement(machine: String, zone: String) =
         harness.write(
             "t/job-000001/0",
@@ -31,6 +36,7 @@
             ),
         )
 
+    /** The tick of the next heartbeat, shared by all machines of a test. */
     private var nextTick = 0
 
     private fun handleHeartbeat(
@@ -43,7 +49,7 @@
             .also { it.tick = nextTick++ }
             .handleHeartbeat(token, tasks)
 
-    /** With time for direct commands to go out after each. */
+    /** Sends [times] heartbeats, with time after each for direct commands to be sent. */
     private fun handleHeartbeats(times: Int, machine: String, zone: String, token: Long) =
         repeat(times) {
             handleHeartbeat(machine, zone, token)
@@ -58,7 +64,8 @@
         val job = arrayJob(1)
         harness.accept(job)
         storePlacement("i-000001", "a")
-        // The first load fails after it has read the job as accepted: at the cancelled jobs.
+        // The first load fails when it reads the cancelled jobs. By then it has read the job as
+        // accepted.
         var refused = false
         harness.refuse = { path ->
             val first = path.startsWith("/keys?under=c/") && !refused
@@ -87,7 +94,7 @@
             """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001","i-000002"],""" +
                 """"n":[1,0,1,0,1,0,1,0,1,1,1,0]}"""
         harness.write("t/job-000001/0", Json.parseToJsonElement(page))
-        // It has read the job as open, and waits for the task pages.
+        // The new leader has read the job as open and waits for the task pages.
         harness.refuse = { path ->
             if (path.startsWith("/keys?under=t/")) harness.hold = true
             false
@@ -105,7 +112,7 @@
             else null
         }
         harness.run(1.2.seconds)
-        assertTrue(reported > 0, "the peer was not asked")
+        assertTrue(reported > 0, "expected the controller to send a heartbeat to the peer")
         harness.release()
         harness.run(3.seconds)
         val machine = ManualWorker(harness, "i-000001")
@@ -117,7 +124,7 @@
     }
 
     @Test
-    fun `task pages of completed jobs are read without a request for each, and removed`() {
+    fun `task pages of completed jobs are read without one request each, and are removed`() {
         val page = Json.parseToJsonElement("""{"d":[0,0]}""")
         repeat(300) { harness.write("t/job-%06d/0".format(it + 10), page) }
         val job = arrayJob(1)
@@ -132,25 +139,28 @@
     }
 
     @Test
-    fun `a job bound to one zone stays there though its machine has sent no heartbeat yet`() {
+    fun `a job bound to one zone stays in it before its machine has sent a heartbeat`() {
         harness.accept(arrayJob(2, oneZone = true))
         storePlacement("i-000009", "b")
         harness.run(2.seconds)
         val token = leaderToken()
         handleHeartbeats(6, "i-000001", "a", token)
-        assertFalse(harness.direct.any { "job-000001/1" in it }, "started in the other zone")
+        assertFalse(
+            harness.direct.any { "job-000001/1" in it },
+            "expected no start in zone a: ${harness.direct}",
+        )
         handleHeartbeats(4, "i-000002", "b", token)
         val last = handleHeartbeat("i-000002", "b", token)
         assertContains(harness.direct.joinToString() + last, "job-000001/1")
     }
 
     @Test
-    fun `a stored placement that its machine lacks is not started again but placed anew`() {
+    fun `a stored task that its machine does not list is started only as a new attempt`() {
         harness.accept(arrayJob(1))
         storePlacement("i-000001", "a")
         harness.run(2.seconds)
         val token = leaderToken()
-        // Its capacity and quota may have gone to others after the record was written.
+        // Other tasks may have taken its capacity and quota after the record was written.
         val answers =
             List(4) { handleHeartbeat("i-000001", "a", token).also { harness.run(0.5.seconds) } }
         val sent = answers.joinToString() + harness.direct.joinToString()
@@ -178,14 +188,17 @@
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
         handleHeartbeat("i-000001", "a", token - 1, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
-        assertFalse(harness.direct.any { "job-000001/0" in it }, "it may be a copy")
+        assertFalse(
+            harness.direct.any { "job-000001/0" in it },
+            "expected no start, because the heartbeat may be an old copy",
+        )
         handleHeartbeat("i-000001", "a", token, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
         assertContains(harness.direct.joinToString(), """"job-000001/0","try":2""")
     }
 
     @Test
-    fun `a late heartbeat gets no commands and verifies nothing`() {
+    fun `a heartbeat that arrives late gets no commands and verifies no absence`() {
         harness.accept(arrayJob(1))
         storePlacement("i-000001", "a")
         harness.run(2.seconds)
--- a/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
@@ -16,7 +16,11 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** A leader that can't reach the key-value store or its workers, or whose process was replaced. */
+/**
+ * Guards against a leader that keeps acting although it cannot reach the key-value store or its
+ * workers, or although its process was replaced. Such a leader could start tasks that a newer
+ * leader also starts, or delete machines that are healthy.
+ */
 class IsolatedLeaderTest {
     private val harness = ControllerHarness()
     private val machine = ManualWorker(harness, "i-000001")
@@ -32,7 +36,7 @@
         assertEquals(1, statuses.count { it == 421 }, "$statuses")
         assertEquals(200, statuses.last())
         assertTrue(harness.direct.none { "start" in it })
-        // After an outage the worker returns and is renewed.
+        // After the outage the worker returns and its lease is renewed.
         harness.refuse = { false }
         harness.run(5.seconds)
         assertEquals(200, machine.report(token)?.first)
@@ -48,14 +52,14 @@
         assertNotEquals(200, machine.report(token)?.first)
     }
 
-    /** A leader with a peer and [count] machines, the first of which has asked for its token. */
+    /** A leader with a peer and [count] machines. The first of these has asked for its token. */
     private class LeaderWithPeer(count: Int, idPrefix: String) {
         val harness = ControllerHarness(peers = listOf("n1")).also { it.run(2.seconds) }
         val machines = List(count) { ManualWorker(harness, "$idPrefix$it") }
         val token = machines.first().token()
         private val peerHeartbeat = PeerHeartbeatCodec.encode(PeerHeartbeat("n1"))
 
-        /** Seconds in which [senders] send heartbeats, and the peer does if [includePeer]. */
+        /** Lets [senders] and, if [includePeer], the peer send a heartbeat in each of [seconds]. */
         fun sendHeartbeatsFor(seconds: Int, senders: List<ManualWorker>, includePeer: Boolean) =
             repeat(seconds) {
                 for (machine in senders) machine.report(token)
@@ -65,12 +69,15 @@
     }
 
     @Test
-    fun `a leader that most machines send no heartbeats resigns for a peer to lead`() {
+    fun `a leader that gets no heartbeats from most machines resigns for a peer to lead`() {
         val leader = LeaderWithPeer(6, "i-00000")
         leader.sendHeartbeatsFor(4, leader.machines, includePeer = true)
         leader.sendHeartbeatsFor(10, leader.machines.take(4), includePeer = true)
         val record = leader.harness.stored("leader")
-        assertTrue(record != null, "resigned for two silent machines of six")
+        assertTrue(
+            record != null,
+            "expected no resignation when two of six machines send no heartbeats",
+        )
         leader.sendHeartbeatsFor(8, leader.machines.take(1), includePeer = true)
         assertEquals(null, leader.harness.stored("leader"))
     }
@@ -83,15 +90,15 @@
         assertEquals(null, leader.harness.stored("leader"))
         assertTrue(
             leader.harness.cloud.none { "delete" in it },
-            "machines deleted: the leader is cut off",
+            "expected no machine to be deleted, because the leader is cut off: ${leader.harness.cloud}",
         )
     }
 
     @Test
-    fun `a leader does not resign in an outage, in which nobody could take its lease`() {
+    fun `a leader does not resign in an outage, when no controller could take its lease`() {
         val leader = LeaderWithPeer(11, "i-0000")
         leader.sendHeartbeatsFor(5, leader.machines, includePeer = false)
-        // No heartbeat for long enough that it would resign, had the outage not begun.
+        // Heartbeats are missing for long enough that the leader would resign without the outage.
         leader.harness.run(3.seconds)
         leader.harness.outage()
         leader.sendHeartbeatsFor(4, emptyList(), includePeer = true)
@@ -100,7 +107,7 @@
     }
 
     @Test
-    fun `a former process's lease is not taken for its own, and an unknown peer is refused`() {
+    fun `a leader does not adopt the lease of a former process, and an unknown peer is refused`() {
         harness.writeLeased(
             "leader",
             Json.parseToJsonElement("""{"member":"n0","boot":"former"}"""),
@@ -127,6 +134,9 @@
         val token = machine.token()
         machine.handleHeartbeat(token)
         harness.run(2.seconds)
-        assertTrue(harness.direct.any { "job-000001/0" in it }, "nothing was started")
+        assertTrue(
+            harness.direct.any { "job-000001/0" in it },
+            "expected a start of job-000001/0, saw ${harness.direct}",
+        )
     }
 }
--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -19,7 +19,11 @@
 import wardmux.sim.ManualWorker
 import wardmux.worker.WorkerCommand
 
-/** Which leases a forwarder renews whose leader, played here, names tasks that it has to stop. */
+/**
+ * Guards against a forwarder that renews the lease of a machine on which a cancelled task may run
+ * on. The leader names such tasks in its responses to the forwarder. The test takes the place of
+ * this leader.
+ */
 class ForwarderRenewalTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
@@ -70,34 +74,34 @@
         batches.flatMap { batch -> batch.fullHeartbeats.map { it.body.decodeToString() } }
 
     @Test
-    fun `a machine that lists the task is renewed with its stop, and keeps all others`() {
+    fun `a machine that lists the cancelled task is renewed with its stop and keeps other tasks`() {
         startForwarding()
         val answer = machine.handleHeartbeat(0, "$runningTask,$uncancelledTask")
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, stopCommand)
         assertFalse("job-000002" in answer)
-        // Again until it is gone: the response may have been lost.
+        // The stop is repeated until the task is gone, because the response may have been lost.
         assertContains(machine.handleHeartbeat(token, "$runningTask,$uncancelledTask"), stopCommand)
         assertFalse("halt" in machine.handleHeartbeat(token, "$endedTask,$uncancelledTask"))
     }
 
     @Test
-    fun `one that does not list it is not renewed, and the leader is told at once`() {
+    fun `a machine not listing the cancelled task is not renewed, and the leader learns it at once`() {
         startForwarding()
         assertContains(machine.handleHeartbeat(3, uncancelledTask), "\"baton\":0")
         harness.run(1.seconds)
         assertTrue(
             forwardedHeartbeats().any { "\"baton\":3" in it },
-            "the leader was not told: ${forwardedHeartbeats()}",
+            "expected a heartbeat with token 3 to be forwarded, saw ${forwardedHeartbeats()}",
         )
-        // The leader has verified that the task is not there.
+        // The leader has verified that the task is not on the machine.
         tasksToStop = emptyList()
         harness.run(1.1.seconds)
         assertContains(machine.handleHeartbeat(token, uncancelledTask), "\"baton\":$token")
     }
 
     @Test
-    fun `a task that ended there needs no stop, as a start of it has no effect`() {
+    fun `a cancelled task that is listed as ended needs no stop, as starting it has no effect`() {
         startForwarding()
         val answer = machine.handleHeartbeat(token, endedTask)
         assertContains(answer, "\"baton\":$token")
@@ -105,7 +109,7 @@
     }
 
     @Test
-    fun `what the leader knows to be cancelled is stopped before it has to be`() {
+    fun `tasks of jobs that the leader reports as cancelled are stopped before the deadline`() {
         tasksToStop = emptyList()
         cancelledJobs = listOf("job-000001")
         startForwarding()
@@ -115,7 +119,7 @@
     }
 
     @Test
-    fun `a cancellation that becomes known stops what an unchanged heartbeat goes on listing`() {
+    fun `a new cancellation stops a task that an unchanged heartbeat still lists`() {
         tasksToStop = emptyList()
         startForwarding()
         machine.handleHeartbeat(token, runningTask)
@@ -123,12 +127,12 @@
         cancelledJobs = listOf("job-000001")
         harness.run(1.1.seconds)
         assertContains(machine.handleHeartbeat(token, runningTask), stopCommand)
-        // Again: the response may have been lost.
+        // The stop is repeated, because the response may have been lost.
         assertContains(machine.handleHeartbeat(token, runningTask), stopCommand)
     }
 
     @Test
-    fun `an undelivered command of the leader is not repeated beside the stop`() {
+    fun `an undelivered stop of the leader is not sent in addition to the required stop`() {
         startForwarding()
         machine.handleHeartbeat(token, runningTask)
         undelivered =
@@ -145,20 +149,20 @@
     }
 
     @Test
-    fun `a machine that is refused for the task alone is still answered`() {
+    fun `a machine that is rejected only because of the cancelled task is still answered`() {
         startForwarding()
         machine.handleHeartbeat(token, uncancelledTask)
         rejectedMachines = listOf("i-000001")
         harness.run(1.1.seconds)
         assertEquals(200, machine.report(token, uncancelledTask)?.first)
-        // Once decommissioned it is not named any more.
+        // The leader no longer names the tasks of a decommissioned machine, which is rejected.
         tasksToStop = emptyList()
         harness.run(1.1.seconds)
         assertEquals(503, machine.report(token, uncancelledTask)?.first)
     }
 
     @Test
-    fun `with a leader of an earlier version it stops what it knows itself`() {
+    fun `with a leader of an earlier version the forwarder relies on its own cancellations`() {
         tasksToStop = null
         startForwarding()
         assertContains(machine.handleHeartbeat(token, uncancelledTask), "\"baton\":$token")
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -26,7 +26,9 @@
 import wardmux.sim.plainJob
 
 /**
- * What a leader that finds a cancelled job's task in the records lets renew its machine's lease.
+ * Guards against a leader that renews the lease of a machine on which a task of a cancelled job may
+ * run on. In most tests the leader finds the task in the stored state after a failover, so it does
+ * not know when the job was cancelled or whether the task is on its machine.
  */
 class LeaderRenewalTest {
     private val harness = ControllerHarness(peers = listOf("n1"), forwardingSettings())
@@ -37,7 +39,8 @@
     private val stopCommand = """{"verb":"halt","piece":"job-000001/0","try":1,"letgo_s":0.0}"""
 
     /**
-     * A leader whose predecessor placed the task; when the user was told is not known. Its token.
+     * Starts a leader whose predecessor placed the task of the cancelled job, and returns the token
+     * of the new leader. The time when the user was told of the cancellation is not known.
      */
     private fun startAfterFailover(): Long {
         val cancelled = JobRecord(JobState.CANCELLED, 0, job).toJson()
@@ -88,7 +91,7 @@
     }
 
     @Test
-    fun `so does the response to a heartbeat that was overtaken, or is a copy`() {
+    fun `the response to a heartbeat that arrives late or twice carries the stop`() {
         val token = startAfterFailover()
         machine.report(token - 1, runningTask, at = 9)
         val answer = machine.report(token - 1, runningTask, at = 8)
@@ -100,7 +103,7 @@
         val token = startAfterFailover()
         harness.direct.clear()
         assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
-        // An earlier leader's start may still be in flight: the stop makes it void.
+        // A start sent by an earlier leader may still be in flight. The stop makes it ineffective.
         harness.run(0.5.seconds)
         assertEquals(1, harness.direct.count { stopCommand in it && "\"baton\":$token" in it })
         assertContains(machine.handleHeartbeat(token), "\"baton\":$token")
@@ -114,11 +117,14 @@
             assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
             harness.run(1.5.seconds)
         }
-        assertTrue(harness.direct.count { stopCommand in it } >= 3, "sent once")
+        assertTrue(
+            harness.direct.count { stopCommand in it } >= 3,
+            "expected at least 3 stops: ${harness.direct}",
+        )
     }
 
     @Test
-    fun `a start that went unanswered before the cancellation ends the lease in time`() {
+    fun `an unanswered start of a task that is then cancelled lets the lease expire in time`() {
         setPeerCancellations()
         harness.accept(job)
         harness.run(2.seconds)
@@ -129,18 +135,19 @@
         assertEquals(1, harness.direct.count { "\"start\"" in it })
         setPeerCancellations(job.id)
         harness.run(1.1.seconds)
-        // Of 36 s a lease of 16 s, a forwarder's grant of 5.3 s and a margin are taken off.
+        // The leader stops renewing 36 s after the cancellation, less the lease of 16 s, the
+        // forwarder's grant of 5.3 s and a margin.
         val renewed =
             List(20) {
                 harness.run(1.seconds)
                 "\"baton\":$token" in machine.report(token)?.second.orEmpty()
             }
-        assertTrue(renewed.take(4).all { it }, "withheld at once: $renewed")
-        assertFalse(renewed.drop(14).any { it }, "renewed for too long: $renewed")
+        assertTrue(renewed.take(4).all { it }, "expected renewals in the first 4 s, saw $renewed")
+        assertFalse(renewed.drop(14).any { it }, "expected no renewals after 14 s, saw $renewed")
     }
 
     @Test
-    fun `forwarders are told of the task until its absence is verified, and of its job`() {
+    fun `forwarders receive the cancelled job, and the task until its absence is verified`() {
         val token = startAfterFailover()
         assertEquals(listOf(cancelledTask), tasksToStop(sendBatch(token)))
         assertEquals(listOf(job.id), sendBatch(token).cancelledJobs)
@@ -153,7 +160,7 @@
     }
 
     @Test
-    fun `a forwarder of an earlier version is to refuse a machine that does not list it`() {
+    fun `a forwarder of an earlier version has to reject a machine that does not list the task`() {
         val token = startAfterFailover()
         assertEquals(
             listOf("i-000001"),
@@ -166,7 +173,7 @@
     }
 
     @Test
-    fun `a cancellation that it observed itself counts from when it last knew of none`() {
+    fun `a cancellation reported by a peer counts from when the leader last knew all of them`() {
         setPeerCancellations()
         harness.accept(job)
         harness.run(2.seconds)
@@ -176,19 +183,26 @@
         machine.handleHeartbeat(token, runningTask)
         setPeerCancellations(job.id)
         harness.run(1.1.seconds)
-        assertEquals(emptyList(), tasksToStop(sendBatch(token)), "stopped without haste")
+        assertEquals(
+            emptyList(),
+            tasksToStop(sendBatch(token)),
+            "expected no task to be urgent yet",
+        )
         harness.run(12.seconds)
         assertEquals(listOf(cancelledTask), tasksToStop(sendBatch(token)))
     }
 
     @Test
-    fun `what does not fit into the key-value store stops all renewals`() {
+    fun `a response that omits the tasks to stop because of its size allows no renewals`() {
         val token = startAfterFailover()
         val answer = sendBatch(token)
         assertTrue(answer.renewalAllowed)
         assertFalse(answer.withoutCommands().renewalAllowed)
         assertEquals(emptyList(), answer.withoutCommands().mustHalt)
         sendBatch(token, fullHeartbeat(token, 6, ""))
-        assertTrue(sendBatch(token).withoutCommands().renewalAllowed, "nothing is left out")
+        assertTrue(
+            sendBatch(token).withoutCommands().renewalAllowed,
+            "expected renewals, because there is no task to stop",
+        )
     }
 }
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -16,7 +16,11 @@
 import wardmux.sim.plainJob
 import wardmux.store.KeyValueStore
 
-/** Who knows which cancellations users were told of, and what a leader does that may not know. */
+/**
+ * Guards against a leader that goes on renewing leases although it may not know a cancellation that
+ * a user was told of, for example in an outage of the key-value store. Such a leader would keep the
+ * tasks of the cancelled job running.
+ */
 class CancellationTrackerTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
@@ -48,7 +52,10 @@
         return token
     }
 
-    /** Renewed in each of so many seconds: an answer under no token renews nothing. */
+    /**
+     * For each of [seconds] seconds, whether a heartbeat in it renewed the lease. A response
+     * without the leader's token renews nothing.
+     */
     private fun renewedEachSecond(token: Long, seconds: Int): List<Boolean> =
         List(seconds) {
             harness.run(1.seconds)
@@ -64,38 +71,39 @@
         val renewed = renewedEachSecond(token, 60)
         assertTrue(
             renewed.count { !it } <= 8,
-            "redirected once in half a lease, else renewed: $renewed",
+            "expected at most one redirect in half a lease, else renewals: $renewed",
         )
         assertTrue(peerHeartbeatCount > 40)
     }
 
     @Test
-    fun `one that they do not answer stops in time, counted from its last heartbeat`() {
+    fun `a leader that no peer answers stops renewing in time after the last answer`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
         harness.peer = { _, _ -> null }
-        // Cancelled 36 s before, all must be gone: minus a lease of 16 s and a forwarder's grant.
+        // All tasks have to be gone 36 s after a cancellation. Renewals have to stop earlier by a
+        // lease of 16 s and a forwarder's grant.
         val renewed = renewedEachSecond(token, 40)
-        assertTrue(renewed.take(8).any { it }, "$renewed")
-        assertFalse(renewed.drop(15).any { it }, "$renewed")
+        assertTrue(renewed.take(8).any { it }, "expected renewals in the first 8 s: $renewed")
+        assertFalse(renewed.drop(15).any { it }, "expected no renewals after 15 s: $renewed")
     }
 
     @Test
-    fun `one whose peer was replaced by a process that knows nothing of the last stops too`() {
+    fun `a leader whose peer restarted without its acknowledgements stops renewing too`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
         setPeerAcknowledgements(incarnation = "c", uptimeS = 0)
         assertFalse(renewedEachSecond(token, 40).drop(15).any { it })
-        // The store shows what the process before has acknowledged.
+        // The store contains the cancellations that the former process acknowledged.
         harness.outageOver()
         harness.run(3.seconds)
         assertTrue(renewedEachSecond(token, 3).any { it })
     }
 
     @Test
-    fun `a cancellation that a peer acknowledged is enforced in an outage of the store`() {
+    fun `a cancellation that a peer acknowledged stops the task in an outage of the store`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
@@ -131,11 +139,12 @@
             1,
             sendHeartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
         )
-        // Of no use to anybody any more.
+        // The retention has passed, so no peer needs the cancellation any more.
         harness.run(60.seconds)
         assertEquals(emptyList(), sendHeartbeat(emptyList()).jobs)
     }
 
+    /** A tracker with one peer, whose clock and peer updates the test sets. */
     private class TrackerHarness {
         val context = CoreContext().also { it.setTime(100.seconds, 100.seconds) }
         private val store = KeyValueStore(context, StoreLimits(900.0, 900.0, 8.0, 8), 2)
@@ -159,7 +168,7 @@
     }
 
     @Test
-    fun `a cancellation counts from when it was last known that there was none`() =
+    fun `a cancellation counts from when all earlier cancellations were last known`() =
         TrackerHarness().run {
             cancellations.recordStoreRead(asOf = 90.seconds)
             setTime(120)
@@ -167,14 +176,14 @@
             assertEquals(90.seconds, acknowledgedSince())
             cancellations.recordStoreRead(asOf = 119.seconds)
             setTime(130)
-            // Observed once more, and read from the store: no later for that.
+            // Observing the cancellation again or reading it from the store changes no time.
             observe()
             observeStored()
             assertEquals(90.seconds, acknowledgedSince())
         }
 
     @Test
-    fun `one that is read from what is stored counts from as long ago as can be`() =
+    fun `a cancellation that is read from the store counts from the earliest possible time`() =
         TrackerHarness().run {
             cancellations.recordStoreRead(asOf = 119.seconds)
             setTime(120)
@@ -183,9 +192,9 @@
         }
 
     @Test
-    fun `one that a peer reports counts from when all peers had last answered`() =
+    fun `a cancellation that a peer reports counts from when all peers had last answered`() =
         TrackerHarness().run {
-            // Nothing is known of what former processes acknowledged.
+            // What former processes acknowledged is not known.
             cancellations.recordStoreRead(asOf = 100.seconds)
             cancellations.tick()
             setTime(101)
