--- a/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
+++ b/src/main/kotlin/wardmux/lease/CancellationDeadline.kt
@@ -14,8 +14,8 @@
     /**
      * The period after a user may have been told of a cancellation in which a lease may still be
      * renewed without stopping the tasks of the cancelled job. The tasks have to be gone
-     * [WorkerTiming.cancelS] after the cancellation. Until then a forwarder may go on renewing
-     * leases until its grant ends, and the last renewed lease has to run out.
+     * [WorkerTiming.cancelS] after the cancellation. Before that deadline, a forwarder may still
+     * renew leases until its grant ends, and the last renewed lease then has to run out.
      */
     val renewablePeriod: Micros =
         maxOf(
--- a/src/main/kotlin/wardmux/peers/AcknowledgedCancellations.kt
+++ b/src/main/kotlin/wardmux/peers/AcknowledgedCancellations.kt
@@ -29,8 +29,9 @@
     }
 
     /**
-     * The acknowledgements that a peer at [cursor] does not know yet. A null cursor means that the
-     * peer knows none. [uptime] is how long this process has run.
+     * The acknowledgements that a peer at [cursor] does not know yet. If the cursor is null or
+     * counts those of a former process, the peer knows none. [uptime] is how long this process has
+     * run.
      */
     fun updateAfter(cursor: CancellationCursor?, uptime: Micros): CancellationUpdate {
         val ownCursor = cursor?.takeIf { it.processIncarnation == processIncarnation }
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -17,10 +17,12 @@
  */
 class PeerHeartbeats(
     private val context: CoreContext,
+    /** The name of this controller. */
     private val member: String,
     private val peers: List<String>,
     private val cancellations: CancellationTracker,
 ) {
+    /** What the last heartbeat of a peer reported, and when it arrived. */
     private class PeerStatus(val lastHeartbeatAt: Micros, val timeSinceStoreResponse: Micros)
 
     private var nextHeartbeatAt = Micros.ZERO
@@ -120,6 +122,7 @@
         /** The path of the request that carries a heartbeat. */
         const val PATH = "/beat"
         private val HEARTBEAT_PERIOD = 1.seconds
+        /** The age from which a heartbeat no longer counts as recent. */
         private val MAX_HEARTBEAT_AGE = 3.seconds
         private val MAX_STORE_RESPONSE_AGE = 2.seconds
         private val HEARTBEAT_TIMEOUT = 900.milliseconds
--- a/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/wardmux/leader/IsolatedLeaderTest.kt
@@ -33,7 +33,7 @@
         harness.refuse = { true }
         harness.accept(plainJob(1))
         val statuses = List(14) { machine.report(token)?.first.also { harness.run(1.seconds) } }
-        assertEquals(1, statuses.count { it == 421 }, "$statuses")
+        assertEquals(1, statuses.count { it == 421 }, "expected one redirect, saw $statuses")
         assertEquals(200, statuses.last())
         assertTrue(harness.direct.none { "start" in it })
         // After the outage the worker returns and its lease is renewed.
@@ -90,7 +90,7 @@
         assertEquals(null, leader.harness.stored("leader"))
         assertTrue(
             leader.harness.cloud.none { "delete" in it },
-            "expected no machine to be deleted, because the leader is cut off: ${leader.harness.cloud}",
+            "expected no deletion, because the leader is cut off: ${leader.harness.cloud}",
         )
     }
 
--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -41,6 +41,7 @@
     private var undelivered = emptyList<UndeliveredCommands>()
     private var rejectedMachines = emptyList<String>()
 
+    /** The leader's response to [batch], from the properties that each test sets. */
     private fun responseTo(batch: HeartbeatBatch) =
         HeartbeatBatchResponse(
             "rig",
@@ -54,6 +55,7 @@
             mustHalt = tasksToStop,
         )
 
+    /** Starts a leader in place of the peer and lets it ask this controller to forward. */
     private fun startForwarding() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.peer = { path, body ->
@@ -70,6 +72,7 @@
         harness.run(1.seconds)
     }
 
+    /** The bodies of all heartbeats that were forwarded to the leader in full. */
     private fun forwardedHeartbeats() =
         batches.flatMap { batch -> batch.fullHeartbeats.map { it.body.decodeToString() } }
 
@@ -86,7 +89,7 @@
     }
 
     @Test
-    fun `a machine not listing the cancelled task is not renewed, and the leader learns it at once`() {
+    fun `a machine not listing the cancelled task is not renewed and the leader learns it at once`() {
         startForwarding()
         assertContains(machine.handleHeartbeat(3, uncancelledTask), "\"baton\":0")
         harness.run(1.seconds)
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -57,6 +57,7 @@
         return otherMachine.token()
     }
 
+    /** Lets the peer report from now on that it acknowledged the cancellations of [jobs]. */
     private fun setPeerCancellations(vararg jobs: String) {
         val update = CancellationUpdate("b", 1_000_000_000, 0, jobs.toList())
         harness.peer = { path, _ ->
@@ -64,12 +65,14 @@
         }
     }
 
+    /** Sends a forwarder's batch with [heartbeats] to the leader and returns its response. */
     private fun sendBatch(token: Long, vararg heartbeats: FullHeartbeat): HeartbeatBatchResponse {
         val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, heartbeats.toList())
         harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), ListenerKind.PEER)
         return assertNotNull(ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall)))
     }
 
+    /** A heartbeat of the machine i-000001 that lists [tasks], given as JSON. */
     private fun fullHeartbeat(token: Long, tick: Int, tasks: String): FullHeartbeat {
         val body =
             """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","loaners":""" +
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -27,6 +27,7 @@
     private val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
     private var peerHeartbeatCount = 0
 
+    /** Lets the peer's process report from now on that it acknowledged cancellations of [jobs]. */
     private fun setPeerAcknowledgements(
         vararg jobs: String,
         incarnation: String = "b",
@@ -43,6 +44,7 @@
         }
     }
 
+    /** Lets this controller lead and start the task of a job, and returns its fencing token. */
     private fun becomeLeader(): Long {
         harness.accept(plainJob(1))
         harness.run(3.seconds)
@@ -73,7 +75,7 @@
             renewed.count { !it } <= 8,
             "expected at most one redirect in half a lease, else renewals: $renewed",
         )
-        assertTrue(peerHeartbeatCount > 40)
+        assertTrue(peerHeartbeatCount > 40, "expected over 40 peer heartbeats: $peerHeartbeatCount")
     }
 
     @Test
