--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -41,7 +41,7 @@
      */
     fun decide(heartbeat: WorkerHeartbeat, cancellations: CancellationView): RenewalDecision {
         if (context.now >= cancellations.usableUntil) return withholdOutdated(cancellations)
-        if (areCancellationsOutdated) resumeWithCurrent(cancellations)
+        if (areCancellationsOutdated) markCancellationsCurrent(cancellations)
         val tasksToStop = cancellations.tasksToStop(MachineId(heartbeat.machine))
         val listed = tasksToStop.count { heartbeat.lists(it) }
         if (listed < tasksToStop.size) {
@@ -112,7 +112,7 @@
         return RenewalDecision.Withhold(WithholdingReason.CANCELLATIONS_OUTDATED)
     }
 
-    private fun resumeWithCurrent(cancellations: CancellationView) {
+    private fun markCancellationsCurrent(cancellations: CancellationView) {
         areCancellationsOutdated = false
         log.info("renewal=resumed reason=cancellations-current token={}", cancellations.token)
     }
--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -89,7 +89,7 @@
     }
 
     @Test
-    fun `a machine not listing the cancelled task is not renewed and the leader learns it at once`() {
+    fun `a machine not listing the cancelled task is not renewed and the leader learns at once`() {
         startForwarding()
         assertContains(machine.handleHeartbeat(3, uncancelledTask), "\"baton\":0")
         harness.run(1.seconds)
