--- a/src/test/kotlin/wardmux/leader/FailoverTest.kt
+++ b/src/test/kotlin/wardmux/leader/FailoverTest.kt
@@ -17,13 +17,18 @@
 import wardmux.sim.ManualWorker
 import wardmux.sim.plainJob
 
-/** How a new leader treats what is stored; each test reproduces a fault that once occurred. */
+/**
+ * Guards against a new leader that misreads the stored state after a failover. Each test reproduces
+ * a fault that has occurred, such as lost cancellations or tasks started twice.
+ */
 class FailoverTest {
     private val harness = ControllerHarness()
 
-    private fun spec(tasks: Int, oneZone: Boolean = false) = plainJob(tasks, oneZone = oneZone)
+    /** A job of [tasks] tasks, all in one zone if [oneZone] is set. */
+    private fun arrayJob(tasks: Int, oneZone: Boolean = false) = plainJob(tasks, oneZone = oneZone)
 
-    private fun placed(machine: String, zone: String) =
+    /** Stores that the first task of the job is placed on [machine] in [zone]. */
+    private fun storePlacement(machine: String, zone: String) =
         harness.write(
             "t/job-000001/0",
             Json.parseToJsonElement(
@@ -31,7 +36,8 @@
             ),
         )
 
-    private var tick = 0
+    /** The tick of the next heartbeat, shared by all machines of a test. */
+    private var nextTick = 0
 
     private fun handleHeartbeat(
         machine: String,
@@ -39,23 +45,27 @@
         token: Long,
         tasks: String = "",
     ): String =
-        ManualWorker(harness, machine, zone).also { it.tick = tick++ }.handleHeartbeat(token, tasks)
+        ManualWorker(harness, machine, zone)
+            .also { it.tick = nextTick++ }
+            .handleHeartbeat(token, tasks)
 
-    /** With time for direct commands to go out after each. */
+    /** Sends [times] heartbeats, with time after each for direct commands to be sent. */
     private fun handleHeartbeats(times: Int, machine: String, zone: String, token: Long) =
         repeat(times) {
             handleHeartbeat(machine, zone, token)
             harness.run(0.5.seconds)
         }
 
-    private fun token(): Long = ManualWorker(harness, "i-000099").also { it.tick = tick++ }.token()
+    private fun leaderToken(): Long =
+        ManualWorker(harness, "i-000099").also { it.tick = nextTick++ }.token()
 
     @Test
     fun `a job cancelled between two loads of the stored state is stopped`() {
-        val job = spec(1)
+        val job = arrayJob(1)
         harness.accept(job)
-        placed("i-000001", "a")
-        // The first load fails after it has read the job as accepted: at the cancelled jobs.
+        storePlacement("i-000001", "a")
+        // The first load fails when it reads the cancelled jobs. By then it has read the job as
+        // accepted.
         var refused = false
         harness.refuse = { path ->
             val first = path.startsWith("/keys?under=c/") && !refused
@@ -68,8 +78,11 @@
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
         harness.remove(JobRecord.openKey(job.jobId))
         harness.run(2.seconds)
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        assertContains(handleHeartbeat("i-000001", "a", token(), running), "\"verb\":\"halt\"")
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        assertContains(
+            handleHeartbeat("i-000001", "a", leaderToken(), runningTask),
+            "\"verb\":\"halt\"",
+        )
     }
 
     @Test
@@ -81,7 +94,7 @@
             """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001","i-000002"],""" +
                 """"n":[1,0,1,0,1,0,1,0,1,1,1,0]}"""
         harness.write("t/job-000001/0", Json.parseToJsonElement(page))
-        // It has read the job as open, and waits for the task pages.
+        // The new leader has read the job as open and waits for the task pages.
         harness.refuse = { path ->
             if (path.startsWith("/keys?under=t/")) harness.hold = true
             false
@@ -99,22 +112,22 @@
             else null
         }
         harness.run(1.2.seconds)
-        assertTrue(reported > 0, "the peer was not asked")
+        assertTrue(reported > 0, "expected the controller to send a heartbeat to the peer")
         harness.release()
         harness.run(3.seconds)
         val machine = ManualWorker(harness, "i-000001")
         val token = machine.token()
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
         val answers =
-            List(3) { machine.handleHeartbeat(token, running).also { harness.run(1.seconds) } }
+            List(3) { machine.handleHeartbeat(token, runningTask).also { harness.run(1.seconds) } }
         assertContains(answers.joinToString() + harness.direct, "\"verb\":\"halt\"")
     }
 
     @Test
-    fun `task pages of completed jobs are read without a request for each, and removed`() {
+    fun `task pages of completed jobs are read without one request each, and are removed`() {
         val page = Json.parseToJsonElement("""{"d":[0,0]}""")
         repeat(300) { harness.write("t/job-%06d/0".format(it + 10), page) }
-        val job = spec(1)
+        val job = arrayJob(1)
         val cancelled = JobRecord(JobState.CANCELLED, 0, job).toJson()
         harness.write(JobRecord.key(job.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
@@ -126,25 +139,28 @@
     }
 
     @Test
-    fun `a job bound to one zone stays there though its machine has sent no heartbeat yet`() {
-        harness.accept(spec(2, oneZone = true))
-        placed("i-000009", "b")
+    fun `a job bound to one zone stays in it before its machine has sent a heartbeat`() {
+        harness.accept(arrayJob(2, oneZone = true))
+        storePlacement("i-000009", "b")
         harness.run(2.seconds)
-        val token = token()
+        val token = leaderToken()
         handleHeartbeats(6, "i-000001", "a", token)
-        assertFalse(harness.direct.any { "job-000001/1" in it }, "started in the other zone")
+        assertFalse(
+            harness.direct.any { "job-000001/1" in it },
+            "expected no start in zone a: ${harness.direct}",
+        )
         handleHeartbeats(4, "i-000002", "b", token)
         val last = handleHeartbeat("i-000002", "b", token)
         assertContains(harness.direct.joinToString() + last, "job-000001/1")
     }
 
     @Test
-    fun `a stored placement that its machine lacks is not started again but placed anew`() {
-        harness.accept(spec(1))
-        placed("i-000001", "a")
+    fun `a stored task that its machine does not list is started only as a new attempt`() {
+        harness.accept(arrayJob(1))
+        storePlacement("i-000001", "a")
         harness.run(2.seconds)
-        val token = token()
-        // Its capacity and quota may have gone to others after the record was written.
+        val token = leaderToken()
+        // Other tasks may have taken its capacity and quota after the record was written.
         val answers =
             List(4) { handleHeartbeat("i-000001", "a", token).also { harness.run(0.5.seconds) } }
         val sent = answers.joinToString() + harness.direct.joinToString()
@@ -165,31 +181,34 @@
 
     @Test
     fun `a heartbeat with an older fencing token frees no placement`() {
-        harness.accept(spec(1))
-        placed("i-000001", "a")
+        harness.accept(arrayJob(1))
+        storePlacement("i-000001", "a")
         harness.run(2.seconds)
-        val token = token()
+        val token = leaderToken()
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
         handleHeartbeat("i-000001", "a", token - 1, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
-        assertFalse(harness.direct.any { "job-000001/0" in it }, "it may be a copy")
+        assertFalse(
+            harness.direct.any { "job-000001/0" in it },
+            "expected no start, because the heartbeat may be an old copy",
+        )
         handleHeartbeat("i-000001", "a", token, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
         assertContains(harness.direct.joinToString(), """"job-000001/0","try":2""")
     }
 
     @Test
-    fun `a late heartbeat gets no commands and verifies nothing`() {
-        harness.accept(spec(1))
-        placed("i-000001", "a")
+    fun `a heartbeat that arrives late gets no commands and verifies no absence`() {
+        harness.accept(arrayJob(1))
+        storePlacement("i-000001", "a")
         harness.run(2.seconds)
-        val token = token()
-        tick = 50
+        val token = leaderToken()
+        nextTick = 50
         handleHeartbeat("i-000001", "a", token)
         harness.run(0.5.seconds)
-        tick = 60
+        nextTick = 60
         assertContains(handleHeartbeat("i-000001", "a", token), "start")
-        tick = 10
+        nextTick = 10
         assertFalse("start" in handleHeartbeat("i-000001", "a", token))
     }
 }
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -16,25 +16,35 @@
 import wardmux.sim.plainJob
 import wardmux.store.KeyValueStore
 
-/** Who knows which cancellations users were told of, and what a leader does that may not know. */
+/**
+ * Guards against a leader that goes on renewing leases although it may not know a cancellation that
+ * a user was told of, for example in an outage of the key-value store. Such a leader would keep the
+ * tasks of the cancelled job running.
+ */
 class CancellationTrackerTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
     private val machine = ManualWorker(harness, "i-000001")
-    private val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-    private var heartbeats = 0
-
-    private fun peerAcknowledges(vararg jobs: String, boot: String = "b", upS: Long = 1_000) {
+    private val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+    private var peerHeartbeatCount = 0
+
+    /** Lets the peer's process report from now on that it acknowledged cancellations of [jobs]. */
+    private fun setPeerAcknowledgements(
+        vararg jobs: String,
+        incarnation: String = "b",
+        uptimeS: Long = 1_000,
+    ) {
         harness.peer = { path, _ ->
             if (path != PeerHeartbeats.PATH) null
             else {
-                heartbeats++
+                peerHeartbeatCount++
                 PeerHeartbeatCodec.encode(
-                    CancellationUpdate(boot, upS * 1_000_000, 0, jobs.toList())
+                    CancellationUpdate(incarnation, uptimeS * 1_000_000, 0, jobs.toList())
                 )
             }
         }
     }
 
+    /** Lets this controller lead and start the task of a job, and returns its fencing token. */
     private fun becomeLeader(): Long {
         harness.accept(plainJob(1))
         harness.run(3.seconds)
@@ -44,69 +54,73 @@
         return token
     }
 
-    /** Renewed in each of so many seconds: an answer under no token renews nothing. */
-    private fun renewals(token: Long, seconds: Int): List<Boolean> =
+    /**
+     * For each of [seconds] seconds, whether a heartbeat in it renewed the lease. A response
+     * without the leader's token renews nothing.
+     */
+    private fun renewedEachSecond(token: Long, seconds: Int): List<Boolean> =
         List(seconds) {
             harness.run(1.seconds)
-            val answer = machine.report(token, running)
+            val answer = machine.report(token, runningTask)
             answer?.first == 200 && "\"baton\":$token" in answer.second
         }
 
     @Test
     fun `a leader that all peers answer renews leases in an outage of any length`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
-        val renewed = renewals(token, 60)
+        val renewed = renewedEachSecond(token, 60)
         assertTrue(
             renewed.count { !it } <= 8,
-            "redirected once in half a lease, else renewed: $renewed",
+            "expected at most one redirect in half a lease, else renewals: $renewed",
         )
-        assertTrue(heartbeats > 40)
+        assertTrue(peerHeartbeatCount > 40, "expected over 40 peer heartbeats: $peerHeartbeatCount")
     }
 
     @Test
-    fun `one that they do not answer stops in time, counted from its last heartbeat`() {
-        peerAcknowledges()
+    fun `a leader that no peer answers stops renewing in time after the last answer`() {
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
         harness.peer = { _, _ -> null }
-        // Cancelled 36 s before, all must be gone: minus a lease of 16 s and a forwarder's grant.
-        val renewed = renewals(token, 40)
-        assertTrue(renewed.take(8).any { it }, "$renewed")
-        assertFalse(renewed.drop(15).any { it }, "$renewed")
+        // All tasks have to be gone 36 s after a cancellation. Renewals have to stop earlier by a
+        // lease of 16 s and a forwarder's grant.
+        val renewed = renewedEachSecond(token, 40)
+        assertTrue(renewed.take(8).any { it }, "expected renewals in the first 8 s: $renewed")
+        assertFalse(renewed.drop(15).any { it }, "expected no renewals after 15 s: $renewed")
     }
 
     @Test
-    fun `one whose peer was replaced by a process that knows nothing of the last stops too`() {
-        peerAcknowledges()
+    fun `a leader whose peer restarted without its acknowledgements stops renewing too`() {
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
-        peerAcknowledges(boot = "c", upS = 0)
-        assertFalse(renewals(token, 40).drop(15).any { it })
-        // The store shows what the process before has acknowledged.
+        setPeerAcknowledgements(incarnation = "c", uptimeS = 0)
+        assertFalse(renewedEachSecond(token, 40).drop(15).any { it })
+        // The store contains the cancellations that the former process acknowledged.
         harness.outageOver()
         harness.run(3.seconds)
-        assertTrue(renewals(token, 3).any { it })
+        assertTrue(renewedEachSecond(token, 3).any { it })
     }
 
     @Test
-    fun `a cancellation that a peer acknowledged is enforced in an outage of the store`() {
-        peerAcknowledges()
+    fun `a cancellation that a peer acknowledged stops the task in an outage of the store`() {
+        setPeerAcknowledgements()
         val token = becomeLeader()
         harness.outage()
         harness.run(5.seconds)
-        peerAcknowledges("job-000001")
+        setPeerAcknowledgements("job-000001")
         harness.run(2.seconds)
-        val answers = List(4) { machine.report(token, running)?.second.orEmpty() }
+        val answers = List(4) { machine.report(token, runningTask)?.second.orEmpty() }
         assertContains(answers.joinToString(), "\"verb\":\"halt\"")
     }
 
     @Test
     fun `a cancellation that this controller acknowledged is sent to each peer once`() {
-        peerAcknowledges()
+        setPeerAcknowledgements()
         becomeLeader()
-        val heartbeat = { cursors: List<CancellationCursor> ->
+        val sendHeartbeat = { cursors: List<CancellationCursor> ->
             harness.call(
                 "POST",
                 "/beat",
@@ -115,32 +129,33 @@
             )
             PeerHeartbeatCodec.decodeUpdate(harness.bytesOf(harness.lastCall))!!
         }
-        assertEquals(emptyList(), heartbeat(emptyList()).jobs)
+        assertEquals(emptyList(), sendHeartbeat(emptyList()).jobs)
         assertEquals(200, harness.call("POST", "/submissions/job-000001/abort")?.first)
-        val update = heartbeat(emptyList())
+        val update = sendHeartbeat(emptyList())
         assertEquals(listOf("job-000001"), update.jobs)
         assertEquals(
             emptyList(),
-            heartbeat(listOf(CancellationCursor("n0", update.processIncarnation, 1))).jobs,
+            sendHeartbeat(listOf(CancellationCursor("n0", update.processIncarnation, 1))).jobs,
         )
         assertEquals(
             1,
-            heartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
+            sendHeartbeat(listOf(CancellationCursor("n0", "a former process", 1))).jobs.size,
         )
-        // Of no use to anybody any more.
+        // The retention has passed, so no peer needs the cancellation any more.
         harness.run(60.seconds)
-        assertEquals(emptyList(), heartbeat(emptyList()).jobs)
+        assertEquals(emptyList(), sendHeartbeat(emptyList()).jobs)
     }
 
+    /** A tracker with one peer, whose clock and peer updates the test sets. */
     private class TrackerHarness {
         val context = CoreContext().also { it.setTime(100.seconds, 100.seconds) }
         private val store = KeyValueStore(context, StoreLimits(900.0, 900.0, 8.0, 8), 2)
         val cancellations = CancellationTracker(context, store, "own", listOf("n1"), 60.seconds) {}
         private val job = JobId("job-000001")
 
-        fun at(second: Int) = context.setTime(second.seconds, second.seconds)
+        fun setTime(second: Int) = context.setTime(second.seconds, second.seconds)
 
-        fun peerReports(jobs: List<String>) =
+        fun applyPeerUpdate(jobs: List<String>) =
             cancellations.applyUpdate(
                 "n1",
                 CancellationUpdate("b", 1_000_000_000, 0, jobs),
@@ -155,39 +170,39 @@
     }
 
     @Test
-    fun `a cancellation counts from when it was last known that there was none`() =
+    fun `a cancellation counts from when all earlier cancellations were last known`() =
         TrackerHarness().run {
-            cancellations.storeReadAsOf(90.seconds)
-            at(120)
+            cancellations.recordStoreRead(asOf = 90.seconds)
+            setTime(120)
             observe()
             assertEquals(90.seconds, acknowledgedSince())
-            cancellations.storeReadAsOf(119.seconds)
-            at(130)
-            // Observed once more, and read from the store: no later for that.
+            cancellations.recordStoreRead(asOf = 119.seconds)
+            setTime(130)
+            // Observing the cancellation again or reading it from the store changes no time.
             observe()
             observeStored()
             assertEquals(90.seconds, acknowledgedSince())
         }
 
     @Test
-    fun `one that is read from what is stored counts from as long ago as can be`() =
+    fun `a cancellation that is read from the store counts from the earliest possible time`() =
         TrackerHarness().run {
-            cancellations.storeReadAsOf(119.seconds)
-            at(120)
+            cancellations.recordStoreRead(asOf = 119.seconds)
+            setTime(120)
             observeStored()
             assertEquals(Micros.LONG_AGO, acknowledgedSince())
         }
 
     @Test
-    fun `one that a peer reports counts from when all peers had last answered`() =
+    fun `a cancellation that a peer reports counts from when all peers had last answered`() =
         TrackerHarness().run {
-            // Nothing is known of what former processes acknowledged.
-            cancellations.storeReadAsOf(100.seconds)
+            // What former processes acknowledged is not known.
+            cancellations.recordStoreRead(asOf = 100.seconds)
             cancellations.tick()
-            at(101)
-            peerReports(emptyList())
-            at(150)
-            peerReports(listOf("job-000001"))
+            setTime(101)
+            applyPeerUpdate(emptyList())
+            setTime(150)
+            applyPeerUpdate(listOf("job-000001"))
             assertEquals(101.seconds, acknowledgedSince())
         }
 }
