--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -61,9 +61,11 @@
     fun usedCpus(team: String) = quotaUsage.usedCpus(team)
 
     /**
-     * How many more tasks like this the team's quota allows, once one like [beside] has started.
+     * How many more tasks like this the team's quota allows, once one like [afterStarting] has
+     * started.
      */
-    fun headroom(spec: JobSpec, beside: JobSpec? = null): Int = quotaUsage.headroom(spec, beside)
+    fun quotaHeadroom(spec: JobSpec, afterStarting: JobSpec? = null): Int =
+        quotaUsage.quotaHeadroom(spec, afterStarting)
 
     /** Places [task] of [job] on [machine] and charges its team. */
     fun place(job: Job, task: Int, machine: Machine): Placement {
@@ -204,7 +206,7 @@
     /** [task] has completed; the tasks of a gang complete together, so one says it of all. */
     fun complete(job: Job, task: Int) {
         if (!job.spec.isGang) return job.complete(task, context.wallTime)
-        for (each in 0 until job.spec.tasks) job.complete(each, context.wallTime)
+        for (index in 0 until job.spec.tasks) job.complete(index, context.wallTime)
     }
 
     /** Everything on [machine] is proven gone, for [reason]. */
@@ -243,10 +245,10 @@
             share = maxOf(share, spec.memoryGb * type.cpus / type.memoryGb)
             if (type.gpus > 0) share = maxOf(share, spec.gpus * type.cpus / type.gpus)
         }
-        return Cost((share * maxOf(runTime, MIN_CHARGED_TIME).value).toLong())
+        return Cost((share * maxOf(runTime, MIN_CHARGED_RUN_TIME).value).toLong())
     }
 
     private companion object {
-        val MIN_CHARGED_TIME = 1.seconds
+        val MIN_CHARGED_RUN_TIME = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -33,7 +33,7 @@
             !machine.isUnreachable &&
             machine.preemptionNoticeAt == null &&
             !(machine.isCommandInFlight &&
-                context.now - machine.commandSentAt > MAX_COMMAND_WAIT) &&
+                context.now - machine.commandSentAt > MAX_COMMAND_RESPONSE_TIME) &&
             context.now - lastHeartbeatAt < maxSilence &&
             // A machine that only responds to probes gets no lease: its tasks would die with it.
             context.now - machine.renewedAt < maxSilence &&
@@ -58,20 +58,20 @@
         return isZoneAllowed(zone, spec, taskCountByZone(job))
     }
 
-    /** True if one more task may be in [zone], with the job's others in [zones]. */
-    fun isZoneAllowed(zone: String, spec: JobSpec, zones: Map<String, Int>): Boolean {
-        if (spec.oneZone && zones.isNotEmpty() && zone !in zones) return false
-        return !spec.spread || (zones[zone] ?: 0) < spec.zoneLimit
+    /** True if one more task may be in [zone], with the job's others in [taskCounts]. */
+    fun isZoneAllowed(zone: String, spec: JobSpec, taskCounts: Map<String, Int>): Boolean {
+        if (spec.oneZone && taskCounts.isNotEmpty() && zone !in taskCounts) return false
+        return !spec.spread || (taskCounts[zone] ?: 0) < spec.zoneLimit
     }
 
     /** How many tasks of a zone-bound [job] are or may be in each zone; empty for other jobs. */
     fun taskCountByZone(job: Job): Map<String, Int> {
         if (!job.isZoneBound) return emptyMap()
-        val zones = HashMap<String, Int>()
+        val taskCounts = HashMap<String, Int>()
         for (placement in job.placements.values) {
-            zones.merge(placement.zone, 1, Int::plus)
+            taskCounts.merge(placement.zone, 1, Int::plus)
         }
-        return zones
+        return taskCounts
     }
 
     /**
@@ -84,10 +84,10 @@
         val imageWait = machine.images.waitTime(spec.image, spec.imageGb, context.now)
         return imageWait.inSeconds * IMAGE_WAIT_WEIGHT +
             (pools.relativeCost(machine.type, machine.spot) - 1) * PRICE_WEIGHT +
-            leftOver(spec, machine) / machine.type.cpus
+            remainingCpus(spec, machine) / machine.type.cpus
     }
 
-    private fun leftOver(spec: JobSpec, machine: Machine): Double =
+    private fun remainingCpus(spec: JobSpec, machine: Machine): Double =
         if (spec.kind == JobKind.SERVICE) machine.type.cpus - machine.serviceCpus - spec.cpus
         else machine.freeCpus - spec.cpus
 
@@ -96,6 +96,6 @@
         const val PRICE_WEIGHT = 0.5
 
         /** A direct command without a response for longer keeps new tasks from the machine. */
-        val MAX_COMMAND_WAIT = 1.seconds
+        val MAX_COMMAND_RESPONSE_TIME = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/FairQueue.kt
+++ b/src/main/kotlin/wardmux/scheduling/FairQueue.kt
@@ -16,7 +16,7 @@
 
 @Serializable
 private class StoredTags(
-    @SerialName("clock") val clock: Long,
+    @SerialName("clock") val virtualTime: Long,
     @SerialName("at") val at: Long,
     @SerialName("teams") val teams: Map<String, StoredAccount>,
 )
@@ -28,9 +28,9 @@
 )
 
 /**
- * Start-time fair queuing over teams. A dispatch starts at max(clock, the team's finish tag); its
- * cost divided by the team's weight is added to the tag; the clock rises to the start tag and never
- * goes back. Usage lowers the weight, and decays with a half-life.
+ * Start-time fair queuing over teams. A dispatch starts at max(virtualTime, the team's finish tag);
+ * its cost divided by the team's weight is added to the tag; the virtualTime rises to the start tag
+ * and never goes back. Usage lowers the weight, and decays with a half-life.
  */
 class FairQueue(
     /** The guaranteed share of each team, in CPUs. */
@@ -50,28 +50,28 @@
     private val accounts = HashMap<String, Account>()
 
     /** The virtual time of the queue. */
-    var clock = 0L
+    var virtualTime = 0L
         private set
 
     private fun baseWeight(team: String) = maxOf(1.0, guaranteedCpus[team] ?: 1.0)
 
-    private fun account(team: String, wall: Micros): Account {
-        val account = accounts.getOrPut(team) { Account().also { it.usageAt = wall } }
-        val elapsed = wall - account.usageAt
+    private fun account(team: String, wallTime: Micros): Account {
+        val account = accounts.getOrPut(team) { Account().also { it.usageAt = wallTime } }
+        val elapsed = wallTime - account.usageAt
         if (elapsed > Micros.ZERO) {
             account.usage *= 2.0.pow(-elapsed.value.toDouble() / halfLife.value)
-            account.usageAt = wall
+            account.usageAt = wallTime
         }
         return account
     }
 
-    /** The decayed usage of [team] at time of day [wall], in CPU-microseconds. */
-    fun usage(team: String, wall: Micros): Double = account(team, wall).usage
+    /** The decayed usage of [team] at time of day [wallTime], in CPU-microseconds. */
+    fun usage(team: String, wallTime: Micros): Double = account(team, wallTime).usage
 
-    /** The weight of [team] at time of day [wall]. */
-    fun weight(team: String, wall: Micros): Double {
+    /** The weight of [team] at time of day [wallTime]. */
+    fun weight(team: String, wallTime: Micros): Double {
         val norm = normSeconds * MICROS_PER_SECOND * baseWeight(team)
-        val weight = baseWeight(team) * 2.0.pow(-account(team, wall).usage / norm)
+        val weight = baseWeight(team) * 2.0.pow(-account(team, wallTime).usage / norm)
         return roundToThreeDigits(weight.coerceAtLeast(MIN_WEIGHT))
     }
 
@@ -82,62 +82,63 @@
     }
 
     /** The tag at which the next dispatch of [team] would start; the lowest goes first. */
-    fun startTag(team: String): Long = maxOf(clock, accounts[team]?.finishTag ?: 0L)
+    fun startTag(team: String): Long = maxOf(virtualTime, accounts[team]?.finishTag ?: 0L)
 
-    /** Charges [team] for a dispatch at time of day [wall] that is expected to cost [cost]. */
-    fun charge(team: String, cost: Cost, wall: Micros): Charge {
-        val weight = weight(team, wall)
-        val account = account(team, wall)
+    /** Charges [team] for a dispatch at time of day [wallTime] that is expected to cost [cost]. */
+    fun charge(team: String, cost: Cost, wallTime: Micros): Charge {
+        val weight = weight(team, wallTime)
+        val account = account(team, wallTime)
         val start = startTag(team)
         account.finishTag = start + (cost.value / weight).roundToLong()
         account.usage += cost.value
-        clock = maxOf(clock, start)
+        virtualTime = maxOf(virtualTime, start)
         return Charge(cost, weight)
     }
 
     /** Corrects [charge] by the [actual] cost, with the weight that the dispatch was charged at. */
-    fun settle(team: String, charge: Charge, actual: Cost, wall: Micros) {
+    fun settle(team: String, charge: Charge, actual: Cost, wallTime: Micros) {
         val difference = (actual.value - charge.cost.value) / charge.weight
-        account(team, wall).finishTag += difference.roundToLong()
+        account(team, wallTime).finishTag += difference.roundToLong()
     }
 
     /** Takes back the whole [charge] of a dispatch that never left this controller. */
-    fun refund(team: String, charge: Charge, wall: Micros) {
-        val account = account(team, wall)
+    fun refund(team: String, charge: Charge, wallTime: Micros) {
+        val account = account(team, wallTime)
         account.finishTag -= (charge.cost.value / charge.weight).roundToLong()
         account.usage = (account.usage - charge.cost.value).coerceAtLeast(0.0)
     }
 
-    /** With nothing to run the clock rises to the highest tag: nobody saves up credit. */
+    /** With nothing to run the virtualTime rises to the highest tag: nobody saves up credit. */
     fun advanceToHighestTag() {
-        clock = maxOf(clock, accounts.values.maxOfOrNull { it.finishTag } ?: clock)
+        virtualTime =
+            maxOf(virtualTime, accounts.values.maxOfOrNull { it.finishTag } ?: virtualTime)
     }
 
     /**
-     * The stored form at time of day [wall]. Teams that neither lead the clock nor have usage left
-     * are as new, and are left out; if the rest takes more than [maxBytes], so are those that lead
-     * the least.
+     * The stored form at time of day [wallTime]. Teams that neither lead the virtualTime nor have
+     * usage left are as new, and are left out; if the rest takes more than [maxBytes], so are those
+     * that lead the least.
      */
-    fun toJson(wall: Micros, maxBytes: Int = Int.MAX_VALUE): JsonElement {
-        val kept =
+    fun toJson(wallTime: Micros, maxBytes: Int = Int.MAX_VALUE): JsonElement {
+        val storedAccounts =
             accounts
-                .filter { (_, a) -> a.finishTag > clock || a.usage > NEGLIGIBLE_USAGE }
-                .mapValues { (team, a) -> StoredAccount(a.finishTag, usage(team, wall)) }
-        val whole = toJson(kept, wall)
-        if (jsonBytes(whole) <= maxBytes) return whole
-        val left = kept.entries.sortedBy { it.value.tag }.toMutableList()
-        while (left.isNotEmpty()) {
-            left.removeFirst()
-            val json = toJson(left.associate { it.key to it.value }, wall)
+                .filter { (_, a) -> a.finishTag > virtualTime || a.usage > NEGLIGIBLE_USAGE }
+                .mapValues { (team, a) -> StoredAccount(a.finishTag, usage(team, wallTime)) }
+        val complete = toJson(storedAccounts, wallTime)
+        if (jsonBytes(complete) <= maxBytes) return complete
+        val remaining = storedAccounts.entries.sortedBy { it.value.tag }.toMutableList()
+        while (remaining.isNotEmpty()) {
+            remaining.removeFirst()
+            val json = toJson(remaining.associate { it.key to it.value }, wallTime)
             if (jsonBytes(json) <= maxBytes) return json
         }
-        return toJson(emptyMap(), wall)
+        return toJson(emptyMap(), wallTime)
     }
 
-    private fun toJson(kept: Map<String, StoredAccount>, wall: Micros): JsonElement =
+    private fun toJson(storedAccounts: Map<String, StoredAccount>, wallTime: Micros): JsonElement =
         lenientJson.encodeToJsonElement(
             StoredTags.serializer(),
-            StoredTags(clock, wall.value, kept),
+            StoredTags(virtualTime, wallTime.value, storedAccounts),
         )
 
     /** Replaces all accounts by what [json] holds; by none, which is logged, if it is no such. */
@@ -147,9 +148,9 @@
                 lenientJson.decodeFromJsonElement(StoredTags.serializer(), json)
             } catch (e: IllegalArgumentException) {
                 logger<FairQueue>().error("the stored tags can't be decoded: {}", e.message)
-                StoredTags(clock, 0, emptyMap())
+                StoredTags(virtualTime, 0, emptyMap())
             }
-        clock = stored.clock
+        virtualTime = stored.virtualTime
         accounts.clear()
         for ((team, saved) in stored.teams) {
             accounts[team] =
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -34,26 +34,26 @@
     fun machinesFor(job: Job, machines: List<Machine>): List<Machine>? {
         val spec = job.spec
         val zones = eligibility.taskCountByZone(job)
-        val open = machines.filter { eligibility.isZoneAllowed(it.zone, spec, zones) }
-        val groups = if (spec.oneZone) open.groupBy { it.zone }.values else listOf(open)
+        val allowed = machines.filter { eligibility.isZoneAllowed(it.zone, spec, zones) }
+        val groups = if (spec.oneZone) allowed.groupBy { it.zone }.values else listOf(allowed)
         if (job.placements.isEmpty() && PageSizeEstimate.requiresDensePacking(job, maxBytes)) {
-            return groups.firstOrNull { group -> pagesHold(job, group) { it.roomFor(spec) } }
+            return groups.firstOrNull { group -> fitsOnPages(job, group) { it.roomFor(spec) } }
         }
         return groups
-            .mapNotNull { candidateAmong(job, it) }
+            .mapNotNull { bestCandidateAmong(job, it) }
             .minWithOrNull(compareBy<GangCandidate> { it.imageWait }.thenBy { it.score })
             ?.machines
     }
 
     /** Of [machines] those where all of the gang starts soonest, or null if it doesn't fit. */
-    private fun candidateAmong(job: Job, machines: List<Machine>): GangCandidate? {
+    private fun bestCandidateAmong(job: Job, machines: List<Machine>): GangCandidate? {
         val byWait = machines.groupBy { imageWait(job.spec, it) }
-        val soonest = ArrayList<Machine>()
+        val selected = ArrayList<Machine>()
         for (wait in byWait.keys.sorted()) {
-            soonest.addAll(byWait.getValue(wait))
-            if (soonest.sumOf { it.roomFor(job.spec) } < job.waiting) continue
-            totalScore(job, soonest)?.let {
-                return GangCandidate(wait, it, soonest)
+            selected.addAll(byWait.getValue(wait))
+            if (selected.sumOf { it.roomFor(job.spec) } < job.waiting) continue
+            totalScore(job, selected)?.let {
+                return GangCandidate(wait, it, selected)
             }
         }
         return null
@@ -71,37 +71,37 @@
      * most [room]. A gang too large for that must not keep machines, quota or new capacity from
      * others.
      */
-    private fun pagesHold(job: Job, machines: List<Machine>, room: (Machine) -> Int): Boolean {
-        var left = job.spec.tasks
+    private fun fitsOnPages(job: Job, machines: List<Machine>, room: (Machine) -> Int): Boolean {
+        var remaining = job.spec.tasks
         val zones = HashMap<String, Int>()
-        val shares = ArrayList<GangShare>()
+        val allocations = ArrayList<GangAllocation>()
         for (machine in machines.sortedByDescending(room)) {
-            val there = zones.getOrDefault(machine.zone, 0)
-            val here = minOf(left, room(machine), job.spec.zoneLimit - there)
-            if (here <= 0) continue
-            zones[machine.zone] = there + here
-            shares.add(GangShare(machine, here))
-            left -= here
-            if (left == 0) return PageSizeEstimate.holds(job, shares, maxBytes)
+            val placedInZone = zones.getOrDefault(machine.zone, 0)
+            val placedHere = minOf(remaining, room(machine), job.spec.zoneLimit - placedInZone)
+            if (placedHere <= 0) continue
+            zones[machine.zone] = placedInZone + placedHere
+            allocations.add(GangAllocation(machine, placedHere))
+            remaining -= placedHere
+            if (remaining == 0) return PageSizeEstimate.fitsAllTasks(job, allocations, maxBytes)
         }
         return false
     }
 
     /** The sum of the scores of the tasks' machines, or null if they do not all fit. */
     private fun totalScore(job: Job, machines: List<Machine>): Double? {
-        var left = job.waiting
+        var remaining = job.waiting
         var total = 0.0
         val zones = HashMap(eligibility.taskCountByZone(job))
         val scored = machines.map { ScoredMachine(it, eligibility.score(job.spec, it)) }
         for (candidate in scored.sortedBy { it.score }) {
             val machine = candidate.machine
-            val there = zones.getOrDefault(machine.zone, 0)
-            val allowed = if (job.spec.spread) job.spec.zoneLimit - there else left
-            val here = minOf(left, machine.roomFor(job.spec), allowed)
-            zones[machine.zone] = there + here
-            total += candidate.score * here
-            left -= here
-            if (left == 0) return total
+            val placedInZone = zones.getOrDefault(machine.zone, 0)
+            val allowed = if (job.spec.spread) job.spec.zoneLimit - placedInZone else remaining
+            val placedHere = minOf(remaining, machine.roomFor(job.spec), allowed)
+            zones[machine.zone] = placedInZone + placedHere
+            total += candidate.score * placedHere
+            remaining -= placedHere
+            if (remaining == 0) return total
         }
         return null
     }
@@ -115,14 +115,14 @@
             pools.offeredTypes
                 .filter { it.allowedFor(job.spec) }
                 .maxOfOrNull { it.fitting(job.spec) }
-        return !PageSizeEstimate.mayHold(job, tasksPerMachine ?: 0, maxBytes)
+        return !PageSizeEstimate.mayFitAllTasks(job, tasksPerMachine ?: 0, maxBytes)
     }
 
     /** True if [machines], were they empty, would take all of the gang. */
-    fun wouldHoldAll(job: Job, machines: List<Machine>) =
+    fun wouldFitWhenEmpty(job: Job, machines: List<Machine>) =
         machines.sumOf { it.type.fitting(job.spec) } >= job.spec.tasks &&
             (!PageSizeEstimate.requiresDensePacking(job, maxBytes) ||
-                pagesHold(job, machines) { it.type.fitting(job.spec) })
+                fitsOnPages(job, machines) { it.type.fitting(job.spec) })
 
     private companion object {
         val IMAGE_WAIT_STEP = 250.milliseconds
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -29,7 +29,7 @@
 
     /** Decides anew, before each plan, for the jobs that are [ready] to start. */
     internal fun update(ready: List<Job>) {
-        abortHopelessAttempts(ready)
+        abortUnfinishableAttempts(ready)
         reserveMachines(ready)
         quotaClaims = quotaClaims(ready)
     }
@@ -38,11 +38,11 @@
      * True if a task of [job] leaves the quota that its team's longest waiting gang needs, or comes
      * before that gang by its priority.
      */
-    fun leavesQuota(job: Job): Boolean {
+    fun leavesQuotaForGang(job: Job): Boolean {
         val gang = quotaClaims[job.spec.team] ?: return true
-        val comesFirst = gang === job || job.spec.priority < gang.spec.priority
-        if (comesFirst || gang.waiting == 0) return true
-        return cluster.headroom(gang.spec, beside = job.spec) >= gang.waiting
+        val hasPrecedence = gang === job || job.spec.priority < gang.spec.priority
+        if (hasPrecedence || gang.waiting == 0) return true
+        return cluster.quotaHeadroom(gang.spec, afterStarting = job.spec) >= gang.waiting
     }
 
     private fun quotaClaims(ready: List<Job>): Map<String, Job> =
@@ -78,13 +78,13 @@
             reservedFor = null
             return
         }
-        val usable = usableFor(gang)
-        val kept = usable.filter { it.id in reservedMachines }
-        if (gang.id == reservedFor && placement.wouldHoldAll(gang, kept)) return
+        val usable = usableMachinesFor(gang)
+        val stillUsable = usable.filter { it.id in reservedMachines }
+        if (gang.id == reservedFor && placement.wouldFitWhenEmpty(gang, stillUsable)) return
         reservedFor = gang.id
         // Where the least has to come free.
         reservedMachines =
-            groupsFor(gang, usable)
+            machineGroupsFor(gang, usable)
                 .mapNotNull { reservationAmong(gang, it) }
                 .maxByOrNull { chosen -> chosen.sumOf { it.roomFor(gang.spec) } }
                 .orEmpty()
@@ -99,24 +99,26 @@
                     .thenByDescending { it.placements.size }
             )
         val count =
-            (1..sorted.size).firstOrNull { placement.wouldHoldAll(gang, sorted.take(it)) }
+            (1..sorted.size).firstOrNull { placement.wouldFitWhenEmpty(gang, sorted.take(it)) }
                 ?: return null
-        return sorted.take(count * RESERVATION_FACTOR)
+        return sorted.take(count * RESERVED_MACHINES_FACTOR)
     }
 
-    private fun usableFor(job: Job): List<Machine> =
+    private fun usableMachinesFor(job: Job): List<Machine> =
         cluster.machines.values.filter {
             eligibility.isSchedulable(it) && eligibility.satisfiesConstraints(job.spec, it)
         }
 
     /** The machines among which all of the gang has to be. */
-    private fun groupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
+    private fun machineGroupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
         if (job.spec.oneZone) machines.groupBy { it.zone }.values else listOf(machines)
 
     /** Where its pages hold only few machines, one that these can't serve lets the next come. */
     private fun hasMachinesFor(job: Job): Boolean {
         if (!PageSizeEstimate.requiresDensePacking(job, placement.maxBytes)) return true
-        return groupsFor(job, usableFor(job)).any { placement.wouldHoldAll(job, it) }
+        return machineGroupsFor(job, usableMachinesFor(job)).any {
+            placement.wouldFitWhenEmpty(job, it)
+        }
     }
 
     /** A gang that only the lack of room on machines holds back. */
@@ -126,7 +128,7 @@
             job.blockedSince != null &&
             !cluster.hasOrphans(job) &&
             !placement.canNeverBeStored(job) &&
-            cluster.headroom(job.spec) >= job.waiting
+            cluster.quotaHeadroom(job.spec) >= job.waiting
     }
 
     /**
@@ -134,7 +136,7 @@
      * quota for the next: two gangs of a team that each hold what the other waits for would wait
      * for ever.
      */
-    private fun abortHopelessAttempts(ready: List<Job>) {
+    private fun abortUnfinishableAttempts(ready: List<Job>) {
         for (job in ready) {
             val isPlaced = job.spec.isGang && job.placements.isNotEmpty()
             if (isPlaced && !canReplaceLostTasks(job)) cluster.abortGangAttempt(job)
@@ -145,7 +147,7 @@
     fun canReplaceLostTasks(job: Job) = job.gangAttempt?.let { canBeCompleted(it) } == true
 
     private fun canBeCompleted(attempt: GangAttempt): Boolean {
-        val maxAge = (workers.gangWaitS * REPLACEMENT_SHARE).seconds
+        val maxAge = (workers.gangWaitS * REPLACEMENT_SHARE_OF_GANG_WAIT).seconds
         return !attempt.isAborted && !attempt.hasRun && context.now - attempt.startedAt < maxAge
     }
 
@@ -154,9 +156,9 @@
          * The share of the time that a gang's tasks wait for each other in which lost ones are
          * replaced: in the rest an image has to come.
          */
-        const val REPLACEMENT_SHARE = 0.4
+        const val REPLACEMENT_SHARE_OF_GANG_WAIT = 0.4
 
         /** Machines that are reserved, in those that would hold the gang if they were empty. */
-        const val RESERVATION_FACTOR = 3
+        const val RESERVED_MACHINES_FACTOR = 3
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/NodeCandidates.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
@@ -15,7 +15,7 @@
  * The machines that a job's tasks may go to, the best first. They are scored once for all its
  * tasks; what others take meanwhile is found when a machine's turn comes.
  */
-internal class NodeCandidates(
+internal class MachineCandidates(
     private val job: Job,
     machines: List<Machine>,
     private val eligibility: Eligibility,
@@ -25,7 +25,7 @@
 ) {
     private class Candidate(val machine: Machine, val score: Double)
 
-    private val used =
+    private val usedMachines =
         if (packsDensely) job.placements.values.mapTo(HashSet()) { it.machine }
         else HashSet<MachineId>()
 
@@ -43,41 +43,42 @@
     /** The smaller the better. */
     private fun scoreOf(machine: Machine): Double {
         if (!packsDensely) return eligibility.score(job.spec, machine) + zonePenalty(machine)
-        return if (machine.id in used) -USED_MACHINE_BONUS
+        return if (machine.id in usedMachines) -USED_MACHINE_BONUS
         else -machine.roomFor(job.spec).toDouble()
     }
 
-    /** A job that is spread loses least with a zone if all zones have as much of it. */
+    /** A job that is spread loses least with a zone if all taskCounts have as much of it. */
     private fun zonePenalty(machine: Machine): Double {
         if (!job.spec.spread) return 0.0
-        val there = eligibility.taskCountByZone(job)[machine.zone] ?: 0
-        return SPREAD_WEIGHT * there / job.spec.tasks
+        val tasksInZone = eligibility.taskCountByZone(job)[machine.zone] ?: 0
+        return ZONE_SPREAD_WEIGHT * tasksInZone / job.spec.tasks
     }
 
     /** The best machine that has room for one more task, or null. */
     fun best(): Machine? {
-        val zones = eligibility.taskCountByZone(job)
+        val taskCounts = eligibility.taskCountByZone(job)
         while (true) {
             val candidate = queue.peek() ?: return null
             examined.count++
             val machine = candidate.machine
             if (
-                !machine.fits(job.spec) || !eligibility.isZoneAllowed(machine.zone, job.spec, zones)
+                !machine.fits(job.spec) ||
+                    !eligibility.isZoneAllowed(machine.zone, job.spec, taskCounts)
             ) {
                 queue.poll()
                 continue
             }
-            val current = candidate(machine)
-            if (current.score <= candidate.score + MachineType.EPSILON) return machine
+            val rescored = candidate(machine)
+            if (rescored.score <= candidate.score + MachineType.EPSILON) return machine
             queue.poll()
-            queue.add(current)
+            queue.add(rescored)
         }
     }
 
     /** One more task of the job was placed on [machine], the [best]; the next may go there too. */
     fun onPlaced(machine: Machine) {
         queue.poll()
-        if (packsDensely) used.add(machine.id)
+        if (packsDensely) usedMachines.add(machine.id)
         if (machine.fits(job.spec)) queue.add(candidate(machine))
     }
 
@@ -88,6 +89,6 @@
         /**
          * A quarter of the tasks in one zone more outweighs what an ordinary machine costs more.
          */
-        const val SPREAD_WEIGHT = 5.0
+        const val ZONE_SPREAD_WEIGHT = 5.0
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -20,7 +20,7 @@
     private val demand: ResourceDemand,
 ) {
     private val weights =
-        types.associate { it.label to demand.machinesOf(base) / demand.machinesOf(it) }
+        types.associate { it.label to demand.machinesNeeded(base) / demand.machinesNeeded(it) }
 
     /** True if [type] is one of the pool's. */
     fun holds(type: MachineType): Boolean = type.label in weights
@@ -33,7 +33,7 @@
 
     /** The types by their price for the work that they do, the time of their boot included. */
     fun cheapestFirst(spot: Boolean): List<MachineType> =
-        types.sortedBy { priceOf(it, spot) * (1 + it.bootS / USUAL_RENTAL_S) }
+        types.sortedBy { priceOf(it, spot) * (1 + it.bootS / TYPICAL_RENTAL_S) }
 
     /** The price of a machine of [type] for its work, relative to the cheapest of the pool. */
     fun relativeCost(type: MachineType, spot: Boolean): Double =
@@ -48,7 +48,7 @@
         const val MIN_PRICE = 1e-6
 
         /** For how long a machine is rented as a rule; its boot is paid once in that time. */
-        const val USUAL_RENTAL_S = 300.0
+        const val TYPICAL_RENTAL_S = 300.0
     }
 }
 
@@ -66,7 +66,7 @@
     }
 
     /** How many machines of this type would hold it, by the resource that runs out first. */
-    fun machinesOf(type: MachineType): Double {
+    fun machinesNeeded(type: MachineType): Double {
         if (cpus <= 0) return 1 / type.cpus
         val byGpu = if (gpus > 0) gpus / type.gpus else 0.0
         return maxOf(cpus / type.cpus, memoryGb / type.memoryGb, byGpu)
@@ -87,9 +87,9 @@
  */
 class MachinePools(private val context: CoreContext, private val types: MachineTypeSource) {
     /** When a type was last the smallest for an open job, by its label. */
-    private val neededAt = HashMap<String, Micros>()
-    private var dividedTypes: List<MachineType> = emptyList()
-    private var refreshAt = Micros.LONG_AGO
+    private val lastNeededAt = HashMap<String, Micros>()
+    private var pooledTypes: List<MachineType> = emptyList()
+    private var nextRefreshAt = Micros.LONG_AGO
 
     /** The machine types that the cloud offers now. */
     val offeredTypes: List<MachineType>
@@ -103,21 +103,21 @@
 
     /** Divides the types anew if that was not done lately or the types have changed. */
     fun refreshIfDue(jobs: Collection<Job>) {
-        if (offeredTypes != dividedTypes || context.now >= refreshAt) refresh(jobs)
+        if (offeredTypes != pooledTypes || context.now >= nextRefreshAt) refresh(jobs)
     }
 
     /** Divides the types anew by what the open ones of [jobs] need. */
     fun refresh(jobs: Collection<Job>) {
-        refreshAt = context.now + REFRESH_PERIOD
-        dividedTypes = offeredTypes
+        nextRefreshAt = context.now + REFRESH_PERIOD
+        pooledTypes = offeredTypes
         val open = jobs.filter { !it.hasEnded && !it.allTasksDone }
         val demands = HashMap<String, ResourceDemand>()
         for (job in open) {
             val smallest = smallestFor(job.spec) ?: continue
-            neededAt[smallest.label] = context.now
+            lastNeededAt[smallest.label] = context.now
             demands.getOrPut(smallest.label) { ResourceDemand() }.add(job.spec, job.spec.tasks)
         }
-        divide(demands)
+        rebuildPools(demands)
     }
 
     /** The smallest machine type that a task like this fits, or null. */
@@ -138,8 +138,8 @@
     fun relativeCost(type: MachineType, spot: Boolean): Double =
         poolByLabel[type.label]?.relativeCost(type, spot) ?: 1.0
 
-    private fun divide(demands: Map<String, ResourceDemand>) {
-        val bySize = dividedTypes.sortedBy { it.cpus }
+    private fun rebuildPools(demands: Map<String, ResourceDemand>) {
+        val bySize = pooledTypes.sortedBy { it.cpus }
         val groups = ArrayList<ArrayList<MachineType>>()
         for (type in bySize) {
             if (groups.isEmpty() || isNeeded(type)) groups.add(arrayListOf(type))
@@ -153,14 +153,14 @@
     }
 
     private fun isNeeded(type: MachineType): Boolean {
-        val lastNeeded = neededAt[type.label] ?: return false
-        return context.now - lastNeeded <= NEED_RETENTION
+        val lastNeeded = lastNeededAt[type.label] ?: return false
+        return context.now - lastNeeded <= SIZE_NEED_RETENTION
     }
 
     private companion object {
         val REFRESH_PERIOD = 250.milliseconds
 
         /** Work that was there comes again: its machines are not filled up meanwhile. */
-        val NEED_RETENTION = 600.seconds
+        val SIZE_NEED_RETENTION = 600.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -10,7 +10,7 @@
 import wardmux.serialization.jsonBytes
 
 /** [tasks] tasks of a gang are to go to [machine]. */
-class GangShare(val machine: Machine, val tasks: Int)
+class GangAllocation(val machine: Machine, val tasks: Int)
 
 /**
  * An upper bound of the bytes that a task page takes, as tasks are placed on it. A page that is
@@ -21,9 +21,9 @@
         PlacementsSize(jsonBytes(TaskPageCodec.encode(job, page, maxBytes - RESERVED_BYTES).data))
 
     /** Tried tasks of the page that are not done, and may end in any order. */
-    private var triedTasks =
+    private var attemptedTasks =
         job.pages.tasksOn(page).count { !job.isTaskDone(it) && job.lastAttempt(it) > 0 }
-    private val triedBefore = triedTasks
+    private val attemptedBefore = attemptedTasks
     private var placedTasks = job.placementsOn(page).size
 
     /**
@@ -38,18 +38,20 @@
 
     /** All tasks that were tried before may stand between done ones, of those placed now half. */
     private fun maxEndedBytes(job: Job, task: Int): Int =
-        FRAME_BYTES + (triedBefore * 2 + triedTasks + 1 - triedBefore) * endedTaskBytes(job, task)
+        PAGE_FRAME_BYTES +
+            (attemptedBefore * 2 + attemptedTasks + 1 - attemptedBefore) * endedTaskBytes(job, task)
 
     /** About how many more tasks fit for now, with [tasksPerMachine] on each further machine. */
     fun remainingTasks(tasksPerMachine: Int): Int {
         if (size.bytes + MAX_PLACEMENT_BYTES > maxBytes) return 0
-        val each = USUAL_TASK_BYTES + USUAL_MACHINE_BYTES / tasksPerMachine.coerceAtLeast(1)
-        return 1 + (maxBytes - size.bytes - MAX_PLACEMENT_BYTES) / each
+        val bytesPerTask =
+            TYPICAL_TASK_BYTES + TYPICAL_MACHINE_BYTES / tasksPerMachine.coerceAtLeast(1)
+        return 1 + (maxBytes - size.bytes - MAX_PLACEMENT_BYTES) / bytesPerTask
     }
 
     /** Counts [placement], which was made on the page. */
     fun add(placement: Placement) {
-        if (placement.attempt == 1) triedTasks++
+        if (placement.attempt == 1) attemptedTasks++
         placedTasks++
         size.addMachine(placement.machine, placement.incarnation, placement.zone)
         size.addTask(placement.task.index, placement.attempt)
@@ -58,8 +60,9 @@
 
     /** Half of the tasks are done, each a run of its own; between them the others, interrupted. */
     private fun endedTaskBytes(job: Job, task: Int): Int {
-        val name = PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskBeside(task)).toLong())
-        return (2 * name + name + ATTEMPT_BYTES + 1) / 2
+        val taskNumberBytes =
+            PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskBeside(task)).toLong())
+        return (2 * taskNumberBytes + taskNumberBytes + ATTEMPT_BYTES + 1) / 2
     }
 
     /** The bytes of placements in a [StoredTaskPage]. */
@@ -99,12 +102,12 @@
 
     companion object {
         /** The field names and brackets of a page. */
-        private const val FRAME_BYTES = 64
+        private const val PAGE_FRAME_BYTES = 64
         private const val ATTEMPT_BYTES = 4
 
         /** A placement on a machine of its own, charged unlike all others. */
         private const val MAX_PLACEMENT_BYTES = 110
-        private const val USUAL_MAX_PLACEMENT_BYTES = 100
+        private const val TYPICAL_MAX_PLACEMENT_BYTES = 100
 
         /** Kept free where omitting done tasks frees it, so that some can always be placed. */
         private const val RESERVED_BYTES = 4 * MAX_PLACEMENT_BYTES
@@ -118,8 +121,8 @@
         /** A short name, its incarnation, zone and count. */
         private const val MIN_MACHINE_BYTES = 17
 
-        private const val USUAL_TASK_BYTES = 10
-        private const val USUAL_MACHINE_BYTES = 35
+        private const val TYPICAL_TASK_BYTES = 10
+        private const val TYPICAL_MACHINE_BYTES = 35
 
         /**
          * About how many waiting tasks of [job] its pages hold for now, with [tasksPerMachine] on
@@ -137,8 +140,9 @@
         /** True if the pages of [job] have so few tasks that they are never too large. */
         fun alwaysFits(job: Job, maxBytes: Int): Boolean {
             val size = job.pages.tasksPerPage
-            return minOf(size, job.spec.tasks).toLong() * USUAL_MAX_PLACEMENT_BYTES + FRAME_BYTES <=
-                maxBytes || size.toLong() * TaskPageCodec.BYTES_PER_TASK <= maxBytes
+            return minOf(size, job.spec.tasks).toLong() * TYPICAL_MAX_PLACEMENT_BYTES +
+                PAGE_FRAME_BYTES <= maxBytes ||
+                size.toLong() * TaskPageCodec.BYTES_PER_TASK <= maxBytes
         }
 
         /**
@@ -149,28 +153,30 @@
             job.sharesCharge &&
                 !alwaysFits(job, maxBytes) &&
                 minOf(job.pages.tasksPerPage, job.spec.tasks) * MAX_SHARED_CHARGE_BYTES +
-                    FRAME_BYTES > maxBytes
+                    PAGE_FRAME_BYTES > maxBytes
 
         /** True if a page may hold a whole attempt with [tasksPerMachine] on each machine. */
-        fun mayHold(job: Job, tasksPerMachine: Int, maxBytes: Int): Boolean {
+        fun mayFitAllTasks(job: Job, tasksPerMachine: Int, maxBytes: Int): Boolean {
             if (tasksPerMachine <= 0) return false
             val tasks = minOf(job.pages.tasksPerPage, job.spec.tasks)
             val machines = (tasks + tasksPerMachine - 1) / tasksPerMachine
-            val numbers =
+            val taskBytes =
                 (0 until tasks).sumOf { PlacementsSize.bytesOf(it.toLong()) + MIN_TASK_BYTES }
-            return FRAME_BYTES + numbers + machines * MIN_MACHINE_BYTES <= maxBytes
+            return PAGE_FRAME_BYTES + taskBytes + machines * MIN_MACHINE_BYTES <= maxBytes
         }
 
-        /** True if the pages surely hold a whole attempt, its tasks in their order on [shares]. */
-        fun holds(job: Job, shares: List<GangShare>, maxBytes: Int): Boolean {
+        /**
+         * True if the pages surely hold a whole attempt, its tasks in their order on [allocations].
+         */
+        fun fitsAllTasks(job: Job, allocations: List<GangAllocation>, maxBytes: Int): Boolean {
             var task = 0
-            var size = PlacementsSize(FRAME_BYTES)
-            for (share in shares) {
-                repeat(share.tasks) {
+            var size = PlacementsSize(PAGE_FRAME_BYTES)
+            for (allocation in allocations) {
+                repeat(allocation.tasks) {
                     if (task > 0 && task % job.pages.tasksPerPage == 0) {
-                        size = PlacementsSize(FRAME_BYTES)
+                        size = PlacementsSize(PAGE_FRAME_BYTES)
                     }
-                    val machine = share.machine
+                    val machine = allocation.machine
                     size.addMachine(machine.id, machine.incarnation, machine.zone)
                     size.addTask(task++, job.nextGangAttempt)
                     size.addCharge(null)
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -29,7 +29,7 @@
     private val cluster: ClusterState,
     private val role: Role.Leader,
     /** The least time between two transactions. */
-    private val period: Micros,
+    private val minInterval: Micros,
     private val listener: Listener,
 ) {
     /** Learns what became of transactions. */
@@ -54,11 +54,11 @@
     }
 
     private val log = logger<PlacementStore>()
-    private val pages = TaskPageWriter(context, store, cluster)
+    private val pageWriter = TaskPageWriter(context, store, cluster)
     private val decommissions = LinkedHashSet<Machine>()
     private val expiredDecommissions = LinkedHashSet<Machine>()
-    private var inFlight = false
-    private var nextAt = Micros.LONG_AGO
+    private var isInFlight = false
+    private var nextTransactionAt = Micros.LONG_AGO
 
     /**
      * The version of the tags as last read or written. Every transaction replaces them and commits
@@ -69,7 +69,7 @@
 
     /** True if a transaction could be sent now. */
     val isReady: Boolean
-        get() = !inFlight && context.now >= nextAt
+        get() = !isInFlight && context.now >= nextTransactionAt
 
     /** Records that [machine] is decommissioned before it is deleted, so that no leader uses it. */
     fun decommission(machine: Machine) {
@@ -85,13 +85,13 @@
     fun pageBudget(): PageWriteBudget {
         // One change is kept for the tags.
         // Where a transaction holds few, ends never take all that a start needs.
-        val ends =
+        val completionWrites =
             minOf(jobsToComplete().take(2).count() * WRITES_PER_COMPLETION, store.maxOperations - 2)
         // A lost machine keeps its tasks from running elsewhere until its record is written: where
         // many are lost at once, as with a zone, these must not wait behind all that can be placed.
-        val maxDecommissions = maxOf(1, store.maxOperations / DECOMMISSIONS_PART)
-        val others = minOf(decommissions.size, maxDecommissions) + ends
-        return PageWriteBudget(maxOf(1, store.maxOperations - 1 - others), store.maxValueBytes)
+        val maxDecommissions = maxOf(1, store.maxOperations / DECOMMISSIONS_DIVISOR)
+        val otherWrites = minOf(decommissions.size, maxDecommissions) + completionWrites
+        return PageWriteBudget(maxOf(1, store.maxOperations - 1 - otherWrites), store.maxValueBytes)
     }
 
     private fun jobsToComplete() =
@@ -101,16 +101,16 @@
     fun flush() {
         if (!isReady) return
         val transaction = PlacementTransaction(store, role.condition)
-        pages.addUncommitted(transaction)
+        pageWriter.addUncommitted(transaction)
         addCompletedJobs(transaction)
         addDecommissions(transaction)
-        pages.addDirty(transaction)
-        pages.addRemovals(transaction)
+        pageWriter.addDirty(transaction)
+        pageWriter.addRemovals(transaction)
         addExpiredDecommissions(transaction)
         if (transaction.operations.isEmpty()) return
         transaction.requireVersion(FairQueue.KEY, tagsVersion)
         transaction.put(FairQueue.KEY, cluster.queue.toJson(context.wallTime, store.maxValueBytes))
-        inFlight = true
+        isInFlight = true
         store.compareAndSwap(
             transaction.conditions,
             transaction.operations,
@@ -118,7 +118,7 @@
         ) {
             onResult(transaction, it)
         }
-        nextAt = context.now + period
+        nextTransactionAt = context.now + minInterval
     }
 
     private fun addCompletedJobs(transaction: PlacementTransaction) {
@@ -149,13 +149,13 @@
     }
 
     private fun onResult(transaction: PlacementTransaction, result: StoreResult<Revision>) {
-        inFlight = false
+        isInFlight = false
         when (result) {
             is StoreResult.Ok -> onCommitted(transaction, result.value.keyVersion)
             is StoreResult.Conflict -> onConflict(transaction, result.failed)
             is StoreResult.NotExecuted -> {
                 rollBack(transaction)
-                nextAt = context.now + REFUSED_RETRY
+                nextTransactionAt = context.now + NOT_EXECUTED_RETRY_DELAY
             }
             is StoreResult.InvalidRequest,
             is StoreResult.Compacted,
@@ -165,7 +165,7 @@
                     transaction.operations.map { it.put ?: it.remove },
                 )
                 rollBack(transaction)
-                nextAt = context.now + INVALID_RETRY
+                nextTransactionAt = context.now + INVALID_REQUEST_RETRY_DELAY
             }
             is StoreResult.Indeterminate -> {
                 log.info("a transaction got no response; reading the stored state again")
@@ -222,9 +222,9 @@
         private const val WRITES_PER_COMPLETION = 2
 
         /** The inverse of the part of a transaction that is kept for decommissioned machines. */
-        private const val DECOMMISSIONS_PART = 2
-        private val REFUSED_RETRY = 300.milliseconds
-        private val INVALID_RETRY = 5.seconds
+        private const val DECOMMISSIONS_DIVISOR = 2
+        private val NOT_EXECUTED_RETRY_DELAY = 300.milliseconds
+        private val INVALID_REQUEST_RETRY_DELAY = 5.seconds
 
         private fun decommissionKey(machine: Machine) = DECOMMISSIONED_PREFIX + machine.id.value
     }
--- a/src/main/kotlin/wardmux/scheduling/PlacementTransaction.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementTransaction.kt
@@ -47,13 +47,13 @@
 
     /** Jobs that are no longer listed among the cancelled ones. */
     val removedCancelledKeys = ArrayList<Job>()
-    private var bytes = 0
+    private var dataBytes = 0
 
     /** True if so many more writes and conditions fit, beside the tags that come last. */
     fun hasRoomFor(writes: Int, conditions: Int) =
         operations.size + writes < store.maxOperations &&
             this.conditions.size + conditions < store.maxConditions &&
-            bytes < MAX_BYTES
+            dataBytes < MAX_DATA_BYTES
 
     /** Commits only if [key] has this version; [KeyVersion.ABSENT] if it must not exist. */
     fun requireVersion(key: String, version: KeyVersion) {
@@ -62,7 +62,7 @@
 
     /** Writes [data] to [key]. */
     fun put(key: String, data: JsonElement) {
-        bytes += key.length + data.toString().length
+        dataBytes += key.length + data.toString().length
         operations.add(WriteOperation(put = key, data = data))
     }
 
@@ -79,6 +79,6 @@
 
     private companion object {
         /** Well below the 64 KiB that a transaction may hold. */
-        const val MAX_BYTES = 40_000
+        const val MAX_DATA_BYTES = 40_000
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PlacementsOnUnknownMachines.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementsOnUnknownMachines.kt
@@ -22,9 +22,9 @@
     }
 
     internal fun remove(placement: Placement) {
-        val there = placements[placement.machine] ?: return
-        there.remove(placement)
-        if (there.isEmpty()) placements.remove(placement.machine)
+        val onMachine = placements[placement.machine] ?: return
+        onMachine.remove(placement)
+        if (onMachine.isEmpty()) placements.remove(placement.machine)
     }
 
     /** [machine] is known now: gives the placements on it, which are no longer kept here. */
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -68,7 +68,7 @@
         val queues = queuesOf(ready)
         for (exactFitsOnly in listOf(true, false)) {
             for (priority in PriorityClass.entries) {
-                queues[priority]?.let { place(it, Pass(round, exactFitsOnly)) }
+                queues[priority]?.let { placeJobs(it, Pass(round, exactFitsOnly)) }
             }
         }
         for (job in ready) {
@@ -85,8 +85,8 @@
             .mapValues { (_, jobs) ->
                 jobs
                     .groupBy { it.spec.team }
-                    .mapValues { (team, own) ->
-                        order.sort(own, reachableCpus(team, isRoomScarce), context.wallTime)
+                    .mapValues { (team, teamJobs) ->
+                        order.sort(teamJobs, attainableCpus(team, isRoomScarce), context.wallTime)
                     }
             }
     }
@@ -94,17 +94,17 @@
     /** What one plan has: the machines with room, and what the next transaction can write. */
     private class Round(schedulable: List<Machine>, val budget: PageWriteBudget) {
         val schedulableCount = schedulable.size
-        val withRoom = schedulable.filter { it.freeCpus > MachineType.EPSILON }
+        val machinesWithRoom = schedulable.filter { it.freeCpus > MachineType.EPSILON }
     }
 
     /** One go over the jobs of a priority class, for exact fits or for any. */
     private inner class Pass(val round: Round, val exactFitsOnly: Boolean) {
-        private val candidates = HashMap<JobId, NodeCandidates>()
+        private val candidates = HashMap<JobId, MachineCandidates>()
 
         /** What no machine has room for: room only shrinks within a plan. */
         private val unplaceableRequests = HashSet<ResourceRequest>()
 
-        fun candidatesFor(job: Job): NodeCandidates? {
+        fun candidatesFor(job: Job): MachineCandidates? {
             candidates[job.id]?.let {
                 return it
             }
@@ -117,7 +117,7 @@
         }
 
         fun candidatesAmong(job: Job, machines: List<Machine>) =
-            NodeCandidates(job, machines, eligibility, requiresDensePacking(job), examined)
+            MachineCandidates(job, machines, eligibility, requiresDensePacking(job), examined)
 
         fun requiresDensePacking(job: Job) =
             PageSizeEstimate.requiresDensePacking(job, round.budget.maxBytes)
@@ -125,8 +125,8 @@
         fun eligibleMachines(job: Job): List<Machine> {
             val spec = job.spec
             val exactTypes = eligibility.exactTypesFor(spec)
-            examined.count += round.withRoom.size
-            return round.withRoom.filter { machine ->
+            examined.count += round.machinesWithRoom.size
+            return round.machinesWithRoom.filter { machine ->
                 val label = machine.type.label
                 (label in exactTypes || (!exactFitsOnly && !typeReservations.isReserved(label))) &&
                     !gangReservations.isReservedFromJob(job, machine) &&
@@ -143,8 +143,8 @@
             machine.id !in job.failedMachines || round.schedulableCount <= job.failedMachines.size
     }
 
-    private fun place(jobsByTeam: Map<String, List<Job>>, pass: Pass) {
-        if (pass.round.withRoom.isEmpty()) return
+    private fun placeJobs(jobsByTeam: Map<String, List<Job>>, pass: Pass) {
+        if (pass.round.machinesWithRoom.isEmpty()) return
         val queues = jobsByTeam.mapValues { ArrayDeque(it.value) }
         val teams = queues.keys.toHashSet()
         while (teams.isNotEmpty()) {
@@ -155,44 +155,44 @@
                 teams.remove(team)
                 continue
             }
-            if (!placeOne(job, pass)) queue.removeFirst()
+            if (!placeTaskOrGang(job, pass)) queue.removeFirst()
         }
     }
 
     private fun isShortOfRoom(job: Job) =
         job.isBlockedLong(context.now) &&
-            cluster.headroom(job.spec) > 0 &&
+            cluster.quotaHeadroom(job.spec) > 0 &&
             !gangPlacement.canNeverBeStored(job)
 
     /**
      * The CPUs that a team can count on: its quota limit, or, where room is scarce, what it uses or
      * is guaranteed.
      */
-    private fun reachableCpus(team: String, isRoomScarce: Boolean): Double {
+    private fun attainableCpus(team: String, isRoomScarce: Boolean): Double {
         val quota = cluster.teams[team] ?: return 0.0
         if (!isRoomScarce) return quota.cpusMax
         return minOf(quota.cpusMax, maxOf(quota.cpus, cluster.usedCpus(team)))
     }
 
     /** Places one task, or a whole gang; false if no more of the job can be placed in this pass. */
-    private fun placeOne(job: Job, pass: Pass): Boolean {
+    private fun placeTaskOrGang(job: Job, pass: Pass): Boolean {
         // The machines that it fits exactly hold the fewest of its tasks.
         if (pass.exactFitsOnly && pass.requiresDensePacking(job)) return false
-        if (!gangReservations.leavesQuota(job)) return false
+        if (!gangReservations.leavesQuotaForGang(job)) return false
         if (job.spec.isGang) {
             placeGang(job, pass)
             return false
         }
-        if (job.waiting <= 0 || cluster.headroom(job.spec) < 1) return false
+        if (job.waiting <= 0 || cluster.quotaHeadroom(job.spec) < 1) return false
         if (pass.round.budget.isExhaustedFor(job)) return false
         val candidates = pass.candidatesFor(job) ?: return false
-        return placeNext(job, pass, candidates) != null
+        return placeNextTask(job, pass, candidates) != null
     }
 
-    private fun placeNext(job: Job, pass: Pass, candidates: NodeCandidates): Placement? {
+    private fun placeNextTask(job: Job, pass: Pass, candidates: MachineCandidates): Placement? {
         val budget = pass.round.budget
         val machine = candidates.best() ?: return null
-        val task = nextTaskWithin(job, budget)
+        val task = nextWritableTask(job, budget)
         if (task < 0) return null
         val placement = cluster.place(job, task, machine)
         budget.onPlaced(placement)
@@ -202,8 +202,8 @@
     }
 
     /** The next waiting task whose page the next transaction can write, or -1. */
-    private fun nextTaskWithin(job: Job, budget: PageWriteBudget): Int {
-        repeat(minOf(job.waiting, MAX_DEFERRED_TASKS)) {
+    private fun nextWritableTask(job: Job, budget: PageWriteBudget): Int {
+        repeat(minOf(job.waiting, MAX_TASKS_DEFERRED_PER_SEARCH)) {
             val task = job.pollWaitingTask()
             if (task < 0) return -1
             if (budget.tryReserve(job, task)) return task
@@ -229,7 +229,7 @@
         if (!isReplacement) job.startGangAttempt(context.now)
         val candidates = pass.candidatesAmong(job, machines)
         val placed = ArrayList<Placement>()
-        while (job.waiting > 0) placed.add(placeNext(job, pass, candidates) ?: break)
+        while (job.waiting > 0) placed.add(placeNextTask(job, pass, candidates) ?: break)
         if (job.waiting > 0) {
             for (placement in placed) cluster.rollBack(placement)
             if (!isReplacement) pass.round.budget.releaseGang(job)
@@ -237,7 +237,7 @@
     }
 
     private fun mayPlaceGang(job: Job): Boolean {
-        if (job.waiting <= 0 || cluster.headroom(job.spec) < job.waiting) return false
+        if (job.waiting <= 0 || cluster.quotaHeadroom(job.spec) < job.waiting) return false
         if (job.placements.isNotEmpty() && !gangReservations.canReplaceLostTasks(job)) return false
         // What is left of an attempt without a record holds back the next one too: it is stopped by
         // the response to the heartbeat that shows it.
@@ -249,6 +249,6 @@
 
     private companion object {
         /** Tasks that are deferred in one search, as their pages are full. */
-        const val MAX_DEFERRED_TASKS = 600
+        const val MAX_TASKS_DEFERRED_PER_SEARCH = 600
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -81,10 +81,11 @@
             if (machine.placements.isEmpty()) continue
             val usable = planner.eligibility.isSchedulable(machine)
             for (placement in machine.placements.values) {
-                val other = placement.job.spec.priority
+                val priority = placement.job.spec.priority
                 if (placement.isStopping) stopping.add(placement)
                 else if (!usable || !placement.isCommitted || placement.status == null) continue
-                else if (other > highest || (reclaims && other == highest)) stoppable.add(placement)
+                else if (priority > highest || (reclaims && priority == highest))
+                    stoppable.add(placement)
             }
         }
         return Round(stopping, Victims(stoppable))
@@ -92,19 +93,26 @@
 
     private fun preemptFor(job: Job, round: Round) {
         val spec = job.spec
-        val wanted = minOf(job.waiting, MAX_TASKS_AT_ONCE) * spec.cpus
+        val wantedCpus = minOf(job.waiting, MAX_TASKS_PER_JOB_AND_ROUND) * spec.cpus
         // What its team's quota leaves, and what the team's own work of lower priority takes of it.
-        val free = cluster.headroom(spec) * spec.cpus + round.freedQuotaOf(spec.team)
-        var own = 0.0
-        if (wanted > free) own = makeRoom(job, wanted - free, round.victims, ownTeamOnly = true)
-        round.adjustQuota(spec.team, freed = own, taken = minOf(wanted, free + own))
-        val rest = minOf(wanted, free + own) - own
-        round.addFreed(own)
-        if (rest > round.freedCpus) {
-            val missing = rest - round.freedCpus
-            round.addFreed(makeRoom(job, missing, round.victims, ownTeamOnly = false))
+        val availableCpus = cluster.quotaHeadroom(spec) * spec.cpus + round.freedQuotaOf(spec.team)
+        var freedFromOwnTeam = 0.0
+        if (wantedCpus > availableCpus) {
+            freedFromOwnTeam =
+                stopVictims(job, wantedCpus - availableCpus, round.victims, ownTeamOnly = true)
         }
-        round.take(minOf(wanted, free + own))
+        round.adjustQuota(
+            spec.team,
+            freed = freedFromOwnTeam,
+            taken = minOf(wantedCpus, availableCpus + freedFromOwnTeam),
+        )
+        val stillNeededCpus = minOf(wantedCpus, availableCpus + freedFromOwnTeam) - freedFromOwnTeam
+        round.addFreed(freedFromOwnTeam)
+        if (stillNeededCpus > round.freedCpus) {
+            val missingCpus = stillNeededCpus - round.freedCpus
+            round.addFreed(stopVictims(job, missingCpus, round.victims, ownTeamOnly = false))
+        }
+        round.take(minOf(wantedCpus, availableCpus + freedFromOwnTeam))
     }
 
     /**
@@ -115,76 +123,86 @@
     private inner class Victims(stoppable: List<Placement>) {
         // Sorted once for all that wait: what is lost by a stop does not depend on for whom.
         private val sorted =
-            stoppable.map { Victim(it, policy.loss(it)) }.sortedBy { it.loss }.map { it.placement }
-        private val byRequest = HashMap<VictimRequest, List<Placement>>()
+            stoppable
+                .map { Victim(it, policy.lostCpuSeconds(it)) }
+                .sortedBy { it.lostCpuSeconds }
+                .map { it.placement }
+        private val byFilter = HashMap<VictimFilter, List<Placement>>()
 
         fun of(job: Job): List<Placement> {
-            val request = VictimRequest(job.spec.priority, policy.mayReclaim(job))
-            return byRequest.getOrPut(request) { sorted.filter { request.mayConcern(it.job.spec) } }
+            val filter = VictimFilter(job.spec.priority, policy.mayReclaim(job))
+            return byFilter.getOrPut(filter) { sorted.filter { filter.mayInclude(it.job.spec) } }
         }
     }
 
-    private class Victim(val placement: Placement, val loss: Double)
+    private class Victim(val placement: Placement, val lostCpuSeconds: Double)
 
-    private data class VictimRequest(val priority: PriorityClass, val reclaims: Boolean) {
-        fun mayConcern(other: JobSpec) =
+    private data class VictimFilter(val priority: PriorityClass, val reclaims: Boolean) {
+        fun mayInclude(other: JobSpec) =
             other.priority > priority ||
                 (reclaims && other.priority == priority && other.isCheckpointable)
     }
 
-    /** Stops as much as is wanted, that with the least loss first; gives the CPUs it frees. */
-    private fun makeRoom(job: Job, wanted: Double, victims: Victims, ownTeamOnly: Boolean): Double {
-        var freed = 0.0
-        var reclaimed = false
-        val zones = HashMap(planner.eligibility.taskCountByZone(job))
-        for (victim in orderedFor(job, victims.of(job))) {
-            if (freed >= wanted) break
+    /** Stops as much as is wantedCpus, that with the least loss first; gives the CPUs it frees. */
+    private fun stopVictims(
+        job: Job,
+        wantedCpus: Double,
+        victims: Victims,
+        ownTeamOnly: Boolean,
+    ): Double {
+        var freedCpus = 0.0
+        var hasReclaimed = false
+        val taskCounts = HashMap(planner.eligibility.taskCountByZone(job))
+        for (victim in inStopOrderFor(job, victims.of(job))) {
+            if (freedCpus >= wantedCpus) break
             placementsExamined++
             val isEligible = !ownTeamOnly || victim.job.spec.team == job.spec.team
-            if (isEligible && helps(job, victim, zones, wanted - freed)) {
+            if (isEligible && shouldStop(job, victim, taskCounts, wantedCpus - freedCpus)) {
                 evictor.evict(victim, "preempted for ${job.id}")
-                if (victim.job.spec.priority == job.spec.priority) reclaimed = true
-                freed += victim.job.spec.cpus
-                if (job.isZoneBound) zones.merge(victim.zone, tasksInRoomOf(victim, job), Int::plus)
+                if (victim.job.spec.priority == job.spec.priority) hasReclaimed = true
+                freedCpus += victim.job.spec.cpus
+                if (job.isZoneBound) {
+                    taskCounts.merge(victim.zone, tasksReplacing(victim, job), Int::plus)
+                }
             }
         }
-        if (reclaimed) job.lastReclaimAt = context.now
-        return freed
+        if (hasReclaimed) job.lastReclaimAt = context.now
+        return freedCpus
     }
 
     /** True if stopping [victim] is allowed and gives the job room, at no more cost than that. */
-    private fun helps(
+    private fun shouldStop(
         job: Job,
         victim: Placement,
-        zones: Map<String, Int>,
-        wanted: Double,
+        taskCounts: Map<String, Int>,
+        wantedCpus: Double,
     ): Boolean {
         if (victim.isStopping || !policy.mayStop(job, victim)) return false
         val machine = cluster.machines[victim.machine] ?: return false
-        return isRoomFor(job, machine, zones) &&
+        return isUsefulRoom(job, machine, taskCounts) &&
             policy.isWorthStopping(victim) &&
             // Much larger than what is needed: it would destroy more than it pays for.
-            victim.job.spec.cpus <= wanted * MAX_OVERSIZE
+            victim.job.spec.cpus <= wantedCpus * MAX_VICTIM_SIZE_FACTOR
     }
 
     /** True if room that comes free on the machine is of use to the job. */
-    private fun isRoomFor(job: Job, machine: Machine, zones: Map<String, Int>): Boolean {
+    private fun isUsefulRoom(job: Job, machine: Machine, taskCounts: Map<String, Int>): Boolean {
         val spec = job.spec
         val fits =
             planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.holds(spec)
         if (!fits || planner.typeReservations.isReservedFromTask(spec, machine.type)) return false
         // Where its zone has its share of the job already, it is of no use.
-        if (!planner.eligibility.isZoneAllowed(machine.zone, spec, zones)) return false
+        if (!planner.eligibility.isZoneAllowed(machine.zone, spec, taskCounts)) return false
         // Room that comes free elsewhere is of no use to a gang, and what is stopped comes back.
         return !spec.isGang || planner.gangReservations.isReservedFor(job, machine)
     }
 
     /** How many tasks of [job] go where [victim] is. */
-    private fun tasksInRoomOf(victim: Placement, job: Job): Int =
+    private fun tasksReplacing(victim: Placement, job: Job): Int =
         if (job.spec.cpus <= 0) 1 else maxOf(1, (victim.job.spec.cpus / job.spec.cpus).toInt())
 
     /** Services go where most services are: other machines then come free for good. */
-    private fun orderedFor(job: Job, victims: List<Placement>): List<Placement> {
+    private fun inStopOrderFor(job: Job, victims: List<Placement>): List<Placement> {
         if (job.spec.kind != JobKind.SERVICE) return victims
         val serviceCpus = HashMap<MachineId, Double>()
         return victims.sortedByDescending { victim ->
@@ -195,9 +213,9 @@
     }
 
     private companion object {
-        const val MAX_TASKS_AT_ONCE = 64
+        const val MAX_TASKS_PER_JOB_AND_ROUND = 64
 
         /** How many times what is needed a stopped task may be. */
-        const val MAX_OVERSIZE = 2.0
+        const val MAX_VICTIM_SIZE_FACTOR = 2.0
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
+++ b/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
@@ -19,21 +19,21 @@
     /** True if [job] has been blocked for long enough to stop tasks for it. */
     fun mayPreempt(job: Job): Boolean {
         val since = job.blockedSince ?: return false
-        return job.waiting > 0 && !job.isFailing && context.now - since >= patience(job)
+        return job.waiting > 0 && !job.isFailing && context.now - since >= preemptionDelay(job)
     }
 
     /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
-    private fun patience(job: Job): Micros =
+    private fun preemptionDelay(job: Job): Micros =
         if (job.spec.kind == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
 
     /** True if [victim] may be stopped for [job]. */
     fun mayStop(job: Job, victim: Placement): Boolean {
-        val other = victim.job.spec
+        val otherSpec = victim.job.spec
         return when {
             // One task of a gang takes the others with it.
-            other.isGang -> false
-            other.priority > job.spec.priority -> true
-            else -> mayReclaimFrom(job, other)
+            otherSpec.isGang -> false
+            otherSpec.priority > job.spec.priority -> true
+            else -> mayReclaimFrom(job, otherSpec)
         }
     }
 
@@ -42,13 +42,14 @@
      * work of a higher priority: otherwise two teams below their shares stop each other without
      * end.
      */
-    private fun mayReclaimFrom(job: Job, other: JobSpec): Boolean {
-        if (other.team == job.spec.team || other.priority < job.spec.priority) return false
-        if (!other.isCheckpointable || !mayReclaim(job)) return false
+    private fun mayReclaimFrom(job: Job, otherSpec: JobSpec): Boolean {
+        if (otherSpec.team == job.spec.team || otherSpec.priority < job.spec.priority) return false
+        if (!otherSpec.isCheckpointable || !mayReclaim(job)) return false
         // Only for the team that the room would go to.
-        if (cluster.queue.startTag(job.spec.team) > cluster.queue.startTag(other.team)) return false
-        val otherQuota = cluster.teams[other.team] ?: return false
-        return cluster.usedCpus(other.team) - other.cpus >= otherQuota.cpus
+        if (cluster.queue.startTag(job.spec.team) > cluster.queue.startTag(otherSpec.team))
+            return false
+        val otherQuota = cluster.teams[otherSpec.team] ?: return false
+        return cluster.usedCpus(otherSpec.team) - otherSpec.cpus >= otherQuota.cpus
     }
 
     /**
@@ -56,10 +57,10 @@
      * enough; after each time it waits again, for the room to come.
      */
     fun mayReclaim(job: Job): Boolean {
-        val pause = operators.reclaimAfterS.seconds
-        val own = cluster.teams[job.spec.team] ?: return false
-        if (cluster.usedCpus(own.name) + job.spec.cpus > own.cpus) return false
-        return blockedTime(job) >= pause && context.now - job.lastReclaimAt >= pause
+        val minWait = operators.reclaimAfterS.seconds
+        val quota = cluster.teams[job.spec.team] ?: return false
+        if (cluster.usedCpus(quota.name) + job.spec.cpus > quota.cpus) return false
+        return blockedTime(job) >= minWait && context.now - job.lastReclaimAt >= minWait
     }
 
     private fun blockedTime(job: Job): Micros =
@@ -67,10 +68,10 @@
 
     /** True if the room of [victim] does not come free soon by itself, nor throws a fetch away. */
     fun isWorthStopping(victim: Placement): Boolean =
-        !isOnlyFetcher(victim) && remaining(victim) >= NEARLY_DONE
+        !isOnlyTaskFetchingImage(victim) && remainingRunTime(victim) >= MIN_REMAINING_RUN_TIME
 
     /** Stopping the last task that waits for an image throws the fetch away. */
-    private fun isOnlyFetcher(victim: Placement): Boolean {
+    private fun isOnlyTaskFetchingImage(victim: Placement): Boolean {
         if (victim.status != TaskStatus.FETCHING) return false
         val machine = cluster.machines[victim.machine] ?: return false
         return machine.placements.values.none {
@@ -78,22 +79,22 @@
         }
     }
 
-    private fun remaining(victim: Placement): Micros {
+    private fun remainingRunTime(victim: Placement): Micros {
         val expected = cluster.estimates.runTime(victim.job.spec)
         val since = victim.runningSince ?: return expected
         return expected - (context.now - since)
     }
 
     /** CPU-seconds that stopping [victim] throws away. */
-    fun loss(victim: Placement): Double {
+    fun lostCpuSeconds(victim: Placement): Double {
         val spec = victim.job.spec
         val since = victim.runningSince ?: return 0.0
-        val lost = if (spec.isCheckpointable) spec.saveS else (context.now - since).inSeconds
-        return (lost + RESTART_S) * spec.cpus
+        val lostSeconds = if (spec.isCheckpointable) spec.saveS else (context.now - since).inSeconds
+        return (lostSeconds + RESTART_OVERHEAD_S) * spec.cpus
     }
 
     private companion object {
-        const val RESTART_S = 3.0
-        val NEARLY_DONE = 3.seconds
+        const val RESTART_OVERHEAD_S = 3.0
+        val MIN_REMAINING_RUN_TIME = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
@@ -20,21 +20,22 @@
     }
 
     /**
-     * How many more tasks like this the team's quota allows, once one like [beside] has started.
+     * How many more tasks like this the team's quota allows, once one like [afterStarting] has
+     * started.
      */
-    fun headroom(spec: JobSpec, beside: JobSpec?): Int {
+    fun quotaHeadroom(spec: JobSpec, afterStarting: JobSpec?): Int {
         val quota = quotas[spec.team] ?: return 0
         val byCpu =
             if (spec.cpus > 0) {
-                val used = cpus.getDouble(spec.team) + (beside?.cpus ?: 0.0)
+                val used = cpus.getDouble(spec.team) + (afterStarting?.cpus ?: 0.0)
                 (quota.cpusMax - used + MachineType.EPSILON) / spec.cpus
             } else Double.MAX_VALUE
         val byGpu =
             if (spec.gpus > 0) {
-                val used = gpus.getDouble(spec.team) + (beside?.gpus ?: 0.0)
+                val used = gpus.getDouble(spec.team) + (afterStarting?.gpus ?: 0.0)
                 (quota.gpusMax - used + MachineType.EPSILON) / spec.gpus
             } else Double.MAX_VALUE
-        return minOf(byCpu, byGpu, MAX_HEADROOM).toInt().coerceAtLeast(0)
+        return minOf(byCpu, byGpu, MAX_HEADROOM_TASKS).toInt().coerceAtLeast(0)
     }
 
     /** Nothing is used any more. */
@@ -44,6 +45,6 @@
     }
 
     private companion object {
-        const val MAX_HEADROOM = 1e6
+        const val MAX_HEADROOM_TASKS = 1e6
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/RuntimeEstimates.kt
+++ b/src/main/kotlin/wardmux/scheduling/RuntimeEstimates.kt
@@ -25,12 +25,13 @@
         correction.samples++
         val weight = maxOf(1.0 / (correction.samples + 1), MIN_SAMPLE_WEIGHT)
         val ratio = runTime.value.toDouble() / spec.estimate.value
-        correction.factor += (ratio.coerceIn(MIN_RATIO, MAX_RATIO) - correction.factor) * weight
+        correction.factor +=
+            (ratio.coerceIn(MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO) - correction.factor) * weight
     }
 
     private companion object {
         const val MIN_SAMPLE_WEIGHT = 0.02
-        const val MIN_RATIO = 0.2
-        const val MAX_RATIO = 5.0
+        const val MIN_RUN_TIME_RATIO = 0.2
+        const val MAX_RUN_TIME_RATIO = 5.0
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -23,7 +23,10 @@
         if (victim.job.spec.isGang) return evictGang(victim.job, reason)
         val spec = victim.job.spec
         val canSave = spec.isCheckpointable && victim.status == TaskStatus.RUNNING
-        requestStop(victim, if (canSave) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
+        requestStop(
+            victim,
+            if (canSave) (spec.saveS + CHECKPOINT_MARGIN_S).seconds else Micros.ZERO,
+        )
         log.info("stopping {} on {}: {}", victim.task, victim.machine, reason)
     }
 
@@ -32,7 +35,7 @@
         val canSave =
             spec.isCheckpointable && job.placements.values.all { it.status == TaskStatus.RUNNING }
         if (canSave) {
-            val gracePeriod = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).seconds
+            val gracePeriod = (spec.saveS + CHECKPOINT_MARGIN_S + workers.gangPeerS).seconds
             for (placement in job.placements.values) requestStop(placement, gracePeriod)
         } else {
             cluster.abortGangAttempt(job)
@@ -47,6 +50,6 @@
     }
 
     private companion object {
-        const val SAVE_MARGIN_S = 1.0
+        const val CHECKPOINT_MARGIN_S = 1.0
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
@@ -66,8 +66,8 @@
     /** Removes the pages of ended jobs once nothing of them is left on a machine. */
     fun addRemovals(transaction: PlacementTransaction) {
         for (job in cluster.jobs.values) {
-            val isGone = job.hasEnded && job.placements.isEmpty()
-            if (isGone && !addRemovals(transaction, job)) return
+            val arePagesRemovable = job.hasEnded && job.placements.isEmpty()
+            if (arePagesRemovable && !addRemovals(transaction, job)) return
         }
     }
 
@@ -103,7 +103,7 @@
         val key = TaskPageCodec.key(job.id, page)
         val encoded = TaskPageCodec.encode(job, page, store.maxValueBytes)
         if (jsonBytes(encoded.data) > store.maxValueBytes) {
-            oversizedUntil[key] = context.now + OVERSIZED_RETRY
+            oversizedUntil[key] = context.now + OVERSIZED_PAGE_RETRY_DELAY
             return false
         }
         oversizedUntil.remove(key)
@@ -123,6 +123,6 @@
          * leader is told again.
          */
         val DIRTY_PAGE_DELAY = 3.seconds
-        val OVERSIZED_RETRY = 1.seconds
+        val OVERSIZED_PAGE_RETRY_DELAY = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
@@ -27,9 +27,9 @@
     private class TimedJob(
         val job: Job,
         /** How long all the team's CPUs work on what is left of it. */
-        val work: Double,
+        val remainingWorkS: Double,
         /** How long one of its tasks runs. */
-        val run: Double,
+        val taskRunTimeS: Double,
         private val deadlines: DoubleArray,
     ) {
         val deadlineCount: Int
@@ -42,65 +42,71 @@
     /** Which jobs can be kept within a deadline, and which can't; both in the order of planning. */
     private class Feasibility(val inTime: List<TimedJob>, val late: List<TimedJob>)
 
-    /** [jobs] in their order; [cpus] is what the team can count on at time of day [wall]. */
-    fun sort(jobs: List<Job>, cpus: Double, wall: Micros): List<Job> {
+    /** [jobs] in their order; [cpus] is what the team can count on at time of day [wallTime]. */
+    fun sort(jobs: List<Job>, cpus: Double, wallTime: Micros): List<Job> {
         if (jobs.size < 2) return jobs
         val bySubmission = compareBy<Job>({ it.acceptedAt.value }, { it.id.value })
         val (failing, good) = jobs.sortedWith(bySubmission).partition { it.isFailing }
-        val (overdue, others) = good.partition { !it.hasStarted && wall - it.acceptedAt > maxWait }
+        val (overdue, others) =
+            good.partition { !it.hasStarted && wallTime - it.acceptedAt > maxWait }
         val (timed, untimed) = others.partition { deadlines(it.spec).isNotEmpty() }
         if (timed.size < 2 || cpus <= 0) return overdue + others + failing
-        return overdue + byDeadline(timed.map { timedJob(it, cpus, wall) }) + untimed + failing
+        return overdue + byDeadline(timed.map { timedJob(it, cpus, wallTime) }) + untimed + failing
     }
 
     private fun byDeadline(timed: List<TimedJob>): List<Job> {
         val sorted = ArrayList<Job>()
-        var open = timed
-        var spent = 0.0
+        var undecided = timed
+        var precedingWorkS = 0.0
         for (level in 0 until timed.maxOf { it.deadlineCount }) {
-            val feasibility = keepInTime(open, level, spent)
-            spent += feasibility.inTime.sumOf { it.work }
+            val feasibility = keepInTime(undecided, level, precedingWorkS)
+            precedingWorkS += feasibility.inTime.sumOf { it.remainingWorkS }
             feasibility.inTime.mapTo(sorted) { it.job }
-            open = feasibility.late
+            undecided = feasibility.late
         }
-        return open.sortedBy { it.work }.mapTo(sorted) { it.job }
+        return undecided.sortedBy { it.remainingWorkS }.mapTo(sorted) { it.job }
     }
 
     /** Seconds after acceptance by which users expect a job like this to be done, ascending. */
     private fun deadlines(spec: JobSpec): List<Double> {
         val objectives = objectivesByClass[spec.jobClass].orEmpty()
-        val own = spec.deadlineS
+        val jobDeadlineS = spec.deadlineS
         val factors =
-            objectives.filter { it.kind == DEADLINE }.map { it.times }.ifEmpty { listOf(1.0) }
-        val fromOwn = if (own == null) emptyList() else factors.map { it * own }
-        return (fromOwn + objectives.filter { it.kind == FINISHED }.map { it.withinS }).sorted()
+            objectives.filter { it.kind == DEADLINE_KIND }.map { it.times }.ifEmpty { listOf(1.0) }
+        val fromOwn = if (jobDeadlineS == null) emptyList() else factors.map { it * jobDeadlineS }
+        return (fromOwn + objectives.filter { it.kind == FINISHED_KIND }.map { it.withinS })
+            .sorted()
     }
 
-    private fun timedJob(job: Job, cpus: Double, wall: Micros): TimedJob {
+    private fun timedJob(job: Job, cpus: Double, wallTime: Micros): TimedJob {
         val spec = job.spec
-        val run = estimates.runTime(spec).inSeconds
+        val taskRunTimeS = estimates.runTime(spec).inSeconds
         val tasksLeft = spec.tasks - job.doneCount - job.placements.size * PLACED_TASK_DONE_SHARE
-        val age = (wall - job.acceptedAt).inSeconds
+        val age = (wallTime - job.acceptedAt).inSeconds
         val deadlines = deadlines(spec).map { it - age }.toDoubleArray()
-        return TimedJob(job, tasksLeft * spec.cpus / cpus * run, run, deadlines)
+        return TimedJob(job, tasksLeft * spec.cpus / cpus * taskRunTimeS, taskRunTimeS, deadlines)
     }
 
     /** Moore and Hodgson's rule, after [spent] seconds of other work. */
-    private fun keepInTime(open: List<TimedJob>, level: Int, spent: Double): Feasibility {
-        val inTime = PriorityQueue<TimedJob>(compareByDescending { it.work })
+    private fun keepInTime(
+        undecided: List<TimedJob>,
+        level: Int,
+        precedingWorkS: Double,
+    ): Feasibility {
+        val inTime = PriorityQueue<TimedJob>(compareByDescending { it.remainingWorkS })
         val late = ArrayList<TimedJob>()
-        var busy = spent
-        for (job in open.sortedBy { it.deadline(level) }) {
-            if (job.run > job.deadline(level)) {
+        var busyS = precedingWorkS
+        for (job in undecided.sortedBy { it.deadline(level) }) {
+            if (job.taskRunTimeS > job.deadline(level)) {
                 late.add(job)
                 continue
             }
             inTime.add(job)
-            busy += job.work
-            while (busy > job.deadline(level) && inTime.isNotEmpty()) {
-                val longest = inTime.poll()
-                busy -= longest.work
-                late.add(longest)
+            busyS += job.remainingWorkS
+            while (busyS > job.deadline(level) && inTime.isNotEmpty()) {
+                val largest = inTime.poll()
+                busyS -= largest.remainingWorkS
+                late.add(largest)
             }
         }
         return Feasibility(inTime.sortedBy { it.deadline(level) }, late)
@@ -108,8 +114,8 @@
 
     private companion object {
         /** Kinds of objectives: a factor of the job's own deadline, and a time after acceptance. */
-        const val DEADLINE = "deadline"
-        const val FINISHED = "finished"
+        const val DEADLINE_KIND = "deadline"
+        const val FINISHED_KIND = "finished"
 
         /** Of a task that is placed, about half is still to be done. */
         const val PLACED_TASK_DONE_SHARE = 0.5
--- a/src/main/kotlin/wardmux/scheduling/TypeReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/TypeReservations.kt
@@ -16,11 +16,11 @@
     /** How long a job may wait for its first start before types are reserved for it. */
     private val maxWait: Micros,
 ) {
-    private var reserved: Set<String> = emptySet()
+    private var reservedLabels: Set<String> = emptySet()
 
     /** Decides anew, before each plan, for the jobs that are [ready] to start. */
     internal fun update(ready: List<Job>) {
-        reserved =
+        reservedLabels =
             ready
                 .filter { isOverdue(it) }
                 .flatMapTo(HashSet()) { eligibility.exactTypesFor(it.spec) }
@@ -30,9 +30,9 @@
         !job.hasStarted && !job.isFailing && context.wallTime - job.acceptedAt > maxWait
 
     /** True if the type with this label is reserved for the jobs that fit it exactly. */
-    internal fun isReserved(label: String) = label in reserved
+    internal fun isReserved(label: String) = label in reservedLabels
 
     /** True if machines of this type are reserved for other work than this. */
     fun isReservedFromTask(spec: JobSpec, type: MachineType) =
-        type.label in reserved && type.label !in eligibility.exactTypesFor(spec)
+        type.label in reservedLabels && type.label !in eligibility.exactTypesFor(spec)
 }
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -167,10 +167,10 @@
             val written = FormatContents.tags()
             val read = FormatContents.queue()
             read.load(it)
-            assertEquals(written.clock, read.clock)
-            assertTrue(read.clock > 0)
+            assertEquals(written.virtualTime, read.virtualTime)
+            assertTrue(read.virtualTime > 0)
             for (team in listOf("batch", "web")) {
-                assertTrue(read.startTag(team) > read.clock, team)
+                assertTrue(read.startTag(team) > read.virtualTime, team)
                 assertEquals(written.startTag(team), read.startTag(team), team)
                 assertTrue(read.usage(team, at) > 0, team)
                 assertEquals(written.usage(team, at), read.usage(team, at), team)
--- a/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
@@ -36,7 +36,7 @@
                 estimateS = 0.0,
             )
 
-    private fun ordinary(number: Int) = harness.machine(number, type, spot = false)
+    private fun ordinary(number: Int) = harness.addMachine(number, type, spot = false)
 
     private fun haveImage(vararg machines: Machine) {
         for (machine in machines) machine.images.markReady(
@@ -58,12 +58,12 @@
 
     @Test
     fun `the machine with least on it is cordoned, and one replica of a service is evicted at a time`() {
-        val job = harness.job(service)
+        val job = harness.addJob(service)
         val sparse = ordinary(1)
         val other = ordinary(2)
-        repeat(2) { harness.run(job, it, sparse) }
-        harness.run(harness.job(plainJob(1, "job-000002")), 0, other)
-        harness.run(harness.job(plainJob(1, "job-000003").copy(cpus = 6.0)), 0, other)
+        repeat(2) { harness.addRunningTask(job, it, sparse) }
+        harness.addRunningTask(harness.addJob(plainJob(1, "job-000002")), 0, other)
+        harness.addRunningTask(harness.addJob(plainJob(1, "job-000003").copy(cpus = 6.0)), 0, other)
         haveImage(sparse, other)
         adjust(1.5)
         assertTrue(sparse.isScalingIn)
@@ -75,11 +75,15 @@
 
     @Test
     fun `a replica stays where no other machine has room and its image`() {
-        val job = harness.job(service)
+        val job = harness.addJob(service)
         val sparse = ordinary(1)
-        repeat(2) { harness.run(job, it, sparse) }
+        repeat(2) { harness.addRunningTask(job, it, sparse) }
         val other = ordinary(2)
-        harness.run(harness.job(plainJob(1, "job-000002").copy(cpus = 14.0)), 0, other)
+        harness.addRunningTask(
+            harness.addJob(plainJob(1, "job-000002").copy(cpus = 14.0)),
+            0,
+            other,
+        )
         haveImage(sparse)
         adjust(1.5)
         assertTrue(sparse.isScalingIn)
@@ -92,9 +96,9 @@
     @Test
     fun `nothing is cordoned for less than a machine, and no spot machine`() {
         val machine = ordinary(1)
-        val spot = harness.machine(2, type)
-        harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
-        harness.run(harness.job(plainJob(1, "job-000003")), 0, spot)
+        val spot = harness.addMachine(2, type)
+        harness.addRunningTask(harness.addJob(plainJob(1, "job-000002")), 0, machine)
+        harness.addRunningTask(harness.addJob(plainJob(1, "job-000003")), 0, spot)
         adjust(0.9)
         assertFalse(machine.isScalingIn)
         adjust(5.0)
@@ -105,9 +109,9 @@
     @Test
     fun `a cordoned machine gets no new task`() {
         val machine = ordinary(1)
-        harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
+        harness.addRunningTask(harness.addJob(plainJob(1, "job-000002")), 0, machine)
         adjust(1.0)
-        val waits = harness.job(plainJob(1, "job-000003"))
+        val waits = harness.addJob(plainJob(1, "job-000003"))
         harness.planner.plan(PageWriteBudget(7))
         assertEquals(0, waits.placements.size)
     }
--- a/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
@@ -31,11 +31,11 @@
             DrainSettings(budget = budget),
             6.seconds,
         )
-    private val machine = harness.machine(1, type)
-    private val job = harness.job(plainJob(4).copy(kind = JobKind.SERVICE))
+    private val machine = harness.addMachine(1, type)
+    private val job = harness.addJob(plainJob(4).copy(kind = JobKind.SERVICE))
 
     init {
-        repeat(4) { harness.run(job, it, machine) }
+        repeat(4) { harness.addRunningTask(job, it, machine) }
         for (placement in job.placements.values) placement.runningSince = 50.seconds
         budgets.recount()
     }
@@ -91,7 +91,7 @@
     fun `an interrupted task counts until it runs again`() {
         harness.cluster.release(first, "test")
         assertEquals(1, disruptedAfter {})
-        harness.run(job, 0, machine)
+        harness.addRunningTask(job, 0, machine)
         assertEquals(0, disruptedAfter {})
     }
 
@@ -108,7 +108,7 @@
         budgets.recordEviction(first)
         assertNull(budgets.refusal(job, 1))
         assertIs<BudgetRefusal.Temporary>(budgets.refusal(job, 2))
-        val small = harness.job(plainJob(2, "job-000002").copy(kind = JobKind.SERVICE))
+        val small = harness.addJob(plainJob(2, "job-000002").copy(kind = JobKind.SERVICE))
         assertIs<BudgetRefusal.Permanent>(budgets.refusal(small, 1), "two replicas must stay up")
     }
 
@@ -128,8 +128,8 @@
 
     @Test
     fun `replicas of one service are limited beside the team`() {
-        val other: Job = harness.job(plainJob(3, "job-000003").copy(kind = JobKind.SERVICE))
-        repeat(3) { harness.run(other, it, harness.machine(2 + it, type)) }
+        val other: Job = harness.addJob(plainJob(3, "job-000003").copy(kind = JobKind.SERVICE))
+        repeat(3) { harness.addRunningTask(other, it, harness.addMachine(2 + it, type)) }
         budgets.recount()
         budgets.recordEviction(other.placements.get(0))
         assertIs<BudgetRefusal.Temporary>(budgets.refusal(other, 1), "one of three may be down")
--- a/src/test/kotlin/wardmux/scheduling/DensePackingTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/DensePackingTest.kt
@@ -20,26 +20,26 @@
     private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
     private val harness = PlannerHarness(teams, listOf(small, large), now = 100.seconds)
 
-    private fun job(kind: JobKind, tasks: Int, cpus: Double = 1.0, id: Int = 1) =
-        harness.job(
+    private fun addJob(kind: JobKind, tasks: Int, cpus: Double = 1.0, id: Int = 1) =
+        harness.addJob(
             plainJob(tasks, "job-%06d".format(id)).copy(kind = kind, cpus = cpus, estimateS = 9.0)
         )
 
-    private fun bytesOf(job: Job) = TaskPageCodec.encode(job, 0).toString().length
+    private fun pageBytesOf(job: Job) = TaskPageCodec.encode(job, 0).toString().length
 
     /** As many on small machines as on large ones, which small tasks fit exactly. */
-    private fun smallAndLarge() {
-        repeat(100) { harness.machine(it, small) }
-        repeat(2) { harness.machine(1000 + it, large) }
+    private fun addSmallAndLargeMachines() {
+        repeat(100) { harness.addMachine(it, small) }
+        repeat(2) { harness.addMachine(1000 + it, large) }
     }
 
     @Test
     fun `a gang goes to as few machines as its page holds`() {
-        smallAndLarge()
-        val gang = job(JobKind.GANG, 110)
+        addSmallAndLargeMachines()
+        val gang = addJob(JobKind.GANG, 110)
         harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT))
         assertEquals(110, gang.placements.size)
-        assertTrue(bytesOf(gang) <= LOWERED_LIMIT, "${bytesOf(gang)} bytes")
+        assertTrue(pageBytesOf(gang) <= LOWERED_LIMIT, "${pageBytesOf(gang)} bytes")
         val stored =
             lenientJson.decodeFromJsonElement(
                 StoredTaskPage.serializer(),
@@ -50,32 +50,32 @@
 
     @Test
     fun `the replicas of a service go to as few machines as their page holds`() {
-        smallAndLarge()
-        val service = job(JobKind.SERVICE, 125)
+        addSmallAndLargeMachines()
+        val service = addJob(JobKind.SERVICE, 125)
         repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT)) }
         assertEquals(125, service.placements.size)
-        assertTrue(bytesOf(service) <= LOWERED_LIMIT, "${bytesOf(service)} bytes")
+        assertTrue(pageBytesOf(service) <= LOWERED_LIMIT, "${pageBytesOf(service)} bytes")
     }
 
     @Test
     fun `replicas that do not fit wait, the others run, and other jobs are placed`() {
-        repeat(200) { harness.machine(it, small) }
-        val service = job(JobKind.SERVICE, 120, cpus = 2.0)
-        val other = job(JobKind.ARRAY, 5, id = 2)
+        repeat(200) { harness.addMachine(it, small) }
+        val service = addJob(JobKind.SERVICE, 120, cpus = 2.0)
+        val other = addJob(JobKind.ARRAY, 5, id = 2)
         repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT)) }
         assertTrue(service.placements.size >= 50, "${service.placements.size} replicas")
         assertTrue(service.placements.size < 120)
-        assertTrue(bytesOf(service) <= LOWERED_LIMIT, "${bytesOf(service)} bytes")
+        assertTrue(pageBytesOf(service) <= LOWERED_LIMIT, "${pageBytesOf(service)} bytes")
         assertEquals(5, other.placements.size)
     }
 
     /** One task a machine, however large it is: no page of 2 KiB names 120 machines. */
     @Test
     fun `a gang that no page holds takes nothing from others`() {
-        repeat(150) { harness.machine(it, small) }
-        val oversized = job(JobKind.GANG, 120, cpus = 2.0)
-        val gang = job(JobKind.GANG, 3, id = 2)
-        val other = job(JobKind.ARRAY, 5, id = 3)
+        repeat(150) { harness.addMachine(it, small) }
+        val oversized = addJob(JobKind.GANG, 120, cpus = 2.0)
+        val gang = addJob(JobKind.GANG, 3, id = 2)
+        val other = addJob(JobKind.ARRAY, 5, id = 3)
         harness.planner.plan(PageWriteBudget(2, LOWERED_LIMIT))
         assertEquals(0, oversized.placements.size)
         assertEquals(3, gang.placements.size)
@@ -85,14 +85,14 @@
     @Test
     fun `a gang that no page holds reserves no machines and is not short of room`() {
         val smallOnly = PlannerHarness(teams, listOf(small), now = 100.seconds)
-        repeat(150) { smallOnly.machine(it, small) }
-        val full = smallOnly.untrackedJob(plainJob(1, "job-999999").copy(cpus = 2.0))
+        repeat(150) { smallOnly.addMachine(it, small) }
+        val fullMachineJob = smallOnly.untrackedJob(plainJob(1, "job-999999").copy(cpus = 2.0))
         for (machine in smallOnly.cluster.machines.values) machine.add(
-            smallOnly.placement(full, 0, machine)
+            smallOnly.placement(fullMachineJob, 0, machine)
         )
         val spec = plainJob(120, "job-000001").copy(kind = JobKind.GANG, cpus = 2.0)
-        val oversized = smallOnly.job(spec, acceptedAt = 1.seconds)
-        val gang = smallOnly.job(spec.copy(id = "job-000002", tasks = 3), acceptedAt = 2.seconds)
+        val oversized = smallOnly.addJob(spec, acceptedAt = 1.seconds)
+        val gang = smallOnly.addJob(spec.copy(id = "job-000002", tasks = 3), acceptedAt = 2.seconds)
         for (job in listOf(oversized, gang)) job.blockedSince = 10.seconds
         smallOnly.planner.plan(PageWriteBudget(7, LOWERED_LIMIT))
         assertEquals(listOf(gang), smallOnly.planner.jobsShortOfRoom())
--- a/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
@@ -8,23 +8,23 @@
 import wardmux.model.seconds
 
 class FairQueueTest {
-    private val second = Cost(1_000_000)
+    private val oneCpuSecond = Cost(1_000_000)
 
     /** The usage that would halve a weight is out of reach. */
-    private fun withoutDecay(vararg teams: Pair<String, Double>) =
+    private fun queueWithConstantWeights(vararg teams: Pair<String, Double>) =
         FairQueue(mapOf(*teams), 600.seconds, normSeconds = 1e9)
 
-    private fun FairQueue.next(teams: List<String>, wall: Micros): String {
+    private fun FairQueue.chargeNextTeam(teams: List<String>, wallTime: Micros): String {
         // Ties go to the heavier team, as in the paper's example.
-        val team = teams.minWith(compareBy({ startTag(it) }, { -weight(it, wall) }))
-        charge(team, second, wall)
+        val team = teams.minWith(compareBy({ startTag(it) }, { -weight(it, wallTime) }))
+        charge(team, oneCpuSecond, wallTime)
         return team
     }
 
     @Test
     fun `the paper's worked example runs sixteen gold and two free jobs in eighteen`() {
-        val queue = withoutDecay("gold" to 8.0, "free" to 1.0)
-        val order = List(18) { queue.next(listOf("gold", "free"), Micros.ZERO) }
+        val queue = queueWithConstantWeights("gold" to 8.0, "free" to 1.0)
+        val order = List(18) { queue.chargeNextTeam(listOf("gold", "free"), Micros.ZERO) }
         assertEquals(16, order.count { it == "gold" })
         assertEquals(listOf(1, 10), order.indices.filter { order[it] == "free" })
         assertEquals(2_000_000, queue.startTag("gold"))
@@ -34,9 +34,9 @@
     @Test
     fun `usage halves in a half-life, in one step or in many`() {
         val queue = FairQueue(mapOf("a" to 4.0), 100.seconds, 10.0)
-        queue.charge("a", second, Micros.ZERO)
+        queue.charge("a", oneCpuSecond, Micros.ZERO)
         val other = FairQueue(mapOf("a" to 4.0), 100.seconds, 10.0)
-        other.charge("a", second, Micros.ZERO)
+        other.charge("a", oneCpuSecond, Micros.ZERO)
         for (t in 1..20) other.usage("a", (t * 5).seconds)
         assertEquals(500_000.0, queue.usage("a", 100.seconds), 1e-6)
         assertEquals(500_000.0, other.usage("a", 100.seconds), 1e-3)
@@ -61,26 +61,26 @@
 
     @Test
     fun `the clock never goes back and an idle team starts at it`() {
-        val queue = withoutDecay("a" to 1.0, "b" to 1.0)
-        repeat(5) { queue.charge("a", second, Micros.ZERO) }
-        val before = queue.clock
-        val charge = queue.charge("a", second, Micros.ZERO)
+        val queue = queueWithConstantWeights("a" to 1.0, "b" to 1.0)
+        repeat(5) { queue.charge("a", oneCpuSecond, Micros.ZERO) }
+        val before = queue.virtualTime
+        val charge = queue.charge("a", oneCpuSecond, Micros.ZERO)
         queue.settle("a", charge, Cost(0), Micros.ZERO)
-        assertTrue(queue.clock >= before)
+        assertTrue(queue.virtualTime >= before)
         queue.advanceToHighestTag()
         assertEquals(5_000_000, queue.startTag("b"))
-        queue.charge("b", second, Micros.ZERO)
-        assertEquals(5_000_000, queue.clock)
+        queue.charge("b", oneCpuSecond, Micros.ZERO)
+        assertEquals(5_000_000, queue.virtualTime)
     }
 
     @Test
     fun `what is stored is what the next leader reads`() {
-        val queue = withoutDecay("a" to 2.0, "b" to 1.0)
-        queue.charge("a", second, Micros.ZERO)
+        val queue = queueWithConstantWeights("a" to 2.0, "b" to 1.0)
+        queue.charge("a", oneCpuSecond, Micros.ZERO)
         queue.charge("b", Cost(7_000_000), Micros.ZERO)
-        val next = withoutDecay("a" to 2.0, "b" to 1.0)
+        val next = queueWithConstantWeights("a" to 2.0, "b" to 1.0)
         next.load(queue.toJson(Micros.ZERO, maxBytes = 2048))
-        assertEquals(queue.clock, next.clock)
+        assertEquals(queue.virtualTime, next.virtualTime)
         for (team in listOf("a", "b")) {
             assertEquals(queue.startTag(team), next.startTag(team))
             assertEquals(queue.usage(team, 9.seconds), next.usage(team, 9.seconds), 1e-6)
@@ -89,8 +89,8 @@
 
     @Test
     fun `a refunded charge leaves the tag as it was`() {
-        val queue = withoutDecay("a" to 3.0)
-        queue.charge("a", second, Micros.ZERO)
+        val queue = queueWithConstantWeights("a" to 3.0)
+        queue.charge("a", oneCpuSecond, Micros.ZERO)
         val before = queue.startTag("a")
         val charge = queue.charge("a", Cost(9_000_000), Micros.ZERO)
         queue.refund("a", charge, Micros.ZERO)
--- a/src/test/kotlin/wardmux/scheduling/GangReservationsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangReservationsTest.kt
@@ -9,12 +9,12 @@
 
 /** Machines are reserved for gangs, as small tasks would take each bit that comes free. */
 class GangReservationsTest {
-    private val type = PlannerHarness.MID
-    private val harness = PlannerHarness.ofOneTeam()
+    private val type = PlannerHarness.MID_SIZE_TYPE
+    private val harness = PlannerHarness.withOneTeam()
 
-    private fun gang(tasks: Int) = PlannerHarness.gang(tasks)
+    private fun gangSpec(tasks: Int) = PlannerHarness.gangSpec(tasks)
 
-    private fun array(tasks: Int) = harness.job(plainJob(tasks, "job-000002"))
+    private fun addArrayJob(tasks: Int) = harness.addJob(plainJob(tasks, "job-000002"))
 
     private fun Machine.occupy(cpus: Double) = harness.occupy(this, cpus)
 
@@ -22,13 +22,13 @@
 
     @Test
     fun `machines are reserved from the first plan without room for the gang, and more than one`() {
-        for (number in 1..2) harness.machine(number, type).occupy(cpus = 14.0)
-        val gang = harness.job(gang(tasks = 3))
+        for (number in 1..2) harness.addMachine(number, type).occupy(cpus = 14.0)
+        val gang = harness.addJob(gangSpec(tasks = 3))
         plan()
-        val small = array(tasks = 2)
+        val small = addArrayJob(tasks = 2)
         plan()
         assertEquals(0, small.placements.size, "it took room on a reserved machine")
-        harness.machine(3, type)
+        harness.addMachine(3, type)
         plan()
         assertEquals(3, gang.placements.size)
         assertEquals(2, small.placements.size)
@@ -37,9 +37,9 @@
     /** A later write of an attempt was refused, and others have used up the quota since. */
     @Test
     fun `what is left of an aborted attempt is stopped even without quota for the next`() {
-        for (number in 1..2) harness.machine(number, type).occupy(cpus = 8.0)
-        val spec = gang(tasks = 8)
-        val gang = harness.job(spec)
+        for (number in 1..2) harness.addMachine(number, type).occupy(cpus = 8.0)
+        val spec = gangSpec(tasks = 8)
+        val gang = harness.addJob(spec)
         plan()
         assertEquals(8, gang.placements.size)
         harness.cluster.rollBack(gang.placements.values.first())
--- a/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
@@ -18,26 +18,27 @@
     private fun placeableTasks(job: Job, tasksPerMachine: Int) =
         PageSizeEstimate.placeableTasks(job, tasksPerMachine, MAX_BYTES)
 
-    private fun planAll() = repeat(20) { harness.planner.plan(PageWriteBudget(7, MAX_BYTES)) }
+    private fun planUntilPagesAreFull() =
+        repeat(20) { harness.planner.plan(PageWriteBudget(7, MAX_BYTES)) }
 
-    private fun check(cpus: Double, tasksPerMachine: Int) {
-        val job = harness.job(plainJob(120).copy(cpus = cpus, memoryGb = 1.0))
+    private fun checkEstimate(cpus: Double, tasksPerMachine: Int) {
+        val job = harness.addJob(plainJob(120).copy(cpus = cpus, memoryGb = 1.0))
         val expected = placeableTasks(job, tasksPerMachine)
-        repeat(120) { harness.machine(it, type) }
-        planAll()
+        repeat(120) { harness.addMachine(it, type) }
+        planUntilPagesAreFull()
         val placed = job.placements.size
         assertTrue(placed < 120, "the page holds all tasks, so that nothing is shown")
         assertTrue(expected in placed * 3 / 4..placed * 5 / 4, "$expected expected, $placed placed")
         assertEquals(0, placeableTasks(job, tasksPerMachine), "of a full page")
     }
 
-    @Test fun `tasks with a machine each`() = check(cpus = 16.0, tasksPerMachine = 1)
+    @Test fun `tasks with a machine each`() = checkEstimate(cpus = 16.0, tasksPerMachine = 1)
 
-    @Test fun `two tasks to a machine`() = check(cpus = 8.0, tasksPerMachine = 2)
+    @Test fun `two tasks to a machine`() = checkEstimate(cpus = 8.0, tasksPerMachine = 2)
 
     @Test
     fun `all waiting tasks count of a job whose pages always fit`() {
-        val job = harness.job(plainJob(19).copy(cpus = 16.0))
+        val job = harness.addJob(plainJob(19).copy(cpus = 16.0))
         assertEquals(19, placeableTasks(job, 1))
     }
 
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -35,7 +35,12 @@
     val planner = Planner(context, cluster, OperatorSettings(), workers, emptyList(), pools)
 
     /** Adds a machine that is up and schedulable. */
-    fun machine(number: Int, type: MachineType, zone: String = "a", spot: Boolean = true): Machine {
+    fun addMachine(
+        number: Int,
+        type: MachineType,
+        zone: String = "a",
+        spot: Boolean = true,
+    ): Machine {
         val machine = Machine(MachineId("i-%06d".format(number)), type, zone, spot)
         machine.hasAdoptedToken = true
         machine.lastHeartbeatAt = context.now
@@ -45,7 +50,7 @@
     }
 
     /** Adds a job to the cluster state. */
-    fun job(spec: JobSpec, acceptedAt: Micros = Micros.ZERO): Job =
+    fun addJob(spec: JobSpec, acceptedAt: Micros = Micros.ZERO): Job =
         untrackedJob(spec, acceptedAt).also { cluster.jobs[it.id] = it }
 
     /** A job that is not planned, for tasks that only take room. */
@@ -57,7 +62,7 @@
         Placement(job, TaskId(job.id, task), 1, machine.id, 1, machine.zone, Charge(Cost(1), 1.0))
 
     /** Lets [task] run on [machine], committed. */
-    fun run(job: Job, task: Int, machine: Machine) {
+    fun addRunningTask(job: Job, task: Int, machine: Machine) {
         val placement = placement(job, task, machine)
         placement.isCommitted = true
         placement.status = TaskStatus.RUNNING
@@ -76,19 +81,19 @@
 
     companion object {
         /** A machine type that is offered in two zones. */
-        val MID =
+        val MID_SIZE_TYPE =
             MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 100.0, zones = listOf("a", "b"))
 
         /** One team, and machines of one type. */
-        fun ofOneTeam() =
+        fun withOneTeam() =
             PlannerHarness(
                 listOf(TeamQuota("team-0", 700.0, 700.0)),
-                listOf(MID),
+                listOf(MID_SIZE_TYPE),
                 now = 100.seconds,
             )
 
         /** A gang whose tasks share an image. */
-        fun gang(tasks: Int): JobSpec =
+        fun gangSpec(tasks: Int): JobSpec =
             plainJob(tasks, "job-000001").copy(kind = JobKind.GANG, image = "gang-image")
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
@@ -18,22 +18,22 @@
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val preemption = harness.preemption()
 
-    private fun job(id: Int, priority: PriorityClass, tasks: Int) =
-        harness.job(plainJob(tasks, "job-%06d".format(id)).copy(priority = priority))
+    private fun addJob(id: Int, priority: PriorityClass, tasks: Int) =
+        harness.addJob(plainJob(tasks, "job-%06d".format(id)).copy(priority = priority))
 
-    private fun running(job: Job, machines: IntRange) {
+    private fun runOnFullMachines(job: Job, machines: IntRange) {
         var task = 0
         for (m in machines) {
-            val machine = harness.machine(m, type)
-            repeat(8) { harness.run(job, task++, machine) }
+            val machine = harness.addMachine(m, type)
+            repeat(8) { harness.addRunningTask(job, task++, machine) }
         }
     }
 
     @Test
     fun `for a blocked job only tasks that may be stopped for it are examined`() {
-        running(job(900, PriorityClass.HIGH, 8_000), 0 until 1_000)
-        running(job(901, PriorityClass.NORMAL, 80), 1_000 until 1_010)
-        repeat(100) { job(it, PriorityClass.HIGH, 50).blockedSince = Micros.ZERO }
+        runOnFullMachines(addJob(900, PriorityClass.HIGH, 8_000), 0 until 1_000)
+        runOnFullMachines(addJob(901, PriorityClass.NORMAL, 80), 1_000 until 1_010)
+        repeat(100) { addJob(it, PriorityClass.HIGH, 50).blockedSince = Micros.ZERO }
         preemption.preempt()
         val stopped =
             harness.cluster.jobs.values.sumOf { j -> j.placements.values.count { it.isStopping } }
--- a/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
@@ -18,17 +18,18 @@
     private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
     private val harness = PlannerHarness(teams, listOf(type), now = 100.seconds)
     private val preemption = harness.preemption()
-    private val idle = harness.job(plainJob(64, "job-000900").copy(priority = PriorityClass.IDLE))
+    private val idleJob =
+        harness.addJob(plainJob(64, "job-000900").copy(priority = PriorityClass.IDLE))
 
-    private fun waiting(spec: JobSpec) =
-        harness.job(spec).also { it.blockedSince = harness.context.now }
+    private fun addBlockedJob(spec: JobSpec) =
+        harness.addJob(spec).also { it.blockedSince = harness.context.now }
 
     private fun stoppedIn(zone: String) =
         harness.cluster.machines.values
             .filter { it.zone == zone }
             .sumOf { machine -> machine.placements.values.count { it.isStopping } }
 
-    private fun service(tasks: Int) =
+    private fun serviceSpec(tasks: Int) =
         plainJob(tasks, "job-000001")
             .copy(
                 kind = JobKind.SERVICE,
@@ -38,32 +39,32 @@
                 estimateS = 0.0,
             )
 
-    private fun fullMachine(number: Int, zone: String): Machine {
-        val machine = harness.machine(number, type, zone, spot = false)
-        repeat(8) { harness.run(idle, number * 8 + it, machine) }
+    private fun addFullMachine(number: Int, zone: String): Machine {
+        val machine = harness.addMachine(number, type, zone, spot = false)
+        repeat(8) { harness.addRunningTask(idleJob, number * 8 + it, machine) }
         return machine
     }
 
     @Test
     fun `work of lower priority makes room for a service at once, for others after a wait`() {
-        fullMachine(1, "a")
-        fullMachine(2, "b")
-        val array = waiting(service(4).copy(id = "job-000002", kind = JobKind.ARRAY))
+        addFullMachine(1, "a")
+        addFullMachine(2, "b")
+        val array = addBlockedJob(serviceSpec(4).copy(id = "job-000002", kind = JobKind.ARRAY))
         preemption.preempt()
         assertEquals(0, stoppedIn("a") + stoppedIn("b"))
         harness.cluster.jobs.remove(array.id)
-        waiting(service(4))
+        addBlockedJob(serviceSpec(4))
         preemption.preempt()
         assertEquals(4, stoppedIn("a") + stoppedIn("b"))
     }
 
     @Test
     fun `nothing is stopped in a zone that has its share of the service already`() {
-        val service = waiting(service(4))
-        val crowded = harness.machine(1, type, "a", spot = false)
-        repeat(2) { harness.run(service, it, crowded) }
-        repeat(6) { harness.run(idle, it, crowded) }
-        fullMachine(2, "b")
+        val service = addBlockedJob(serviceSpec(4))
+        val sharedMachine = harness.addMachine(1, type, "a", spot = false)
+        repeat(2) { harness.addRunningTask(service, it, sharedMachine) }
+        repeat(6) { harness.addRunningTask(idleJob, it, sharedMachine) }
+        addFullMachine(2, "b")
         preemption.preempt()
         assertEquals(0, stoppedIn("a"))
         assertEquals(2, stoppedIn("b"))
