--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -17,8 +17,8 @@
 import wardmux.model.seconds
 
 /**
- * The jobs, machines and placements that the leader knows. Whatever may be on a machine counts
- * against the machine's room and its team's quota until it is proven gone.
+ * The jobs, machines and placements that the leader knows. Every task that may still be on a
+ * machine counts against the machine's capacity and its team's quota until it is proven to be gone.
  */
 class ClusterState(private val context: CoreContext, teams: List<TeamQuota>, val queue: FairQueue) {
     private val log = logger<ClusterState>()
@@ -26,48 +26,62 @@
     /** The quota of each team, by its name. */
     val teams = teams.associateBy { it.name }
 
-    /** All jobs that are open or of which something is left on machines or in the store. */
+    /**
+     * All jobs that are open, and ended jobs that still have tasks on machines or entries in the
+     * store.
+     */
     val jobs = LinkedHashMap<JobId, Job>()
 
     /** All machines that have sent a heartbeat or were listed by the cloud. */
     val machines = LinkedHashMap<MachineId, Machine>()
 
-    /** How long tasks are expected to run. */
+    /** Estimates of how long tasks run. */
     val estimates = RuntimeEstimates()
     internal val quotaUsage = QuotaUsage(this.teams)
     private val orphans = Orphans(quotaUsage)
 
-    /** Placements on machines that records name and that have sent no heartbeat yet. */
+    /** Placements from records whose machines have sent no heartbeat yet. */
     val unknownMachines = PlacementsOnUnknownMachines()
 
-    /** Machines that may have commands to be sent to them directly. */
+    /** Machines for which commands may be waiting that can be sent to them directly. */
     val machinesWithCommands = LinkedHashSet<Machine>()
 
-    /** Drains are active: only these move tasks that would run on elsewhere. */
+    /**
+     * True while drains are active. Only drains move tasks that would otherwise run on where they
+     * are.
+     */
     var hasDrains = false
 
-    /** Counts the jobs that were found cancelled. */
+    /** The number of jobs that were found cancelled. */
     var cancelledJobCount = 0L
         private set
 
-    /** Counts what may let a waiting task start; a plan that found nothing is not made again. */
+    /**
+     * Counts the changes that may allow a waiting task to start. A plan that found nothing to place
+     * is not repeated until this counter changes.
+     */
     var changeCount = 0L
         private set
 
-    /** The machine type that costs are measured by; null until the types are known. */
+    /**
+     * The machine type in whose CPUs costs are expressed; null until the machine types are known.
+     */
     var referenceType: MachineType? = null
 
-    /** The CPUs that tasks of [team] take of its quota. */
+    /** The CPUs of the quota of [team] that its tasks use. */
     fun usedCpus(team: String) = quotaUsage.usedCpus(team)
 
     /**
-     * How many more tasks like this the team's quota allows, once one like [afterStarting] has
-     * started.
+     * How many more tasks like [spec] the team's quota allows. If [afterStarting] is given, one
+     * task like it is counted as started first.
      */
     fun quotaHeadroom(spec: JobSpec, afterStarting: JobSpec? = null): Int =
         quotaUsage.quotaHeadroom(spec, afterStarting)
 
-    /** Places [task] of [job] on [machine] and charges its team. */
+    /**
+     * Places [task] of [job] on [machine] and charges its team. Returns the placement, which is not
+     * committed yet.
+     */
     fun place(job: Job, task: Int, machine: Machine): Placement {
         val cost = cost(job.spec, estimates.runTime(job.spec))
         val charge = queue.charge(job.spec.team, cost, context.wallTime)
@@ -87,7 +101,10 @@
         return placement
     }
 
-    /** Counts [placement] on its [machine], which is null if it has sent no heartbeat yet. */
+    /**
+     * Adds [placement] to its [machine] and to its team's usage. A [machine] of null means that the
+     * machine has sent no heartbeat yet.
+     */
     fun addPlacement(placement: Placement, machine: Machine?) {
         if (machine != null) {
             machine.add(placement)
@@ -98,23 +115,26 @@
         quotaUsage.adjust(placement.job.spec, 1)
     }
 
-    /** Adds a machine, with the placements that records name on it. */
+    /** Adds a machine, together with the placements on it that were read from records. */
     fun add(machine: Machine) {
         machines[machine.id] = machine
         unknownMachines.removeAll(machine.id).forEach { machine.add(it) }
         markChanged()
     }
 
-    /** All placements on a machine, known or unknown. */
+    /** All placements on a machine, whether or not it has sent a heartbeat. */
     fun placementsOn(id: MachineId): Collection<Placement> =
         machines[id]?.placements?.values ?: unknownMachines.on(id)
 
-    /** Something happened that may let a waiting task start. */
+    /** Records a change that may allow a waiting task to start. */
     fun markChanged() {
         changeCount++
     }
 
-    /** [job] is cancelled; its user may have been told so from [since] on. */
+    /**
+     * Marks [job] as cancelled and schedules the stops of its tasks. Its user may have received the
+     * confirmation of the cancellation at any time from [since] on.
+     */
     fun cancel(job: Job, since: Micros) {
         if (!job.hasEnded) {
             job.phase = JobPhase.CANCELLED
@@ -124,7 +144,9 @@
         scheduleStops(job)
     }
 
-    /** The record of [job] says that it is done. */
+    /**
+     * Marks [job] as done, as its record says so, and schedules the stops of its remaining tasks.
+     */
     fun finish(job: Job) {
         job.phase = JobPhase.DONE
         scheduleStops(job)
@@ -136,7 +158,10 @@
         }
     }
 
-    /** [placement] is proven gone from its machine, for [reason]; its task waits unless done. */
+    /**
+     * Removes [placement], which is proven to be gone from its machine for [reason]. Its task waits
+     * again unless it is done.
+     */
     fun release(placement: Placement, reason: String) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         log.debug(
@@ -156,8 +181,8 @@
     }
 
     /**
-     * The gang's attempt can't be completed any more. What is left of it is stopped: its tasks
-     * would find out by themselves, but later.
+     * Aborts the current attempt of a gang, which cannot be completed any more. Its remaining tasks
+     * are stopped at once; without this they would notice by themselves, but later.
      */
     fun abortGangAttempt(job: Job) {
         val gang = job.gangAttempt ?: return
@@ -170,7 +195,7 @@
         }
     }
 
-    /** The record of [placement] was surely not written: it is undone, and its charge refunded. */
+    /** Removes [placement], whose record was certainly not written, and refunds its charge. */
     fun rollBack(placement: Placement) {
         if (placement.job.placements.get(placement.task.index) !== placement) return
         removePlacement(placement)
@@ -190,7 +215,7 @@
         quotaUsage.adjust(placement.job.spec, -1)
     }
 
-    /** The task of [placement] has completed; its charge is corrected by what it really cost. */
+    /** Completes the task of [placement] and corrects its charge to the actual cost. */
     fun complete(placement: Placement) {
         val job = placement.job
         val since = placement.runningSince
@@ -203,19 +228,25 @@
         release(placement, "done")
     }
 
-    /** [task] has completed; the tasks of a gang complete together, so one says it of all. */
+    /**
+     * Marks [task] as completed. All tasks of a gang complete together, so the completion of one
+     * completes all of them.
+     */
     fun complete(job: Job, task: Int) {
         if (!job.spec.isGang) return job.complete(task, context.wallTime)
         for (index in 0 until job.spec.tasks) job.complete(index, context.wallTime)
     }
 
-    /** Everything on [machine] is proven gone, for [reason]. */
+    /** Removes everything on [machine], which is proven to be gone for [reason]. */
     fun releaseAll(machine: Machine, reason: String) {
         for (placement in machine.placements.values.toList()) release(placement, reason)
         setOrphans(machine, emptyList())
     }
 
-    /** [machine] reports tasks of these jobs that no record names. */
+    /**
+     * Replaces the orphans of [machine], which are tasks that it reports and no record names, by
+     * tasks of the jobs in [orphans].
+     */
     fun setOrphans(machine: Machine, orphans: List<JobSpec>) {
         if (this.orphans.set(machine, orphans)) markChanged()
     }
@@ -223,7 +254,7 @@
     /** True if a machine reports a task of [job] that no record names. */
     fun hasOrphans(job: Job) = orphans.has(job)
 
-    /** Forgets all jobs and placements, before everything is read again. */
+    /** Removes all jobs and placements, before everything is read from the store again. */
     fun removeAllJobs() {
         for (machine in machines.values) {
             setOrphans(machine, emptyList())
@@ -237,7 +268,10 @@
         quotaUsage.clear()
     }
 
-    /** The largest share of CPU, GPU or memory, in CPUs of the reference type, by the run time. */
+    /**
+     * The cost of a task: the largest of its CPU, GPU and memory demands, each converted to CPUs of
+     * the reference type, times the run time in microseconds.
+     */
     private fun cost(spec: JobSpec, runTime: Micros): Cost {
         val type = referenceType
         var share = spec.cpus
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -12,7 +12,7 @@
 import wardmux.model.PriorityClass
 import wardmux.model.seconds
 
-/** Decides which machines a task may be placed on, and scores them. */
+/** Decides which machines a task may be placed on, and scores these machines. */
 class Eligibility(
     private val context: CoreContext,
     private val operators: OperatorSettings,
@@ -20,7 +20,8 @@
     private val pools: MachinePools,
 ) {
     /**
-     * True if new tasks may be placed on [machine]: it is up, confirmed, not cordoned or leaving.
+     * True if new tasks may be placed on [machine]: it sends heartbeats, has adopted this leader's
+     * fencing token, and is neither cordoned nor about to be removed.
      */
     fun isSchedulable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
@@ -35,22 +36,26 @@
             !(machine.isCommandInFlight &&
                 context.now - machine.commandSentAt > MAX_COMMAND_RESPONSE_TIME) &&
             context.now - lastHeartbeatAt < maxSilence &&
-            // A machine that only responds to probes gets no lease: its tasks would die with it.
+            // A machine that only responds to probes gets no lease renewals, so its tasks would
+            // stop when its lease expires.
             context.now - machine.renewedAt < maxSilence &&
             context.now >= machine.pausedUntil
     }
 
-    /** The labels of the machine types that a task like this fits exactly. */
+    /** The labels of the machine types that a task like [spec] fits exactly. */
     fun exactTypesFor(spec: JobSpec): Set<String> = pools.exactTypesFor(spec)
 
-    /** True if a task like this may run on [machine] by its type, zone and maintenance state. */
+    /**
+     * True if a task like [spec] may run on [machine] by the type, zone and maintenance state of
+     * the machine.
+     */
     fun satisfiesConstraints(spec: JobSpec, machine: Machine): Boolean =
         (spec.spot || !machine.spot) &&
             (spec.types == null || machine.type.label in spec.types) &&
             (spec.zone == null || spec.zone == machine.zone) &&
             (machine.maintenance != Maintenance.YIELDING || spec.priority <= PriorityClass.HIGH)
 
-    /** True if an empty machine of [type], in [zone], could take a task of [job]. */
+    /** True if an empty machine of [type] in [zone] could take a task of [job]. */
     fun couldRun(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
         val spec = job.spec
         if (!type.allowedFor(spec) || (spot && !spec.spot)) return false
@@ -58,13 +63,19 @@
         return isZoneAllowed(zone, spec, taskCountByZone(job))
     }
 
-    /** True if one more task may be in [zone], with the job's others in [taskCounts]. */
+    /**
+     * True if one more task like [spec] may be placed in [zone]. [taskCounts] is the number of the
+     * job's tasks that are or may be in each zone.
+     */
     fun isZoneAllowed(zone: String, spec: JobSpec, taskCounts: Map<String, Int>): Boolean {
         if (spec.oneZone && taskCounts.isNotEmpty() && zone !in taskCounts) return false
         return !spec.spread || (taskCounts[zone] ?: 0) < spec.zoneLimit
     }
 
-    /** How many tasks of a zone-bound [job] are or may be in each zone; empty for other jobs. */
+    /**
+     * The number of tasks of [job] that are or may be in each zone. Empty for jobs that may place
+     * each task in any zone regardless of the others.
+     */
     fun taskCountByZone(job: Job): Map<String, Int> {
         if (!job.isZoneBound) return emptyMap()
         val taskCounts = HashMap<String, Int>()
@@ -75,10 +86,10 @@
     }
 
     /**
-     * The score of [machine] for a task like this, the smaller the better: the wait for its image,
-     * the price beyond the cheapest of its pool, and the room left over, so that expensive machines
-     * come free first. Services go where most services are, since only they keep machines from
-     * coming free.
+     * The score of [machine] for a task like [spec]; lower is better. It adds up the wait for the
+     * task's image, the price above the cheapest machine of the pool, and the CPUs that would stay
+     * free. Because of the price, expensive machines become empty first. Services prefer machines
+     * with many services: a service task never ends, so it keeps its machine from becoming empty.
      */
     fun score(spec: JobSpec, machine: Machine): Double {
         val imageWait = machine.images.waitTime(spec.image, spec.imageGb, context.now)
@@ -95,7 +106,10 @@
         const val IMAGE_WAIT_WEIGHT = 0.5
         const val PRICE_WEIGHT = 0.5
 
-        /** A direct command without a response for longer keeps new tasks from the machine. */
+        /**
+         * If a direct command has had no response for longer than this, no new tasks are placed on
+         * the machine.
+         */
         val MAX_COMMAND_RESPONSE_TIME = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/FairQueue.kt
+++ b/src/main/kotlin/wardmux/scheduling/FairQueue.kt
@@ -28,28 +28,29 @@
 )
 
 /**
- * Start-time fair queuing over teams. A dispatch starts at max(virtualTime, the team's finish tag);
- * its cost divided by the team's weight is added to the tag; the virtualTime rises to the start tag
- * and never goes back. Usage lowers the weight, and decays with a half-life.
+ * Start-time fair queuing over teams. A dispatch starts at the virtual time or at its team's finish
+ * tag, whichever is later; this is its start tag. The cost divided by the team's weight is added to
+ * the start tag to give the new finish tag. The virtual time advances to the start tag and never
+ * goes back. A team's usage lowers its weight, and decays with a half-life.
  */
 class FairQueue(
     /** The guaranteed share of each team, in CPUs. */
     private val guaranteedCpus: Map<String, Double>,
     private val halfLife: Micros,
-    /** Usage that halves the weight, in CPU-seconds for each guaranteed CPU. */
+    /** The usage that halves the weight of a team, in CPU-seconds for each guaranteed CPU. */
     private val normSeconds: Double,
 ) {
     private class Account {
         var finishTag = 0L
 
-        /** In CPU-microseconds, decayed up to [usageAt]. */
+        /** The usage in CPU-microseconds, decayed up to [usageAt]. */
         var usage = 0.0
         var usageAt = Micros.ZERO
     }
 
     private val accounts = HashMap<String, Account>()
 
-    /** The virtual time of the queue. */
+    /** The virtual time of the queue, in CPU-microseconds divided by weight. */
     var virtualTime = 0L
         private set
 
@@ -75,13 +76,19 @@
         return roundToThreeDigits(weight.coerceAtLeast(MIN_WEIGHT))
     }
 
-    /** So that tasks placed together are charged alike and their record says it once. */
+    /**
+     * Rounds to three significant digits, so that tasks placed together are charged with the same
+     * weight and their record stores that charge only once.
+     */
     private fun roundToThreeDigits(value: Double): Double {
         val unit = 10.0.pow(2 - floor(log10(value)))
         return (value * unit).roundToLong() / unit
     }
 
-    /** The tag at which the next dispatch of [team] would start; the lowest goes first. */
+    /**
+     * The start tag that the next dispatch of [team] would get; the team with the lowest one is
+     * served first.
+     */
     fun startTag(team: String): Long = maxOf(virtualTime, accounts[team]?.finishTag ?: 0L)
 
     /** Charges [team] for a dispatch at time of day [wallTime] that is expected to cost [cost]. */
@@ -95,29 +102,35 @@
         return Charge(cost, weight)
     }
 
-    /** Corrects [charge] by the [actual] cost, with the weight that the dispatch was charged at. */
+    /**
+     * Corrects [charge] to the [actual] cost, using the weight that the dispatch was charged with.
+     */
     fun settle(team: String, charge: Charge, actual: Cost, wallTime: Micros) {
         val difference = (actual.value - charge.cost.value) / charge.weight
         account(team, wallTime).finishTag += difference.roundToLong()
     }
 
-    /** Takes back the whole [charge] of a dispatch that never left this controller. */
+    /** Reverts the whole [charge] of a dispatch that never left this controller. */
     fun refund(team: String, charge: Charge, wallTime: Micros) {
         val account = account(team, wallTime)
         account.finishTag -= (charge.cost.value / charge.weight).roundToLong()
         account.usage = (account.usage - charge.cost.value).coerceAtLeast(0.0)
     }
 
-    /** With nothing to run the virtualTime rises to the highest tag: nobody saves up credit. */
+    /**
+     * Advances the virtual time to the highest finish tag. Called when there is nothing to run, so
+     * that no team saves up credit while it is idle.
+     */
     fun advanceToHighestTag() {
         virtualTime =
             maxOf(virtualTime, accounts.values.maxOfOrNull { it.finishTag } ?: virtualTime)
     }
 
     /**
-     * The stored form at time of day [wallTime]. Teams that neither lead the virtualTime nor have
-     * usage left are as new, and are left out; if the rest takes more than [maxBytes], so are those
-     * that lead the least.
+     * The form to store at time of day [wallTime]. Teams whose finish tag is not ahead of the
+     * virtual time and that have no usage left are in the same state as new teams, and are left
+     * out. If the remaining teams take more than [maxBytes], those with the lowest finish tags are
+     * left out as well.
      */
     fun toJson(wallTime: Micros, maxBytes: Int = Int.MAX_VALUE): JsonElement {
         val storedAccounts =
@@ -141,13 +154,20 @@
             StoredTags(virtualTime, wallTime.value, storedAccounts),
         )
 
-    /** Replaces all accounts by what [json] holds; by none, which is logged, if it is no such. */
+    /**
+     * Replaces the virtual time and all accounts by those in [json]. If it cannot be decoded, an
+     * error is logged, all accounts are removed, and the virtual time stays as it is.
+     */
     fun load(json: JsonElement) {
         val stored =
             try {
                 lenientJson.decodeFromJsonElement(StoredTags.serializer(), json)
             } catch (e: IllegalArgumentException) {
-                logger<FairQueue>().error("the stored tags can't be decoded: {}", e.message)
+                logger<FairQueue>()
+                    .error(
+                        "value of key tags cannot be decoded, accounts of all teams are reset: {}",
+                        e.message,
+                    )
                 StoredTags(virtualTime, 0, emptyMap())
             }
         virtualTime = stored.virtualTime
@@ -168,7 +188,7 @@
         private const val MICROS_PER_SECOND = 1e6
         private const val MIN_WEIGHT = 1e-3
 
-        /** In CPU-microseconds. */
+        /** Usage below this is not stored, in CPU-microseconds. */
         private const val NEGLIGIBLE_USAGE = 1e6
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -7,29 +7,33 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Finds where a gang can go as a whole: with room for all of it, and pages that can be written. */
+/**
+ * Finds machines for a gang as a whole: they need room for all its tasks, and the gang's task pages
+ * have to fit the size limit of a value.
+ */
 class GangPlacement(
     private val context: CoreContext,
     private val eligibility: Eligibility,
     private val pools: MachinePools,
 ) {
-    /** The largest value of a key, in bytes. */
+    /** The size limit of a value in the key-value store, in bytes. */
     var maxBytes = Int.MAX_VALUE
         internal set
 
-    /** Machines that a gang could go to together. */
+    /** A group of machines that the gang could be placed on. */
     private class GangCandidate(
-        /** How long the last of the gang's tasks waits for its image there. */
+        /** The longest wait of a task of the gang for its image on these machines. */
         val imageWait: Micros,
-        /** The sum of the scores of the tasks' machines; the smaller the better. */
+        /** The sum of the scores of the tasks' machines; lower is better. */
         val score: Double,
         val machines: List<Machine>,
     )
 
     /**
-     * Machines with room for all waiting tasks of a gang, in one zone if they have to be; null if
-     * there is not enough room. A gang starts when its last image is there, so the machines are
-     * chosen by the slowest of them, and then by their score.
+     * Returns machines with room for all waiting tasks of a gang, in one zone if the gang requires
+     * it, or null if there is not enough room. A gang starts only when its last task has its image.
+     * Machines are therefore chosen by the longest wait for the image first, and by their score
+     * second.
      */
     fun machinesFor(job: Job, machines: List<Machine>): List<Machine>? {
         val spec = job.spec
@@ -45,7 +49,10 @@
             ?.machines
     }
 
-    /** Of [machines] those where all of the gang starts soonest, or null if it doesn't fit. */
+    /**
+     * Returns the machines of [machines] on which the whole gang can start soonest, or null if it
+     * does not fit.
+     */
     private fun bestCandidateAmong(job: Job, machines: List<Machine>): GangCandidate? {
         val byWait = machines.groupBy { imageWait(job.spec, it) }
         val selected = ArrayList<Machine>()
@@ -59,7 +66,10 @@
         return null
     }
 
-    /** Of estimates that differ by less than a step, neither is known to be the sooner. */
+    /**
+     * The estimated wait for the image, rounded up to a multiple of [IMAGE_WAIT_STEP]. Estimates
+     * that differ by less than this step are not precise enough to order machines by them.
+     */
     private fun imageWait(spec: JobSpec, machine: Machine): Micros {
         val wait = machine.images.waitTime(spec.image, spec.imageGb, context.now)
         val steps = (wait.value + IMAGE_WAIT_STEP.value - 1) / IMAGE_WAIT_STEP.value
@@ -67,9 +77,9 @@
     }
 
     /**
-     * True if the gang's pages can be written with all its tasks on those of [machines] with the
-     * most [room]. A gang too large for that must not keep machines, quota or new capacity from
-     * others.
+     * True if the gang's task pages fit the size limit when all its tasks are placed on the
+     * machines with the most [room]. A gang for which this is false must not take machines, quota
+     * or new capacity from other jobs.
      */
     private fun fitsOnPages(job: Job, machines: List<Machine>, room: (Machine) -> Int): Boolean {
         var remaining = job.spec.tasks
@@ -87,7 +97,7 @@
         return false
     }
 
-    /** The sum of the scores of the tasks' machines, or null if they do not all fit. */
+    /** Returns the sum of the scores of the tasks' machines, or null if not all tasks fit. */
     private fun totalScore(job: Job, machines: List<Machine>): Double? {
         var remaining = job.waiting
         var total = 0.0
@@ -108,7 +118,10 @@
 
     private class ScoredMachine(val machine: Machine, val score: Double)
 
-    /** True of a gang whose pages can't be written even if it has the largest machines alone. */
+    /**
+     * True if [job] is a gang whose task pages exceed the size limit even on the largest machines
+     * with nothing else on them.
+     */
     fun canNeverBeStored(job: Job): Boolean {
         if (!job.spec.isGang || !PageSizeEstimate.requiresDensePacking(job, maxBytes)) return false
         val tasksPerMachine =
@@ -118,7 +131,7 @@
         return !PageSizeEstimate.mayFitAllTasks(job, tasksPerMachine ?: 0, maxBytes)
     }
 
-    /** True if [machines], were they empty, would take all of the gang. */
+    /** True if all tasks of the gang would fit on [machines] if these were empty. */
     fun wouldFitWhenEmpty(job: Job, machines: List<Machine>) =
         machines.sumOf { it.type.fitting(job.spec) } >= job.spec.tasks &&
             (!PageSizeEstimate.requiresDensePacking(job, maxBytes) ||
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -10,8 +10,9 @@
 import wardmux.model.seconds
 
 /**
- * Reserves machines and quota for gangs that wait: a gang needs all of both at once, and small
- * tasks would take each bit that comes free.
+ * Reserves machines and quota for waiting gangs. A gang needs machines and quota for all its tasks
+ * at the same time. Without reservations, small tasks would take each bit of capacity as soon as it
+ * comes free.
  */
 class GangReservations(
     private val context: CoreContext,
@@ -20,14 +21,18 @@
     private val placement: GangPlacement,
     private val workers: WorkerTiming,
 ) {
-    /** Of each team the gang that has waited longest, if that is too long. */
+    /**
+     * For each team, the gang that has waited longest, among those that have been blocked for long.
+     */
     private var quotaClaims: Map<String, Job> = emptyMap()
 
-    /** Machines that are reserved for one gang: nothing else is placed there. */
+    /** Machines that are reserved for one gang. Nothing else is placed on them. */
     private var reservedMachines: Set<MachineId> = emptySet()
     private var reservedFor: JobId? = null
 
-    /** Decides anew, before each plan, for the jobs that are [ready] to start. */
+    /**
+     * Recomputes all reservations for the jobs that are [ready] to start. Called before each plan.
+     */
     internal fun update(ready: List<Job>) {
         abortUnfinishableAttempts(ready)
         reserveMachines(ready)
@@ -35,8 +40,8 @@
     }
 
     /**
-     * True if a task of [job] leaves the quota that its team's longest waiting gang needs, or comes
-     * before that gang by its priority.
+     * True if a task of [job] can start and still leave the quota that its team's longest waiting
+     * gang needs, or if [job] has a higher priority than that gang.
      */
     fun leavesQuotaForGang(job: Job): Boolean {
         val gang = quotaClaims[job.spec.team] ?: return true
@@ -56,19 +61,26 @@
             .sortedByDescending { it.acceptedAt.value }
             .associateBy { it.spec.team }
 
-    /** True if [machine] is reserved for another gang than [job]. */
+    /** True if [machine] is reserved for a gang other than [job]. */
     fun isReservedFromJob(job: Job, machine: Machine) =
         machine.id in reservedMachines && job.id != reservedFor
 
-    /** True if [machine] is reserved for [job], with others that together hold all of it. */
+    /**
+     * True if [machine] is one of the machines reserved for [job]. If they were empty, they would
+     * hold the whole gang.
+     */
     fun isReservedFor(job: Job, machine: Machine) =
         job.id == reservedFor && machine.id in reservedMachines
 
     /**
-     * Reserves machines for the gang that has waited longest, in one zone if it has to be: those
-     * with the most room and where the most tasks end. It is one gang at a time, so that two never
-     * hold what the other lacks. It gets them as soon as a plan found no room for it, and more than
-     * it needs, as its room comes the sooner the more tasks may end for it.
+     * Reserves machines for the gang that has waited longest, in one zone if the gang requires it.
+     * Machines with the most room for the gang's tasks are taken first, then those with the most
+     * running tasks.
+     *
+     * Only one gang has a reservation at a time, so that no two gangs hold machines that the other
+     * one needs. The gang gets its reservation as soon as one plan found no room for it. The
+     * reservation has more machines than the gang needs, because room comes free sooner where more
+     * tasks may end.
      */
     private fun reserveMachines(ready: List<Job>) {
         val waiting = ready.filter { it.spec.isGang && awaitsRoom(it) && hasMachinesFor(it) }
@@ -82,7 +94,7 @@
         val stillUsable = usable.filter { it.id in reservedMachines }
         if (gang.id == reservedFor && placement.wouldFitWhenEmpty(gang, stillUsable)) return
         reservedFor = gang.id
-        // Where the least has to come free.
+        // Chooses the group of machines where the least additional room has to come free.
         reservedMachines =
             machineGroupsFor(gang, usable)
                 .mapNotNull { reservationAmong(gang, it) }
@@ -91,7 +103,10 @@
                 .mapTo(HashSet()) { it.id }
     }
 
-    /** The machines of [group] to reserve, or null if all of them would not hold the gang. */
+    /**
+     * The machines of [group] to reserve, or null if the whole group would not hold the gang even
+     * if it were empty.
+     */
     private fun reservationAmong(gang: Job, group: List<Machine>): List<Machine>? {
         val sorted =
             group.sortedWith(
@@ -109,11 +124,18 @@
             eligibility.isSchedulable(it) && eligibility.satisfiesConstraints(job.spec, it)
         }
 
-    /** The machines among which all of the gang has to be. */
+    /**
+     * The groups of machines that can each hold all of the gang: one for each zone if the gang has
+     * to be in one zone, otherwise a single group.
+     */
     private fun machineGroupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
         if (job.spec.oneZone) machines.groupBy { it.zone }.values else listOf(machines)
 
-    /** Where its pages hold only few machines, one that these can't serve lets the next come. */
+    /**
+     * True if some group of usable machines would hold the gang if it were empty. Checked only for
+     * gangs whose pages fit only few machines: one that no group can hold gets no reservation, so
+     * that the next gang can have it.
+     */
     private fun hasMachinesFor(job: Job): Boolean {
         if (!PageSizeEstimate.requiresDensePacking(job, placement.maxBytes)) return true
         return machineGroupsFor(job, usableMachinesFor(job)).any {
@@ -121,7 +143,7 @@
         }
     }
 
-    /** A gang that only the lack of room on machines holds back. */
+    /** True if only the lack of room on machines keeps the gang from starting. */
     private fun awaitsRoom(job: Job): Boolean {
         val mayPlace = job.placements.isEmpty() || canReplaceLostTasks(job)
         return mayPlace &&
@@ -132,9 +154,9 @@
     }
 
     /**
-     * What is left of an attempt that can't be completed is stopped whether or not there is room or
-     * quota for the next: two gangs of a team that each hold what the other waits for would wait
-     * for ever.
+     * Stops the remaining tasks of attempts that cannot be completed, whether or not there is room
+     * or quota for the next attempt. Otherwise two gangs of a team that each hold what the other
+     * one waits for would wait indefinitely.
      */
     private fun abortUnfinishableAttempts(ready: List<Job>) {
         for (job in ready) {
@@ -143,7 +165,10 @@
         }
     }
 
-    /** True if lost tasks of the gang's attempt can still be placed in time for the others. */
+    /**
+     * True if lost tasks of the gang's current attempt can still be replaced before its other tasks
+     * stop waiting.
+     */
     fun canReplaceLostTasks(job: Job) = job.gangAttempt?.let { canBeCompleted(it) } == true
 
     private fun canBeCompleted(attempt: GangAttempt): Boolean {
@@ -153,12 +178,16 @@
 
     private companion object {
         /**
-         * The share of the time that a gang's tasks wait for each other in which lost ones are
-         * replaced: in the rest an image has to come.
+         * The share of the gang wait (the time that tasks of a gang wait for each other to start)
+         * in which lost tasks are replaced. The rest is left for fetching the image on the new
+         * machine.
          */
         const val REPLACEMENT_SHARE_OF_GANG_WAIT = 0.4
 
-        /** Machines that are reserved, in those that would hold the gang if they were empty. */
+        /**
+         * The number of reserved machines, as a multiple of the machines that would hold the gang
+         * if they were empty.
+         */
         const val RESERVED_MACHINES_FACTOR = 3
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
@@ -6,20 +6,24 @@
 import wardmux.model.MachineId
 import wardmux.model.MachineType
 
-/** Counts the machines that a planner has examined: what its decisions cost. */
+/** Counts the machines that a planner has examined, as a measure of the cost of its decisions. */
 internal class ExaminedMachines {
     var count = 0L
 }
 
 /**
- * The machines that a job's tasks may go to, the best first. They are scored once for all its
- * tasks; what others take meanwhile is found when a machine's turn comes.
+ * The machines that tasks of a job may be placed on, the best first. They are scored once for all
+ * tasks of the job. Changes caused by placements of other jobs are noticed when a machine reaches
+ * the head of the queue.
  */
 internal class MachineCandidates(
     private val job: Job,
     machines: List<Machine>,
     private val eligibility: Eligibility,
-    /** Machines are filled one by one, as the job's page holds all its tasks only on few. */
+    /**
+     * True if machines are filled one by one, because the job's page can hold all its tasks only if
+     * they are on few machines.
+     */
     private val packsDensely: Boolean,
     private val examined: ExaminedMachines,
 ) {
@@ -34,27 +38,30 @@
             for (machine in machines) add(candidate(machine))
         }
 
-    /** True if there is no machine to try. */
+    /** True if no candidate is left. */
     val isEmpty: Boolean
         get() = queue.isEmpty()
 
     private fun candidate(machine: Machine) = Candidate(machine, scoreOf(machine))
 
-    /** The smaller the better. */
+    /** The score of [machine] for the next task of the job; lower is better. */
     private fun scoreOf(machine: Machine): Double {
         if (!packsDensely) return eligibility.score(job.spec, machine) + zonePenalty(machine)
         return if (machine.id in usedMachines) -USED_MACHINE_BONUS
         else -machine.roomFor(job.spec).toDouble()
     }
 
-    /** A job that is spread loses least with a zone if all taskCounts have as much of it. */
+    /**
+     * The penalty for zones that already have many tasks of a spread job. The loss of a zone costs
+     * such a job least if its tasks are divided evenly among the zones.
+     */
     private fun zonePenalty(machine: Machine): Double {
         if (!job.spec.spread) return 0.0
         val tasksInZone = eligibility.taskCountByZone(job)[machine.zone] ?: 0
         return ZONE_SPREAD_WEIGHT * tasksInZone / job.spec.tasks
     }
 
-    /** The best machine that has room for one more task, or null. */
+    /** Returns the best machine that has room for one more task, or null if there is none. */
     fun best(): Machine? {
         val taskCounts = eligibility.taskCountByZone(job)
         while (true) {
@@ -75,7 +82,10 @@
         }
     }
 
-    /** One more task of the job was placed on [machine], the [best]; the next may go there too. */
+    /**
+     * Records that a task of the job was placed on [machine], which [best] returned. The machine
+     * stays a candidate if it has room for another task.
+     */
     fun onPlaced(machine: Machine) {
         queue.poll()
         if (packsDensely) usedMachines.add(machine.id)
@@ -83,11 +93,15 @@
     }
 
     private companion object {
-        /** More tasks than any machine has room for. */
+        /**
+         * Larger than the number of tasks that any machine has room for, so that used machines come
+         * first.
+         */
         const val USED_MACHINE_BONUS = 1e6
 
         /**
-         * A quarter of the tasks in one zone more outweighs what an ordinary machine costs more.
+         * A zone that has a quarter more of the job's tasks costs more than the usual differences
+         * in price between machines.
          */
         const val ZONE_SPREAD_WEIGHT = 5.0
     }
--- a/src/main/kotlin/wardmux/scheduling/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -9,11 +9,12 @@
 import wardmux.model.seconds
 
 /**
- * Machine types that stand in for each other, because no open work needs the larger ones for their
- * size. What a pool holds and lacks is counted in machines of its [base], the smallest of them.
+ * Machine types that are interchangeable because no open job needs the larger ones for their size.
+ * The capacity and demand of a pool are counted in machines of its [base], the smallest of the
+ * types.
  */
 class MachinePool(
-    /** The smallest type; in a pool of one, that type. */
+    /** The smallest type of the pool. */
     val base: MachineType,
     /** All types of the pool. */
     val types: List<MachineType>,
@@ -22,20 +23,28 @@
     private val weights =
         types.associate { it.label to demand.machinesNeeded(base) / demand.machinesNeeded(it) }
 
-    /** True if [type] is one of the pool's. */
+    /** True if [type] belongs to the pool. */
     fun holds(type: MachineType): Boolean = type.label in weights
 
-    /** How many machines of the base type do the work of one of [type]. */
+    /** How many machines of the base type do the same work as one machine of [type]. */
     fun weightOf(type: MachineType): Double = weights.getValue(type.label)
 
-    /** The price an hour of a machine of [type], for each base machine that it stands for. */
+    /**
+     * The hourly price of a machine of [type], for each machine of the base type that it replaces.
+     */
     fun priceOf(type: MachineType, spot: Boolean): Double = price(type, spot) / weightOf(type)
 
-    /** The types by their price for the work that they do, the time of their boot included. */
+    /**
+     * The types, those with the lowest price for their work first. The price includes the boot
+     * time, during which a machine is paid for but does no work.
+     */
     fun cheapestFirst(spot: Boolean): List<MachineType> =
         types.sortedBy { priceOf(it, spot) * (1 + it.bootS / TYPICAL_RENTAL_S) }
 
-    /** The price of a machine of [type] for its work, relative to the cheapest of the pool. */
+    /**
+     * The price of a machine of [type] for its work, relative to the cheapest spot machine of the
+     * pool.
+     */
     fun relativeCost(type: MachineType, spot: Boolean): Double =
         priceOf(type, spot) / maxOf(types.minOf { priceOf(it, true) }, MIN_PRICE)
 
@@ -47,25 +56,28 @@
     private companion object {
         const val MIN_PRICE = 1e-6
 
-        /** For how long a machine is rented as a rule; its boot is paid once in that time. */
+        /** How long a machine is typically rented; its boot time is paid once in that time. */
         const val TYPICAL_RENTAL_S = 300.0
     }
 }
 
-/** The resources that the open jobs of a pool request together. */
+/** The total resources that the open jobs of a pool request. */
 class ResourceDemand {
     private var cpus = 0.0
     private var gpus = 0.0
     private var memoryGb = 0.0
 
-    /** Counts [tasks] tasks more like this. */
+    /** Adds the resources of [tasks] tasks like [spec]. */
     fun add(spec: JobSpec, tasks: Int) {
         cpus += spec.cpus * tasks
         gpus += spec.gpus * tasks
         memoryGb += spec.memoryGb * tasks
     }
 
-    /** How many machines of this type would hold it, by the resource that runs out first. */
+    /**
+     * How many machines of [type] would hold the demand, judged by the resource that runs out
+     * first.
+     */
     fun machinesNeeded(type: MachineType): Double {
         if (cpus <= 0) return 1 / type.cpus
         val byGpu = if (gpus > 0) gpus / type.gpus else 0.0
@@ -73,20 +85,23 @@
     }
 }
 
-/** Where the machine types that the cloud offers are read. */
+/** Provides the machine types that the cloud offers. */
 fun interface MachineTypeSource {
-    /** The types that are offered now; none while they are not known. */
+    /** The types that are offered now; empty while they are not known. */
     fun types(): List<MachineType>
 }
 
 /**
- * Tells which machine types a task counts as an exact fit for. Usually that is the smallest one
- * that holds it, so that large machines stay free for large tasks. A type that nothing open needs
- * for its size has nothing to stay free for: it joins the pool of the next smaller type that is
- * needed, and what fits that fits it exactly too.
+ * Decides which machine types a task counts as an exact fit for. Usually this is only the smallest
+ * type that holds the task, so that large machines stay free for large tasks. A type that no open
+ * job needs for its size does not have to stay free: it joins the pool of the next smaller type
+ * that is needed, and tasks that fit that type exactly then fit it exactly too.
  */
 class MachinePools(private val context: CoreContext, private val types: MachineTypeSource) {
-    /** When a type was last the smallest for an open job, by its label. */
+    /**
+     * When each type was last the smallest that holds the tasks of an open job, by the label of the
+     * type.
+     */
     private val lastNeededAt = HashMap<String, Micros>()
     private var pooledTypes: List<MachineType> = emptyList()
     private var nextRefreshAt = Micros.LONG_AGO
@@ -95,18 +110,18 @@
     val offeredTypes: List<MachineType>
         get() = types.types()
 
-    /** All pools; each type is in one of them. */
+    /** All pools; each machine type belongs to exactly one of them. */
     var pools: List<MachinePool> = emptyList()
         private set
 
     private var poolByLabel: Map<String, MachinePool> = emptyMap()
 
-    /** Divides the types anew if that was not done lately or the types have changed. */
+    /** Rebuilds the pools if that was not done recently or if the offered types have changed. */
     fun refreshIfDue(jobs: Collection<Job>) {
         if (offeredTypes != pooledTypes || context.now >= nextRefreshAt) refresh(jobs)
     }
 
-    /** Divides the types anew by what the open ones of [jobs] need. */
+    /** Rebuilds the pools by what the open jobs among [jobs] need. */
     fun refresh(jobs: Collection<Job>) {
         nextRefreshAt = context.now + REFRESH_PERIOD
         pooledTypes = offeredTypes
@@ -120,21 +135,27 @@
         rebuildPools(demands)
     }
 
-    /** The smallest machine type that a task like this fits, or null. */
+    /**
+     * The smallest machine type that holds a task like [spec] and that its constraints allow, or
+     * null if there is none.
+     */
     fun smallestFor(spec: JobSpec): MachineType? =
         offeredTypes.filter { it.allowedFor(spec) }.minByOrNull { it.cpus }
 
-    /** The pool that a task like this is counted in, or null if it fits no machine. */
+    /** The pool that a task like [spec] belongs to, or null if no machine type holds the task. */
     fun poolFor(spec: JobSpec): MachinePool? = smallestFor(spec)?.let { poolByLabel[it.label] }
 
-    /** The labels of the types that a task like this fits exactly. */
+    /** The labels of the machine types that a task like [spec] fits exactly. */
     fun exactTypesFor(spec: JobSpec): Set<String> {
         val smallest = smallestFor(spec) ?: return emptySet()
         val pool = poolByLabel[smallest.label] ?: return setOf(smallest.label)
         return pool.types.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
     }
 
-    /** The price of a machine for its work, relative to the cheapest of its pool. */
+    /**
+     * The price of a machine for its work, relative to the cheapest of its pool; 1 if its type is
+     * in no pool.
+     */
     fun relativeCost(type: MachineType, spot: Boolean): Double =
         poolByLabel[type.label]?.relativeCost(type, spot) ?: 1.0
 
@@ -160,7 +181,10 @@
     private companion object {
         val REFRESH_PERIOD = 250.milliseconds
 
-        /** Work that was there comes again: its machines are not filled up meanwhile. */
+        /**
+         * How long a type counts as needed after the last open job that needed its size. Such jobs
+         * tend to come again, and their machines should not be filled with small tasks in between.
+         */
         val SIZE_NEED_RETENTION = 600.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Orphans.kt
+++ b/src/main/kotlin/wardmux/scheduling/Orphans.kt
@@ -6,14 +6,17 @@
 import wardmux.model.Machine
 
 /**
- * Tasks that machines report and no record names. They count against their teams' quotas until they
- * are proven gone.
+ * Orphans are tasks that machines report and that no record names. They count against their teams'
+ * quotas until they are proven to be gone.
  */
 internal class Orphans(private val quotaUsage: QuotaUsage) {
-    /** How many orphans of each job there are on all machines. */
+    /** The number of orphans of each job on all machines. */
     private val counts = HashMap<JobId, Int>()
 
-    /** [machine] has [orphans] now; false if it has none and had none before. */
+    /**
+     * Replaces the orphans of [machine] by [orphans], given as the jobs of these tasks. Returns
+     * false if it has none and had none before.
+     */
     fun set(machine: Machine, orphans: List<JobSpec>): Boolean {
         if (machine.orphans.isEmpty() && orphans.isEmpty()) return false
         for (spec in machine.orphans) adjust(spec, -1)
@@ -27,6 +30,6 @@
         counts.merge(spec.jobId, tasks) { a, b -> (a + b).takeIf { it != 0 } }
     }
 
-    /** True if a machine has an orphan of [job]. */
+    /** True if any machine has an orphan of [job]. */
     fun has(job: Job) = job.id in counts
 }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -9,39 +9,46 @@
 import wardmux.records.TaskPageCodec
 import wardmux.serialization.jsonBytes
 
-/** [tasks] tasks of a gang are to go to [machine]. */
+/** A number of a gang's [tasks] that are to be placed on [machine]. */
 class GangAllocation(val machine: Machine, val tasks: Int)
 
 /**
- * An upper bound of the bytes that a task page takes, as tasks are placed on it. A page that is
- * larger than a value may be can't be written, and neither can the starts on it go out.
+ * An upper bound of the encoded size of a task page, updated as tasks are placed on it. A page that
+ * exceeds the size limit of a value cannot be written, and the starts of its tasks are not sent
+ * before it is written.
  */
 class PageSizeEstimate(job: Job, page: Int, private val maxBytes: Int) {
     private val size =
         PlacementsSize(jsonBytes(TaskPageCodec.encode(job, page, maxBytes - RESERVED_BYTES).data))
 
-    /** Tried tasks of the page that are not done, and may end in any order. */
+    /** Tasks of the page that were attempted and are not done. They may end in any order. */
     private var attemptedTasks =
         job.pages.tasksOn(page).count { !job.isTaskDone(it) && job.lastAttempt(it) > 0 }
     private val attemptedBefore = attemptedTasks
     private var placedTasks = job.placementsOn(page).size
 
     /**
-     * True if [task] can be placed: the page holds one more placement, and the page can still be
-     * written once its tasks have ended in whatever order.
+     * True if [task] can be placed: the page has room for one more placement, and it can still be
+     * written whatever the order in which its tasks end.
      */
     fun hasRoom(job: Job, task: Int): Boolean =
         size.bytes + MAX_PLACEMENT_BYTES <= maxBytes &&
-            // A task that was tried before adds nothing; and on a page without placements there is
-            // nothing to wait for.
+            // A task that was attempted before adds nothing to the size of ended tasks. On a page
+            // without placements no task can end and make room, so waiting would not help.
             (job.nextAttempt(task) > 1 || placedTasks == 0 || maxEndedBytes(job, task) <= maxBytes)
 
-    /** All tasks that were tried before may stand between done ones, of those placed now half. */
+    /**
+     * The size of the page in the worst order of ends. Each task that was attempted before may be
+     * stored as interrupted between two done tasks; of the tasks placed since, half may be.
+     */
     private fun maxEndedBytes(job: Job, task: Int): Int =
         PAGE_FRAME_BYTES +
             (attemptedBefore * 2 + attemptedTasks + 1 - attemptedBefore) * endedTaskBytes(job, task)
 
-    /** About how many more tasks fit for now, with [tasksPerMachine] on each further machine. */
+    /**
+     * Roughly how many more tasks fit on the page now, with [tasksPerMachine] on each further
+     * machine.
+     */
     fun remainingTasks(tasksPerMachine: Int): Int {
         if (size.bytes + MAX_PLACEMENT_BYTES > maxBytes) return 0
         val bytesPerTask =
@@ -49,7 +56,7 @@
         return 1 + (maxBytes - size.bytes - MAX_PLACEMENT_BYTES) / bytesPerTask
     }
 
-    /** Counts [placement], which was made on the page. */
+    /** Adds the size of [placement], which was made on this page. */
     fun add(placement: Placement) {
         if (placement.attempt == 1) attemptedTasks++
         placedTasks++
@@ -58,14 +65,17 @@
         size.addCharge(if (placement.job.sharesCharge) null else placement.charge)
     }
 
-    /** Half of the tasks are done, each a run of its own; between them the others, interrupted. */
+    /**
+     * The bytes of one ended task in the worst case, where half of the tasks are done and each of
+     * them is a run of its own, with an interrupted task after each.
+     */
     private fun endedTaskBytes(job: Job, task: Int): Int {
         val taskNumberBytes =
             PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskBeside(task)).toLong())
         return (2 * taskNumberBytes + taskNumberBytes + ATTEMPT_BYTES + 1) / 2
     }
 
-    /** The bytes of placements in a [StoredTaskPage]. */
+    /** Estimates the encoded size of the placements in a [StoredTaskPage]. */
     private class PlacementsSize(var bytes: Int) {
         private val machines = HashSet<Pair<MachineId, Long>>()
         private val zones = HashSet<String>()
@@ -82,7 +92,10 @@
             bytes += bytesOf(index.toLong()) + bytesOf(attempt.toLong()) + CHARGE_INDEX_BYTES
         }
 
-        /** Null stands for the one charge that all placements share. */
+        /**
+         * Adds a charge unless it is counted already. Null stands for the single charge that all
+         * placements share.
+         */
         fun addCharge(charge: Charge?) {
             if (charges.add(charge)) bytes += COST_BYTES + WEIGHT_BYTES
         }
@@ -95,7 +108,7 @@
             private const val COST_BYTES = 16
             private const val WEIGHT_BYTES = 24
 
-            /** A number with the comma behind it. */
+            /** The bytes of a number and the comma after it. */
             fun bytesOf(number: Long) = number.toString().length + 1
         }
     }
@@ -105,28 +118,39 @@
         private const val PAGE_FRAME_BYTES = 64
         private const val ATTEMPT_BYTES = 4
 
-        /** A placement on a machine of its own, charged unlike all others. */
+        /**
+         * The largest size of a placement that is alone on its machine and has a charge of its own.
+         */
         private const val MAX_PLACEMENT_BYTES = 110
         private const val TYPICAL_MAX_PLACEMENT_BYTES = 100
 
-        /** Kept free where omitting done tasks frees it, so that some can always be placed. */
+        /**
+         * Bytes that stay free if omitting done tasks can free them, so that some tasks can always
+         * be placed.
+         */
         private const val RESERVED_BYTES = 4 * MAX_PLACEMENT_BYTES
 
-        /** A placement on a machine of its own, charged like the job's others. */
+        /**
+         * The largest size of a placement that is alone on its machine and shares the charge of the
+         * job's other placements.
+         */
         private const val MAX_SHARED_CHARGE_BYTES = 60
 
-        /** Attempt and index of the charge. */
+        /** The smallest size of a task's attempt number and charge index. */
         private const val MIN_TASK_BYTES = 4
 
-        /** A short name, its incarnation, zone and count. */
+        /**
+         * The smallest size of a machine: a short name, its incarnation, zone index and task count.
+         */
         private const val MIN_MACHINE_BYTES = 17
 
         private const val TYPICAL_TASK_BYTES = 10
         private const val TYPICAL_MACHINE_BYTES = 35
 
         /**
-         * About how many waiting tasks of [job] its pages hold for now, with [tasksPerMachine] on
-         * each machine. The others wait for placed tasks to end, however much room machines have.
+         * Roughly how many waiting tasks of [job] its pages can hold now, with [tasksPerMachine] on
+         * each machine. The other tasks have to wait until placed tasks end, however much room
+         * machines have.
          */
         fun placeableTasks(job: Job, tasksPerMachine: Int, maxBytes: Int): Int {
             if (alwaysFits(job, maxBytes)) return job.waiting
@@ -137,7 +161,7 @@
             return minOf(job.waiting, remaining)
         }
 
-        /** True if the pages of [job] have so few tasks that they are never too large. */
+        /** True if the pages of [job] have so few tasks that they can never exceed [maxBytes]. */
         fun alwaysFits(job: Job, maxBytes: Int): Boolean {
             val size = job.pages.tasksPerPage
             return minOf(size, job.spec.tasks).toLong() * TYPICAL_MAX_PLACEMENT_BYTES +
@@ -146,8 +170,9 @@
         }
 
         /**
-         * True if all tasks of [job] have to be placed at the same time and its pages hold them
-         * only on few machines: a placement on a machine that is named already takes a third.
+         * True if all tasks of [job] have to be placed at the same time and its pages can hold them
+         * only if they are on few machines. A placement on a machine that the page names already
+         * takes about a third of the bytes of one on a new machine.
          */
         fun requiresDensePacking(job: Job, maxBytes: Int) =
             job.sharesCharge &&
@@ -155,7 +180,10 @@
                 minOf(job.pages.tasksPerPage, job.spec.tasks) * MAX_SHARED_CHARGE_BYTES +
                     PAGE_FRAME_BYTES > maxBytes
 
-        /** True if a page may hold a whole attempt with [tasksPerMachine] on each machine. */
+        /**
+         * True if a page could hold a whole attempt of [job] with [tasksPerMachine] tasks on each
+         * machine. Uses a lower bound of the size.
+         */
         fun mayFitAllTasks(job: Job, tasksPerMachine: Int, maxBytes: Int): Boolean {
             if (tasksPerMachine <= 0) return false
             val tasks = minOf(job.pages.tasksPerPage, job.spec.tasks)
@@ -166,7 +194,8 @@
         }
 
         /**
-         * True if the pages surely hold a whole attempt, its tasks in their order on [allocations].
+         * True if the pages certainly hold a whole attempt of [job], with its tasks in ascending
+         * order on the machines of [allocations]. Uses an upper bound of the size.
          */
         fun fitsAllTasks(job: Job, allocations: List<GangAllocation>, maxBytes: Int): Boolean {
             var task = 0
--- a/src/main/kotlin/wardmux/scheduling/PageWriteBudget.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageWriteBudget.kt
@@ -8,27 +8,30 @@
 
 /**
  * The task pages that the next transaction can still write. The planner places a task only if its
- * page is within the budget, since a start goes out only after its page is written.
+ * page is within this budget, because the start of a task is sent only after its page is written.
  */
 class PageWriteBudget(
-    /** Pages that the transaction can write. */
+    /** The number of pages that the transaction can write. */
     private val maxPages: Int,
-    /** The largest value of a key, in bytes. */
+    /** The size limit of a value in the key-value store, in bytes. */
     val maxBytes: Int = Int.MAX_VALUE,
 ) {
     private var remainingPages = maxPages
     private val reserved = HashMap<JobId, IntOpenHashSet>()
 
-    /** Sizes of the pages that could become larger than a value may be. */
+    /** Size estimates of the pages that could exceed [maxBytes]. */
     private val sizeEstimates = HashMap<JobId, Int2ObjectOpenHashMap<PageSizeEstimate>>()
 
-    /** True if no task of [job] can be placed: no page is left, and none of its own is reserved. */
+    /**
+     * True if no task of [job] can be placed: the budget has no page left, and none is reserved for
+     * this job.
+     */
     fun isExhaustedFor(job: Job) = remainingPages <= 0 && job.id !in reserved
 
     /**
-     * Reserves all pages of a gang, or none. A gang with more pages than a transaction holds is
-     * written in several, before any of its starts goes out; it is taken only where no other page
-     * is reserved yet.
+     * Reserves all pages of a gang, or none and returns false. A gang with more pages than one
+     * transaction can write is written in several transactions, and none of its starts is sent
+     * before the last of these. Such a gang is accepted only while no other page is reserved.
      */
     fun tryReserveGang(job: Job): Boolean {
         val ownPages = reserved.getOrPut(job.id) { IntOpenHashSet() }
@@ -39,13 +42,19 @@
         return true
     }
 
-    /** Gives back what [tryReserveGang] reserved, as nothing of the gang is placed. */
+    /**
+     * Returns the pages that [tryReserveGang] reserved to the budget. Called if no task of the gang
+     * was placed.
+     */
     fun releaseGang(job: Job) {
         sizeEstimates.remove(job.id)
         remainingPages = minOf(maxPages, remainingPages + (reserved.remove(job.id)?.size ?: 0))
     }
 
-    /** Reserves the page of [task]; false if there is no page left or this one is full. */
+    /**
+     * Reserves the page of [task]. Returns false if the budget has no page left or if the page of
+     * the task is full.
+     */
     fun tryReserve(job: Job, task: Int): Boolean {
         val page = job.pages.pageOf(task)
         val ownPages = reserved[job.id]
@@ -57,17 +66,19 @@
         return reserved.getOrPut(job.id) { IntOpenHashSet() }.add(page)
     }
 
-    /** True if the page of [task] can't hold it, though other pages of the job may have room. */
+    /**
+     * True if the page of [task] has no room for it. Other pages of the job may still have room.
+     */
     fun isPageFull(job: Job, task: Int) =
         sizeEstimateOf(job, job.pages.pageOf(task))?.hasRoom(job, task) == false
 
-    /** [placement] was made after its page was reserved. */
+    /** Adds [placement] to the size estimate of its page, which was reserved before. */
     fun onPlaced(placement: Placement) {
         val job = placement.job
         sizeEstimateOf(job, job.pages.pageOf(placement.task.index))?.add(placement)
     }
 
-    /** Null if the page fits whatever is placed on it. */
+    /** The size estimate of [page], or null if the page fits whatever is placed on it. */
     private fun sizeEstimateOf(job: Job, page: Int): PageSizeEstimate? {
         if (PageSizeEstimate.alwaysFits(job, maxBytes)) return null
         return sizeEstimates
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -19,37 +19,40 @@
 import wardmux.store.StoreResult
 
 /**
- * Writes what the leader decides, one transaction at a time. Each commits only while the leader key
- * is as this leader wrote it, and a page only while it is as it was last read: a transaction that
- * is applied late, after its request timed out, therefore changes nothing.
+ * Writes the leader's decisions to the key-value store, one transaction at a time. A transaction
+ * commits only if the leader key is as this leader wrote it and each task page is as it was last
+ * read or written. A transaction that the store applies late, after its request timed out,
+ * therefore changes nothing.
  */
 class PlacementStore(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val cluster: ClusterState,
     private val role: Role.Leader,
-    /** The least time between two transactions. */
+    /** The minimum time between the starts of two transactions. */
     private val minInterval: Micros,
     private val listener: Listener,
 ) {
-    /** Learns what became of transactions. */
+    /** Receives the outcomes of transactions. */
     interface Listener {
-        /** A transaction was committed: starts that waited for it may go out. */
+        /** Called after a transaction was committed: starts that waited for it may be sent. */
         fun onCommitted()
 
-        /** The leader key has changed: this controller no longer leads. */
+        /** Called if the leader key has changed: this controller is no longer the leader. */
         fun onFenced()
 
-        /** What is stored is not known any more, and has to be read again. */
+        /** Called if the stored state is no longer known and has to be read again. */
         fun onStateUnknown()
 
-        /** The record of [job] says that it is done. */
+        /** Called once the record of [job] says that it is done. */
         fun onJobDone(job: Job)
 
-        /** The record of [job] is no longer as it was when the job was accepted. */
+        /** Called if the record of [job] is no longer the one written when the job was accepted. */
         fun onJobRecordChanged(job: Job)
 
-        /** It is recorded that [machine] is decommissioned, so it may be deleted. */
+        /**
+         * Called once it is recorded that [machine] is decommissioned, so that it may be deleted.
+         */
         fun onDecommissionRecorded(machine: Machine)
     }
 
@@ -61,9 +64,10 @@
     private var nextTransactionAt = Micros.LONG_AGO
 
     /**
-     * The version of the tags as last read or written. Every transaction replaces them and commits
-     * only if they have this version: conditions on pages alone do not order two writes to
-     * different jobs, so that one applied late could add placements beyond a team's quota limit.
+     * The version of the fair-queuing tags as last read or written. Every transaction replaces the
+     * tags and commits only if they have this version. Conditions on pages alone would not order
+     * two writes to different jobs, so that a transaction applied late could add placements beyond
+     * a team's quota limit.
      */
     var tagsVersion = KeyVersion.ABSENT
 
@@ -71,24 +75,31 @@
     val isReady: Boolean
         get() = !isInFlight && context.now >= nextTransactionAt
 
-    /** Records that [machine] is decommissioned before it is deleted, so that no leader uses it. */
+    /**
+     * Queues a record that [machine] is decommissioned. It is written before the machine is
+     * deleted, so that no later leader uses the machine.
+     */
     fun decommission(machine: Machine) {
         decommissions.add(machine)
     }
 
-    /** Removes the decommission record of [machine], which was deleted long enough ago. */
+    /**
+     * Queues the removal of the decommission record of [machine], which was deleted long enough
+     * ago.
+     */
     fun dropDecommissionRecord(machine: Machine) {
         expiredDecommissions.add(machine)
     }
 
-    /** The pages that the next transaction can write beside what else it has to hold. */
+    /** The task pages that the next transaction can write in addition to its other operations. */
     fun pageBudget(): PageWriteBudget {
-        // One change is kept for the tags.
-        // Where a transaction holds few, ends never take all that a start needs.
+        // One operation is kept for the tags. Where a transaction holds few operations, completed
+        // jobs never take all of those that a start needs.
         val completionWrites =
             minOf(jobsToComplete().take(2).count() * WRITES_PER_COMPLETION, store.maxOperations - 2)
-        // A lost machine keeps its tasks from running elsewhere until its record is written: where
-        // many are lost at once, as with a zone, these must not wait behind all that can be placed.
+        // The tasks of a lost machine cannot run elsewhere until its decommission record is
+        // written. If many machines are lost at once, for example with a zone, their records must
+        // not wait until everything that can be placed is written.
         val maxDecommissions = maxOf(1, store.maxOperations / DECOMMISSIONS_DIVISOR)
         val otherWrites = minOf(decommissions.size, maxDecommissions) + completionWrites
         return PageWriteBudget(maxOf(1, store.maxOperations - 1 - otherWrites), store.maxValueBytes)
@@ -161,14 +172,14 @@
             is StoreResult.Compacted,
             is StoreResult.NotFound -> {
                 log.error(
-                    "the store rejected a transaction as invalid: {}",
+                    "the store rejected a transaction as invalid; keys it writes or removes: {}",
                     transaction.operations.map { it.put ?: it.remove },
                 )
                 rollBack(transaction)
                 nextTransactionAt = context.now + INVALID_REQUEST_RETRY_DELAY
             }
             is StoreResult.Indeterminate -> {
-                log.info("a transaction got no response; reading the stored state again")
+                log.info("outcome of a transaction is unknown; reading the stored state again")
                 listener.onStateUnknown()
             }
         }
@@ -199,14 +210,17 @@
         val changedJobs =
             transaction.jobs().filter { JobRecord.key(it.id) in failed }.distinct().toList()
         if (changedJobs.isEmpty() || FairQueue.KEY in failed) {
-            log.info("stored keys have other versions than expected: {}", failed)
+            log.info("transaction not applied, keys have other versions than expected: {}", failed)
             return listener.onStateUnknown()
         }
         rollBack(transaction)
         for (job in changedJobs) listener.onJobRecordChanged(job)
     }
 
-    /** The transaction was surely not applied: its placements are undone, the rest is retried. */
+    /**
+     * Handles a transaction that was certainly not applied: its placements are rolled back, and its
+     * other operations are retried with the next transaction.
+     */
     private fun rollBack(transaction: PlacementTransaction) {
         for (written in transaction.writtenPages) {
             written.job.pages.markDirty(written.page, context.wallTime)
@@ -218,10 +232,16 @@
         /** Prefix of the keys that record decommissioned machines. */
         const val DECOMMISSIONED_PREFIX = "m/"
 
-        /** The job's record, and the key among the open jobs. */
+        /**
+         * Operations that complete a job: writing its record and removing its key among the open
+         * jobs.
+         */
         private const val WRITES_PER_COMPLETION = 2
 
-        /** The inverse of the part of a transaction that is kept for decommissioned machines. */
+        /**
+         * The page budget keeps up to one in this many operations of a transaction for decommission
+         * records.
+         */
         private const val DECOMMISSIONS_DIVISOR = 2
         private val NOT_EXECUTED_RETRY_DELAY = 300.milliseconds
         private val INVALID_REQUEST_RETRY_DELAY = 5.seconds
--- a/src/main/kotlin/wardmux/scheduling/PlacementsOnUnknownMachines.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementsOnUnknownMachines.kt
@@ -3,18 +3,18 @@
 import wardmux.model.MachineId
 import wardmux.model.Placement
 
-/** Placements read from records, on machines that have sent no heartbeat yet. */
+/** Placements read from records whose machines have sent no heartbeat yet. */
 class PlacementsOnUnknownMachines {
     private val placements = HashMap<MachineId, LinkedHashSet<Placement>>()
 
-    /** The machines that records name and that are otherwise unknown. */
+    /** The machines that are known only from records. */
     val machines: Set<MachineId>
         get() = placements.keys
 
     /** The placements on [machine]. */
     fun on(machine: MachineId): Collection<Placement> = placements[machine].orEmpty()
 
-    /** True if tasks of a cancelled job may be on [machine]. */
+    /** True if a placement of a cancelled job is recorded on [machine]. */
     fun holdsCancelled(machine: MachineId) = on(machine).any { it.job.isCancelled }
 
     internal fun add(placement: Placement) {
@@ -27,7 +27,7 @@
         if (onMachine.isEmpty()) placements.remove(placement.machine)
     }
 
-    /** [machine] is known now: gives the placements on it, which are no longer kept here. */
+    /** Removes and returns the placements on [machine], which has become known. */
     internal fun removeAll(machine: MachineId): Collection<Placement> =
         placements.remove(machine).orEmpty()
 
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -15,14 +15,19 @@
 import wardmux.model.seconds
 
 /**
- * Decides which waiting task goes to which machine. Exact fits come first; then the higher priority
- * class (its jobs could preempt the others at once, so it is decided here and not by a start and a
- * stop); then the team with the lowest start tag; within a team, [TeamJobOrder].
+ * Decides which waiting task is placed on which machine.
  *
- * Tasks of one job are alike, and so are jobs with the same [ResourceRequest]: machines are
- * filtered and scored once for all of them, and once none is found, no other such job is tried in
- * that pass. A plan costs what it places plus one examination of the machines for each kind of
- * waiting work.
+ * A plan makes two passes over the waiting jobs: the first places tasks only on machine types that
+ * they fit exactly, the second on any machine type. Each pass handles the priority classes from the
+ * highest to the lowest. Higher classes are planned first because their jobs could preempt the
+ * others at once, which would cost a start and a stop. Within a class, the team with the lowest
+ * start tag is served next; within a team, [TeamJobOrder] decides.
+ *
+ * All tasks of a job have the same requirements, and so have jobs with the same [ResourceRequest].
+ * Machines are therefore filtered and scored once for all tasks of a job, and after no machine was
+ * found for a request, no other job with this request is tried in that pass. The cost of a plan is
+ * proportional to the number of tasks that it places, plus one examination of the machines for each
+ * distinct request that waits.
  */
 class Planner(
     private val context: CoreContext,
@@ -35,22 +40,27 @@
     private val log = logger<Planner>()
     private val examined = ExaminedMachines()
 
-    /** Machines examined so far: what decisions cost. */
+    /** The number of machines examined so far, as a measure of the cost of planning. */
     val machinesExamined: Long
         get() = examined.count
 
-    /** Which machines tasks may go to. */
+    /** Decides which machines tasks may be placed on. */
     val eligibility = Eligibility(context, operators, workers, pools)
     private val gangPlacement = GangPlacement(context, eligibility, pools)
 
-    /** Machines and quota that are reserved for gangs. */
+    /** The machines and the quota that are reserved for gangs. */
     val gangReservations = GangReservations(context, cluster, eligibility, gangPlacement, workers)
 
-    /** Machine types that are reserved for jobs which have waited too long. */
+    /**
+     * The machine types that are reserved for jobs that have waited too long for their first start.
+     */
     val typeReservations = TypeReservations(context, eligibility, operators.maxWaitS.seconds)
     private val order = TeamJobOrder(objectives, cluster.estimates, operators.maxWaitS.seconds)
 
-    /** Places what it can while [budget] has room for the job's page in the next transaction. */
+    /**
+     * Places as many waiting tasks as machines and quotas allow, as long as [budget] has room for
+     * the task pages that the next transaction has to write.
+     */
     fun plan(budget: PageWriteBudget) {
         gangPlacement.maxBytes = budget.maxBytes
         val ready =
@@ -77,7 +87,7 @@
         }
     }
 
-    /** Of each priority class and team the jobs in their order. */
+    /** The jobs to place, grouped by priority class and team and sorted by [TeamJobOrder]. */
     private fun queuesOf(ready: List<Job>): Map<PriorityClass, Map<String, List<Job>>> {
         val isRoomScarce = cluster.jobs.values.any { isShortOfRoom(it) }
         return ready
@@ -91,17 +101,20 @@
             }
     }
 
-    /** What one plan has: the machines with room, and what the next transaction can write. */
+    /** The inputs of one plan: the machines with free capacity and the budget of page writes. */
     private class Round(schedulable: List<Machine>, val budget: PageWriteBudget) {
         val schedulableCount = schedulable.size
         val machinesWithRoom = schedulable.filter { it.freeCpus > MachineType.EPSILON }
     }
 
-    /** One go over the jobs of a priority class, for exact fits or for any. */
+    /** One pass over the jobs of a priority class, for exact fits only or for any machine type. */
     private inner class Pass(val round: Round, val exactFitsOnly: Boolean) {
         private val candidates = HashMap<JobId, MachineCandidates>()
 
-        /** What no machine has room for: room only shrinks within a plan. */
+        /**
+         * Requests that no machine has room for. They stay here until the pass ends, because free
+         * capacity only shrinks within a plan.
+         */
         private val unplaceableRequests = HashSet<ResourceRequest>()
 
         fun candidatesFor(job: Job): MachineCandidates? {
@@ -137,7 +150,8 @@
         }
 
         /**
-         * A job goes back to a machine where it failed only if it failed on as many as there are.
+         * True if [job] has not failed on [machine], or if it has failed on at least as many
+         * machines as are schedulable, so that avoiding them would leave it no machine.
          */
         private fun mayRetryOn(machine: Machine, job: Job) =
             machine.id !in job.failedMachines || round.schedulableCount <= job.failedMachines.size
@@ -165,8 +179,8 @@
             !gangPlacement.canNeverBeStored(job)
 
     /**
-     * The CPUs that a team can count on: its quota limit, or, where room is scarce, what it uses or
-     * is guaranteed.
+     * The CPUs that a team can expect to use: its quota limit or, where room is scarce, the larger
+     * of its guaranteed share and its present usage, up to the limit.
      */
     private fun attainableCpus(team: String, isRoomScarce: Boolean): Double {
         val quota = cluster.teams[team] ?: return 0.0
@@ -174,9 +188,13 @@
         return minOf(quota.cpusMax, maxOf(quota.cpus, cluster.usedCpus(team)))
     }
 
-    /** Places one task, or a whole gang; false if no more of the job can be placed in this pass. */
+    /**
+     * Places one task or a whole gang; returns false if no more of the job can be placed in this
+     * pass.
+     */
     private fun placeTaskOrGang(job: Job, pass: Pass): Boolean {
-        // The machines that it fits exactly hold the fewest of its tasks.
+        // Densely packed jobs skip the pass for exact fits: the machines that they fit exactly hold
+        // the fewest of their tasks.
         if (pass.exactFitsOnly && pass.requiresDensePacking(job)) return false
         if (!gangReservations.leavesQuotaForGang(job)) return false
         if (job.spec.isGang) {
@@ -201,7 +219,10 @@
         return placement
     }
 
-    /** The next waiting task whose page the next transaction can write, or -1. */
+    /**
+     * Returns the next waiting task whose page the next transaction can write, or -1 if there is
+     * none. Tasks on full pages are deferred.
+     */
     private fun nextWritableTask(job: Job, budget: PageWriteBudget): Int {
         repeat(minOf(job.waiting, MAX_TASKS_DEFERRED_PER_SEARCH)) {
             val task = job.pollWaitingTask()
@@ -217,9 +238,10 @@
     }
 
     /**
-     * Places a gang as one unit, once machines and quota have room for all of it. A task that was
-     * lost before the others ran is replaced while they still wait long enough; otherwise the whole
-     * gang starts again, once nothing of its last attempt can be on a machine any more.
+     * Places all tasks of a gang, or none if machines, quota or page writes do not suffice for all
+     * of them. Tasks of the current attempt that were lost before the gang ran are replaced while
+     * the other tasks still wait for them. Otherwise a new attempt starts once no task of the last
+     * one can be on a machine any more.
      */
     private fun placeGang(job: Job, pass: Pass) {
         if (!mayPlaceGang(job)) return
@@ -239,16 +261,16 @@
     private fun mayPlaceGang(job: Job): Boolean {
         if (job.waiting <= 0 || cluster.quotaHeadroom(job.spec) < job.waiting) return false
         if (job.placements.isNotEmpty() && !gangReservations.canReplaceLostTasks(job)) return false
-        // What is left of an attempt without a record holds back the next one too: it is stopped by
-        // the response to the heartbeat that shows it.
+        // Tasks of an earlier attempt that no record names also delay the next attempt. The
+        // response to the heartbeat that reports them stops them.
         return !cluster.hasOrphans(job)
     }
 
-    /** Jobs that wait for room although their team may use more. */
+    /** Jobs that have waited for room for long although their team has quota left. */
     fun jobsShortOfRoom(): List<Job> = cluster.jobs.values.filter { isShortOfRoom(it) }
 
     private companion object {
-        /** Tasks that are deferred in one search, as their pages are full. */
+        /** The largest number of tasks that one search defers because their pages are full. */
         const val MAX_TASKS_DEFERRED_PER_SEARCH = 600
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -11,8 +11,9 @@
 import wardmux.model.PriorityClass
 
 /**
- * Stops running tasks to make room for blocked jobs: for a job of a higher priority class, or to
- * reclaim a team's guaranteed share from what another team runs beyond its own.
+ * Stops running tasks to make room for blocked jobs. A job may displace tasks of a lower priority
+ * class. A job of a team below its guaranteed share may also reclaim that share from teams that use
+ * more than their own share.
  */
 class Preemption(
     private val context: CoreContext,
@@ -23,13 +24,13 @@
 ) {
     private val policy = PreemptionPolicy(context, cluster, operators)
 
-    /** Placements examined so far: what preemption costs. */
+    /** The number of placements examined so far, as a measure of the cost of preemption. */
     var placementsExamined = 0L
         private set
 
     /**
-     * Stops as much as the waiting tasks of each blocked job need and no more, counting what is
-     * being stopped already.
+     * Stops as many tasks as each blocked job needs for its waiting tasks and no more. Tasks that
+     * are already being stopped are counted as room that comes free.
      */
     fun preempt() {
         val blocked = cluster.jobs.values.filter { policy.mayPreempt(it) }
@@ -40,13 +41,18 @@
         }
     }
 
-    /** What is being stopped, and what may be stopped, when one round of preemption starts. */
+    /**
+     * The placements that are being stopped and those that may be stopped, at the start of a round.
+     */
     private class Round(stopping: List<Placement>, val victims: Victims) {
-        /** CPUs that come free and that no job has been given yet. */
+        /** CPUs that will be freed and are not yet assigned to a blocked job. */
         var freedCpus = stopping.sumOf { it.job.spec.cpus }
             private set
 
-        /** Of each team the CPUs of its quota that come free; negative once more is given. */
+        /**
+         * The CPUs of each team's quota that will be freed, by team. Negative once jobs of the team
+         * are assigned more than that.
+         */
         private val freedQuota = HashMap<String, Double>()
 
         init {
@@ -94,7 +100,8 @@
     private fun preemptFor(job: Job, round: Round) {
         val spec = job.spec
         val wantedCpus = minOf(job.waiting, MAX_TASKS_PER_JOB_AND_ROUND) * spec.cpus
-        // What its team's quota leaves, and what the team's own work of lower priority takes of it.
+        // CPUs that the quota of the job's team allows, now and after the current stops. If they do
+        // not suffice, tasks of lower priority of the same team are stopped to free quota.
         val availableCpus = cluster.quotaHeadroom(spec) * spec.cpus + round.freedQuotaOf(spec.team)
         var freedFromOwnTeam = 0.0
         if (wantedCpus > availableCpus) {
@@ -116,12 +123,14 @@
     }
 
     /**
-     * What may be stopped for whom, that with the least loss first. For most jobs that is only what
-     * has a lower priority: of a thousand placements like their own, not one is examined for each
-     * job that waits.
+     * The placements that may be stopped, those with the smallest loss first. They are filtered
+     * once for each combination of priority and right to reclaim. Most jobs may only displace lower
+     * priorities, so that of thousands of placements with their own priority none is examined for
+     * each blocked job.
      */
     private inner class Victims(stoppable: List<Placement>) {
-        // Sorted once for all that wait: what is lost by a stop does not depend on for whom.
+        // Sorted once for all blocked jobs: the loss of a stop does not depend on the job it is
+        // for.
         private val sorted =
             stoppable
                 .map { Victim(it, policy.lostCpuSeconds(it)) }
@@ -143,7 +152,10 @@
                 (reclaims && other.priority == priority && other.isCheckpointable)
     }
 
-    /** Stops as much as is wantedCpus, that with the least loss first; gives the CPUs it frees. */
+    /**
+     * Stops tasks, those with the smallest loss first, until [wantedCpus] CPUs are freed or no
+     * victim is left. Returns the CPUs that the stops free.
+     */
     private fun stopVictims(
         job: Job,
         wantedCpus: Double,
@@ -170,7 +182,10 @@
         return freedCpus
     }
 
-    /** True if stopping [victim] is allowed and gives the job room, at no more cost than that. */
+    /**
+     * True if [victim] may be stopped for [job], the job can use the freed room, and the stop does
+     * not destroy more work than the room is worth.
+     */
     private fun shouldStop(
         job: Job,
         victim: Placement,
@@ -181,27 +196,32 @@
         val machine = cluster.machines[victim.machine] ?: return false
         return isUsefulRoom(job, machine, taskCounts) &&
             policy.isWorthStopping(victim) &&
-            // Much larger than what is needed: it would destroy more than it pays for.
+            // Stopping a task that is much larger than needed destroys more work than the room is
+            // worth.
             victim.job.spec.cpus <= wantedCpus * MAX_VICTIM_SIZE_FACTOR
     }
 
-    /** True if room that comes free on the machine is of use to the job. */
+    /** True if [job] can use room that is freed on [machine]. */
     private fun isUsefulRoom(job: Job, machine: Machine, taskCounts: Map<String, Int>): Boolean {
         val spec = job.spec
         val fits =
             planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.holds(spec)
         if (!fits || planner.typeReservations.isReservedFromTask(spec, machine.type)) return false
-        // Where its zone has its share of the job already, it is of no use.
+        // The room is of no use in a zone that already has its share of the job's tasks.
         if (!planner.eligibility.isZoneAllowed(machine.zone, spec, taskCounts)) return false
-        // Room that comes free elsewhere is of no use to a gang, and what is stopped comes back.
+        // A gang can only use room on machines that are reserved for it. On other machines the
+        // stopped tasks would be placed again.
         return !spec.isGang || planner.gangReservations.isReservedFor(job, machine)
     }
 
-    /** How many tasks of [job] go where [victim] is. */
+    /** The number of tasks of [job] that take the room of [victim]; at least one. */
     private fun tasksReplacing(victim: Placement, job: Job): Int =
         if (job.spec.cpus <= 0) 1 else maxOf(1, (victim.job.spec.cpus / job.spec.cpus).toInt())
 
-    /** Services go where most services are: other machines then come free for good. */
+    /**
+     * The order in which victims are tried. For a service, machines with the most CPUs used by
+     * services come first, so that services share few machines and other machines can become empty.
+     */
     private fun inStopOrderFor(job: Job, victims: List<Placement>): List<Placement> {
         if (job.spec.kind != JobKind.SERVICE) return victims
         val serviceCpus = HashMap<MachineId, Double>()
@@ -215,7 +235,7 @@
     private companion object {
         const val MAX_TASKS_PER_JOB_AND_ROUND = 64
 
-        /** How many times what is needed a stopped task may be. */
+        /** The largest size of a victim, as a multiple of the CPUs that are still needed. */
         const val MAX_VICTIM_SIZE_FACTOR = 2.0
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
+++ b/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
@@ -10,7 +10,10 @@
 import wardmux.model.TaskStatus
 import wardmux.model.seconds
 
-/** Decides which running tasks may be stopped for which blocked job, and what a stop costs. */
+/**
+ * Decides which running tasks may be stopped for which blocked job, and estimates the loss of a
+ * stop.
+ */
 internal class PreemptionPolicy(
     private val context: CoreContext,
     private val cluster: ClusterState,
@@ -22,7 +25,11 @@
         return job.waiting > 0 && !job.isFailing && context.now - since >= preemptionDelay(job)
     }
 
-    /** A replica that waits is a replica that is down: others only wait to see whether it helps. */
+    /**
+     * How long [job] has to be blocked before tasks are stopped for it. A service does not wait,
+     * because each waiting replica is a replica that is down. Other jobs wait first, as room may
+     * come free by itself.
+     */
     private fun preemptionDelay(job: Job): Micros =
         if (job.spec.kind == JobKind.SERVICE) Micros.ZERO else operators.preemptAfterS.seconds
 
@@ -30,7 +37,7 @@
     fun mayStop(job: Job, victim: Placement): Boolean {
         val otherSpec = victim.job.spec
         return when {
-            // One task of a gang takes the others with it.
+            // Stopping one task of a gang stops all of them.
             otherSpec.isGang -> false
             otherSpec.priority > job.spec.priority -> true
             else -> mayReclaimFrom(job, otherSpec)
@@ -38,14 +45,15 @@
     }
 
     /**
-     * A guaranteed share is reclaimed only from work that keeps what it has done, and never from
-     * work of a higher priority: otherwise two teams below their shares stop each other without
-     * end.
+     * True if [job] may reclaim its team's guaranteed share from a task like [otherSpec]. Only
+     * tasks that can write a checkpoint are stopped for this, as they keep their progress. Work of
+     * a higher priority is never stopped: otherwise two teams below their shares would stop each
+     * other's tasks without end.
      */
     private fun mayReclaimFrom(job: Job, otherSpec: JobSpec): Boolean {
         if (otherSpec.team == job.spec.team || otherSpec.priority < job.spec.priority) return false
         if (!otherSpec.isCheckpointable || !mayReclaim(job)) return false
-        // Only for the team that the room would go to.
+        // If the other team has the lower start tag, it would get the freed room itself.
         if (cluster.queue.startTag(job.spec.team) > cluster.queue.startTag(otherSpec.team))
             return false
         val otherQuota = cluster.teams[otherSpec.team] ?: return false
@@ -53,8 +61,9 @@
     }
 
     /**
-     * True if the team of [job] is below its guaranteed share and the job has waited for long
-     * enough; after each time it waits again, for the room to come.
+     * True if the team of [job] is below its guaranteed share and the job has been blocked for long
+     * enough. After each reclaim the job waits for the same time again, so that the room can come
+     * free first.
      */
     fun mayReclaim(job: Job): Boolean {
         val minWait = operators.reclaimAfterS.seconds
@@ -66,11 +75,17 @@
     private fun blockedTime(job: Job): Micros =
         job.blockedSince?.let { context.now - it } ?: Micros.ZERO
 
-    /** True if the room of [victim] does not come free soon by itself, nor throws a fetch away. */
+    /**
+     * True if [victim] would not end soon by itself and stopping it does not discard an image
+     * fetch.
+     */
     fun isWorthStopping(victim: Placement): Boolean =
         !isOnlyTaskFetchingImage(victim) && remainingRunTime(victim) >= MIN_REMAINING_RUN_TIME
 
-    /** Stopping the last task that waits for an image throws the fetch away. */
+    /**
+     * True if [victim] is the only task on its machine that waits for its image, so that stopping
+     * it would discard the fetch.
+     */
     private fun isOnlyTaskFetchingImage(victim: Placement): Boolean {
         if (victim.status != TaskStatus.FETCHING) return false
         val machine = cluster.machines[victim.machine] ?: return false
@@ -85,7 +100,10 @@
         return expected - (context.now - since)
     }
 
-    /** CPU-seconds that stopping [victim] throws away. */
+    /**
+     * The CPU-seconds of work that stopping [victim] loses: the time to write a checkpoint or,
+     * without one, the progress since the start; plus the overhead of a restart.
+     */
     fun lostCpuSeconds(victim: Placement): Double {
         val spec = victim.job.spec
         val since = victim.runningSince ?: return 0.0
--- a/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
@@ -5,7 +5,7 @@
 import wardmux.model.JobSpec
 import wardmux.model.MachineType
 
-/** What the tasks of each team take of its quota, orphans among them. */
+/** The CPUs and GPUs of each team's quota that its tasks use, including orphans. */
 internal class QuotaUsage(private val quotas: Map<String, TeamQuota>) {
     private val cpus = Object2DoubleOpenHashMap<String>()
     private val gpus = Object2DoubleOpenHashMap<String>()
@@ -13,15 +13,15 @@
     /** The CPUs that [team] uses. */
     fun usedCpus(team: String): Double = cpus.getDouble(team)
 
-    /** Counts [tasks] tasks more like this, or fewer. */
+    /** Adds the usage of [tasks] tasks like [spec]; a negative number subtracts it. */
     fun adjust(spec: JobSpec, tasks: Int) {
         cpus.addTo(spec.team, tasks * spec.cpus)
         gpus.addTo(spec.team, tasks * spec.gpus)
     }
 
     /**
-     * How many more tasks like this the team's quota allows, once one like [afterStarting] has
-     * started.
+     * How many more tasks like [spec] the team's quota allows. If [afterStarting] is given, one
+     * task like it is counted as started first.
      */
     fun quotaHeadroom(spec: JobSpec, afterStarting: JobSpec?): Int {
         val quota = quotas[spec.team] ?: return 0
@@ -38,7 +38,7 @@
         return minOf(byCpu, byGpu, MAX_HEADROOM_TASKS).toInt().coerceAtLeast(0)
     }
 
-    /** Nothing is used any more. */
+    /** Resets the usage of all teams to zero. */
     fun clear() {
         cpus.clear()
         gpus.clear()
--- a/src/main/kotlin/wardmux/scheduling/RuntimeEstimates.kt
+++ b/src/main/kotlin/wardmux/scheduling/RuntimeEstimates.kt
@@ -4,8 +4,8 @@
 import wardmux.model.Micros
 
 /**
- * Expected run times of tasks. Owners' estimates are often wrong in one direction for a whole job
- * class, so that they are corrected by how long its tasks ran.
+ * Expected run times of tasks. Owners' estimates are often too high or too low for a whole job
+ * class, so they are corrected by the observed run times of the tasks of that class.
  */
 class RuntimeEstimates {
     private class Correction {
@@ -15,10 +15,10 @@
 
     private val corrections = HashMap<String, Correction>()
 
-    /** How long a task like this is expected to run. */
+    /** How long a task like [spec] is expected to run. */
     fun runTime(spec: JobSpec): Micros = spec.estimate * (corrections[spec.jobClass]?.factor ?: 1.0)
 
-    /** A task like this ran for [runTime]. */
+    /** Records that a task like [spec] ran for [runTime]. */
     fun record(spec: JobSpec, runTime: Micros) {
         if (spec.estimate <= Micros.ZERO) return
         val correction = corrections.getOrPut(spec.jobClass) { Correction() }
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -9,15 +9,15 @@
 import wardmux.model.seconds
 
 /**
- * Stops tasks with a grace period, so that they can write a checkpoint. The stop commands go out
- * with the next commands to their machines.
+ * Stops tasks with a grace period in which they can write a checkpoint. The stop commands are sent
+ * with the next commands to the tasks' machines.
  */
 class TaskEvictor(private val cluster: ClusterState, private val workers: WorkerTiming) {
     private val log = logger<TaskEvictor>()
 
     /**
-     * Stops [victim] for [reason]. Of a gang all tasks are stopped: those not told in time would
-     * spoil what the others save.
+     * Stops [victim] for [reason]. If it belongs to a gang, all tasks of the gang are stopped:
+     * tasks that got the stop command too late would spoil the checkpoint of the others.
      */
     fun evict(victim: Placement, reason: String) {
         if (victim.job.spec.isGang) return evictGang(victim.job, reason)
@@ -50,6 +50,7 @@
     }
 
     private companion object {
+        /** Added to the time that a task needs to write a checkpoint, in seconds. */
         const val CHECKPOINT_MARGIN_S = 1.0
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
@@ -10,18 +10,18 @@
 import wardmux.store.KeyValueStore
 
 /**
- * Adds to a transaction the task pages that are to be written or removed. A page is written only if
- * its key is as it was last read or written.
+ * Adds writes and removals of task pages to a transaction. Each of them is conditional on the
+ * page's key being as it was last read or written.
  */
 internal class TaskPageWriter(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val cluster: ClusterState,
 ) {
-    /** Keys of pages that were too large to be written, and when they are tried again. */
+    /** When pages that were too large to be written are tried again, by their keys. */
     private val oversizedUntil = HashMap<String, Micros>()
 
-    /** Adds the pages with placements that are not committed, as far as there is room. */
+    /** Adds the pages with uncommitted placements, as far as the transaction has room. */
     fun addUncommitted(transaction: PlacementTransaction) {
         for (job in cluster.jobs.values) {
             for (page in job.pages.dirtyPages()) {
@@ -36,14 +36,19 @@
         }
     }
 
-    /** No start goes out without its record. */
+    /**
+     * Rolls back the uncommitted placements on [page], which could not be written: a start must not
+     * be sent before its placement is recorded.
+     */
     private fun rollBackUncommitted(job: Job, page: Int) {
         for (placement in job.placementsOn(page)) {
             if (!placement.isCommitted) cluster.rollBack(placement)
         }
     }
 
-    /** Adds the pages that have differed from what is stored for long enough. */
+    /**
+     * Adds the pages whose job has differed from its stored state for at least [DIRTY_PAGE_DELAY].
+     */
     fun addDirty(transaction: PlacementTransaction) {
         for (job in cluster.jobs.values) {
             if (!isWriteDue(job)) continue
@@ -63,7 +68,7 @@
     private fun isOversized(job: Job, page: Int) =
         oversizedUntil[TaskPageCodec.key(job.id, page)]?.let { context.now < it } == true
 
-    /** Removes the pages of ended jobs once nothing of them is left on a machine. */
+    /** Adds the removal of the pages of ended jobs that have no tasks left on machines. */
     fun addRemovals(transaction: PlacementTransaction) {
         for (job in cluster.jobs.values) {
             val arePagesRemovable = job.hasEnded && job.placements.isEmpty()
@@ -71,7 +76,7 @@
         }
     }
 
-    /** False if the transaction has no more room. */
+    /** Adds the removals for one job. Returns false if the transaction has no more room. */
     private fun addRemovals(transaction: PlacementTransaction, job: Job): Boolean {
         val pages = job.pages.storedPages()
         for (page in pages) {
@@ -89,15 +94,19 @@
         return true
     }
 
-    /** Nobody waits for a removal, so it never takes what a start or an end needs. */
+    /**
+     * True if the transaction has room for a removal. Removals are not urgent, so they only use
+     * spare writes and never delay starts or completions.
+     */
     private fun hasRoomForRemoval(transaction: PlacementTransaction, conditions: Int) =
         transaction.hasRoomFor(writes = 1, conditions) &&
             transaction.operations.size < store.spareWrites
 
     /**
-     * Adds the page as it is now. False if it is larger than a value may be, as it was written
-     * under higher limits: it is tried again once enough of its tasks may have ended. Until then
-     * the machines keep how these ended, and the job is done by its record, which needs no page.
+     * Adds the present content of a page. Returns false if it exceeds the size limit of a value,
+     * which can happen if the page was written under a higher limit. The page is then tried again
+     * later, when enough of its tasks may have ended. Until then the machines keep the results of
+     * its tasks. The job can still be completed, because that writes only its record.
      */
     private fun addPage(transaction: PlacementTransaction, job: Job, page: Int): Boolean {
         val key = TaskPageCodec.key(job.id, page)
@@ -119,8 +128,8 @@
 
     private companion object {
         /**
-         * How tasks ended is written for many at once: until then the machines keep it, and a later
-         * leader is told again.
+         * Ends of tasks are collected for this long and written together. Until then the machines
+         * keep the results, and would report them again to a later leader.
          */
         val DIRTY_PAGE_DELAY = 3.seconds
         val OVERSIZED_PAGE_RETRY_DELAY = 1.seconds
--- a/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
@@ -7,14 +7,16 @@
 import wardmux.model.Micros
 
 /**
- * The order of one team's jobs of one priority class.
- * - A job that has waited for its first start longer than [maxWait] comes first, so that the
- *   largest jobs are not held up for ever by smaller ones.
- * - Jobs with deadlines follow. Where more is asked than the team's CPUs can do in time, as many
- *   jobs as possible are kept in time: they are taken by deadline, and whenever one would be late,
- *   the job with the most work left is put behind (Moore and Hodgson's rule). Those put behind are
- *   then held against their next, later deadline in the same way.
- * - Jobs without deadlines follow in the order of submission, and failing jobs come last.
+ * Sorts the jobs of one team and priority class.
+ * - Jobs that have waited for their first start longer than [maxWait] come first, so that smaller
+ *   jobs cannot hold up the largest ones indefinitely.
+ * - Jobs with deadlines follow. If the team's CPUs cannot complete all of them in time, the order
+ *   keeps the deadlines of as many jobs as possible (Moore and Hodgson's rule): jobs are accepted
+ *   by deadline, and whenever one would be late, the accepted job with the most remaining work is
+ *   put back. Jobs that were put back are then ordered by their next, later deadline in the same
+ *   way.
+ * - Jobs without deadlines follow in the order of submission.
+ * - Failing jobs come last.
  */
 class TeamJobOrder(
     objectives: List<ServiceLevelObjective>,
@@ -23,26 +25,32 @@
 ) {
     private val objectivesByClass = objectives.groupBy { it.jobClass }
 
-    /** A job with its deadlines; all times are seconds from now. */
+    /** A job with its deadlines. All times are in seconds; deadlines count from now. */
     private class TimedJob(
         val job: Job,
-        /** How long all the team's CPUs work on what is left of it. */
+        /** How long all CPUs of the team would need for the job's remaining work. */
         val remainingWorkS: Double,
-        /** How long one of its tasks runs. */
+        /** The expected run time of one task. */
         val taskRunTimeS: Double,
         private val deadlines: DoubleArray,
     ) {
         val deadlineCount: Int
             get() = deadlines.size
 
-        /** Past its last deadline a job is held against that. */
+        /**
+         * The deadline of the given level, in seconds from now. A job that has fewer deadlines uses
+         * its last one.
+         */
         fun deadline(level: Int) = deadlines[minOf(level, deadlines.lastIndex)]
     }
 
-    /** Which jobs can be kept within a deadline, and which can't; both in the order of planning. */
+    /** The jobs that can meet a deadline and those that cannot. [inTime] is sorted by deadline. */
     private class Feasibility(val inTime: List<TimedJob>, val late: List<TimedJob>)
 
-    /** [jobs] in their order; [cpus] is what the team can count on at time of day [wallTime]. */
+    /**
+     * Returns [jobs] in the order in which to place them. [cpus] is the number of CPUs that the
+     * team can expect to use at time of day [wallTime].
+     */
     fun sort(jobs: List<Job>, cpus: Double, wallTime: Micros): List<Job> {
         if (jobs.size < 2) return jobs
         val bySubmission = compareBy<Job>({ it.acceptedAt.value }, { it.id.value })
@@ -67,7 +75,7 @@
         return undecided.sortedBy { it.remainingWorkS }.mapTo(sorted) { it.job }
     }
 
-    /** Seconds after acceptance by which users expect a job like this to be done, ascending. */
+    /** The deadlines of a job like [spec], in seconds after its acceptance, ascending. */
     private fun deadlines(spec: JobSpec): List<Double> {
         val objectives = objectivesByClass[spec.jobClass].orEmpty()
         val jobDeadlineS = spec.deadlineS
@@ -87,7 +95,10 @@
         return TimedJob(job, tasksLeft * spec.cpus / cpus * taskRunTimeS, taskRunTimeS, deadlines)
     }
 
-    /** Moore and Hodgson's rule, after [spent] seconds of other work. */
+    /**
+     * Applies Moore and Hodgson's rule to the deadlines of the given level. The team's CPUs are
+     * busy with other work for the first [precedingWorkS] seconds.
+     */
     private fun keepInTime(
         undecided: List<TimedJob>,
         level: Int,
@@ -113,11 +124,14 @@
     }
 
     private companion object {
-        /** Kinds of objectives: a factor of the job's own deadline, and a time after acceptance. */
+        /**
+         * Kinds of objectives: a multiple of the job's own deadline, and a time after its
+         * acceptance.
+         */
         const val DEADLINE_KIND = "deadline"
         const val FINISHED_KIND = "finished"
 
-        /** Of a task that is placed, about half is still to be done. */
+        /** The share of a placed task's work that is assumed to be done. */
         const val PLACED_TASK_DONE_SHARE = 0.5
     }
 }
