--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -47,8 +47,8 @@
     val machinesWithCommands = LinkedHashSet<Machine>()
 
     /**
-     * True while drains are active. Only drains move tasks that would otherwise run on where they
-     * are.
+     * True while drains are active. While they are, only drains move tasks that could keep running
+     * where they are; scale-in moves none.
      */
     var hasDrains = false
 
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns the machines of [machines] on which the whole gang can start soonest, or null if it
-     * does not fit.
+     * Returns those of [machines] on which the whole gang can start soonest, or null if it does not
+     * fit.
      */
     private fun bestCandidateAmong(job: Job, machines: List<Machine>): GangCandidate? {
         val byWait = machines.groupBy { imageWait(job.spec, it) }
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -22,7 +22,8 @@
     private val workers: WorkerTiming,
 ) {
     /**
-     * For each team, the gang that has waited longest, among those that have been blocked for long.
+     * For each team, the gang that has waited longest since its acceptance, among the gangs that
+     * have been blocked for long.
      */
     private var quotaClaims: Map<String, Job> = emptyMap()
 
@@ -125,8 +126,8 @@
         }
 
     /**
-     * The groups of machines that can each hold all of the gang: one for each zone if the gang has
-     * to be in one zone, otherwise a single group.
+     * The groups of machines within which a gang has to be placed as a whole: one group for each
+     * zone if the gang has to be in one zone, otherwise a single group.
      */
     private fun machineGroupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
         if (job.spec.oneZone) machines.groupBy { it.zone }.values else listOf(machines)
--- a/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
@@ -100,8 +100,8 @@
         const val USED_MACHINE_BONUS = 1e6
 
         /**
-         * A zone that has a quarter more of the job's tasks costs more than the usual differences
-         * in price between machines.
+         * With this weight, a quarter more of the job's tasks in a zone outweighs the higher price
+         * of an ordinary machine, as compared with a spot machine.
          */
         const val ZONE_SPREAD_WEIGHT = 5.0
     }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -9,7 +9,7 @@
 import wardmux.records.TaskPageCodec
 import wardmux.serialization.jsonBytes
 
-/** A number of a gang's [tasks] that are to be placed on [machine]. */
+/** The number of [tasks] of a gang that are to be placed on [machine]. */
 class GangAllocation(val machine: Machine, val tasks: Int)
 
 /**
--- a/src/main/kotlin/wardmux/scheduling/PageWriteBudget.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageWriteBudget.kt
@@ -29,9 +29,10 @@
     fun isExhaustedFor(job: Job) = remainingPages <= 0 && job.id !in reserved
 
     /**
-     * Reserves all pages of a gang, or none and returns false. A gang with more pages than one
-     * transaction can write is written in several transactions, and none of its starts is sent
-     * before the last of these. Such a gang is accepted only while no other page is reserved.
+     * Reserves all pages of a gang, or reserves none and returns false. A gang with more pages than
+     * one transaction can write is written in several transactions, and none of its starts is sent
+     * before the last of these is committed. Such a gang is accepted only while no other page is
+     * reserved.
      */
     fun tryReserveGang(job: Job): Boolean {
         val ownPages = reserved.getOrPut(job.id) { IntOpenHashSet() }
@@ -52,8 +53,8 @@
     }
 
     /**
-     * Reserves the page of [task]. Returns false if the budget has no page left or if the page of
-     * the task is full.
+     * Reserves the page of [task]. Returns false if the budget has no page left or the page has no
+     * room for the task.
      */
     fun tryReserve(job: Job, task: Int): Boolean {
         val page = job.pages.pageOf(task)
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -184,7 +184,7 @@
 
     /**
      * True if [victim] may be stopped for [job], the job can use the freed room, and the stop does
-     * not destroy more work than the room is worth.
+     * not destroy more work than the [wantedCpus] CPUs that are still needed are worth.
      */
     private fun shouldStop(
         job: Job,
@@ -233,6 +233,7 @@
     }
 
     private companion object {
+        /** Limits how many waiting tasks of a job get room in one round. */
         const val MAX_TASKS_PER_JOB_AND_ROUND = 64
 
         /** The largest size of a victim, as a multiple of the CPUs that are still needed. */
--- a/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
+++ b/src/main/kotlin/wardmux/scheduling/PreemptionPolicy.kt
@@ -101,8 +101,9 @@
     }
 
     /**
-     * The CPU-seconds of work that stopping [victim] loses: the time to write a checkpoint or,
-     * without one, the progress since the start; plus the overhead of a restart.
+     * The CPU-seconds that stopping [victim] loses: the time to write a checkpoint or, without one,
+     * the progress since the start; plus the overhead of a restart. Zero if the task does not run
+     * yet.
      */
     fun lostCpuSeconds(victim: Placement): Double {
         val spec = victim.job.spec
--- a/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskPageWriter.kt
@@ -10,8 +10,8 @@
 import wardmux.store.KeyValueStore
 
 /**
- * Adds writes and removals of task pages to a transaction. Each of them is conditional on the
- * page's key being as it was last read or written.
+ * Adds writes and removals of task pages to a transaction. The transaction commits only if each of
+ * these pages is stored as it was last read or written.
  */
 internal class TaskPageWriter(
     private val context: CoreContext,
@@ -47,7 +47,8 @@
     }
 
     /**
-     * Adds the pages whose job has differed from its stored state for at least [DIRTY_PAGE_DELAY].
+     * Adds the changed pages of jobs whose state has differed from the stored one for at least
+     * [DIRTY_PAGE_DELAY].
      */
     fun addDirty(transaction: PlacementTransaction) {
         for (job in cluster.jobs.values) {
--- a/src/test/kotlin/wardmux/scheduling/DensePackingTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/DensePackingTest.kt
@@ -13,7 +13,12 @@
 import wardmux.serialization.lenientJson
 import wardmux.sim.plainJob
 
-/** Jobs whose tasks have to be placed together, on pages that hold them only on few machines. */
+/**
+ * Guards against jobs that never run, or take room from others, because their task page would be
+ * too large. All tasks of a gang or service are placed at the same time, and a page names each
+ * machine that they use. A page of limited size can therefore hold them only if they are on few
+ * machines.
+ */
 class DensePackingTest {
     private val small = MachineType("small", 2.0, memoryGb = 16.0, zones = listOf("a"))
     private val large = MachineType("large", 64.0, memoryGb = 256.0, zones = listOf("a"))
@@ -27,19 +32,25 @@
 
     private fun pageBytesOf(job: Job) = TaskPageCodec.encode(job, 0).toString().length
 
-    /** As many on small machines as on large ones, which small tasks fit exactly. */
+    /**
+     * Adds room for 200 small tasks on small machines, which they fit exactly, and for 128 on large
+     * ones.
+     */
     private fun addSmallAndLargeMachines() {
         repeat(100) { harness.addMachine(it, small) }
         repeat(2) { harness.addMachine(1000 + it, large) }
     }
 
     @Test
-    fun `a gang goes to as few machines as its page holds`() {
+    fun `a gang is placed on few enough machines for its page`() {
         addSmallAndLargeMachines()
         val gang = addJob(JobKind.GANG, 110)
         harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT))
         assertEquals(110, gang.placements.size)
-        assertTrue(pageBytesOf(gang) <= LOWERED_LIMIT, "${pageBytesOf(gang)} bytes")
+        assertTrue(
+            pageBytesOf(gang) <= LOWERED_LIMIT,
+            "expected at most $LOWERED_LIMIT bytes, got ${pageBytesOf(gang)}",
+        )
         val stored =
             lenientJson.decodeFromJsonElement(
                 StoredTaskPage.serializer(),
@@ -49,29 +60,41 @@
     }
 
     @Test
-    fun `the replicas of a service go to as few machines as their page holds`() {
+    fun `replicas of a service are placed on few enough machines for their page`() {
         addSmallAndLargeMachines()
         val service = addJob(JobKind.SERVICE, 125)
         repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT)) }
         assertEquals(125, service.placements.size)
-        assertTrue(pageBytesOf(service) <= LOWERED_LIMIT, "${pageBytesOf(service)} bytes")
+        assertTrue(
+            pageBytesOf(service) <= LOWERED_LIMIT,
+            "expected at most $LOWERED_LIMIT bytes, got ${pageBytesOf(service)}",
+        )
     }
 
     @Test
-    fun `replicas that do not fit wait, the others run, and other jobs are placed`() {
+    fun `replicas that do not fit on the page wait while other replicas and jobs are placed`() {
         repeat(200) { harness.addMachine(it, small) }
         val service = addJob(JobKind.SERVICE, 120, cpus = 2.0)
         val other = addJob(JobKind.ARRAY, 5, id = 2)
         repeat(3) { harness.planner.plan(PageWriteBudget(7, LOWERED_LIMIT)) }
-        assertTrue(service.placements.size >= 50, "${service.placements.size} replicas")
-        assertTrue(service.placements.size < 120)
-        assertTrue(pageBytesOf(service) <= LOWERED_LIMIT, "${pageBytesOf(service)} bytes")
+        assertTrue(
+            service.placements.size >= 50,
+            "expected at least 50 placed replicas, got ${service.placements.size}",
+        )
+        assertTrue(
+            service.placements.size < 120,
+            "expected less than 120 placed replicas, got ${service.placements.size}",
+        )
+        assertTrue(
+            pageBytesOf(service) <= LOWERED_LIMIT,
+            "expected at most $LOWERED_LIMIT bytes, got ${pageBytesOf(service)}",
+        )
         assertEquals(5, other.placements.size)
     }
 
-    /** One task a machine, however large it is: no page of 2 KiB names 120 machines. */
+    /** Each task needs a machine of its own, and no page of 2 KiB can name 120 machines. */
     @Test
-    fun `a gang that no page holds takes nothing from others`() {
+    fun `a gang too large for its page takes no room from other jobs`() {
         repeat(150) { harness.addMachine(it, small) }
         val oversized = addJob(JobKind.GANG, 120, cpus = 2.0)
         val gang = addJob(JobKind.GANG, 3, id = 2)
@@ -83,7 +106,7 @@
     }
 
     @Test
-    fun `a gang that no page holds reserves no machines and is not short of room`() {
+    fun `a gang too large for its page reserves no machines and is not short of room`() {
         val smallOnly = PlannerHarness(teams, listOf(small), now = 100.seconds)
         repeat(150) { smallOnly.addMachine(it, small) }
         val fullMachineJob = smallOnly.untrackedJob(plainJob(1, "job-999999").copy(cpus = 2.0))
@@ -104,7 +127,7 @@
     }
 
     private companion object {
-        /** The largest value after the limits are lowered on either site. */
+        /** The size limit of a value after the store's limits are lowered, in bytes. */
         const val LOWERED_LIMIT = 2048
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/FairQueueTest.kt
@@ -7,22 +7,29 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
+/**
+ * Guards against teams that get more or less than their share: by wrong tags or weights, by credit
+ * saved while idle, by charges that are not corrected, or by accounts lost when the leader changes.
+ */
 class FairQueueTest {
     private val oneCpuSecond = Cost(1_000_000)
 
-    /** The usage that would halve a weight is out of reach. */
+    /**
+     * A queue in which usage does not lower weights: the usage that halves a weight is never
+     * reached.
+     */
     private fun queueWithConstantWeights(vararg teams: Pair<String, Double>) =
         FairQueue(mapOf(*teams), 600.seconds, normSeconds = 1e9)
 
     private fun FairQueue.chargeNextTeam(teams: List<String>, wallTime: Micros): String {
-        // Ties go to the heavier team, as in the paper's example.
+        // Ties go to the team with the higher weight, as in the worked example.
         val team = teams.minWith(compareBy({ startTag(it) }, { -weight(it, wallTime) }))
         charge(team, oneCpuSecond, wallTime)
         return team
     }
 
     @Test
-    fun `the paper's worked example runs sixteen gold and two free jobs in eighteen`() {
+    fun `the paper's worked example dispatches sixteen gold and two free jobs of eighteen`() {
         val queue = queueWithConstantWeights("gold" to 8.0, "free" to 1.0)
         val order = List(18) { queue.chargeNextTeam(listOf("gold", "free"), Micros.ZERO) }
         assertEquals(16, order.count { it == "gold" })
@@ -32,7 +39,7 @@
     }
 
     @Test
-    fun `usage halves in a half-life, in one step or in many`() {
+    fun `usage halves in a half-life whether it decays in one step or in many`() {
         val queue = FairQueue(mapOf("a" to 4.0), 100.seconds, 10.0)
         queue.charge("a", oneCpuSecond, Micros.ZERO)
         val other = FairQueue(mapOf("a" to 4.0), 100.seconds, 10.0)
@@ -43,7 +50,7 @@
     }
 
     @Test
-    fun `usage of one norm halves the weight`() {
+    fun `usage equal to the norm halves the weight`() {
         val queue = FairQueue(mapOf("a" to 4.0), 1_000_000.seconds, normSeconds = 10.0)
         assertEquals(4.0, queue.weight("a", Micros.ZERO), 1e-9)
         queue.charge("a", Cost(40_000_000), Micros.ZERO)
@@ -51,7 +58,7 @@
     }
 
     @Test
-    fun `a charge is settled with the weight at dispatch, not with the present one`() {
+    fun `a charge is settled with the weight at dispatch and not with the current weight`() {
         val queue = FairQueue(mapOf("a" to 4.0), 600.seconds, normSeconds = 10.0)
         val charge = queue.charge("a", Cost(40_000_000), Micros.ZERO)
         assertEquals(10_000_000, queue.startTag("a"))
@@ -60,13 +67,16 @@
     }
 
     @Test
-    fun `the clock never goes back and an idle team starts at it`() {
+    fun `the virtual time never goes back and an idle team starts at it`() {
         val queue = queueWithConstantWeights("a" to 1.0, "b" to 1.0)
         repeat(5) { queue.charge("a", oneCpuSecond, Micros.ZERO) }
         val before = queue.virtualTime
         val charge = queue.charge("a", oneCpuSecond, Micros.ZERO)
         queue.settle("a", charge, Cost(0), Micros.ZERO)
-        assertTrue(queue.virtualTime >= before)
+        assertTrue(
+            queue.virtualTime >= before,
+            "expected at least $before, got ${queue.virtualTime}",
+        )
         queue.advanceToHighestTag()
         assertEquals(5_000_000, queue.startTag("b"))
         queue.charge("b", oneCpuSecond, Micros.ZERO)
@@ -74,7 +84,7 @@
     }
 
     @Test
-    fun `what is stored is what the next leader reads`() {
+    fun `the next leader reads the stored virtual time, tags and usage`() {
         val queue = queueWithConstantWeights("a" to 2.0, "b" to 1.0)
         queue.charge("a", oneCpuSecond, Micros.ZERO)
         queue.charge("b", Cost(7_000_000), Micros.ZERO)
@@ -88,7 +98,7 @@
     }
 
     @Test
-    fun `a refunded charge leaves the tag as it was`() {
+    fun `refunding a charge restores the finish tag`() {
         val queue = queueWithConstantWeights("a" to 3.0)
         queue.charge("a", oneCpuSecond, Micros.ZERO)
         val before = queue.startTag("a")
@@ -98,7 +108,7 @@
     }
 
     @Test
-    fun `of more teams than a value holds those that lead the least are left out`() {
+    fun `teams with the lowest finish tags are left out if a value cannot hold all teams`() {
         val names = List(100) { "team-$it" }
         val many = FairQueue(names.associateWith { 10.0 }, 600.seconds, 600.0)
         for ((i, name) in names.withIndex()) many.charge(
@@ -107,7 +117,7 @@
             Micros.ZERO,
         )
         val json = many.toJson(Micros.ZERO, maxBytes = 2048).toString()
-        assertTrue(json.length in 1_800..2048, "${json.length} bytes")
+        assertTrue(json.length in 1_800..2048, "expected 1800 to 2048 bytes, got ${json.length}")
         assertTrue("team-99" in json && "\"team-3\"" !in json, json)
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -7,7 +7,10 @@
 import wardmux.model.Machine
 import wardmux.model.MachineId
 
-/** Where the tasks of a gang are placed: it starts when the last of them has its image. */
+/**
+ * Guards against gangs that start late because of a badly chosen machine: a gang starts only when
+ * its last task has its image, so one slow fetch delays all tasks.
+ */
 class GangPlacementTest {
     private val type = PlannerHarness.MID_SIZE_TYPE
     private val harness = PlannerHarness.withOneTeam()
@@ -25,19 +28,23 @@
     }
 
     @Test
-    fun `an empty machine that holds the image goes before a fuller one that lacks it`() {
+    fun `an empty machine with the image is preferred to a fuller one without it`() {
         val fuller = harness.addMachine(1, type).also { it.occupy(cpus = 8.0) }
         val withImage = harness.addMachine(2, type).also { it.cacheImageOf(gangSpec(4)) }
         val job = harness.addJob(gangSpec(tasks = 4))
-        assertEquals(setOf(withImage.id), machinesAfterPlan(job), "$fuller lacks the image")
+        assertEquals(
+            setOf(withImage.id),
+            machinesAfterPlan(job),
+            "expected only the machine with the image; ${fuller.id} lacks it",
+        )
     }
 
     @Test
-    fun `the zone where the last image comes soonest goes before the one with the most images`() {
+    fun `the zone where the last image arrives first is preferred to one with more images`() {
         val spec = gangSpec(tasks = 8).copy(oneZone = true)
         val withImage = harness.addMachine(1, type, zone = "a").also { it.cacheImageOf(spec) }
         withImage.occupy(cpus = 2.0)
-        // The eighth task would wait behind another image.
+        // The eighth task would have to wait until another image is fetched.
         val busyFetcher = harness.addMachine(2, type, zone = "a")
         busyFetcher.images.use("another", 10 * spec.imageGb, harness.context.now)
         val idleFetcher = harness.addMachine(3, type, zone = "b")
@@ -46,7 +53,7 @@
     }
 
     @Test
-    fun `it goes where the image has to be fetched if there is no other room`() {
+    fun `a gang also uses machines without the image if there is no other room`() {
         val spec = gangSpec(tasks = 8)
         val withImage = harness.addMachine(1, type).also { it.cacheImageOf(spec) }
         withImage.occupy(cpus = 12.0)
--- a/src/test/kotlin/wardmux/scheduling/GangReservationsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangReservationsTest.kt
@@ -7,7 +7,10 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** Machines are reserved for gangs, as small tasks would take each bit that comes free. */
+/**
+ * Guards against gangs that wait indefinitely: small tasks take each bit of room as soon as it
+ * comes free, or a gang's own aborted attempt holds what the next attempt needs.
+ */
 class GangReservationsTest {
     private val type = PlannerHarness.MID_SIZE_TYPE
     private val harness = PlannerHarness.withOneTeam()
@@ -21,22 +24,25 @@
     private fun plan() = harness.planner.plan(PageWriteBudget(7))
 
     @Test
-    fun `machines are reserved from the first plan without room for the gang, and more than one`() {
+    fun `several machines are reserved after the first plan without room for the gang`() {
         for (number in 1..2) harness.addMachine(number, type).occupy(cpus = 14.0)
         val gang = harness.addJob(gangSpec(tasks = 3))
         plan()
         val small = addArrayJob(tasks = 2)
         plan()
-        assertEquals(0, small.placements.size, "it took room on a reserved machine")
+        assertEquals(0, small.placements.size, "expected no small task on a reserved machine")
         harness.addMachine(3, type)
         plan()
         assertEquals(3, gang.placements.size)
         assertEquals(2, small.placements.size)
     }
 
-    /** A later write of an attempt was refused, and others have used up the quota since. */
+    /**
+     * The state after a write of a later page of the attempt was refused, when other tasks have
+     * used up the quota since.
+     */
     @Test
-    fun `what is left of an aborted attempt is stopped even without quota for the next`() {
+    fun `remaining tasks of an aborted attempt are stopped even without quota for the next one`() {
         for (number in 1..2) harness.addMachine(number, type).occupy(cpus = 8.0)
         val spec = gangSpec(tasks = 8)
         val gang = harness.addJob(spec)
--- a/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/MachinePoolsTest.kt
@@ -12,7 +12,10 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** Types stand in for each other only if no open job needs them for their size. */
+/**
+ * Guards against large machines that are filled with small tasks while large tasks need them, and
+ * against large machines that stay unused although no open job needs their size.
+ */
 class MachinePoolsTest {
     private val small =
         MachineType(
@@ -48,14 +51,14 @@
     private val largeTask = plainJob(1, "job-000002").copy(cpus = 32.0, memoryGb = 64.0)
 
     @Test
-    fun `a larger type that nothing needs for its size is an exact fit too`() {
+    fun `a larger type that no open job needs for its size is an exact fit for small tasks`() {
         refresh(0.seconds, smallTask)
         assertEquals(setOf("small", "large"), pools.exactTypesFor(smallTask))
         assertEquals(listOf(large, small), pools.pools.single().cheapestFirst(spot = true))
     }
 
     @Test
-    fun `a type that some work needs stays for that work, also for a while after it`() {
+    fun `a type that a job needs is no exact fit for smaller tasks until a while after the job`() {
         refresh(0.seconds, smallTask, largeTask)
         assertEquals(setOf("small"), pools.exactTypesFor(smallTask))
         assertEquals(setOf("large"), pools.exactTypesFor(largeTask))
@@ -66,10 +69,11 @@
     }
 
     @Test
-    fun `the weight of a machine follows from the resource that runs out first`() {
+    fun `the weight of a machine is determined by the resource that runs out first`() {
         refresh(0.seconds, smallTask)
         assertEquals(4.0, pools.pools.single().weightOf(large))
-        // Of tasks that need their memory the large one, which has no more, takes no more.
+        // Both types have the same memory, so they hold the same number of tasks that are limited
+        // by memory.
         val memoryTask = smallTask.copy(memoryGb = 16.0)
         refresh(10.seconds, memoryTask)
         assertEquals(1.0, pools.pools.single().weightOf(large))
@@ -77,7 +81,7 @@
     }
 
     @Test
-    fun `prices are relative to the cheapest of the pool`() {
+    fun `the relative cost of a type is its price relative to the cheapest type of the pool`() {
         refresh(0.seconds, smallTask)
         assertEquals(1.0, pools.relativeCost(large, spot = true))
         assertTrue(pools.relativeCost(small, spot = true) in 1.5..1.7)
@@ -87,7 +91,7 @@
     }
 
     @Test
-    fun `a type that holds no such task is no exact fit for it`() {
+    fun `a type that the job does not allow is no exact fit for its tasks`() {
         val wide = smallTask.copy(types = listOf("small"))
         refresh(0.seconds, wide)
         assertEquals(setOf("small"), pools.exactTypesFor(wide))
--- a/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PageSizeEstimateTest.kt
@@ -9,7 +9,10 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** Scaling out counts only waiting tasks that pages hold for now. */
+/**
+ * Guards against renting machines that stay empty: scale-out must count only the waiting tasks that
+ * the job's pages can hold now, as the other tasks cannot be placed whatever room there is.
+ */
 class PageSizeEstimateTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
@@ -27,17 +30,28 @@
         repeat(120) { harness.addMachine(it, type) }
         planUntilPagesAreFull()
         val placed = job.placements.size
-        assertTrue(placed < 120, "the page holds all tasks, so that nothing is shown")
-        assertTrue(expected in placed * 3 / 4..placed * 5 / 4, "$expected expected, $placed placed")
-        assertEquals(0, placeableTasks(job, tasksPerMachine), "of a full page")
+        assertTrue(placed < 120, "the page holds all tasks, so the test has no effect")
+        assertTrue(
+            expected in placed * 3 / 4..placed * 5 / 4,
+            "expected about $expected placed tasks, got $placed",
+        )
+        assertEquals(
+            0,
+            placeableTasks(job, tasksPerMachine),
+            "expected no placeable task on a full page",
+        )
     }
 
-    @Test fun `tasks with a machine each`() = checkEstimate(cpus = 16.0, tasksPerMachine = 1)
+    @Test
+    fun `the estimate matches the placed tasks with one task on each machine`() =
+        checkEstimate(cpus = 16.0, tasksPerMachine = 1)
 
-    @Test fun `two tasks to a machine`() = checkEstimate(cpus = 8.0, tasksPerMachine = 2)
+    @Test
+    fun `the estimate matches the placed tasks with two tasks on each machine`() =
+        checkEstimate(cpus = 8.0, tasksPerMachine = 2)
 
     @Test
-    fun `all waiting tasks count of a job whose pages always fit`() {
+    fun `all waiting tasks are counted if the pages of the job always fit`() {
         val job = harness.addJob(plainJob(19).copy(cpus = 16.0))
         assertEquals(19, placeableTasks(job, 1))
     }
--- a/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerHarness.kt
@@ -20,7 +20,7 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** A planner with its collaborators, for cluster states set up by hand. */
+/** A planner with its collaborators, for tests that set up the cluster state directly. */
 class PlannerHarness(teams: List<TeamQuota>, types: List<MachineType>, now: Micros) {
     val context = CoreContext().also { it.setTime(now, now) }
     val cluster =
@@ -49,19 +49,19 @@
         return machine
     }
 
-    /** Adds a job to the cluster state. */
+    /** Adds an open job, which is planned. */
     fun addJob(spec: JobSpec, acceptedAt: Micros = Micros.ZERO): Job =
         untrackedJob(spec, acceptedAt).also { cluster.jobs[it.id] = it }
 
-    /** A job that is not planned, for tasks that only take room. */
+    /** Creates a job that is not in the cluster state, for tasks that only take room. */
     fun untrackedJob(spec: JobSpec, acceptedAt: Micros = Micros.ZERO) =
         Job(spec, KeyVersion(1), acceptedAt, 128)
 
-    /** A placement that is neither on the machine nor in the job yet. */
+    /** Creates a placement that is added neither to the machine nor to the job. */
     fun placement(job: Job, task: Int, machine: Machine) =
         Placement(job, TaskId(job.id, task), 1, machine.id, 1, machine.zone, Charge(Cost(1), 1.0))
 
-    /** Lets [task] run on [machine], committed. */
+    /** Adds a committed placement of [task] on [machine], with status running. */
     fun addRunningTask(job: Job, task: Int, machine: Machine) {
         val placement = placement(job, task, machine)
         placement.isCommitted = true
@@ -70,10 +70,10 @@
         cluster.addPlacement(placement, machine)
     }
 
-    /** Preemption with the default settings. */
+    /** Creates a preemption with the default operator settings. */
     fun preemption() = Preemption(context, cluster, planner, evictor, OperatorSettings())
 
-    /** Takes [cpus] of [machine] by a job that is not planned. */
+    /** Takes [cpus] CPUs of [machine] by a task of a job that is not planned. */
     fun occupy(machine: Machine, cpus: Double) {
         val other = untrackedJob(plainJob(1, "job-999999").copy(cpus = cpus))
         machine.add(placement(other, 0, machine))
@@ -84,7 +84,7 @@
         val MID_SIZE_TYPE =
             MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 100.0, zones = listOf("a", "b"))
 
-        /** One team, and machines of one type. */
+        /** Creates a harness with one team and one machine type, [MID_SIZE_TYPE]. */
         fun withOneTeam() =
             PlannerHarness(
                 listOf(TeamQuota("team-0", 700.0, 700.0)),
@@ -92,7 +92,7 @@
                 now = 100.seconds,
             )
 
-        /** A gang whose tasks share an image. */
+        /** The specification of a gang whose tasks share one image. */
         fun gangSpec(tasks: Int): JobSpec =
             plainJob(tasks, "job-000001").copy(kind = JobKind.GANG, image = "gang-image")
     }
--- a/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PlannerScaleTest.kt
@@ -9,7 +9,11 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** What a plan costs at the size of large deployments, counted and not timed. */
+/**
+ * Guards against plans that become too slow in large deployments, because they examine all machines
+ * for each waiting task or job. The cost is counted in examined machines and not timed, so that the
+ * result does not depend on the machine that runs the test.
+ */
 class PlannerScaleTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = List(10) { TeamQuota("team-$it", 700.0, 12_000.0) }
@@ -17,7 +21,8 @@
     private class Plan(val machinesExamined: Long, val placed: Int)
 
     /**
-     * Plans [jobs] jobs of [tasks] tasks on [machines] machines of which [openMachines] have room.
+     * Plans [jobs] jobs of [tasks] tasks each on [machines] machines, of which only [openMachines]
+     * have room, with [writablePages] pages in the next transaction.
      */
     private fun plan(
         machines: Int,
@@ -43,24 +48,24 @@
     }
 
     @Test
-    fun `large machines are left to a large job that waits too long, and only to such`() {
+    fun `large machines are reserved only while a large job waits too long`() {
         val large = type.copy(label = "large", cpus = 64.0, memoryGb = 256.0)
         val harness = PlannerHarness(teams, listOf(type, large), now = 200.seconds)
         val machine = harness.addMachine(1, large)
-        // Room for one small task is there, and not for the large one.
+        // The machine has room for the small task and not for the large one.
         val fullMachineJob = harness.untrackedJob(plainJob(1, "job-999999").copy(cpus = 40.0))
         machine.add(harness.placement(fullMachineJob, 0, machine))
         val overdue = harness.addJob(plainJob(1, "job-000001").copy(cpus = 32.0), 10.seconds)
         val small = harness.addJob(plainJob(1, "job-000002").copy(cpus = 2.0), 190.seconds)
         harness.planner.plan(PageWriteBudget(7))
-        assertEquals(0, small.placements.size, "it took room on a reserved machine")
+        assertEquals(0, small.placements.size, "expected no small task on a reserved machine")
         harness.cluster.jobs.remove(overdue.id)
         harness.planner.plan(PageWriteBudget(7))
         assertEquals(1, small.placements.size)
     }
 
     @Test
-    fun `without room, waiting tasks cost no examination of any machine`() {
+    fun `without room no machine is examined for waiting tasks`() {
         val plan =
             plan(machines = 1500, openMachines = 0, jobs = 300, tasks = 300, writablePages = 7)
         assertEquals(0, plan.placed)
@@ -68,24 +73,31 @@
     }
 
     @Test
-    fun `the cost grows neither with the tasks that wait nor with the machines that are full`() {
+    fun `the cost does not grow with the waiting tasks or the full machines`() {
         val few =
             plan(machines = 150, openMachines = 100, jobs = 300, tasks = 30, writablePages = 7)
         val many =
             plan(machines = 1500, openMachines = 100, jobs = 300, tasks = 300, writablePages = 7)
-        assertTrue(few.placed >= 210 && many.placed >= few.placed)
+        assertTrue(
+            few.placed >= 210 && many.placed >= few.placed,
+            "placed ${few.placed} and ${many.placed} tasks, expected at least 210 and ${few.placed}",
+        )
         assertTrue(
             many.machinesExamined < 3 * few.machinesExamined,
-            "${few.machinesExamined} and ${many.machinesExamined}",
+            "examined ${few.machinesExamined} machines for few tasks, " +
+                "${many.machinesExamined} for many",
         )
     }
 
     @Test
-    fun `a placement examines a few machines, and each kind of waiting work all machines once`() {
+    fun `each planned job examines all machines once and each placement only a few`() {
         val plan =
             plan(machines = 1500, openMachines = 1500, jobs = 300, tasks = 128, writablePages = 7)
         assertEquals(7 * 128, plan.placed)
-        // Seven jobs examine all machines; then each task examines two.
-        assertTrue(plan.machinesExamined < 7 * 1500 + 4 * plan.placed, "${plan.machinesExamined}")
+        // Seven jobs examine all machines once; each placed task then examines two.
+        assertTrue(
+            plan.machinesExamined < 7 * 1500 + 4 * plan.placed,
+            "machines examined: ${plan.machinesExamined}",
+        )
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/PreemptionScaleTest.kt
@@ -11,7 +11,10 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** What preemption costs with a hundred blocked jobs and thousands of tasks like theirs. */
+/**
+ * Guards against preemption that becomes too slow with many blocked jobs, because it examines for
+ * each of them thousands of tasks that may not be stopped for it.
+ */
 class PreemptionScaleTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val teams = List(4) { TeamQuota("team-$it", 7_000.0, 20_000.0) }
@@ -30,7 +33,7 @@
     }
 
     @Test
-    fun `for a blocked job only tasks that may be stopped for it are examined`() {
+    fun `preemption examines only tasks that may be stopped for the blocked job`() {
         runOnFullMachines(addJob(900, PriorityClass.HIGH, 8_000), 0 until 1_000)
         runOnFullMachines(addJob(901, PriorityClass.NORMAL, 80), 1_000 until 1_010)
         repeat(100) { addJob(it, PriorityClass.HIGH, 50).blockedSince = Micros.ZERO }
@@ -40,7 +43,7 @@
         assertEquals(80, stopped)
         assertTrue(
             preemption.placementsExamined <= 2 * 100 * 80,
-            "${preemption.placementsExamined} examined",
+            "expected at most 16000 examined placements, got ${preemption.placementsExamined}",
         )
     }
 }
--- a/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/ServicePreemptionTest.kt
@@ -12,7 +12,11 @@
 import wardmux.model.seconds
 import wardmux.sim.plainJob
 
-/** A replica that waits is down, so tasks are stopped for it at once, where that helps. */
+/**
+ * Guards against services that stay short of replicas: a waiting replica is a replica that is down,
+ * so lower-priority tasks are stopped for it without a delay. Also guards against stops in a zone
+ * where the service may not place another replica.
+ */
 class ServicePreemptionTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a", "b"))
     private val teams = listOf(TeamQuota("team-0", 700.0, 700.0))
@@ -46,7 +50,7 @@
     }
 
     @Test
-    fun `work of lower priority makes room for a service at once, for others after a wait`() {
+    fun `lower-priority tasks are stopped at once for a service, after a wait for an array`() {
         addFullMachine(1, "a")
         addFullMachine(2, "b")
         val array = addBlockedJob(serviceSpec(4).copy(id = "job-000002", kind = JobKind.ARRAY))
@@ -59,7 +63,7 @@
     }
 
     @Test
-    fun `nothing is stopped in a zone that has its share of the service already`() {
+    fun `no task is stopped in a zone that already has its share of the service`() {
         val service = addBlockedJob(serviceSpec(4))
         val sharedMachine = harness.addMachine(1, type, "a", spot = false)
         repeat(2) { harness.addRunningTask(service, it, sharedMachine) }
