--- a/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
@@ -5,7 +5,7 @@
 import wardmux.model.JobSpec
 import wardmux.model.MachineType
 
-/** What the tasks of each team take of its quota, orphans among them. */
+/** The CPUs and GPUs of each team's quota that its tasks use, including orphans. */
 internal class QuotaUsage(private val quotas: Map<String, TeamQuota>) {
     private val cpus = Object2DoubleOpenHashMap<String>()
     private val gpus = Object2DoubleOpenHashMap<String>()
@@ -13,37 +13,38 @@
     /** The CPUs that [team] uses. */
     fun usedCpus(team: String): Double = cpus.getDouble(team)
 
-    /** Counts [tasks] tasks more like this, or fewer. */
+    /** Adds the usage of [tasks] tasks like [spec]; a negative number subtracts it. */
     fun adjust(spec: JobSpec, tasks: Int) {
         cpus.addTo(spec.team, tasks * spec.cpus)
         gpus.addTo(spec.team, tasks * spec.gpus)
     }
 
     /**
-     * How many more tasks like this the team's quota allows, once one like [beside] has started.
+     * How many more tasks like [spec] the team's quota allows. If [afterStarting] is given, one
+     * task like it is counted as started first.
      */
-    fun headroom(spec: JobSpec, beside: JobSpec?): Int {
+    fun quotaHeadroom(spec: JobSpec, afterStarting: JobSpec?): Int {
         val quota = quotas[spec.team] ?: return 0
         val byCpu =
             if (spec.cpus > 0) {
-                val used = cpus.getDouble(spec.team) + (beside?.cpus ?: 0.0)
+                val used = cpus.getDouble(spec.team) + (afterStarting?.cpus ?: 0.0)
                 (quota.cpusMax - used + MachineType.EPSILON) / spec.cpus
             } else Double.MAX_VALUE
         val byGpu =
             if (spec.gpus > 0) {
-                val used = gpus.getDouble(spec.team) + (beside?.gpus ?: 0.0)
+                val used = gpus.getDouble(spec.team) + (afterStarting?.gpus ?: 0.0)
                 (quota.gpusMax - used + MachineType.EPSILON) / spec.gpus
             } else Double.MAX_VALUE
-        return minOf(byCpu, byGpu, MAX_HEADROOM).toInt().coerceAtLeast(0)
+        return minOf(byCpu, byGpu, MAX_HEADROOM_TASKS).toInt().coerceAtLeast(0)
     }
 
-    /** Nothing is used any more. */
+    /** Resets the usage of all teams to zero. */
     fun clear() {
         cpus.clear()
         gpus.clear()
     }
 
     private companion object {
-        const val MAX_HEADROOM = 1e6
+        const val MAX_HEADROOM_TASKS = 1e6
     }
 }
