--- a/src/main/kotlin/wardmux/forwarding/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -17,48 +17,54 @@
     private val storedBatchClient: StoredBatchClient,
 ) {
     private val log = logger<BatchSender>()
-    private var throughStoreUntil = Micros.LONG_AGO
+    private var usesStoreUntil = Micros.LONG_AGO
 
     /** The uncompressed heartbeats that are expected to fit into a stored batch, in bytes. */
-    private var storedHeartbeatBytes = storedBatchClient.maxPackedBytes
+    private var maxStoredHeartbeatBytes = storedBatchClient.maxPackedBytes
 
     /** Whether batches go through the key-value store now, which is slower and holds less. */
-    val isThroughStore: Boolean
-        get() = context.now < throughStoreUntil
+    val usesStore: Boolean
+        get() = context.now < usesStoreUntil
 
     /** Full heartbeats are added to a batch until they take so many bytes. */
     val maxHeartbeatBytes: Int
-        get() = if (isThroughStore) storedHeartbeatBytes else MAX_DIRECT_BYTES
+        get() = if (usesStore) maxStoredHeartbeatBytes else MAX_DIRECT_HEARTBEAT_BYTES
 
     /** How many unchanged heartbeats a batch may hold; a stored one is limited by its value. */
-    val maxUnchanged: Int
+    val maxUnchangedHeartbeats: Int
         get() =
-            if (isThroughStore) maxOf(storedBatchClient.maxPackedBytes / MAX_UNCHANGED_BYTES, 1)
+            if (usesStore)
+                maxOf(
+                    storedBatchClient.maxPackedBytes / MAX_PACKED_BYTES_PER_UNCHANGED_HEARTBEAT,
+                    1,
+                )
             else Int.MAX_VALUE
 
     /** Another controller leads: it is tried directly first. */
-    fun reset() {
-        throughStoreUntil = Micros.LONG_AGO
+    fun resetToDirect() {
+        usesStoreUntil = Micros.LONG_AGO
     }
 
-    /** Sends [batch] to [leader]; [then] gets the response, or null if there is none. */
-    fun send(leader: String, batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) =
-        if (isThroughStore) sendThroughStore(batch, then) else sendDirectly(leader, batch, then)
+    /** Sends [batch] to [leader]; [onResponse] gets the response, or null if there is none. */
+    fun send(leader: String, batch: HeartbeatBatch, onResponse: (HeartbeatBatchResponse?) -> Unit) =
+        if (usesStore) sendThroughStore(batch, onResponse)
+        else sendDirectly(leader, batch, onResponse)
 
     private fun sendDirectly(
         leader: String,
         batch: HeartbeatBatch,
-        then: (HeartbeatBatchResponse?) -> Unit,
+        onResponse: (HeartbeatBatchResponse?) -> Unit,
     ) {
         val bytes = ForwardingCodec.encode(batch)
         val target = Target.Peer(leader)
-        context.send(target, "POST", ForwardingCodec.PATH, bytes, TIMEOUT) { outcome ->
+        context.send(target, "POST", ForwardingCodec.PATH, bytes, DIRECT_RESPONSE_TIMEOUT) { outcome
+            ->
             val response = outcome as? Outcome.Response
             if (response == null) {
                 log.info("{} can't be reached; forwarding through the key-value store", leader)
-                throughStoreUntil = context.now + DIRECT_RETRY_PAUSE
+                usesStoreUntil = context.now + DIRECT_SENDING_PAUSE
             }
-            then(
+            onResponse(
                 response
                     ?.takeIf { it.status == HttpStatus.OK }
                     ?.let { ForwardingCodec.decodeResponse(it.body) }
@@ -66,28 +72,32 @@
         }
     }
 
-    private fun sendThroughStore(batch: HeartbeatBatch, then: (HeartbeatBatchResponse?) -> Unit) {
+    private fun sendThroughStore(
+        batch: HeartbeatBatch,
+        onResponse: (HeartbeatBatchResponse?) -> Unit,
+    ) {
         val packed = ForwardingCodec.pack(batch)
         val maxBytes = storedBatchClient.maxPackedBytes
         if (packed.length <= maxBytes) {
-            storedHeartbeatBytes = minOf(storedHeartbeatBytes * 2, maxBytes * MAX_COMPRESSION)
-            return storedBatchClient.send(batch, packed, then)
+            maxStoredHeartbeatBytes =
+                minOf(maxStoredHeartbeatBytes * 2, maxBytes * MAX_COMPRESSION_RATIO)
+            return storedBatchClient.send(batch, packed, onResponse)
         }
-        storedHeartbeatBytes = maxOf(storedHeartbeatBytes / 2, 1)
-        then(null)
+        maxStoredHeartbeatBytes = maxOf(maxStoredHeartbeatBytes / 2, 1)
+        onResponse(null)
     }
 
     private companion object {
-        val TIMEOUT = 3.seconds
-        const val MAX_DIRECT_BYTES = 200_000
+        val DIRECT_RESPONSE_TIMEOUT = 3.seconds
+        const val MAX_DIRECT_HEARTBEAT_BYTES = 200_000
 
         /** How long batches go through the store before the leader is tried directly again. */
-        val DIRECT_RETRY_PAUSE = 5.seconds
+        val DIRECT_SENDING_PAUSE = 5.seconds
 
         /** The most uncompressed bytes that are tried for each byte of a value. */
-        const val MAX_COMPRESSION = 4
+        const val MAX_COMPRESSION_RATIO = 4
 
         /** The most that an unchanged heartbeat takes in a compressed batch. */
-        const val MAX_UNCHANGED_BYTES = 12
+        const val MAX_PACKED_BYTES_PER_UNCHANGED_HEARTBEAT = 12
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardedMachine.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardedMachine.kt
@@ -10,10 +10,10 @@
     var heartbeat: WorkerHeartbeat? = null
 
     /** The bytes of [heartbeat], with its newest tick while it is still to be sent. */
-    var body = ByteArray(0)
+    var heartbeatBody = ByteArray(0)
 
     /** The number of [heartbeat]; 0 if there is none. */
-    var number = 0L
+    var heartbeatNumber = 0L
 
     /** When its last heartbeat came. */
     var lastHeartbeatAt = Micros.ZERO
@@ -22,11 +22,11 @@
     var isRejected = false
 
     /** Commands to be delivered with the response to its next heartbeat. */
-    var undelivered: UndeliveredCommands? = null
+    var undeliveredCommands: UndeliveredCommands? = null
 
     /** When it was last redirected because the leader was unsure of its lease. */
     var redirectedAt = Micros.LONG_AGO
 
     /** The leader's token under which a heartbeat with an older token was held back once. */
-    var heldBackUnder: FencingToken? = null
+    var heldBackUnderToken: FencingToken? = null
 }
--- a/src/main/kotlin/wardmux/forwarding/Forwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/Forwarder.kt
@@ -27,7 +27,7 @@
     private val numberByMachine = HashMap<String, Long>()
 
     /** A batch came now. */
-    fun receivedBatch(now: Micros) {
+    fun recordBatch(now: Micros) {
         lastBatchAt = now
     }
 
@@ -37,12 +37,12 @@
     }
 
     /** It has forwarded every heartbeat that it answered before [time]. */
-    fun reportedAll(time: Micros) {
+    fun recordAllReportedUntil(time: Micros) {
         reportedUntil = maxOf(reportedUntil, time)
     }
 
     /** Remembers a full heartbeat by its [number], in place of the machine's last one. */
-    fun store(number: Long, heartbeat: WorkerHeartbeat) {
+    fun storeHeartbeat(number: Long, heartbeat: WorkerHeartbeat) {
         numberByMachine.put(heartbeat.machine, number)?.let { heartbeatByNumber.remove(it) }
         heartbeatByNumber[number] = heartbeat
     }
@@ -51,7 +51,7 @@
     fun heartbeat(number: Long): WorkerHeartbeat? = heartbeatByNumber[number]
 
     /** Forgets the heartbeat of [machine]. */
-    fun remove(machine: String) {
+    fun removeHeartbeat(machine: String) {
         numberByMachine.remove(machine)?.let { heartbeatByNumber.remove(it) }
     }
 
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -31,7 +31,11 @@
     private val workers = platform.deployment.workers
     private val grantDuration = ForwardingGrant.duration(workers)
     private val grants =
-        ForwardingGrants(context, grantDuration, workers.leaseS.seconds * RETENTION_LEASES)
+        ForwardingGrants(
+            context,
+            grantDuration,
+            workers.leaseS.seconds * FORWARDER_RETENTION_LEASES,
+        )
     private val switch = ForwardingSwitch(context, cluster, platform, operators)
     private val rebalancer =
         WorkerRebalancer(cluster, platform.member, platform.deployment.limits.sockets.workers)
@@ -50,25 +54,25 @@
 
     /** Applies the heartbeats of [batch], and grants its sender more time if that is wanted. */
     fun handleBatch(batch: HeartbeatBatch): HeartbeatBatchResponse {
-        val forwarder = grants.receive(batch)
-        val sentAt = sentAt(forwarder, batch)
+        val forwarder = grants.forwarderOf(batch)
+        val sentAt = estimateSentAt(forwarder, batch)
         val responses = MachineResponses()
-        applyFull(forwarder, batch, sentAt, responses)
-        applyUnchanged(forwarder, batch, sentAt, responses)
+        applyFullHeartbeats(forwarder, batch, sentAt, responses)
+        applyUnchangedHeartbeats(forwarder, batch, sentAt, responses)
         if (forwardingEnabled) grants.extend(forwarder)
         return respond(forwarder, batch, responses)
     }
 
     /** When [batch] was sent, or somewhat earlier: it may have been delayed on its way. */
-    private fun sentAt(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
+    private fun estimateSentAt(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
         // It is this leader's own clock; one that it can't have sent is ignored.
         val echoed = Micros(batch.echoedClock).takeIf { batch.echoedClock > 0 && it <= context.now }
         if (echoed == null) return context.now
-        forwarder.reportedAll(echoed)
+        forwarder.recordAllReportedUntil(echoed)
         return minOf(context.now, echoed + Micros(batch.sinceEcho.coerceAtLeast(0)))
     }
 
-    private fun applyFull(
+    private fun applyFullHeartbeats(
         forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
@@ -76,12 +80,12 @@
     ) {
         for (full in batch.fullHeartbeats) {
             val heartbeat = reader.read(full.body) ?: continue
-            forwarder.store(full.number, heartbeat)
-            apply(forwarder, heartbeat, sentAt, responses)
+            forwarder.storeHeartbeat(full.number, heartbeat)
+            applyHeartbeat(forwarder, heartbeat, sentAt, responses)
         }
     }
 
-    private fun applyUnchanged(
+    private fun applyUnchangedHeartbeats(
         forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
@@ -92,12 +96,12 @@
             if (heartbeat == null) responses.unknownNumbers.add(batch.unchanged[i])
             else {
                 val latest = heartbeat.copy(tick = batch.unchanged[i + 1])
-                apply(forwarder, latest, sentAt, responses)
+                applyHeartbeat(forwarder, latest, sentAt, responses)
             }
         }
     }
 
-    private fun apply(
+    private fun applyHeartbeat(
         forwarder: Forwarder,
         heartbeat: WorkerHeartbeat,
         sentAt: Micros,
@@ -106,7 +110,7 @@
         val commands = heartbeats.handleForwarded(heartbeat, forwarder.member, sentAt)
         if (commands == null) {
             responses.rejectedMachines.add(heartbeat.machine)
-            forwarder.remove(heartbeat.machine)
+            forwarder.removeHeartbeat(heartbeat.machine)
         } else if (commands.isNotEmpty()) {
             val undelivered =
                 UndeliveredCommands(heartbeat.machine, heartbeat.incarnation, commands)
@@ -121,7 +125,7 @@
     ): HeartbeatBatchResponse {
         val mustHalt = cancellationView.tasksToStop()
         // Too many to name: then no lease may be renewed before some have surely ended.
-        val tooMany = mustHalt.sumOf { it.tasks.size } > MAX_NAMED_TASKS
+        val exceedsTaskLimit = mustHalt.sumOf { it.tasks.size } > MAX_LISTED_TASKS
         return HeartbeatBatchResponse(
             processIncarnation = batch.processIncarnation,
             number = batch.number,
@@ -135,9 +139,9 @@
             rebalanceCount = forwarder.takeRebalanceCount(),
             rebalanceTarget = forwarder.rebalanceTarget,
             redirectsWorkers = heartbeats.isRedirecting,
-            renewalAllowed = context.now < cancellationView.usableUntil && !tooMany,
+            renewalAllowed = context.now < cancellationView.usableUntil && !exceedsTaskLimit,
             cancelledJobs = cancellationView.cancelledJobs(),
-            mustHalt = if (tooMany) emptyList() else mustHalt,
+            mustHalt = if (exceedsTaskLimit) emptyList() else mustHalt,
         )
     }
 
@@ -155,21 +159,21 @@
     fun tick(isLoaded: Boolean) {
         if (context.now < nextDecisionAt) return
         nextDecisionAt = context.now + DECISION_PERIOD
-        grants.removeOld()
+        grants.removeExpired()
         switch.update(isLoaded)
         rebalancer.stop()
-        if (forwardingEnabled) rebalancer.rebalance(grants.active())
+        if (forwardingEnabled) rebalancer.rebalance(grants.activeForwarders())
     }
 
     /** The member to redirect a worker of this controller to, or null to answer it. */
-    fun takeRedirect(): String? = rebalancer.takeRedirect()
+    fun takeRedirectTarget(): String? = rebalancer.takeRedirectTarget()
 
     private companion object {
         /** Some 100 KB in a response; a fleet of thousands of machines rarely has so many. */
-        const val MAX_NAMED_TASKS = 5_000
+        const val MAX_LISTED_TASKS = 5_000
 
         /** In leases of workers. */
-        const val RETENTION_LEASES = 3.0
+        const val FORWARDER_RETENTION_LEASES = 3.0
         val DECISION_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingGrants.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingGrants.kt
@@ -13,9 +13,9 @@
 class ForwardingGrants(
     private val context: CoreContext,
     /** How long a follower may answer workers without a response from the leader. */
-    private val duration: Micros,
+    private val grantDuration: Micros,
     /** How long a forwarder is kept after its grant and its last batch. */
-    private val retention: Micros,
+    private val forwarderRetention: Micros,
 ) {
     private val log = logger<ForwardingGrants>()
     private val forwarders = ArrayList<Forwarder>()
@@ -24,12 +24,12 @@
      * The forwarder that [batch] comes from. One of a former process of the member is another, and
      * stays: workers may still act on what it answered.
      */
-    fun receive(batch: HeartbeatBatch): Forwarder {
+    fun forwarderOf(batch: HeartbeatBatch): Forwarder {
         val forwarder =
             forwarders.find {
                 it.member == batch.member && it.processIncarnation == batch.processIncarnation
             } ?: add(batch)
-        forwarder.receivedBatch(context.now)
+        forwarder.recordBatch(context.now)
         return forwarder
     }
 
@@ -40,7 +40,7 @@
 
     /** Grants [forwarder] the usual time from now on, by the slowest clock that it may have. */
     fun extend(forwarder: Forwarder) =
-        forwarder.extendGrant(context.now + duration * (1 + MAX_CLOCK_DRIFT))
+        forwarder.extendGrant(context.now + grantDuration * (1 + MAX_CLOCK_DRIFT))
 
     /**
      * The latest that the lease of a machine last known to be renewed at [renewedAt] may have been
@@ -58,18 +58,18 @@
     }
 
     /** The forwarders that answer workers now. */
-    fun active(): List<Forwarder> =
+    fun activeForwarders(): List<Forwarder> =
         forwarders.filter {
-            context.now < it.grantValidUntil && context.now - it.lastBatchAt < MAX_BATCH_AGE
+            context.now < it.grantValidUntil && context.now - it.lastBatchAt < MAX_ACTIVE_BATCH_AGE
         }
 
     /** Removes forwarders that no lease depends on any more. */
-    fun removeOld() {
-        val old = context.now - retention
-        forwarders.removeIf { it.grantValidUntil < old && it.lastBatchAt < old }
+    fun removeExpired() {
+        val expiryTime = context.now - forwarderRetention
+        forwarders.removeIf { it.grantValidUntil < expiryTime && it.lastBatchAt < expiryTime }
     }
 
     private companion object {
-        val MAX_BATCH_AGE = 3.seconds
+        val MAX_ACTIVE_BATCH_AGE = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
@@ -24,7 +24,7 @@
     private val electedAt = context.now
 
     /** It was decided once whether followers go on. */
-    private var isDecided = false
+    private var hasDecided = false
 
     /** Whether followers answer workers too. */
     var isEnabled = hasPeers
@@ -33,31 +33,31 @@
     /** Decides anew; [isLoaded] says whether this leader knows what is stored. */
     fun update(isLoaded: Boolean) {
         if (!hasPeers) return
-        val machines = cluster.machines.values.count { !it.isDecommissioned }
-        val exceedsLeader = exceedsLeader(machines)
-        if (exceedsLeader && !isEnabled) {
-            log.info("{} machines: followers forward heartbeats", machines)
+        val machineCount = cluster.machines.values.count { !it.isDecommissioned }
+        val exceedsLeaderCapacity = exceedsLeaderCapacity(machineCount)
+        if (exceedsLeaderCapacity && !isEnabled) {
+            log.info("{} machines: followers forward heartbeats", machineCount)
             isEnabled = true
         }
         // Only once, when all machines have sent a heartbeat: else it would go back and forth.
-        val settlingTime = (workers.heartbeatPeriodS * SETTLING_HEARTBEATS).seconds
-        if (isDecided || !isLoaded || context.now - electedAt <= settlingTime) return
-        isDecided = true
-        if (!exceedsLeader) {
-            log.info("{} machines: the leader answers all heartbeats", machines)
+        val settlingTime = (workers.heartbeatPeriodS * SETTLING_HEARTBEAT_PERIODS).seconds
+        if (hasDecided || !isLoaded || context.now - electedAt <= settlingTime) return
+        hasDecided = true
+        if (!exceedsLeaderCapacity) {
+            log.info("{} machines: the leader answers all heartbeats", machineCount)
             isEnabled = false
         }
     }
 
-    private fun exceedsLeader(machines: Int): Boolean {
-        val heartbeatsPerSecond = machines / workers.heartbeatPeriodS
+    private fun exceedsLeaderCapacity(machineCount: Int): Boolean {
+        val heartbeatsPerSecond = machineCount / workers.heartbeatPeriodS
         return heartbeatsPerSecond > operators.heartbeatsPerCore * limits.cpu ||
-            machines > limits.fdLimit * WORKER_SOCKET_SHARE
+            machineCount > limits.fdLimit * WORKER_SOCKET_SHARE
     }
 
     private companion object {
         /** In periods of the workers' heartbeats. */
-        const val SETTLING_HEARTBEATS = 1.5
+        const val SETTLING_HEARTBEAT_PERIODS = 1.5
 
         /** Of all sockets; the rest is for users, peers, direct commands and other services. */
         const val WORKER_SOCKET_SHARE = 0.5
--- a/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -16,7 +16,7 @@
 ) : CancellationView {
     override val token = FencingToken(response.token)
 
-    private val mustHalt: Map<MachineId, List<TaskAttempt>> =
+    private val tasksToStopByMachine: Map<MachineId, List<TaskAttempt>> =
         response.mustHalt.orEmpty().associate { MachineId(it.machine) to it.tasks }
 
     override val usableUntil: Micros =
@@ -27,8 +27,9 @@
 
     override fun isCancelled(job: JobId): Boolean = job in cancellations
 
-    override fun tasksToStop(machine: MachineId): List<TaskAttempt> = mustHalt[machine].orEmpty()
+    override fun tasksToStop(machine: MachineId): List<TaskAttempt> =
+        tasksToStopByMachine[machine].orEmpty()
 
     /** Whether a task on [machine] must be stopped before its lease is renewed. */
-    fun mustStopTasksOn(machine: MachineId): Boolean = machine in mustHalt
+    fun mustStopTasksOn(machine: MachineId): Boolean = machine in tasksToStopByMachine
 }
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -25,7 +25,7 @@
     val processIncarnation: String,
     val workers: WorkerTiming,
     /** How many controllers may forward to one leader. */
-    val peers: Int,
+    val peerCount: Int,
     /** As many as workers may be connected. */
     val maxWaitingHeartbeats: Int,
 )
@@ -65,64 +65,64 @@
     private val sender = BatchSender(context, storedBatchClient)
 
     /** A batch was sent and not answered yet. */
-    private var inFlight = false
-    private var sentAt = Micros.LONG_AGO
-    private var failedAt = Micros.LONG_AGO
+    private var isBatchInFlight = false
+    private var lastBatchSentAt = Micros.LONG_AGO
+    private var lastBatchFailedAt = Micros.LONG_AGO
 
     /** Something is pending that the leader should get soon. */
-    private var urgent = false
-    private var batches = 0L
-    private var nextRemovalAt = Micros.ZERO
-    private val directSpacing = SPACING_PER_PEER * settings.peers.toDouble()
+    private var hasUrgentHeartbeats = false
+    private var lastBatchNumber = 0L
+    private var nextSilentRemovalAt = Micros.ZERO
+    private val directBatchSpacing = BATCH_SPACING_PER_PEER * settings.peerCount.toDouble()
 
     /**
      * Answers a worker's heartbeat, or keeps it until there is a grant; false if it is not for this
      * controller to answer.
      */
     fun handleHeartbeat(call: Long, heartbeat: WorkerHeartbeat, body: ByteArray): Boolean {
-        followLeader()
+        updateLeader()
         if (grant.mode == ForwardingMode.DISABLED) return false
-        val current = token
+        val currentToken = token
         val view = grant.cancellationView
-        if (current == null || view == null || !grant.isValid)
+        if (currentToken == null || view == null || !grant.isValid)
             return waitForGrant(call, heartbeat, body)
-        if (FencingToken(heartbeat.token) > current) {
+        if (FencingToken(heartbeat.token) > currentToken) {
             // Another controller leads: nothing more is answered under this token.
             grant.revoke()
             return false
         }
-        answer(call, heartbeat, body, view)
+        answerUnderGrant(call, heartbeat, body, view)
         return true
     }
 
     /** A grant comes within milliseconds; redirected, all workers would come back later. */
     private fun waitForGrant(call: Long, heartbeat: WorkerHeartbeat, body: ByteArray): Boolean {
-        val failedRecently = context.now - failedAt <= FAILURE_MEMORY
+        val failedRecently = context.now - lastBatchFailedAt <= RECENT_FAILURE_WINDOW
         if (token == null || failedRecently || waiting.isFull) return false
         waiting.add(WaitingHeartbeat(call, heartbeat, body, context.now))
         return true
     }
 
     /** Starts anew with another leader. */
-    private fun followLeader() {
+    private fun updateLeader() {
         val follower = leadership.role as? Role.Follower
-        val name = follower?.leader?.takeIf { it != settings.member }
-        val newToken = if (name == null) null else follower.token
+        val leaderMember = follower?.leader?.takeIf { it != settings.member }
+        val newToken = if (leaderMember == null) null else follower.token
         if (newToken == token) return
         // Between two leaders the old grant stays valid until it expires or a new one is known.
         if (newToken == null && follower != null) return
         token = newToken
-        leader = if (newToken == null) null else name
+        leader = if (newToken == null) null else leaderMember
         grant.reset()
-        failedAt = Micros.LONG_AGO
-        sentAt = Micros.LONG_AGO
-        sender.reset()
+        lastBatchFailedAt = Micros.LONG_AGO
+        lastBatchSentAt = Micros.LONG_AGO
+        sender.resetToDirect()
         // A batch in flight is for another leader; its response is ignored.
-        inFlight = false
+        isBatchInFlight = false
         pending.reset()
     }
 
-    private fun answer(
+    private fun answerUnderGrant(
         call: Long,
         heartbeat: WorkerHeartbeat,
         body: ByteArray,
@@ -130,26 +130,27 @@
     ) {
         val machine = pending.getOrAdd(heartbeat.machine)
         machine.lastHeartbeatAt = context.now
-        if (turnAway(call, machine)) return
+        if (rejectOrRedirect(call, machine)) return
         val decision = renewals.decide(heartbeat, view)
-        val renewed = decision is RenewalDecision.Renew
-        if (pending.add(machine, heartbeat, body, token, renewed)) urgent = true
+        val isRenewed = decision is RenewalDecision.Renew
+        if (pending.addAnswered(machine, heartbeat, body, token, isRenewed))
+            hasUrgentHeartbeats = true
         when (decision) {
             is RenewalDecision.Withhold ->
                 context.answerBytes(call, HttpStatus.OK, decision.response)
             is RenewalDecision.Renew -> {
                 val undelivered =
-                    machine.undelivered?.takeIf { it.incarnation == heartbeat.incarnation }
-                machine.undelivered = null
+                    machine.undeliveredCommands?.takeIf { it.incarnation == heartbeat.incarnation }
+                machine.undeliveredCommands = null
                 val answer = decision.renewal.response(undelivered?.commands.orEmpty())
                 context.answerBytes(call, HttpStatus.OK, answer)
             }
         }
-        if (urgent && context.now - sentAt >= batchSpacing()) sendBatch()
+        if (hasUrgentHeartbeats && context.now - lastBatchSentAt >= batchSpacing()) sendBatch()
     }
 
     /** Rejects or redirects a worker that is not to stay here; false if it is. */
-    private fun turnAway(call: Long, machine: ForwardedMachine): Boolean {
+    private fun rejectOrRedirect(call: Long, machine: ForwardedMachine): Boolean {
         if (machine.isRejected) {
             context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
             return true
@@ -170,83 +171,88 @@
 
     /** Sends the next batch when it is due, and redirects workers that waited too long. */
     fun tick() {
-        followLeader()
-        val late = context.now - MAX_GRANT_WAIT
-        while (true) redirector.redirect((waiting.takeReceivedBefore(late) ?: break).call)
-        removeSilent()
-        val current = token ?: return
+        updateLeader()
+        val oldestAllowed = context.now - MAX_GRANT_WAIT
+        while (true) redirector.redirect((waiting.takeReceivedBefore(oldestAllowed) ?: break).call)
+        removeSilentMachines()
+        val currentToken = token ?: return
         if (grant.mode == ForwardingMode.DISABLED) {
-            if (!peerHeartbeats.isForwardingEnabledBy(current)) return
-            grant.forgetMode()
+            if (!peerHeartbeats.isForwardingEnabledBy(currentToken)) return
+            grant.resetMode()
         }
-        val failedRecently = context.now - failedAt < FAILURE_MEMORY
-        val period = if (failedRecently) RETRY_PERIOD else BATCH_PERIOD
-        val sinceSent = context.now - sentAt
-        if (sinceSent >= period || (urgent && sinceSent >= batchSpacing())) sendBatch()
+        val failedRecently = context.now - lastBatchFailedAt < RECENT_FAILURE_WINDOW
+        val period = if (failedRecently) FAILED_BATCH_RETRY_PERIOD else BATCH_PERIOD
+        val sinceLastBatch = context.now - lastBatchSentAt
+        if (sinceLastBatch >= period || (hasUrgentHeartbeats && sinceLastBatch >= batchSpacing()))
+            sendBatch()
     }
 
-    private fun batchSpacing() = if (sender.isThroughStore) BATCH_PERIOD else directSpacing
+    private fun batchSpacing() = if (sender.usesStore) BATCH_PERIOD else directBatchSpacing
 
     /** Forgets machines that send their heartbeats elsewhere now, or nowhere. */
-    private fun removeSilent() {
-        if (context.now < nextRemovalAt || inFlight) return
-        nextRemovalAt = context.now + REMOVAL_PERIOD
-        val silence =
-            (settings.workers.heartbeatPeriodS * MAX_MISSED_HEARTBEATS).seconds + REMOVAL_PERIOD
-        pending.removeSilent(context.now - silence)
+    private fun removeSilentMachines() {
+        if (context.now < nextSilentRemovalAt || isBatchInFlight) return
+        nextSilentRemovalAt = context.now + SILENT_REMOVAL_PERIOD
+        val maxSilence =
+            (settings.workers.heartbeatPeriodS * MAX_SILENT_HEARTBEAT_PERIODS).seconds +
+                SILENT_REMOVAL_PERIOD
+        pending.removeSilentMachines(context.now - maxSilence)
     }
 
     /** Forwards what is pending, and requests a new grant. */
     private fun sendBatch() {
-        val name = leader ?: return
-        val current = token ?: return
-        if (inFlight) return
-        val content = pending.takeBatch(sender.maxHeartbeatBytes, sender.maxUnchanged)
+        val leaderMember = leader ?: return
+        val currentToken = token ?: return
+        if (isBatchInFlight) return
+        val content = pending.takeBatch(sender.maxHeartbeatBytes, sender.maxUnchangedHeartbeats)
         val isComplete = pending.isEmpty
-        urgent = !isComplete
+        hasUrgentHeartbeats = !isComplete
         val batch =
             HeartbeatBatch(
                 member = settings.member,
                 processIncarnation = settings.processIncarnation,
-                number = ++batches,
-                token = current.value,
+                number = ++lastBatchNumber,
+                token = currentToken.value,
                 // Heartbeats that are left out were answered too: the leader may not count on all.
                 echoedClock = if (isComplete) grant.leaderClock else 0,
                 sinceEcho = grant.sinceResponse.value,
-                fullHeartbeats = content.full,
+                fullHeartbeats = content.fullHeartbeats,
                 unchanged = content.unchanged,
             )
-        send(name, current, batch, content)
+        send(leaderMember, currentToken, batch, content)
     }
 
     private fun send(
-        name: String,
-        current: FencingToken,
+        leaderMember: String,
+        currentToken: FencingToken,
         batch: HeartbeatBatch,
         content: BatchContent,
     ) {
-        inFlight = true
-        sentAt = context.now
+        isBatchInFlight = true
+        lastBatchSentAt = context.now
         val requestedAt = context.now
-        sender.send(name, batch) { response ->
-            if (token == current) {
-                inFlight = false
-                if (response == null || response.token != current.value) restore(content)
-                else accept(response, requestedAt)
+        sender.send(leaderMember, batch) { response ->
+            if (token == currentToken) {
+                isBatchInFlight = false
+                if (response == null || response.token != currentToken.value)
+                    handleLostBatch(content)
+                else handleResponse(response, requestedAt)
             }
         }
     }
 
     /** Every answered heartbeat must reach the leader before a batch may count as complete. */
-    private fun restore(content: BatchContent) {
-        failedAt = context.now
+    private fun handleLostBatch(content: BatchContent) {
+        lastBatchFailedAt = context.now
         pending.putBack(content)
     }
 
-    private fun accept(response: HeartbeatBatchResponse, requestedAt: Micros) {
-        grant.accept(leader, response, requestedAt)
-        for (number in response.unknownNumbers) if (pending.resend(number)) urgent = true
-        for (commands in response.undelivered) pending[commands.machine]?.undelivered = commands
+    private fun handleResponse(response: HeartbeatBatchResponse, requestedAt: Micros) {
+        grant.applyResponse(leader, response, requestedAt)
+        for (number in response.unknownNumbers) if (pending.resend(number))
+            hasUrgentHeartbeats = true
+        for (commands in response.undelivered) pending[commands.machine]?.undeliveredCommands =
+            commands
         for (job in response.cancelledJobs) {
             if (JobId(job) !in cancellations) cancellations.observeStored(JobId(job))
         }
@@ -256,21 +262,31 @@
             val isOnlyWithheld = grant.cancellationView?.mustStopTasksOn(MachineId(machine)) == true
             if (!isOnlyWithheld) pending[machine]?.isRejected = true
         }
-        for (one in waiting.takeAll()) {
-            if (!handleHeartbeat(one.call, one.heartbeat, one.body)) redirector.redirect(one.call)
+        for (waitingHeartbeat in waiting.takeAll()) {
+            if (
+                !handleHeartbeat(
+                    waitingHeartbeat.call,
+                    waitingHeartbeat.heartbeat,
+                    waitingHeartbeat.body,
+                )
+            )
+                redirector.redirect(waitingHeartbeat.call)
         }
     }
 
     private companion object {
         /** Between two batches of a follower, for each that there may be: the leader takes all. */
-        val SPACING_PER_PEER = 50.milliseconds
+        val BATCH_SPACING_PER_PEER = 50.milliseconds
         val BATCH_PERIOD = 1.seconds
 
-        /** In place of [BATCH_PERIOD] for the time of [FAILURE_MEMORY] after a batch was lost. */
-        val RETRY_PERIOD = 300.milliseconds
-        val FAILURE_MEMORY = 2.seconds
+        /**
+         * In place of [BATCH_PERIOD] for the time of [RECENT_FAILURE_WINDOW] after a batch was
+         * lost.
+         */
+        val FAILED_BATCH_RETRY_PERIOD = 300.milliseconds
+        val RECENT_FAILURE_WINDOW = 2.seconds
         val MAX_GRANT_WAIT = 1.seconds
-        const val MAX_MISSED_HEARTBEATS = 3.0
-        val REMOVAL_PERIOD = 5.seconds
+        const val MAX_SILENT_HEARTBEAT_PERIODS = 3.0
+        val SILENT_REMOVAL_PERIOD = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/LeaderGrant.kt
+++ b/src/main/kotlin/wardmux/forwarding/LeaderGrant.kt
@@ -43,7 +43,7 @@
     var leaderClock = 0L
         private set
 
-    private var respondedAt = Micros.ZERO
+    private var lastResponseAt = Micros.ZERO
 
     /** Whether each worker is redirected once, as the leader is unsure of its lease. */
     var redirectsWorkers = false
@@ -54,7 +54,7 @@
 
     /** The time since the last response. */
     val sinceResponse: Micros
-        get() = context.now - respondedAt
+        get() = context.now - lastResponseAt
 
     /** Another controller leads, or none: nothing is known or allowed. */
     fun reset() {
@@ -72,14 +72,14 @@
     }
 
     /** The leader has said by another way that it wants forwarding again. */
-    fun forgetMode() {
+    fun resetMode() {
         mode = ForwardingMode.UNKNOWN
     }
 
     /** Takes in the [response] of [leader] to a batch that was sent at [sentAt]. */
-    fun accept(leader: String?, response: HeartbeatBatchResponse, sentAt: Micros) {
+    fun applyResponse(leader: String?, response: HeartbeatBatchResponse, sentAt: Micros) {
         leaderClock = response.leaderClock
-        respondedAt = context.now
+        lastResponseAt = context.now
         setMode(leader, response.forwardingEnabled)
         val duration = Micros(response.grantDuration) * (1 - MAX_CLOCK_DRIFT)
         validUntil = if (response.forwardingEnabled) sentAt + duration else Micros.LONG_AGO
--- a/src/main/kotlin/wardmux/forwarding/StoredBatchClient.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatchClient.kt
@@ -28,44 +28,55 @@
     val maxPackedBytes: Int
         get() = store.maxValueBytes - VALUE_OVERHEAD_BYTES
 
-    /** Stores [batch], [packed] already; [then] gets the response, or null if none came in time. */
-    fun send(batch: HeartbeatBatch, packed: String, then: (HeartbeatBatchResponse?) -> Unit) {
+    /**
+     * Stores [batch], [packed] already; [onResponse] gets the response, or null if none came in
+     * time.
+     */
+    fun send(batch: HeartbeatBatch, packed: String, onResponse: (HeartbeatBatchResponse?) -> Unit) {
         val deadline = context.now + RESPONSE_TIMEOUT
-        val operation = WriteOperation(put = BATCHES + member, data = JsonPrimitive(packed))
+        val operation =
+            WriteOperation(put = BATCH_KEY_PREFIX + member, data = JsonPrimitive(packed))
         store.compareAndSwap(emptyList(), listOf(operation), RequestPriority.LEASE) { written ->
-            if (written is StoreResult.Ok) awaitResponse(batch, written.value, deadline, then)
-            else then(null)
+            if (written is StoreResult.Ok) awaitResponse(batch, written.value, deadline, onResponse)
+            else onResponse(null)
         }
     }
 
     private fun awaitResponse(
         batch: HeartbeatBatch,
-        from: Revision,
+        fromRevision: Revision,
         deadline: Micros,
-        then: (HeartbeatBatchResponse?) -> Unit,
+        onResponse: (HeartbeatBatchResponse?) -> Unit,
     ) {
-        if (context.now >= deadline) return then(null)
-        store.watch(ANSWERS, from, deadline - context.now, RequestPriority.LEASE) { result ->
-            if (result !is StoreResult.Ok) return@watch then(null)
-            val response = result.value.events.firstNotNullOfOrNull { responseIn(it, batch) }
-            if (response != null) then(response)
-            else awaitResponse(batch, maxOf(from, result.value.revision), deadline, then)
+        if (context.now >= deadline) return onResponse(null)
+        store.watch(RESPONSES_KEY, fromRevision, deadline - context.now, RequestPriority.LEASE) {
+            result ->
+            if (result !is StoreResult.Ok) return@watch onResponse(null)
+            val response = result.value.events.firstNotNullOfOrNull { findResponse(it, batch) }
+            if (response != null) onResponse(response)
+            else
+                awaitResponse(
+                    batch,
+                    maxOf(fromRevision, result.value.revision),
+                    deadline,
+                    onResponse,
+                )
         }
     }
 
-    private fun responseIn(event: WatchEvent, batch: HeartbeatBatch): HeartbeatBatchResponse? {
-        val all = event.data?.let { ForwardingCodec.decodeStoredResponses(it) } ?: return null
-        return all.byMember[member]?.takeIf {
+    private fun findResponse(event: WatchEvent, batch: HeartbeatBatch): HeartbeatBatchResponse? {
+        val stored = event.data?.let { ForwardingCodec.decodeStoredResponses(it) } ?: return null
+        return stored.byMember[member]?.takeIf {
             it.processIncarnation == batch.processIncarnation && it.number == batch.number
         }
     }
 
     companion object {
         /** Prefix of the keys of batches; the member follows. */
-        const val BATCHES = "r/"
+        const val BATCH_KEY_PREFIX = "r/"
 
         /** Key of the responses to all members. */
-        const val ANSWERS = "a/relays"
+        const val RESPONSES_KEY = "a/relays"
 
         /** For the quotes and what else a value is wrapped in. */
         const val VALUE_OVERHEAD_BYTES = 256
--- a/src/main/kotlin/wardmux/forwarding/StoredBatchServer.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatchServer.kt
@@ -32,16 +32,16 @@
     private val handler: BatchHandler,
 ) {
     private val log = logger<StoredBatchServer>()
-    private var watchFrom = Revision(role.token.value)
+    private var watchFromRevision = Revision(role.token.value)
 
     /** When to watch next; null while a request is under way. */
     private var nextWatchAt: Micros? = Micros.LONG_AGO
 
     /** Responses that are not written yet, by member. */
-    private val responses = LinkedHashMap<String, HeartbeatBatchResponse>()
-    private var writing = false
+    private val unwrittenResponses = LinkedHashMap<String, HeartbeatBatchResponse>()
+    private var isWriting = false
     private var nextWriteAt = Micros.LONG_AGO
-    private var closed = false
+    private var isClosed = false
 
     /** The most bytes that the compressed responses may take. */
     private val maxPackedBytes: Int
@@ -49,75 +49,80 @@
 
     /** Ends the watch: this leadership is over. */
     fun close() {
-        closed = true
+        isClosed = true
     }
 
     /** Watches for batches, and writes the responses that are due. */
     fun tick() {
-        nextWatchAt?.let { if (context.now >= it) watch() }
-        if (responses.isNotEmpty() && !writing && context.now >= nextWriteAt) write()
+        nextWatchAt?.let { if (context.now >= it) watchBatches() }
+        if (unwrittenResponses.isNotEmpty() && !isWriting && context.now >= nextWriteAt)
+            writeResponses()
     }
 
-    private fun watch() {
+    private fun watchBatches() {
         nextWatchAt = null
-        store.watch(StoredBatchClient.BATCHES, watchFrom, WATCH_TIME, RequestPriority.LEASE) {
-            result ->
-            if (closed) return@watch
+        store.watch(
+            StoredBatchClient.BATCH_KEY_PREFIX,
+            watchFromRevision,
+            WATCH_TIMEOUT,
+            RequestPriority.LEASE,
+        ) { result ->
+            if (isClosed) return@watch
             when (result) {
                 is StoreResult.Ok -> {
-                    watchFrom = maxOf(watchFrom, result.value.revision)
-                    for (event in result.value.events) receive(event.data ?: continue)
+                    watchFromRevision = maxOf(watchFromRevision, result.value.revision)
+                    for (event in result.value.events) handleStoredBatch(event.data ?: continue)
                     nextWatchAt = context.now
                 }
                 // Batches may have been missed: a follower that got no response sends again.
                 is StoreResult.InvalidRequest,
-                is StoreResult.Compacted -> restartWatch()
-                else -> nextWatchAt = context.now + RETRY_PAUSE
+                is StoreResult.Compacted -> scanForWatchRevision()
+                else -> nextWatchAt = context.now + WATCH_RETRY_PAUSE
             }
         }
     }
 
-    private fun restartWatch() =
-        store.scan(StoredBatchClient.BATCHES, JsonElement.serializer()) { found ->
-            if (found != null) watchFrom = found.revision
-            nextWatchAt = context.now + RETRY_PAUSE
+    private fun scanForWatchRevision() =
+        store.scan(StoredBatchClient.BATCH_KEY_PREFIX, JsonElement.serializer()) { found ->
+            if (found != null) watchFromRevision = found.revision
+            nextWatchAt = context.now + WATCH_RETRY_PAUSE
         }
 
-    private fun receive(data: JsonElement) {
+    private fun handleStoredBatch(data: JsonElement) {
         val batch =
             ForwardingCodec.decodeBatch(data) ?: return log.error("a stored batch can't be decoded")
         if (FencingToken(batch.token) != role.token) return
-        responses[batch.member] = handler.handle(batch) ?: return
+        unwrittenResponses[batch.member] = handler.handle(batch) ?: return
     }
 
     /** Writes all responses into one value; those that do not fit stay for the next write. */
-    private fun write() {
-        val written = LinkedHashMap(responses)
-        var packed = ForwardingCodec.pack(StoredBatchResponses(written))
+    private fun writeResponses() {
+        val responsesToWrite = LinkedHashMap(unwrittenResponses)
+        var packed = ForwardingCodec.pack(StoredBatchResponses(responsesToWrite))
         if (packed.length > maxPackedBytes) {
-            written.replaceAll { _, response -> response.withoutCommands() }
-            packed = ForwardingCodec.pack(StoredBatchResponses(written))
+            responsesToWrite.replaceAll { _, response -> response.withoutCommands() }
+            packed = ForwardingCodec.pack(StoredBatchResponses(responsesToWrite))
         }
-        while (packed.length > maxPackedBytes && written.size > 1) {
-            written.remove(written.keys.last())
-            packed = ForwardingCodec.pack(StoredBatchResponses(written))
+        while (packed.length > maxPackedBytes && responsesToWrite.size > 1) {
+            responsesToWrite.remove(responsesToWrite.keys.last())
+            packed = ForwardingCodec.pack(StoredBatchResponses(responsesToWrite))
         }
-        responses.keys.removeAll(written.keys.toSet())
+        unwrittenResponses.keys.removeAll(responsesToWrite.keys.toSet())
         if (packed.length > maxPackedBytes) {
             return log.error("a response is too large to be stored")
         }
-        writing = true
-        nextWriteAt = context.now + WRITE_PERIOD
+        isWriting = true
+        nextWriteAt = context.now + RESPONSE_WRITE_PERIOD
         val operation =
-            WriteOperation(put = StoredBatchClient.ANSWERS, data = JsonPrimitive(packed))
+            WriteOperation(put = StoredBatchClient.RESPONSES_KEY, data = JsonPrimitive(packed))
         store.compareAndSwap(listOf(role.condition), listOf(operation), RequestPriority.LEASE) {
-            writing = false
+            isWriting = false
         }
     }
 
     private companion object {
-        val WATCH_TIME = 8.seconds
-        val RETRY_PAUSE = 500.milliseconds
-        val WRITE_PERIOD = 700.milliseconds
+        val WATCH_TIMEOUT = 8.seconds
+        val WATCH_RETRY_PAUSE = 500.milliseconds
+        val RESPONSE_WRITE_PERIOD = 700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/WorkerRebalancer.kt
+++ b/src/main/kotlin/wardmux/forwarding/WorkerRebalancer.kt
@@ -13,43 +13,46 @@
     /** How many workers may be connected to one controller. */
     private val maxWorkers: Int,
 ) {
-    /** How many workers of this controller are to be redirected to [target]. */
-    private var count = 0
-    private var target: String? = null
+    /** How many workers of this controller are to be redirected to [redirectTarget]. */
+    private var redirectCount = 0
+    private var redirectTarget: String? = null
 
     /** Stops redirecting workers of this controller. */
     fun stop() {
-        count = 0
+        redirectCount = 0
     }
 
     /** Sets how many workers this controller and each of [followers] redirect. */
     fun rebalance(followers: List<Forwarder>) {
         if (followers.isEmpty()) return
-        val machines = machinesByMember()
+        val workers = workersByMember()
         val leaderWeight = 1.0 / (followers.size + 1)
-        val total = followers.sumOf { machines[it.member] ?: 0 } + (machines[member] ?: 0)
+        val totalWorkers = followers.sumOf { workers[it.member] ?: 0 } + (workers[member] ?: 0)
         // Not more than there are sockets: the others would come back, and be redirected again.
-        val fairShare = minOf(total / (followers.size + leaderWeight), maxWorkers * MAX_FILL)
-        val least = followers.minBy { machines[it.member] ?: 0 }
-        val room = (fairShare - (machines[least.member] ?: 0)).toInt()
-        var remaining = minOf(room, maxOf(1, total / STEPS))
-        fun take(machines: Int, target: Double): Int {
-            val excess = machines - target * TOLERANCE - TOLERATED_MACHINES
-            val taken = minOf(remaining, excess.toInt()).coerceAtLeast(0)
-            remaining -= taken
-            return taken
+        val fairShare =
+            minOf(totalWorkers / (followers.size + leaderWeight), maxWorkers * MAX_SOCKET_USE_SHARE)
+        val leastLoaded = followers.minBy { workers[it.member] ?: 0 }
+        val spareCapacity = (fairShare - (workers[leastLoaded.member] ?: 0)).toInt()
+        var remainingInStep =
+            minOf(spareCapacity, maxOf(1, totalWorkers / MIN_STEPS_TO_REDIRECT_ALL))
+        fun takeExcess(workerCount: Int, share: Double): Int {
+            val excess = workerCount - share * SHARE_TOLERANCE_FACTOR - TOLERATED_EXCESS_WORKERS
+            val count = minOf(remainingInStep, excess.toInt()).coerceAtLeast(0)
+            remainingInStep -= count
+            return count
         }
-        count = take(machines[member] ?: 0, fairShare * leaderWeight)
-        target = least.member
+        redirectCount = takeExcess(workers[member] ?: 0, fairShare * leaderWeight)
+        redirectTarget = leastLoaded.member
         for (forwarder in followers) {
             val moved =
-                if (forwarder === least) 0 else take(machines[forwarder.member] ?: 0, fairShare)
-            forwarder.assignRebalancing(moved, least.member)
+                if (forwarder === leastLoaded) 0
+                else takeExcess(workers[forwarder.member] ?: 0, fairShare)
+            forwarder.assignRebalancing(moved, leastLoaded.member)
         }
     }
 
     /** How many machines' workers each controller answers. */
-    private fun machinesByMember(): Map<String, Int> {
+    private fun workersByMember(): Map<String, Int> {
         val counts = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
             if (machine.isUp && !machine.isDecommissioned)
@@ -59,21 +62,21 @@
     }
 
     /** The member to redirect a worker of this controller to, or null to answer it. */
-    fun takeRedirect(): String? {
-        if (count <= 0) return null
-        count--
-        return target
+    fun takeRedirectTarget(): String? {
+        if (redirectCount <= 0) return null
+        redirectCount--
+        return redirectTarget
     }
 
     private companion object {
         /** At most this part of all workers, and at least one, is redirected in one step. */
-        const val STEPS = 100
+        const val MIN_STEPS_TO_REDIRECT_ALL = 100
 
         /** A controller keeps its share times this, and some machines more. */
-        const val TOLERANCE = 1.2
-        const val TOLERATED_MACHINES = 3
+        const val SHARE_TOLERANCE_FACTOR = 1.2
+        const val TOLERATED_EXCESS_WORKERS = 3
 
         /** Of a controller's sockets for workers; the rest is for those that come and go. */
-        const val MAX_FILL = 0.95
+        const val MAX_SOCKET_USE_SHARE = 0.95
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -41,48 +41,48 @@
 
     private fun admit(call: Long, spec: JobSpec) {
         if (responder.answerIfFinal(call, spec.jobId)) return
-        val known = types.types ?: return answerKnownOrUnavailable(call, spec.jobId)
-        val reason = feasibility.reasonInfeasible(spec, known)
+        val knownTypes = types.types ?: return answerFromRecordOrUnavailable(call, spec.jobId)
+        val reason = feasibility.infeasibilityReason(spec, knownTypes)
         if (reason != null) refuse(call, spec.jobId, HttpStatus.UNPROCESSABLE_CONTENT, reason)
-        else acceptFitting(call, spec, known)
+        else acceptIfRecordFits(call, spec, knownTypes)
     }
 
     /** A known job is never told that it is malformed or can't run, whatever the repeat says. */
     private fun refuse(call: Long, job: JobId?, status: Int, reason: String) {
-        val answer = {
+        val answerRefusal = {
             log.debug("submission refused with status {}: {}", status, reason)
             responder.answerError(call, status, reason)
         }
-        if (job == null) answer() else answerKnownOr(call, job, answer)
+        if (job == null) answerRefusal() else answerFromRecordOrElse(call, job, answerRefusal)
     }
 
-    /** Answers with the state of a job that is recorded, and runs [absent] for any other. */
-    private fun answerKnownOr(call: Long, job: JobId, absent: () -> Unit) {
+    /** Answers with the state of a job that is recorded, and runs [onAbsent] for any other. */
+    private fun answerFromRecordOrElse(call: Long, job: JobId, onAbsent: () -> Unit) {
         store.get(JobRecord.key(job)) { result ->
             when (result) {
                 is StoreResult.Ok -> responder.answerRecord(call, job, result.value)
-                is StoreResult.NotFound -> absent()
+                is StoreResult.NotFound -> onAbsent()
                 else -> responder.answerUnavailable(call)
             }
         }
     }
 
-    private fun answerKnownOrUnavailable(call: Long, job: JobId) =
-        answerKnownOr(call, job) { responder.answerUnavailable(call) }
+    private fun answerFromRecordOrUnavailable(call: Long, job: JobId) =
+        answerFromRecordOrElse(call, job) { responder.answerUnavailable(call) }
 
     /** What can't be recorded can never run. */
-    private fun acceptFitting(call: Long, spec: JobSpec, known: List<MachineType>) {
-        val usefulTypes = known.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
-        val fitting = JobRecord.shortened(spec, usefulTypes, maxRecordBytes)
-        if (fitting == null) refuseTooLarge(call, spec.jobId) else accept(call, fitting)
+    private fun acceptIfRecordFits(call: Long, spec: JobSpec, knownTypes: List<MachineType>) {
+        val usefulTypes = knownTypes.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
+        val fittingSpec = JobRecord.shortened(spec, usefulTypes, maxRecordBytes)
+        if (fittingSpec == null) refuseTooLarge(call, spec.jobId) else accept(call, fittingSpec)
     }
 
     private fun refuseTooLarge(call: Long, job: JobId) =
-        refuse(call, job, HttpStatus.UNPROCESSABLE_CONTENT, TOO_LARGE)
+        refuse(call, job, HttpStatus.UNPROCESSABLE_CONTENT, RECORD_TOO_LARGE_REASON)
 
     /** A record is written twice in the transaction that accepts it. */
     private val maxRecordBytes: Int
-        get() = minOf(store.maxValueBytes, MAX_BYTES_WRITTEN_TWICE)
+        get() = minOf(store.maxValueBytes, MAX_RECORD_BYTES_PER_TRANSACTION)
 
     private fun accept(call: Long, spec: JobSpec) {
         val job = spec.jobId
@@ -92,13 +92,13 @@
                 WriteOperation(put = JobRecord.key(job), data = record),
                 WriteOperation(put = JobRecord.openKey(job), data = record),
             )
-        val absent = listOf(VersionCondition(JobRecord.key(job), KeyVersion.ABSENT))
-        store.compareAndSwap(absent, changes, RequestPriority.USER_WRITE) { result ->
+        val recordIsAbsent = listOf(VersionCondition(JobRecord.key(job), KeyVersion.ABSENT))
+        store.compareAndSwap(recordIsAbsent, changes, RequestPriority.USER_WRITE) { result ->
             when (result) {
-                is StoreResult.Ok -> accepted(call, spec, result.value.keyVersion)
-                is StoreResult.Conflict -> answerKnownOrUnavailable(call, job)
+                is StoreResult.Ok -> answerAccepted(call, spec, result.value.keyVersion)
+                is StoreResult.Conflict -> answerFromRecordOrUnavailable(call, job)
                 // Perhaps written: the record is read before anything is said.
-                is StoreResult.Indeterminate -> answerKnownOrUnavailable(call, job)
+                is StoreResult.Indeterminate -> answerFromRecordOrUnavailable(call, job)
                 // The store counts the record as too large; it is not sent that again.
                 is StoreResult.InvalidRequest ->
                     if (JobRecord.maxBytes(spec) > maxRecordBytes) refuseTooLarge(call, job)
@@ -108,7 +108,7 @@
         }
     }
 
-    private fun accepted(call: Long, spec: JobSpec, version: KeyVersion) {
+    private fun answerAccepted(call: Long, spec: JobSpec, version: KeyVersion) {
         openVersions.record(spec.jobId, version)
         log.info(
             "{} accepted: {} {} tasks of {} CPUs for {}",
@@ -123,7 +123,8 @@
 
     private companion object {
         /** Well below half of the 64 KiB that a transaction may hold. */
-        const val MAX_BYTES_WRITTEN_TWICE = 30_000
-        const val TOO_LARGE = "its record is larger than the state service may come to hold"
+        const val MAX_RECORD_BYTES_PER_TRANSACTION = 30_000
+        const val RECORD_TOO_LARGE_REASON =
+            "its record is larger than the state service may come to hold"
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobCancellation.kt
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -21,16 +21,16 @@
     private val log = logger<JobCancellation>()
 
     /** Cancels [job] and answers [call]; a job that is over stays as it is. */
-    fun cancel(call: Long, job: JobId) = attempt(call, job, MAX_RETRIES)
+    fun cancel(call: Long, job: JobId) = attemptCancellation(call, job, MAX_RETRIES)
 
-    private fun attempt(call: Long, job: JobId, retries: Int) {
+    private fun attemptCancellation(call: Long, job: JobId, remainingRetries: Int) {
         if (responder.answerIfFinal(call, job)) return
         store.get(JobRecord.key(job)) { result ->
             when (result) {
                 is StoreResult.Ok -> {
                     val record = JobRecord.decode(result.value.data)
                     if (record?.state == JobState.ACCEPTED)
-                        write(call, job, result.value, record, retries)
+                        writeCancellation(call, job, result.value, record, remainingRetries)
                     else responder.answerRecord(call, job, result.value)
                 }
                 is StoreResult.NotFound -> responder.answerUnknownJob(call)
@@ -39,7 +39,13 @@
         }
     }
 
-    private fun write(call: Long, job: JobId, item: KeyValue, record: JobRecord, retries: Int) {
+    private fun writeCancellation(
+        call: Long,
+        job: JobId,
+        item: KeyValue,
+        record: JobRecord,
+        remainingRetries: Int,
+    ) {
         val cancelled = record.toCancelled(store.maxValueBytes).toJson()
         val changes =
             listOf(
@@ -47,8 +53,8 @@
                 WriteOperation(put = JobRecord.cancelledKey(job), data = cancelled),
                 WriteOperation(remove = JobRecord.openKey(job)),
             )
-        val unchanged = listOf(VersionCondition(JobRecord.key(job), item.version))
-        store.compareAndSwap(unchanged, changes, RequestPriority.USER_WRITE) { result ->
+        val recordIsUnchanged = listOf(VersionCondition(JobRecord.key(job), item.version))
+        store.compareAndSwap(recordIsUnchanged, changes, RequestPriority.USER_WRITE) { result ->
             when {
                 result is StoreResult.Ok -> {
                     log.info("{} is cancelled by its user", job)
@@ -57,7 +63,7 @@
                 }
                 // Changed meanwhile, or perhaps written: the record tells.
                 (result is StoreResult.Conflict || result is StoreResult.Indeterminate) &&
-                    retries > 0 -> attempt(call, job, retries - 1)
+                    remainingRetries > 0 -> attemptCancellation(call, job, remainingRetries - 1)
                 else -> responder.answerUnavailable(call)
             }
         }
--- a/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
+++ b/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
@@ -7,11 +7,11 @@
 
 /** Tells jobs that can never run, on any machine that there could be and with any quota free. */
 class JobFeasibility(teams: List<TeamQuota>) {
-    private val teams = teams.associateBy { it.name }
+    private val teamsByName = teams.associateBy { it.name }
 
     /** Why the job can never run on machines of [types]; null if it can. */
-    fun reasonInfeasible(spec: JobSpec, types: List<MachineType>): String? {
-        val team = teams[spec.team] ?: return "unknown team"
+    fun infeasibilityReason(spec: JobSpec, types: List<MachineType>): String? {
+        val team = teamsByName[spec.team] ?: return "unknown team"
         val allowed = types.filter { it.allowedFor(spec) }
         return when {
             allowed.isEmpty() -> "a task fits no allowed machine type"
@@ -33,8 +33,9 @@
     }
 
     private fun exceedsQuota(spec: JobSpec, team: TeamQuota): Boolean {
-        val tasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        val slack = MachineType.EPSILON
-        return spec.cpus * tasks > team.cpusMax + slack || spec.gpus * tasks > team.gpusMax + slack
+        val concurrentTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
+        val tolerance = MachineType.EPSILON
+        return spec.cpus * concurrentTasks > team.cpusMax + tolerance ||
+            spec.gpus * concurrentTasks > team.gpusMax + tolerance
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
+++ b/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
@@ -45,32 +45,33 @@
     private val openVersions: OpenJobVersions,
     private val listener: JobStatusListener,
 ) {
-    private class WaitingCall(val call: Long, val since: Micros)
+    private class WaitingCall(val call: Long, val waitingSince: Micros)
 
     /** Calls by their job, in the order of each job's oldest call. */
-    private val waiting = LinkedHashMap<JobId, ArrayList<WaitingCall>>()
-    private var openComparisons = 0
-    private var openReads = 0
+    private val waitingCalls = LinkedHashMap<JobId, ArrayList<WaitingCall>>()
+    private var comparisonsInFlight = 0
+    private var readsInFlight = 0
     private var isScanning = false
 
     /** Has [job] read for [call]. */
     fun request(call: Long, job: JobId) {
-        waiting.getOrPut(job) { ArrayList(1) }.add(WaitingCall(call, context.now))
+        waitingCalls.getOrPut(job) { ArrayList(1) }.add(WaitingCall(call, context.now))
         startReads()
     }
 
     /** Starts the reads that there is room for; calls that come during one wait for the next. */
     fun startReads() {
-        expireLateCalls()
-        while (waiting.isNotEmpty()) {
-            val (job, calls) = waiting.entries.first()
-            val isKnown = job in openVersions
+        answerExpiredCalls()
+        while (waitingCalls.isNotEmpty()) {
+            val (job, calls) = waitingCalls.entries.first()
+            val hasKnownVersion = job in openVersions
             when {
-                isKnown && openComparisons < MAX_COMPARISONS -> compareVersions()
-                !isKnown && unknownJobs() > MAX_UNKNOWN_READ_SINGLY ->
+                hasKnownVersion && comparisonsInFlight < MAX_CONCURRENT_COMPARISONS ->
+                    compareVersions()
+                !hasKnownVersion && countUnknownJobs() > MAX_UNKNOWN_JOBS_READ_INDIVIDUALLY ->
                     if (isScanning) return else scanOpenJobs()
-                !isKnown && openReads < MAX_READS -> {
-                    waiting.remove(job)
+                !hasKnownVersion && readsInFlight < MAX_CONCURRENT_READS -> {
+                    waitingCalls.remove(job)
                     readRecord(job, calls)
                 }
                 else -> return
@@ -78,50 +79,50 @@
         }
     }
 
-    private fun unknownJobs() = waiting.keys.count { it !in openVersions }
+    private fun countUnknownJobs() = waitingCalls.keys.count { it !in openVersions }
 
     /** Nobody waits for an answer that comes too late: these calls are answered now. */
-    private fun expireLateCalls() {
-        val late = LinkedHashMap<JobId, List<WaitingCall>>()
-        val jobs = waiting.entries.iterator()
-        while (jobs.hasNext()) {
-            val (job, calls) = jobs.next()
+    private fun answerExpiredCalls() {
+        val expired = LinkedHashMap<JobId, List<WaitingCall>>()
+        val iterator = waitingCalls.entries.iterator()
+        while (iterator.hasNext()) {
+            val (job, calls) = iterator.next()
             // In the order of their oldest call, so no later one has waited longer.
-            if (context.now - calls.first().since < MAX_WAIT) break
-            late[job] = calls
-            jobs.remove()
+            if (context.now - calls.first().waitingSince < MAX_CALL_WAIT) break
+            expired[job] = calls
+            iterator.remove()
         }
-        for ((job, calls) in late) report(job, calls, JobStatus.Unavailable)
+        for ((job, calls) in expired) notifyListener(job, calls, JobStatus.Unavailable)
     }
 
-    private fun report(job: JobId, calls: List<WaitingCall>, status: JobStatus) {
+    private fun notifyListener(job: JobId, calls: List<WaitingCall>, status: JobStatus) {
         for (waitingCall in calls) listener.statusRead(waitingCall.call, job, status)
     }
 
     private fun compareVersions() {
         val compared = LinkedHashMap<JobId, List<WaitingCall>>()
         val conditions = ArrayList<VersionCondition>()
-        val jobs = waiting.entries.iterator()
-        while (jobs.hasNext() && conditions.size < store.maxConditions) {
-            val (job, calls) = jobs.next()
+        val iterator = waitingCalls.entries.iterator()
+        while (iterator.hasNext() && conditions.size < store.maxConditions) {
+            val (job, calls) = iterator.next()
             if (job !in openVersions) continue
-            jobs.remove()
+            iterator.remove()
             compared[job] = calls
             conditions.add(VersionCondition(JobRecord.key(job), openVersions.getValue(job)))
         }
-        openComparisons++
+        comparisonsInFlight++
         store.compareAndSwap(conditions, emptyList(), RequestPriority.READ) { result ->
-            openComparisons--
+            comparisonsInFlight--
             val changed = (result as? StoreResult.Conflict)?.failed.orEmpty().toSet()
-            val isAnswered = result is StoreResult.Ok || changed.isNotEmpty()
+            val isComparisonAnswered = result is StoreResult.Ok || changed.isNotEmpty()
             for ((job, calls) in compared) {
                 when {
-                    !isAnswered -> report(job, calls, JobStatus.Unavailable)
+                    !isComparisonAnswered -> notifyListener(job, calls, JobStatus.Unavailable)
                     JobRecord.key(job) in changed -> {
                         openVersions.remove(job)
                         readRecord(job, calls)
                     }
-                    else -> report(job, calls, JobStatus.Open)
+                    else -> notifyListener(job, calls, JobStatus.Open)
                 }
             }
             startReads()
@@ -129,16 +130,16 @@
     }
 
     private fun readRecord(job: JobId, calls: List<WaitingCall>) {
-        openReads++
+        readsInFlight++
         store.get(JobRecord.key(job)) { result ->
-            openReads--
+            readsInFlight--
             val status =
                 when (result) {
                     is StoreResult.Ok -> JobStatus.Recorded(result.value)
                     is StoreResult.NotFound -> JobStatus.Absent
                     else -> JobStatus.Unavailable
                 }
-            report(job, calls, status)
+            notifyListener(job, calls, status)
             startReads()
         }
     }
@@ -149,21 +150,21 @@
      */
     private fun scanOpenJobs() {
         isScanning = true
-        val scanned = LinkedHashMap(waiting)
-        waiting.clear()
+        val scanned = LinkedHashMap(waitingCalls)
+        waitingCalls.clear()
         store.scan(JobRecord.OPEN_PREFIX, IgnoredValue.serializer(), RequestPriority.READ) { found
             ->
             isScanning = false
-            val open = HashSet<JobId>()
+            val openJobs = HashSet<JobId>()
             for (item in found?.items.orEmpty()) {
                 val job = JobId(item.key.removePrefix(JobRecord.OPEN_PREFIX))
-                open.add(job)
+                openJobs.add(job)
                 openVersions.record(job, item.version)
             }
             for ((job, calls) in scanned) {
                 when {
-                    found == null -> report(job, calls, JobStatus.Unavailable)
-                    job in open -> report(job, calls, JobStatus.Open)
+                    found == null -> notifyListener(job, calls, JobStatus.Unavailable)
+                    job in openJobs -> notifyListener(job, calls, JobStatus.Open)
                     else -> readRecord(job, calls)
                 }
             }
@@ -173,15 +174,15 @@
 
     private companion object {
         /** Comparing transactions that may be under way at once. */
-        const val MAX_COMPARISONS = 2
+        const val MAX_CONCURRENT_COMPARISONS = 2
 
         /** Reads of single records that may be under way at once. */
-        const val MAX_READS = 16
+        const val MAX_CONCURRENT_READS = 16
 
         /** If more jobs than these have no known version, one scan shows them all. */
-        const val MAX_UNKNOWN_READ_SINGLY = 12
+        const val MAX_UNKNOWN_JOBS_READ_INDIVIDUALLY = 12
 
         /** Users wait for two seconds. */
-        val MAX_WAIT = 1_700.milliseconds
+        val MAX_CALL_WAIT = 1_700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -38,13 +38,13 @@
 
 /** Reads submissions strictly: a missing, mistyped, negative or non-finite field is malformed. */
 object SubmissionReader {
-    private val idForm = Regex("job-[0-9]{1,18}")
-    private val plainNumber = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
+    private val jobIdPattern = Regex("job-[0-9]{1,18}")
+    private val numberPattern = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
 
     private class InvalidFieldException(val field: String) : Exception(field)
 
     /** Whether [text] has the form of a job's id. */
-    fun isId(text: String): Boolean = idForm.matches(text)
+    fun isId(text: String): Boolean = jobIdPattern.matches(text)
 
     /** Reads the [body] of a submission. */
     fun read(body: ByteArray): Submission {
@@ -59,41 +59,41 @@
         if (json !is JsonObject) return Submission.Malformed(null, SubmissionError.NotAnObject)
         var id: JobId? = null
         return try {
-            val name = text(json, "name_id")
-            if (!isId(name)) throw InvalidFieldException("name_id")
-            id = JobId(name)
-            Submission.WellFormed(spec(name, json))
+            val idText = nonEmptyString(json, "name_id")
+            if (!isId(idText)) throw InvalidFieldException("name_id")
+            id = JobId(idText)
+            Submission.WellFormed(jobSpec(idText, json))
         } catch (e: InvalidFieldException) {
             Submission.Malformed(id, SubmissionError.InvalidField(e.field))
         }
     }
 
-    private fun spec(id: String, json: JsonObject) =
+    private fun jobSpec(id: String, json: JsonObject) =
         JobSpec(
             id = id,
-            jobClass = text(json, "jobclass"),
-            team = text(json, "owner"),
+            jobClass = nonEmptyString(json, "jobclass"),
+            team = nonEmptyString(json, "owner"),
             kind = jobKind(json),
             priority = priorityClass(json),
-            tasks = count(json, "pieces"),
-            cpus = amount(json, "cores"),
-            gpus = amount(json, "gpus"),
-            memoryGb = amount(json, "mem_gb"),
-            image = text(json, "bundle"),
-            imageGb = amount(json, "pull_gb"),
-            types = optional(json, "boxkinds")?.let { names(it, "boxkinds") },
-            zone = optional(json, "ward")?.let { text(json, "ward") },
-            oneZone = flag(json, "same_place"),
-            spread = flag(json, "scatter"),
-            spot = flag(json, "loaners"),
-            estimateS = amount(json, "guess_s"),
-            checkpointS = amount(json, "savepoint_s"),
-            saveS = amount(json, "dump_s"),
-            deadlineS = optional(json, "due_s")?.let { amount(json, "due_s") },
+            tasks = taskCount(json, "pieces"),
+            cpus = nonNegativeNumber(json, "cores"),
+            gpus = nonNegativeNumber(json, "gpus"),
+            memoryGb = nonNegativeNumber(json, "mem_gb"),
+            image = nonEmptyString(json, "bundle"),
+            imageGb = nonNegativeNumber(json, "pull_gb"),
+            types = optionalValue(json, "boxkinds")?.let { stringList(it, "boxkinds") },
+            zone = optionalValue(json, "ward")?.let { nonEmptyString(json, "ward") },
+            oneZone = boolean(json, "same_place"),
+            spread = boolean(json, "scatter"),
+            spot = boolean(json, "loaners"),
+            estimateS = nonNegativeNumber(json, "guess_s"),
+            checkpointS = nonNegativeNumber(json, "savepoint_s"),
+            saveS = nonNegativeNumber(json, "dump_s"),
+            deadlineS = optionalValue(json, "due_s")?.let { nonNegativeNumber(json, "due_s") },
         )
 
     private fun jobKind(json: JsonObject) =
-        when (text(json, "shape")) {
+        when (nonEmptyString(json, "shape")) {
             "batch" -> JobKind.ARRAY
             "daemon" -> JobKind.SERVICE
             "group" -> JobKind.GANG
@@ -101,7 +101,7 @@
         }
 
     private fun priorityClass(json: JsonObject) =
-        when (text(json, "urgency")) {
+        when (nonEmptyString(json, "urgency")) {
             "prod" -> PriorityClass.PROD
             "high" -> PriorityClass.HIGH
             "normal" -> PriorityClass.NORMAL
@@ -109,22 +109,22 @@
             else -> throw InvalidFieldException("urgency")
         }
 
-    private fun optional(json: JsonObject, field: String): JsonElement? =
+    private fun optionalValue(json: JsonObject, field: String): JsonElement? =
         json[field]?.takeIf { it !is JsonNull }
 
-    private fun primitive(json: JsonObject, field: String): JsonPrimitive {
+    private fun primitiveValue(json: JsonObject, field: String): JsonPrimitive {
         val value = json[field]
         if (value !is JsonPrimitive || value is JsonNull) throw InvalidFieldException(field)
         return value
     }
 
-    private fun text(json: JsonObject, field: String): String {
-        val value = primitive(json, field)
+    private fun nonEmptyString(json: JsonObject, field: String): String {
+        val value = primitiveValue(json, field)
         if (!value.isString || value.content.isEmpty()) throw InvalidFieldException(field)
         return value.content
     }
 
-    private fun names(value: JsonElement, field: String): List<String> {
+    private fun stringList(value: JsonElement, field: String): List<String> {
         if (value !is JsonArray) throw InvalidFieldException(field)
         return value.map {
             if (it !is JsonPrimitive || !it.isString) throw InvalidFieldException(field)
@@ -132,25 +132,25 @@
         }
     }
 
-    private fun amount(json: JsonObject, field: String): Double {
-        val value = primitive(json, field)
-        if (value.isString || !plainNumber.matches(value.content))
+    private fun nonNegativeNumber(json: JsonObject, field: String): Double {
+        val value = primitiveValue(json, field)
+        if (value.isString || !numberPattern.matches(value.content))
             throw InvalidFieldException(field)
         val number = value.content.toDouble()
-        if (!number.isFinite() || number < 0 || number > MAX_AMOUNT)
+        if (!number.isFinite() || number < 0 || number > MAX_NUMBER_VALUE)
             throw InvalidFieldException(field)
         return number
     }
 
-    private fun count(json: JsonObject, field: String): Int {
-        val number = amount(json, field)
+    private fun taskCount(json: JsonObject, field: String): Int {
+        val number = nonNegativeNumber(json, field)
         if (number != Math.rint(number) || number < 1 || number > JobSpec.MAX_TASKS)
             throw InvalidFieldException(field)
         return number.toInt()
     }
 
-    private fun flag(json: JsonObject, field: String): Boolean {
-        val value = primitive(json, field)
+    private fun boolean(json: JsonObject, field: String): Boolean {
+        val value = primitiveValue(json, field)
         if (value.isString) throw InvalidFieldException(field)
         return when (value.content) {
             "true" -> true
@@ -159,5 +159,5 @@
         }
     }
 
-    private const val MAX_AMOUNT = 1e9
+    private const val MAX_NUMBER_VALUE = 1e9
 }
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -199,5 +199,5 @@
         loader.reload()
     }
 
-    private fun redirectTarget(): String? = forwardingCoordinator.takeRedirect()
+    private fun redirectTarget(): String? = forwardingCoordinator.takeRedirectTarget()
 }
--- a/src/test/kotlin/wardmux/app/FormatAdditions.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditions.kt
@@ -163,7 +163,7 @@
                 "n4" to haltingAnswer().withoutCommands(),
             )
         val packed = JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(answers)))
-        return drains + (StoredBatchClient.ANSWERS to packed)
+        return drains + (StoredBatchClient.RESPONSES_KEY to packed)
     }
 
     /** Bytes with and without a sign, as the codec writes them as numbers. */
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -353,8 +353,9 @@
         for (other in listOf(gangAgain(), gangDone())) all[TaskPageCodec.key(other.id, 0)] =
             TaskPageCodec.encode(other, 0)
         all[CONDEMNED_KEY] = JsonPrimitive(CONDEMNED_WHY)
-        all[StoredBatchClient.BATCHES + "n3"] = JsonPrimitive(ForwardingCodec.pack(batch()))
-        all[StoredBatchClient.ANSWERS] =
+        all[StoredBatchClient.BATCH_KEY_PREFIX + "n3"] =
+            JsonPrimitive(ForwardingCodec.pack(batch()))
+        all[StoredBatchClient.RESPONSES_KEY] =
             JsonPrimitive(
                 ForwardingCodec.pack(
                     StoredBatchResponses(
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -178,10 +178,10 @@
                 ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeResponse(it)))
             }
         }
-        packedAgain(StoredBatchClient.BATCHES + "n3") {
+        packedAgain(StoredBatchClient.BATCH_KEY_PREFIX + "n3") {
             ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeBatch(it)))
         }
-        packedAgain(StoredBatchClient.ANSWERS) {
+        packedAgain(StoredBatchClient.RESPONSES_KEY) {
             ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeStoredResponses(it)))
         }
     }
--- a/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
@@ -131,7 +131,7 @@
 
     @Test
     fun `a submission that lacks a field gets 400 and is not stored`() {
-        for (field in GOOD_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
+        for (field in VALID_SUBMISSION_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
             assertEquals(400, submit(field to null).first, field)
             assertEquals(null, harness.stored(JobRecord.key(id)), field)
         }
--- a/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -14,7 +14,7 @@
 import wardmux.model.PriorityClass
 import wardmux.records.JobRecord
 
-val GOOD_FIELDS: Map<String, JsonElement> =
+val VALID_SUBMISSION_FIELDS: Map<String, JsonElement> =
     mapOf(
         "name_id" to JsonPrimitive("job-000412"),
         "jobclass" to JsonPrimitive("train"),
@@ -39,7 +39,7 @@
     )
 
 fun submission(vararg changes: Pair<String, JsonElement?>): ByteArray {
-    val fields = GOOD_FIELDS.toMutableMap()
+    val fields = VALID_SUBMISSION_FIELDS.toMutableMap()
     for ((name, value) in changes) if (value == null) fields.remove(name) else fields[name] = value
     return JsonObject(fields).toString().encodeToByteArray()
 }
@@ -71,7 +71,7 @@
 
     @Test
     fun `a submission without a required field is malformed`() {
-        for (field in GOOD_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
+        for (field in VALID_SUBMISSION_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
             malformed(submission(field to null))
             malformed(submission(field to JsonNull))
         }
