--- a/src/main/kotlin/wardmux/forwarding/BatchSender.kt
+++ b/src/main/kotlin/wardmux/forwarding/BatchSender.kt
@@ -9,8 +9,9 @@
 import wardmux.model.seconds
 
 /**
- * Sends a follower's batches to the leader: directly, or through the key-value store for some time
- * after the leader could not be connected to.
+ * Sends a follower's heartbeat batches to the leader. Batches are sent directly by default. After a
+ * direct request that got no response they are sent through the key-value store for
+ * [DIRECT_SENDING_PAUSE].
  */
 class BatchSender(
     private val context: CoreContext,
@@ -19,18 +20,27 @@
     private val log = logger<BatchSender>()
     private var usesStoreUntil = Micros.LONG_AGO
 
-    /** The uncompressed heartbeats that are expected to fit into a stored batch, in bytes. */
+    /**
+     * Estimate of how many bytes of uncompressed heartbeats fit into a stored batch. It doubles
+     * when a batch fits and halves when one does not, because the compression ratio is not known.
+     */
     private var maxStoredHeartbeatBytes = storedBatchClient.maxPackedBytes
 
-    /** Whether batches go through the key-value store now, which is slower and holds less. */
+    /**
+     * Whether batches are currently sent through the key-value store, which is slower than sending
+     * them directly and limits their size.
+     */
     val usesStore: Boolean
         get() = context.now < usesStoreUntil
 
-    /** Full heartbeats are added to a batch until they take so many bytes. */
+    /** Full heartbeats are added to a batch until their total size reaches this many bytes. */
     val maxHeartbeatBytes: Int
         get() = if (usesStore) maxStoredHeartbeatBytes else MAX_DIRECT_HEARTBEAT_BYTES
 
-    /** How many unchanged heartbeats a batch may hold; a stored one is limited by its value. */
+    /**
+     * The maximum number of unchanged heartbeats in a batch. Only a stored batch is limited, by the
+     * maximum size of a value in the key-value store.
+     */
     val maxUnchangedHeartbeats: Int
         get() =
             if (usesStore)
@@ -40,12 +50,15 @@
                 )
             else Int.MAX_VALUE
 
-    /** Another controller leads: it is tried directly first. */
+    /** Returns to sending batches directly, because another controller has become the leader. */
     fun resetToDirect() {
         usesStoreUntil = Micros.LONG_AGO
     }
 
-    /** Sends [batch] to [leader]; [onResponse] gets the response, or null if there is none. */
+    /**
+     * Sends [batch] to the member [leader]. [onResponse] is called with the response, or with null
+     * if the batch could not be sent or got no valid response.
+     */
     fun send(leader: String, batch: HeartbeatBatch, onResponse: (HeartbeatBatchResponse?) -> Unit) =
         if (usesStore) sendThroughStore(batch, onResponse)
         else sendDirectly(leader, batch, onResponse)
@@ -61,7 +74,10 @@
             ->
             val response = outcome as? Outcome.Response
             if (response == null) {
-                log.info("{} can't be reached; forwarding through the key-value store", leader)
+                log.info(
+                    "no response from leader {}; forwarding through the key-value store",
+                    leader,
+                )
                 usesStoreUntil = context.now + DIRECT_SENDING_PAUSE
             }
             onResponse(
@@ -91,13 +107,13 @@
         val DIRECT_RESPONSE_TIMEOUT = 3.seconds
         const val MAX_DIRECT_HEARTBEAT_BYTES = 200_000
 
-        /** How long batches go through the store before the leader is tried directly again. */
+        /** How long batches are sent through the store before direct sending is retried. */
         val DIRECT_SENDING_PAUSE = 5.seconds
 
-        /** The most uncompressed bytes that are tried for each byte of a value. */
+        /** The highest ratio of uncompressed heartbeat bytes to value bytes that is tried. */
         const val MAX_COMPRESSION_RATIO = 4
 
-        /** The most that an unchanged heartbeat takes in a compressed batch. */
+        /** Upper bound on the size of an unchanged heartbeat in a compressed batch, in bytes. */
         const val MAX_PACKED_BYTES_PER_UNCHANGED_HEARTBEAT = 12
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/Forwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/Forwarder.kt
@@ -4,21 +4,30 @@
 import wardmux.model.Micros
 import wardmux.worker.WorkerHeartbeat
 
-/** The process [processIncarnation] of a follower, as the leader that granted it time sees it. */
+/**
+ * The leader's record of a follower process that forwards heartbeats. A restarted follower has
+ * another [processIncarnation] and therefore a record of its own.
+ */
 class Forwarder(val member: String, val processIncarnation: String) {
-    /** By the leader's clock, from when on it surely answers no worker unless granted more time. */
+    /**
+     * The time, by the leader's clock, from which this process no longer answers workers unless its
+     * grant is extended.
+     */
     var grantValidUntil = Micros.LONG_AGO
         private set
 
-    /** It has forwarded every heartbeat that it answered before then, by the leader's clock. */
+    /**
+     * The time, by the leader's clock, before which this process has forwarded every heartbeat that
+     * it answered.
+     */
     var reportedUntil = Micros.LONG_AGO
         private set
 
-    /** When its last batch came. */
+    /** When the last batch of this process was received. */
     var lastBatchAt = Micros.LONG_AGO
         private set
 
-    /** The member that it is to redirect workers to, or null if none was chosen yet. */
+    /** The member to which this process redirects workers; null if none has been chosen. */
     var rebalanceTarget: String? = null
         private set
 
@@ -26,41 +35,41 @@
     private val heartbeatByNumber = Long2ObjectHashMap<WorkerHeartbeat>()
     private val numberByMachine = HashMap<String, Long>()
 
-    /** A batch came now. */
+    /** Records that a batch was received at [now]. */
     fun recordBatch(now: Micros) {
         lastBatchAt = now
     }
 
-    /** It may answer workers until [time]. */
+    /** Records that this process may answer workers until [time]. */
     fun extendGrant(time: Micros) {
         grantValidUntil = maxOf(grantValidUntil, time)
     }
 
-    /** It has forwarded every heartbeat that it answered before [time]. */
+    /** Records that this process has forwarded every heartbeat that it answered before [time]. */
     fun recordAllReportedUntil(time: Micros) {
         reportedUntil = maxOf(reportedUntil, time)
     }
 
-    /** Remembers a full heartbeat by its [number], in place of the machine's last one. */
+    /** Stores a full heartbeat by its [number] and removes the previous one of its machine. */
     fun storeHeartbeat(number: Long, heartbeat: WorkerHeartbeat) {
         numberByMachine.put(heartbeat.machine, number)?.let { heartbeatByNumber.remove(it) }
         heartbeatByNumber[number] = heartbeat
     }
 
-    /** The full heartbeat of this [number], or null if it is not known. */
+    /** The full heartbeat stored under [number]; null if there is none. */
     fun heartbeat(number: Long): WorkerHeartbeat? = heartbeatByNumber[number]
 
-    /** Forgets the heartbeat of [machine]. */
+    /** Removes the stored heartbeat of [machine], if any. */
     fun removeHeartbeat(machine: String) {
         numberByMachine.remove(machine)?.let { heartbeatByNumber.remove(it) }
     }
 
-    /** It is to redirect [count] workers to [target]. */
+    /** Has this process redirect [count] workers to the member [target]. */
     fun assignRebalancing(count: Int, target: String) {
         rebalanceCount = count
         rebalanceTarget = target
     }
 
-    /** How many workers it is to redirect; 0 once this was read. */
+    /** Returns the number of workers that this process is to redirect, and resets it to 0. */
     fun takeRebalanceCount(): Int = rebalanceCount.also { rebalanceCount = 0 }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -14,9 +14,11 @@
 import wardmux.worker.WorkerHeartbeatReader
 
 /**
- * The leader's side of heartbeat forwarding: takes in the batches of followers, and grants them
- * time to answer workers. It lasts for one term: the next leader has another token, and assumes
- * nothing of a machine whose worker has not taken that.
+ * The leader's side of heartbeat forwarding: applies the batches of followers and grants them a
+ * limited time in which they may answer workers.
+ *
+ * An instance lives for one term of the leader. The next leader has another fencing token and makes
+ * no assumption about a machine until its worker has accepted that token.
  */
 class ForwardingCoordinator(
     private val context: CoreContext,
@@ -41,18 +43,21 @@
         WorkerRebalancer(cluster, platform.member, platform.deployment.limits.sockets.workers)
     private var nextDecisionAt = Micros.LONG_AGO
 
-    /** Whether followers answer workers too. */
+    /** Whether followers answer the heartbeats of workers in addition to the leader. */
     val forwardingEnabled: Boolean
         get() = switch.isEnabled
 
-    /** What the response to one batch says of single machines. */
+    /** The parts of the response to one batch that concern individual machines. */
     private class MachineResponses {
         val undelivered = ArrayList<UndeliveredCommands>()
         val rejectedMachines = ArrayList<String>()
         val unknownNumbers = ArrayList<Long>()
     }
 
-    /** Applies the heartbeats of [batch], and grants its sender more time if that is wanted. */
+    /**
+     * Applies the heartbeats of [batch], extends the grant of its sender if forwarding is enabled,
+     * and returns the response.
+     */
     fun handleBatch(batch: HeartbeatBatch): HeartbeatBatchResponse {
         val forwarder = grants.forwarderOf(batch)
         val sentAt = estimateSentAt(forwarder, batch)
@@ -63,9 +68,14 @@
         return respond(forwarder, batch, responses)
     }
 
-    /** When [batch] was sent, or somewhat earlier: it may have been delayed on its way. */
+    /**
+     * Estimates when [batch] was sent, by this leader's clock, and records up to when [forwarder]
+     * has forwarded everything. The estimate is never later than the time of sending, which matters
+     * for a delayed batch. Without a valid echo of this leader's clock it is the time of receipt.
+     */
     private fun estimateSentAt(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
-        // It is this leader's own clock; one that it can't have sent is ignored.
+        // The echo is a former value of this leader's clock. This leader can't have sent a value
+        // that lies in the future, so such a value is ignored.
         val echoed = Micros(batch.echoedClock).takeIf { batch.echoedClock > 0 && it <= context.now }
         if (echoed == null) return context.now
         forwarder.recordAllReportedUntil(echoed)
@@ -124,7 +134,8 @@
         responses: MachineResponses,
     ): HeartbeatBatchResponse {
         val mustHalt = cancellationView.tasksToStop()
-        // Too many to name: then no lease may be renewed before some have surely ended.
+        // If there are too many tasks to list, followers renew no lease until enough of the tasks
+        // have certainly ended.
         val exceedsTaskLimit = mustHalt.sumOf { it.tasks.size } > MAX_LISTED_TASKS
         return HeartbeatBatchResponse(
             processIncarnation = batch.processIncarnation,
@@ -146,15 +157,15 @@
     }
 
     /**
-     * The latest that the lease of a machine last known to be renewed at [renewedAt] may have been
-     * renewed, by this leader or by a follower.
+     * The latest time at which this leader or a follower may have renewed the lease of a machine,
+     * given that its last known renewal was at [renewedAt].
      */
     fun latestPossibleRenewal(renewedAt: Micros, leaseDuration: Micros): Micros =
         grants.latestPossibleRenewal(renewedAt, leaseDuration)
 
     /**
-     * Decides once a second whether followers answer workers, and how workers are rebalanced;
-     * [isLoaded] says whether this leader knows what is stored.
+     * Decides once a second whether followers answer workers, and how many workers are redirected
+     * to balance the controllers. [isLoaded] says whether this leader has loaded the stored state.
      */
     fun tick(isLoaded: Boolean) {
         if (context.now < nextDecisionAt) return
@@ -165,14 +176,23 @@
         if (forwardingEnabled) rebalancer.rebalance(grants.activeForwarders())
     }
 
-    /** The member to redirect a worker of this controller to, or null to answer it. */
+    /**
+     * The member to which the next worker of this controller is redirected, or null if the worker
+     * is to be answered. Each non-null result counts as one redirected worker.
+     */
     fun takeRedirectTarget(): String? = rebalancer.takeRedirectTarget()
 
     private companion object {
-        /** Some 100 KB in a response; a fleet of thousands of machines rarely has so many. */
+        /**
+         * The maximum number of tasks to stop that a response lists. They take about 100 KB; a
+         * cluster of thousands of machines rarely has more.
+         */
         const val MAX_LISTED_TASKS = 5_000
 
-        /** In leases of workers. */
+        /**
+         * How long a forwarder is kept after its grant and its last batch, in durations of a
+         * worker's lease.
+         */
         const val FORWARDER_RETENTION_LEASES = 3.0
         val DECISION_PERIOD = 1.seconds
     }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingGrants.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingGrants.kt
@@ -7,22 +7,24 @@
 import wardmux.model.seconds
 
 /**
- * Who was granted time to answer workers in this term, and until when: what a follower may still
- * have answered bounds how long the lease of a machine may last.
+ * The followers that were granted time to answer workers in this term of the leader, with the end
+ * of each grant. The leader needs them because a follower may have renewed the lease of a machine
+ * in a response that it has not reported yet.
  */
 class ForwardingGrants(
     private val context: CoreContext,
     /** How long a follower may answer workers without a response from the leader. */
     private val grantDuration: Micros,
-    /** How long a forwarder is kept after its grant and its last batch. */
+    /** How long a forwarder is kept after the end of its grant and after its last batch. */
     private val forwarderRetention: Micros,
 ) {
     private val log = logger<ForwardingGrants>()
     private val forwarders = ArrayList<Forwarder>()
 
     /**
-     * The forwarder that [batch] comes from. One of a former process of the member is another, and
-     * stays: workers may still act on what it answered.
+     * Returns the forwarder that sent [batch], adding it if it is new, and records the batch. A
+     * restarted follower is a new forwarder; the record of its previous process is kept because
+     * leases that the previous process renewed may still be valid.
      */
     fun forwarderOf(batch: HeartbeatBatch): Forwarder {
         val forwarder =
@@ -34,18 +36,23 @@
     }
 
     private fun add(batch: HeartbeatBatch): Forwarder {
-        log.info("{} forwards heartbeats", batch.member)
+        log.info("follower {} started forwarding heartbeats", batch.member)
         return Forwarder(batch.member, batch.processIncarnation).also { forwarders.add(it) }
     }
 
-    /** Grants [forwarder] the usual time from now on, by the slowest clock that it may have. */
+    /**
+     * Extends the grant of [forwarder] to [grantDuration] from now, plus the clock drift that the
+     * forwarder's clock may have if it runs slow.
+     */
     fun extend(forwarder: Forwarder) =
         forwarder.extendGrant(context.now + grantDuration * (1 + MAX_CLOCK_DRIFT))
 
     /**
-     * The latest that the lease of a machine last known to be renewed at [renewedAt] may have been
-     * renewed. A forwarder that has reported all that it answered until that lease would have
-     * expired, [leaseDuration] later, has not renewed it; any other may have, while its grant was
+     * The latest time at which the lease of a machine may have been renewed, given that its last
+     * known renewal was at [renewedAt] and that a lease lasts [leaseDuration].
+     *
+     * A forwarder that has reported every heartbeat it answered up to the expiry of that lease has
+     * not renewed it. Any other forwarder may have renewed it at any time while its grant was
      * valid.
      */
     fun latestPossibleRenewal(renewedAt: Micros, leaseDuration: Micros): Micros {
@@ -57,19 +64,20 @@
         return latest
     }
 
-    /** The forwarders that answer workers now. */
+    /** The forwarders that have a valid grant and have sent a batch recently. */
     fun activeForwarders(): List<Forwarder> =
         forwarders.filter {
             context.now < it.grantValidUntil && context.now - it.lastBatchAt < MAX_ACTIVE_BATCH_AGE
         }
 
-    /** Removes forwarders that no lease depends on any more. */
+    /** Removes forwarders whose responses no valid lease can depend on. */
     fun removeExpired() {
         val expiryTime = context.now - forwarderRetention
         forwarders.removeIf { it.grantValidUntil < expiryTime && it.lastBatchAt < expiryTime }
     }
 
     private companion object {
+        /** The age of the last batch from which a forwarder no longer counts as active. */
         val MAX_ACTIVE_BATCH_AGE = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingMessages.kt
@@ -16,46 +16,57 @@
 import wardmux.serialization.CborFormat
 import wardmux.worker.WorkerCommand
 
-/** A worker's heartbeat that differs from the last one forwarded, as the worker sent it. */
+/**
+ * A worker's heartbeat in the encoding in which the worker sent it. It is forwarded in full because
+ * it differs from the machine's last forwarded heartbeat in more than its tick.
+ */
 @Serializable
 class FullHeartbeat(
-    /** Identifies this heartbeat when a later one is the same; never used twice by a process. */
+    /**
+     * Identifies this heartbeat, so that a later equal one can refer to it. A process never uses a
+     * number twice.
+     */
     @SerialName("number") val number: Long,
     @OptIn(ExperimentalSerializationApi::class) @ByteString @SerialName("body") val body: ByteArray,
 )
 
 /**
- * The heartbeats that a follower has answered since its last batch, and its request for a new
- * grant. A batch that is lost, late, duplicated or out of order does no harm: every heartbeat is
- * compared with the machine's incarnation and tick, and a number that the leader does not know is
- * asked for again.
+ * The heartbeats that a follower has answered since its last batch, and the follower's request for
+ * a new grant.
+ *
+ * Batches may be lost, delayed, duplicated or reordered: the leader compares every heartbeat with
+ * the last known incarnation and tick of its machine, and requests the full heartbeat for any
+ * number that it does not know.
  */
 @Serializable
 class HeartbeatBatch(
     @SerialName("member") val member: String,
-    /** The process of [member] that sends it. */
+    /** Identifies the process of [member] that sends the batch. */
     @SerialName("boot") val processIncarnation: String,
-    /** Counts the batches of a process. */
+    /** Sequence number of the batch within the process. */
     @SerialName("number") val number: Long,
-    /** Fencing token of the leader that it is for. */
+    /** Fencing token of the leader to which the batch is addressed. */
     @SerialName("token") val token: Long,
     /**
-     * The leader's clock in its last response, in microseconds: all heartbeats answered before that
-     * response came are in this batch or an earlier one. 0 if there was none, or if heartbeats had
-     * to be left out.
+     * The leader's clock in its last response, in microseconds. It asserts that every heartbeat
+     * answered before that response arrived is in this batch or an earlier one. 0 if there was no
+     * response yet, or if the batch had no room for all pending heartbeats.
      */
     @SerialName("echo") val echoedClock: Long,
-    /** Time at the follower since that response, in microseconds. */
+    /** Time since that response arrived, by the follower's clock, in microseconds. */
     @SerialName("since") val sinceEcho: Long,
     @SerialName("reports") val fullHeartbeats: List<FullHeartbeat> = emptyList(),
     /**
-     * Unchanged heartbeats, two numbers each: that of the [FullHeartbeat] which they equal, and
-     * their tick.
+     * Unchanged heartbeats as consecutive pairs: the number of the [FullHeartbeat] that the
+     * heartbeat equals except for its tick, followed by its tick.
      */
     @SerialName("signs") val unchanged: List<Long> = emptyList(),
 )
 
-/** Commands for a machine, to be delivered with the response to its next heartbeat. */
+/**
+ * Commands for a machine that the follower delivers with the response to the machine's next
+ * heartbeat, if the machine still has this [incarnation].
+ */
 @Serializable
 class UndeliveredCommands(
     @SerialName("machine") val machine: String,
@@ -63,45 +74,52 @@
     @SerialName("orders") val commands: List<WorkerCommand>,
 )
 
-/** The leader's response to a batch: the new grant, and what the follower is to tell workers. */
+/**
+ * The leader's response to a batch: the new grant, and instructions for answering workers while the
+ * grant is valid.
+ */
 @Serializable
 class HeartbeatBatchResponse(
-    /** With [number], the batch that this responds to. */
+    /** Identifies, together with [number], the batch that this response belongs to. */
     @SerialName("boot") val processIncarnation: String,
     @SerialName("number") val number: Long,
     @SerialName("token") val token: Long,
-    /** The leader's clock in microseconds, to be sent back with the next batch. */
+    /** The leader's clock in microseconds. The follower echoes it in its next batch. */
     @SerialName("clock") val leaderClock: Long,
-    /** False if the leader answers all workers itself. */
+    /** False if the leader answers all workers itself and followers redirect them. */
     @SerialName("wanted") val forwardingEnabled: Boolean = true,
     /**
      * How long the follower may answer workers, in microseconds, counted from when it sent the
      * batch.
      */
     @SerialName("grant") val grantDuration: Long = 0,
-    /** Numbers that the leader does not know: these heartbeats are to be sent in full. */
+    /** Numbers that the leader does not know. The follower sends these heartbeats in full. */
     @SerialName("unknown") val unknownNumbers: List<Long> = emptyList(),
     @SerialName("mail") val undelivered: List<UndeliveredCommands> = emptyList(),
-    /** Machines that are not to be answered any more. */
+    /** Machines whose heartbeats the follower rejects from now on. */
     @SerialName("refuse") val rejectedMachines: List<String> = emptyList(),
-    /** So many workers are to be redirected to [rebalanceTarget]. */
+    /** The number of workers that the follower redirects to [rebalanceTarget]. */
     @SerialName("shed") val rebalanceCount: Int = 0,
     @SerialName("shedTo") val rebalanceTarget: String? = null,
-    /** The leader has been unsure of its lease for so long that each worker is redirected once. */
+    /**
+     * True if the follower redirects each worker once, because the leader has been unsure for a
+     * long time whether it still holds its leader lease.
+     */
     @SerialName("sendOn") val redirectsWorkers: Boolean = false,
-    /** False if workers are answered, but their leases not renewed for now. */
+    /** False if the follower answers workers without renewing their leases. */
     @SerialName("renews") val renewalAllowed: Boolean = true,
-    /** Cancelled jobs of which a task may be on a machine. */
+    /** Cancelled jobs with a task that may be on a machine. */
     @SerialName("cancelled") val cancelledJobs: List<String> = emptyList(),
     /**
-     * Tasks that the response to their machine must stop if it renews the machine's lease; null
-     * from a leader of an earlier version, which names none.
+     * Tasks of cancelled jobs by machine: a response that renews the lease of the machine must stop
+     * them. Null from a leader of an earlier version, which does not send this field.
      */
     @SerialName("mustHalt") val mustHalt: List<CancelledTasks>? = null,
 ) {
     /**
-     * The same without what concerns single machines, which the next response repeats. Where tasks
-     * must be stopped, no lease may be renewed without naming them, so none is.
+     * A copy without the fields that concern individual machines, for a response that would be too
+     * large to store. The next response repeats those fields. If there are tasks to stop, the copy
+     * does not allow renewals, because no lease may be renewed without listing these tasks.
      */
     fun withoutCommands() =
         HeartbeatBatchResponse(
@@ -117,30 +135,33 @@
         )
 }
 
-/** The responses that the leader leaves in the key-value store, by member. */
+/** The responses that the leader writes to the key-value store, by member. */
 @Serializable
 class StoredBatchResponses(
     @SerialName("byMember") val byMember: Map<String, HeartbeatBatchResponse>
 )
 
-/** Batches and responses as bytes, and compressed as values of the key-value store. */
+/**
+ * Encodes batches and responses as CBOR for direct requests, and as compressed CBOR in Base64 for
+ * values of the key-value store.
+ */
 object ForwardingCodec {
-    /** Where batches are sent to. */
+    /** The HTTP path to which batches are sent. */
     const val PATH = "/relay"
 
-    /** Encodes a batch that is sent directly. */
+    /** Encodes a batch for sending it directly. */
     fun encode(batch: HeartbeatBatch): ByteArray =
         CborFormat.encode(HeartbeatBatch.serializer(), batch)
 
-    /** Encodes a response that is sent directly. */
+    /** Encodes a response for sending it directly. */
     fun encode(response: HeartbeatBatchResponse): ByteArray =
         CborFormat.encode(HeartbeatBatchResponse.serializer(), response)
 
-    /** Decodes a batch; null if [bytes] hold none. */
+    /** Decodes a batch; null if [bytes] are not a valid batch. */
     fun decodeBatch(bytes: ByteArray): HeartbeatBatch? =
         CborFormat.decode(HeartbeatBatch.serializer(), bytes)
 
-    /** Decodes a response; null if [bytes] hold none. */
+    /** Decodes a response; null if [bytes] are not a valid response. */
     fun decodeResponse(bytes: ByteArray): HeartbeatBatchResponse? =
         CborFormat.decode(HeartbeatBatchResponse.serializer(), bytes)
 
@@ -151,11 +172,11 @@
     fun pack(responses: StoredBatchResponses): String =
         compress(CborFormat.encode(StoredBatchResponses.serializer(), responses))
 
-    /** Decodes a stored batch; null if the value holds none. */
+    /** Decodes a stored batch; null if [stored] is not a valid one. */
     fun decodeBatch(stored: JsonElement): HeartbeatBatch? =
         decompress(stored)?.let { decodeBatch(it) }
 
-    /** Decodes stored responses; null if the value holds none. */
+    /** Decodes stored responses; null if [stored] does not contain valid ones. */
     fun decodeStoredResponses(stored: JsonElement): StoredBatchResponses? =
         decompress(stored)?.let { CborFormat.decode(StoredBatchResponses.serializer(), it) }
 
@@ -165,7 +186,10 @@
         return Base64.getEncoder().encodeToString(out.toByteArray())
     }
 
-    /** Null if [stored] was not compressed, or holds more than any message. */
+    /**
+     * Null if [stored] is not Base64 of compressed data. The result is cut off at
+     * [MAX_UNPACKED_BYTES], which is more than any message takes.
+     */
     private fun decompress(stored: JsonElement): ByteArray? =
         try {
             val bytes = Base64.getDecoder().decode(stored.jsonPrimitive.content)
--- a/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingSwitch.kt
@@ -8,8 +8,9 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * Decides whether followers answer workers too. When a leader is new they do, so that it is not
- * overloaded by all workers at once; they go on if there are more than it can serve by itself.
+ * Decides whether followers answer workers in addition to the leader. Forwarding is enabled when a
+ * leader is elected, so that the leader is not overloaded by all workers at once. It stays enabled
+ * if there are more machines than the leader can serve alone.
  */
 class ForwardingSwitch(
     private val context: CoreContext,
@@ -23,28 +24,29 @@
     private val hasPeers = platform.peers.isNotEmpty()
     private val electedAt = context.now
 
-    /** It was decided once whether followers go on. */
+    /** Whether the single decision to keep or to disable forwarding has been made. */
     private var hasDecided = false
 
-    /** Whether followers answer workers too. */
+    /** Whether followers answer workers in addition to the leader. */
     var isEnabled = hasPeers
         private set
 
-    /** Decides anew; [isLoaded] says whether this leader knows what is stored. */
+    /** Updates the decision. [isLoaded] says whether this leader has loaded the stored state. */
     fun update(isLoaded: Boolean) {
         if (!hasPeers) return
         val machineCount = cluster.machines.values.count { !it.isDecommissioned }
         val exceedsLeaderCapacity = exceedsLeaderCapacity(machineCount)
         if (exceedsLeaderCapacity && !isEnabled) {
-            log.info("{} machines: followers forward heartbeats", machineCount)
+            log.info("forwarding enabled: the leader can't serve {} machines alone", machineCount)
             isEnabled = true
         }
-        // Only once, when all machines have sent a heartbeat: else it would go back and forth.
+        // Forwarding is disabled at most once per term, after all machines have had time to send a
+        // heartbeat. Otherwise it could be enabled and disabled repeatedly.
         val settlingTime = (workers.heartbeatPeriodS * SETTLING_HEARTBEAT_PERIODS).seconds
         if (hasDecided || !isLoaded || context.now - electedAt <= settlingTime) return
         hasDecided = true
         if (!exceedsLeaderCapacity) {
-            log.info("{} machines: the leader answers all heartbeats", machineCount)
+            log.info("forwarding disabled: the leader serves {} machines alone", machineCount)
             isEnabled = false
         }
     }
@@ -56,10 +58,13 @@
     }
 
     private companion object {
-        /** In periods of the workers' heartbeats. */
+        /** How long forwarding stays enabled at least after an election, in heartbeat periods. */
         const val SETTLING_HEARTBEAT_PERIODS = 1.5
 
-        /** Of all sockets; the rest is for users, peers, direct commands and other services. */
+        /**
+         * The share of the leader's file descriptors available for sockets of workers. The rest is
+         * needed for users, peers, direct commands and other services.
+         */
         const val WORKER_SOCKET_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -8,7 +8,11 @@
 import wardmux.model.TaskAttempt
 import wardmux.peers.CancellationTracker
 
-/** What a follower knows of cancelled tasks while the grant in a leader's [response] is valid. */
+/**
+ * A follower's view of cancelled tasks: the tasks to stop that the leader listed in [response], and
+ * the cancelled jobs that the follower knows of. The view is usable until the grant in [response]
+ * expires, and not at all if the leader does not allow renewals.
+ */
 class GrantedCancellationView(
     response: HeartbeatBatchResponse,
     grantValidUntil: Micros,
--- a/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
+++ b/src/main/kotlin/wardmux/forwarding/HeartbeatForwarder.kt
@@ -19,32 +19,36 @@
 import wardmux.worker.Redirect
 import wardmux.worker.WorkerHeartbeat
 
-/** Who this follower is, and the limits that it keeps to. */
+/** The identity of this follower and the limits for its forwarding. */
 class ForwarderSettings(
     val member: String,
     val processIncarnation: String,
     val workers: WorkerTiming,
-    /** How many controllers may forward to one leader. */
+    /** The number of controllers that may forward to one leader. */
     val peerCount: Int,
-    /** As many as workers may be connected. */
+    /**
+     * The maximum number of heartbeats that wait for a grant, equal to the maximum number of
+     * connected workers.
+     */
     val maxWaitingHeartbeats: Int,
 )
 
 /** Redirects workers that this follower can't answer. */
 fun interface WorkerRedirector {
-    /** Answers [call] with where to go to. */
+    /** Answers [call] with the controller to which the worker should go. */
     fun redirect(call: Long)
 }
 
 /**
- * A follower's side of heartbeat forwarding. It decides nothing: while it holds a grant of the
- * leader, it answers workers under the leader's fencing token, forwards their heartbeats in batches
- * and delivers commands that the leader has left for them. Starts never go this way.
+ * The follower's side of heartbeat forwarding. A follower makes no scheduling decisions: while it
+ * holds a grant from the leader, it answers workers under the leader's fencing token, forwards
+ * their heartbeats in batches, and delivers commands that the leader has sent for them. Start
+ * commands are never delivered this way.
  *
- * A grant is limited in time, counted from when it was requested, so a follower that is cut off,
- * rejected or frozen stops by itself; one that was restarted is another process and has none. It
- * allows lease renewals, but each single one only on the machine's own heartbeat: see
- * [LeaseRenewals].
+ * A grant is valid for a limited time counted from when it was requested. A follower that is
+ * partitioned from the leader, rejected by it or frozen therefore stops answering on its own, and a
+ * restarted follower is a new process without a grant. A grant allows this follower to renew
+ * leases, but each renewal is decided on a heartbeat of the machine itself: see [LeaseRenewals].
  */
 class HeartbeatForwarder(
     private val context: CoreContext,
@@ -56,28 +60,33 @@
     private val settings: ForwarderSettings,
     private val redirector: WorkerRedirector,
 ) {
-    /** The leader that batches go to, and its token; null while none is known, or while leading. */
+    /**
+     * The leader to which batches are sent; null while no leader is known and while this controller
+     * leads.
+     */
     private var leader: String? = null
+
+    /** The fencing token of [leader]; null if that is null. */
     private var token: FencingToken? = null
     private val grant = LeaderGrant(context, cancellations)
     private val waiting = WaitingHeartbeats(settings.maxWaitingHeartbeats)
     private val pending = PendingHeartbeats()
     private val sender = BatchSender(context, storedBatchClient)
 
-    /** A batch was sent and not answered yet. */
+    /** Whether a batch has been sent and its response is outstanding. */
     private var isBatchInFlight = false
     private var lastBatchSentAt = Micros.LONG_AGO
     private var lastBatchFailedAt = Micros.LONG_AGO
 
-    /** Something is pending that the leader should get soon. */
-    private var hasUrgentHeartbeats = false
+    /** Whether a heartbeat is pending that the leader should get before the next regular batch. */
+    private var isBatchUrgent = false
     private var lastBatchNumber = 0L
     private var nextSilentRemovalAt = Micros.ZERO
     private val directBatchSpacing = BATCH_SPACING_PER_PEER * settings.peerCount.toDouble()
 
     /**
-     * Answers a worker's heartbeat, or keeps it until there is a grant; false if it is not for this
-     * controller to answer.
+     * Answers a worker's heartbeat, or queues it until a grant arrives. Returns false if this
+     * controller must not answer it, so that the caller has to redirect the worker.
      */
     fun handleHeartbeat(call: Long, heartbeat: WorkerHeartbeat, body: ByteArray): Boolean {
         updateLeader()
@@ -87,7 +96,8 @@
         if (currentToken == null || view == null || !grant.isValid)
             return waitForGrant(call, heartbeat, body)
         if (FencingToken(heartbeat.token) > currentToken) {
-            // Another controller leads: nothing more is answered under this token.
+            // The higher token shows that another controller leads now, so no further heartbeat may
+            // be answered under this one.
             grant.revoke()
             return false
         }
@@ -95,7 +105,11 @@
         return true
     }
 
-    /** A grant comes within milliseconds; redirected, all workers would come back later. */
+    /**
+     * Queues a heartbeat until a grant arrives, which usually takes milliseconds. If the workers
+     * were redirected instead, all of them would have to come back later. Returns false if the
+     * heartbeat can't be queued.
+     */
     private fun waitForGrant(call: Long, heartbeat: WorkerHeartbeat, body: ByteArray): Boolean {
         val failedRecently = context.now - lastBatchFailedAt <= RECENT_FAILURE_WINDOW
         if (token == null || failedRecently || waiting.isFull) return false
@@ -103,13 +117,14 @@
         return true
     }
 
-    /** Starts anew with another leader. */
+    /** Resets all state that depends on the leader when the leader has changed. */
     private fun updateLeader() {
         val follower = leadership.role as? Role.Follower
         val leaderMember = follower?.leader?.takeIf { it != settings.member }
         val newToken = if (leaderMember == null) null else follower.token
         if (newToken == token) return
-        // Between two leaders the old grant stays valid until it expires or a new one is known.
+        // While no leader is known, the old grant stays valid until it expires or a new leader is
+        // known.
         if (newToken == null && follower != null) return
         token = newToken
         leader = if (newToken == null) null else leaderMember
@@ -117,7 +132,7 @@
         lastBatchFailedAt = Micros.LONG_AGO
         lastBatchSentAt = Micros.LONG_AGO
         sender.resetToDirect()
-        // A batch in flight is for another leader; its response is ignored.
+        // A batch in flight was sent to the previous leader, and its response will be ignored.
         isBatchInFlight = false
         pending.reset()
     }
@@ -133,8 +148,7 @@
         if (rejectOrRedirect(call, machine)) return
         val decision = renewals.decide(heartbeat, view)
         val isRenewed = decision is RenewalDecision.Renew
-        if (pending.addAnswered(machine, heartbeat, body, token, isRenewed))
-            hasUrgentHeartbeats = true
+        if (pending.addAnswered(machine, heartbeat, body, token, isRenewed)) isBatchUrgent = true
         when (decision) {
             is RenewalDecision.Withhold ->
                 context.answerBytes(call, HttpStatus.OK, decision.response)
@@ -146,10 +160,13 @@
                 context.answerBytes(call, HttpStatus.OK, answer)
             }
         }
-        if (hasUrgentHeartbeats && context.now - lastBatchSentAt >= batchSpacing()) sendBatch()
+        if (isBatchUrgent && context.now - lastBatchSentAt >= batchSpacing()) sendBatch()
     }
 
-    /** Rejects or redirects a worker that is not to stay here; false if it is. */
+    /**
+     * Answers [call] with a rejection or a redirect if the worker should not be answered by this
+     * follower. Returns false, without answering, if it should.
+     */
     private fun rejectOrRedirect(call: Long, machine: ForwardedMachine): Boolean {
         if (machine.isRejected) {
             context.answer(call, HttpStatus.SERVICE_UNAVAILABLE)
@@ -169,7 +186,9 @@
         return true
     }
 
-    /** Sends the next batch when it is due, and redirects workers that waited too long. */
+    /**
+     * Sends the next batch if it is due, and redirects workers that waited too long for a grant.
+     */
     fun tick() {
         updateLeader()
         val oldestAllowed = context.now - MAX_GRANT_WAIT
@@ -183,13 +202,13 @@
         val failedRecently = context.now - lastBatchFailedAt < RECENT_FAILURE_WINDOW
         val period = if (failedRecently) FAILED_BATCH_RETRY_PERIOD else BATCH_PERIOD
         val sinceLastBatch = context.now - lastBatchSentAt
-        if (sinceLastBatch >= period || (hasUrgentHeartbeats && sinceLastBatch >= batchSpacing()))
+        if (sinceLastBatch >= period || (isBatchUrgent && sinceLastBatch >= batchSpacing()))
             sendBatch()
     }
 
     private fun batchSpacing() = if (sender.usesStore) BATCH_PERIOD else directBatchSpacing
 
-    /** Forgets machines that send their heartbeats elsewhere now, or nowhere. */
+    /** Removes machines that no longer send their heartbeats to this follower. */
     private fun removeSilentMachines() {
         if (context.now < nextSilentRemovalAt || isBatchInFlight) return
         nextSilentRemovalAt = context.now + SILENT_REMOVAL_PERIOD
@@ -199,21 +218,22 @@
         pending.removeSilentMachines(context.now - maxSilence)
     }
 
-    /** Forwards what is pending, and requests a new grant. */
+    /** Sends a batch with the pending heartbeats. Every batch also requests a new grant. */
     private fun sendBatch() {
         val leaderMember = leader ?: return
         val currentToken = token ?: return
         if (isBatchInFlight) return
         val content = pending.takeBatch(sender.maxHeartbeatBytes, sender.maxUnchangedHeartbeats)
         val isComplete = pending.isEmpty
-        hasUrgentHeartbeats = !isComplete
+        isBatchUrgent = !isComplete
         val batch =
             HeartbeatBatch(
                 member = settings.member,
                 processIncarnation = settings.processIncarnation,
                 number = ++lastBatchNumber,
                 token = currentToken.value,
-                // Heartbeats that are left out were answered too: the leader may not count on all.
+                // Heartbeats that did not fit were answered too, so a batch without them must not
+                // assert that all answered heartbeats have been forwarded.
                 echoedClock = if (isComplete) grant.leaderClock else 0,
                 sinceEcho = grant.sinceResponse.value,
                 fullHeartbeats = content.fullHeartbeats,
@@ -241,7 +261,10 @@
         }
     }
 
-    /** Every answered heartbeat must reach the leader before a batch may count as complete. */
+    /**
+     * Makes the heartbeats of a lost batch pending again, because every answered heartbeat must
+     * reach the leader before a later batch may assert that it is complete.
+     */
     private fun handleLostBatch(content: BatchContent) {
         lastBatchFailedAt = context.now
         pending.putBack(content)
@@ -249,43 +272,53 @@
 
     private fun handleResponse(response: HeartbeatBatchResponse, requestedAt: Micros) {
         grant.applyResponse(leader, response, requestedAt)
-        for (number in response.unknownNumbers) if (pending.resend(number))
-            hasUrgentHeartbeats = true
-        for (commands in response.undelivered) pending[commands.machine]?.undeliveredCommands =
-            commands
+        for (number in response.unknownNumbers) if (pending.resend(number)) isBatchUrgent = true
+        for (commands in response.undelivered) {
+            pending[commands.machine]?.undeliveredCommands = commands
+        }
         for (job in response.cancelledJobs) {
             if (JobId(job) !in cancellations) cancellations.observeStored(JobId(job))
         }
         for (machine in response.rejectedMachines) {
-            // Where only renewal is withheld, the heartbeats go on: they may show that it is
-            // allowed.
+            // If the leader only withholds the lease renewal, the machine's heartbeats are still
+            // forwarded, because a later one may show that the lease can be renewed.
             val isOnlyWithheld = grant.cancellationView?.mustStopTasksOn(MachineId(machine)) == true
             if (!isOnlyWithheld) pending[machine]?.isRejected = true
         }
-        for (waitingHeartbeat in waiting.takeAll()) {
-            if (
-                !handleHeartbeat(
-                    waitingHeartbeat.call,
-                    waitingHeartbeat.heartbeat,
-                    waitingHeartbeat.body,
-                )
-            )
-                redirector.redirect(waitingHeartbeat.call)
+        for (queued in waiting.takeAll()) {
+            if (!handleHeartbeat(queued.call, queued.heartbeat, queued.body))
+                redirector.redirect(queued.call)
         }
     }
 
     private companion object {
-        /** Between two batches of a follower, for each that there may be: the leader takes all. */
+        /**
+         * The minimum time between two batches of a follower is this times the number of
+         * controllers that may forward, because the leader has to handle the batches of all of
+         * them.
+         */
         val BATCH_SPACING_PER_PEER = 50.milliseconds
         val BATCH_PERIOD = 1.seconds
 
         /**
-         * In place of [BATCH_PERIOD] for the time of [RECENT_FAILURE_WINDOW] after a batch was
-         * lost.
+         * The time between two batches for [RECENT_FAILURE_WINDOW] after a batch was lost, in place
+         * of [BATCH_PERIOD].
          */
         val FAILED_BATCH_RETRY_PERIOD = 300.milliseconds
+
+        /**
+         * How long after a lost batch the next ones are sent every [FAILED_BATCH_RETRY_PERIOD], and
+         * workers are redirected instead of waiting for a grant.
+         */
         val RECENT_FAILURE_WINDOW = 2.seconds
+
+        /** How long a heartbeat waits for a grant before its worker is redirected. */
         val MAX_GRANT_WAIT = 1.seconds
+
+        /**
+         * How long a machine may be silent before it is removed, in worker heartbeat periods;
+         * [SILENT_REMOVAL_PERIOD] is added to it.
+         */
         const val MAX_SILENT_HEARTBEAT_PERIODS = 3.0
         val SILENT_REMOVAL_PERIOD = 5.seconds
     }
--- a/src/main/kotlin/wardmux/forwarding/LeaderGrant.kt
+++ b/src/main/kotlin/wardmux/forwarding/LeaderGrant.kt
@@ -6,10 +6,12 @@
 import wardmux.model.Micros
 import wardmux.peers.CancellationTracker
 
-/** What a follower knows of its leader's wish that followers answer workers. */
+/** Whether the leader wants followers to answer workers, as far as a follower knows. */
 enum class ForwardingMode {
     /** The leader has not responded yet. */
     UNKNOWN,
+
+    /** Followers answer workers in addition to the leader. */
     ENABLED,
 
     /** The leader answers all workers itself. */
@@ -17,8 +19,9 @@
 }
 
 /**
- * What the leader's last response allows this follower, and asks of it. The grant is valid for a
- * time that counts from when it was requested, so a follower that is cut off stops by itself.
+ * The grant and the instructions in the leader's last response to this follower. The validity of a
+ * grant is counted from when the follower requested it, so a follower that can no longer reach the
+ * leader stops answering workers on its own.
  */
 class LeaderGrant(
     private val context: CoreContext,
@@ -27,15 +30,15 @@
     private val log = logger<LeaderGrant>()
     private var validUntil = Micros.LONG_AGO
 
-    /** Whether workers may be answered now. */
+    /** Whether this follower may currently answer workers. */
     val isValid: Boolean
         get() = context.now < validUntil
 
-    /** What is known of cancelled tasks; null before the leader's first response. */
+    /** The view of cancelled tasks under this grant; null before the leader's first response. */
     var cancellationView: GrantedCancellationView? = null
         private set
 
-    /** Whether followers answer workers. */
+    /** Whether the leader wants followers to answer workers. */
     var mode = ForwardingMode.UNKNOWN
         private set
 
@@ -45,18 +48,20 @@
 
     private var lastResponseAt = Micros.ZERO
 
-    /** Whether each worker is redirected once, as the leader is unsure of its lease. */
+    /** Whether each worker is redirected once because the leader is unsure of its leader lease. */
     var redirectsWorkers = false
         private set
 
     private var rebalanceCount = 0
     private var rebalanceTarget: String? = null
 
-    /** The time since the last response. */
+    /** The time since the leader's last response arrived. */
     val sinceResponse: Micros
         get() = context.now - lastResponseAt
 
-    /** Another controller leads, or none: nothing is known or allowed. */
+    /**
+     * Revokes the grant and discards all instructions, because the leader has changed or is gone.
+     */
     fun reset() {
         revoke()
         cancellationView = null
@@ -66,17 +71,19 @@
         redirectsWorkers = false
     }
 
-    /** Ends the grant. */
+    /** Revokes the grant. */
     fun revoke() {
         validUntil = Micros.LONG_AGO
     }
 
-    /** The leader has said by another way that it wants forwarding again. */
+    /**
+     * Sets [mode] to unknown, because a heartbeat of the leader says that it enables forwarding.
+     */
     fun resetMode() {
         mode = ForwardingMode.UNKNOWN
     }
 
-    /** Takes in the [response] of [leader] to a batch that was sent at [sentAt]. */
+    /** Applies the [response] of the member [leader] to a batch that was sent at [sentAt]. */
     fun applyResponse(leader: String?, response: HeartbeatBatchResponse, sentAt: Micros) {
         leaderClock = response.leaderClock
         lastResponseAt = context.now
@@ -91,11 +98,15 @@
 
     private fun setMode(leader: String?, enabled: Boolean) {
         val newMode = if (enabled) ForwardingMode.ENABLED else ForwardingMode.DISABLED
-        if (mode != newMode) log.info("forwarding to {}: {}", leader, newMode)
+        if (mode != newMode)
+            log.info("forwarding mode for leader {} changed to {}", leader, newMode)
         mode = newMode
     }
 
-    /** The member to redirect the next worker to for the balance, or null to answer it. */
+    /**
+     * The member to which the next worker is redirected to balance the controllers, or null if the
+     * worker is to be answered. Each non-null result counts as one redirected worker.
+     */
     fun takeRebalanceTarget(): String? {
         val target = rebalanceTarget ?: return null
         if (rebalanceCount <= 0) return null
--- a/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
+++ b/src/main/kotlin/wardmux/forwarding/PendingHeartbeats.kt
@@ -10,40 +10,43 @@
 class BatchContent(
     /** The machines whose heartbeats are in [fullHeartbeats], in the same order. */
     val machines: List<String>,
-    /** Heartbeats that differ from the last one. */
+    /** Heartbeats that differ from their machine's last forwarded one in more than the tick. */
     val fullHeartbeats: List<FullHeartbeat>,
-    /** Unchanged heartbeats, as in [HeartbeatBatch.unchanged]. */
+    /** Unchanged heartbeats as pairs of number and tick, as in [HeartbeatBatch.unchanged]. */
     val unchanged: List<Long>,
 )
 
 /**
- * The heartbeats that this follower has answered and not yet forwarded: changed ones in full,
- * unchanged ones by their number and tick.
+ * The heartbeats that this follower has answered and not yet forwarded. Changed heartbeats are
+ * forwarded in full, unchanged ones by their number and tick.
  */
 class PendingHeartbeats {
     private var lastNumber = 0L
     private val machines = HashMap<String, ForwardedMachine>()
     private val machineByNumber = Long2ObjectHashMap<String>()
 
-    /** Machines whose heartbeat is to be sent in full. */
+    /** Names of the machines whose heartbeat will be forwarded in full. */
     private val changedMachines = LinkedHashSet<String>()
 
-    /** The newest tick, by the number of the full heartbeat that is still the same. */
+    /**
+     * The newest tick of each unchanged heartbeat, by the number of the full heartbeat it equals.
+     */
     private val tickByUnchangedNumber = Long2LongLinkedOpenHashMap()
 
-    /** Whether all heartbeats are in a batch that was sent. */
+    /** Whether no heartbeat is waiting to be put into a batch. */
     val isEmpty: Boolean
         get() = changedMachines.isEmpty() && tickByUnchangedNumber.isEmpty()
 
-    /** The machine of this name, or null if it has sent no heartbeat here. */
+    /** The machine called [name]; null if it has sent no heartbeat to this follower. */
     operator fun get(name: String): ForwardedMachine? = machines[name]
 
-    /** The machine of this name; it is added if it is new here. */
+    /** The machine called [name], which is added if it is new to this follower. */
     fun getOrAdd(name: String): ForwardedMachine = machines.getOrPut(name) { ForwardedMachine() }
 
     /**
-     * Adds a heartbeat that was answered under the leader's [token]; [wasRenewed] says whether the
-     * answer renewed the lease. True if it is to be forwarded soon.
+     * Adds a heartbeat that was answered under the leader's [token]. [wasRenewed] says whether the
+     * answer renewed the machine's lease. Returns true if the heartbeat has changed, so that it
+     * should be forwarded soon.
      */
     fun addAnswered(
         machine: ForwardedMachine,
@@ -60,7 +63,8 @@
             return false
         }
         if (token == null) return false
-        // Its worker takes the new token and sends another heartbeat, which is enough to forward.
+        // The answer gives the worker the new token, and the worker then sends another heartbeat.
+        // It is enough to forward that one.
         if (
             wasRenewed &&
                 FencingToken(heartbeat.token) < token &&
@@ -75,7 +79,10 @@
         return true
     }
 
-    /** Has the heartbeat of this number sent in full again; false if it is no longer the last. */
+    /**
+     * Schedules the heartbeat with this [number] to be forwarded in full again. Returns false if
+     * the number does not belong to the last heartbeat of a machine.
+     */
     fun resend(number: Long): Boolean {
         val name = machineByNumber[number] ?: return false
         assignNewNumber(name, machines[name] ?: return false)
@@ -90,7 +97,10 @@
         changedMachines.add(name)
     }
 
-    /** Another controller leads: it knows no heartbeat, and has said nothing of the machines. */
+    /**
+     * Discards all heartbeats and instructions, because another controller has become the leader.
+     * The new leader knows no heartbeat number and has sent no instructions for any machine.
+     */
     fun reset() {
         changedMachines.clear()
         tickByUnchangedNumber.clear()
@@ -104,8 +114,8 @@
     }
 
     /**
-     * Takes out the heartbeats of the next batch: full ones until they take [maxBytes], and at most
-     * [maxUnchanged] unchanged ones.
+     * Removes and returns the heartbeats of the next batch: full ones until their total size
+     * reaches [maxBytes], and at most [maxUnchanged] unchanged ones.
      */
     fun takeBatch(maxBytes: Int, maxUnchanged: Int): BatchContent {
         val names = ArrayList<String>()
@@ -135,7 +145,10 @@
         return taken
     }
 
-    /** Returns the heartbeats of a batch that was lost, unless there are newer ones. */
+    /**
+     * Makes the heartbeats of a lost batch pending again. If a machine has a newer heartbeat, that
+     * one is forwarded instead.
+     */
     fun putBack(content: BatchContent) {
         for (name in content.machines) if (name in machines) changedMachines.add(name)
         for (i in content.unchanged.indices step 2) {
@@ -146,7 +159,7 @@
         }
     }
 
-    /** Removes machines whose last heartbeat came before [time] and was forwarded. */
+    /** Removes machines whose last heartbeat was received before [time] and has been forwarded. */
     fun removeSilentMachines(time: Micros) {
         machines.entries.removeIf { (name, machine) ->
             val isSilent =
--- a/src/main/kotlin/wardmux/forwarding/StoredBatchClient.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatchClient.kt
@@ -12,25 +12,25 @@
 import wardmux.store.WriteOperation
 
 /**
- * The follower's side of forwarding through the key-value store, for a leader that it can't connect
- * to: compressed, and less often than directly. Without it all workers would go to the leader when
- * the grants expire.
+ * The follower's side of forwarding through the key-value store, which is used while the leader
+ * can't be reached directly. Batches are compressed and sent less often than directly. Without this
+ * path, all workers would be redirected to the leader when the grants expire.
  *
- * The guarantees are the same as on the direct way: a batch or a response that is written late is a
- * late copy, and a response counts only for the batch that it names.
+ * The guarantees are the same as for direct requests: a batch or response that is written late is
+ * handled like a delayed message, and a response is accepted only for the batch that it identifies.
  */
 class StoredBatchClient(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val member: String,
 ) {
-    /** The most bytes that a compressed batch may take. */
+    /** The maximum size of a compressed batch, in bytes. */
     val maxPackedBytes: Int
         get() = store.maxValueBytes - VALUE_OVERHEAD_BYTES
 
     /**
-     * Stores [batch], [packed] already; [onResponse] gets the response, or null if none came in
-     * time.
+     * Writes [packed], which is the compressed [batch], to the key-value store. [onResponse] is
+     * called with the response, or with null if the write failed or no response arrived in time.
      */
     fun send(batch: HeartbeatBatch, packed: String, onResponse: (HeartbeatBatchResponse?) -> Unit) {
         val deadline = context.now + RESPONSE_TIMEOUT
@@ -72,13 +72,13 @@
     }
 
     companion object {
-        /** Prefix of the keys of batches; the member follows. */
+        /** Prefix of the keys of batches. It is followed by the name of the sending member. */
         const val BATCH_KEY_PREFIX = "r/"
 
-        /** Key of the responses to all members. */
+        /** Key of the value that holds the responses to all members. */
         const val RESPONSES_KEY = "a/relays"
 
-        /** For the quotes and what else a value is wrapped in. */
+        /** Bytes reserved in a value for the quotes and the rest of its encoding. */
         const val VALUE_OVERHEAD_BYTES = 256
         private val RESPONSE_TIMEOUT = 4.seconds
     }
--- a/src/main/kotlin/wardmux/forwarding/StoredBatchServer.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatchServer.kt
@@ -17,13 +17,13 @@
 
 /** Handles the batches of followers. */
 fun interface BatchHandler {
-    /** The response to [batch], or null if it is for another leader. */
+    /** Returns the response to [batch], or null if the batch is addressed to another leader. */
     fun handle(batch: HeartbeatBatch): HeartbeatBatchResponse?
 }
 
 /**
- * The leader's side of forwarding through the key-value store: watches for batches, and writes the
- * responses to all members into one key.
+ * The leader's side of forwarding through the key-value store: watches for batches of followers and
+ * writes the responses to all members into a single key.
  */
 class StoredBatchServer(
     private val context: CoreContext,
@@ -34,25 +34,25 @@
     private val log = logger<StoredBatchServer>()
     private var watchFromRevision = Revision(role.token.value)
 
-    /** When to watch next; null while a request is under way. */
+    /** When to send the next watch request; null while a request is in flight. */
     private var nextWatchAt: Micros? = Micros.LONG_AGO
 
-    /** Responses that are not written yet, by member. */
+    /** Responses that have not been written yet, by member. */
     private val unwrittenResponses = LinkedHashMap<String, HeartbeatBatchResponse>()
     private var isWriting = false
     private var nextWriteAt = Micros.LONG_AGO
     private var isClosed = false
 
-    /** The most bytes that the compressed responses may take. */
+    /** The maximum size of all compressed responses together, in bytes. */
     private val maxPackedBytes: Int
         get() = store.maxValueBytes - StoredBatchClient.VALUE_OVERHEAD_BYTES
 
-    /** Ends the watch: this leadership is over. */
+    /** Stops watching for batches, because this controller is no longer the leader. */
     fun close() {
         isClosed = true
     }
 
-    /** Watches for batches, and writes the responses that are due. */
+    /** Starts the next watch request and writes the pending responses, if they are due. */
     fun tick() {
         nextWatchAt?.let { if (context.now >= it) watchBatches() }
         if (unwrittenResponses.isNotEmpty() && !isWriting && context.now >= nextWriteAt)
@@ -74,7 +74,8 @@
                     for (event in result.value.events) handleStoredBatch(event.data ?: continue)
                     nextWatchAt = context.now
                 }
-                // Batches may have been missed: a follower that got no response sends again.
+                // Batches may have been missed. That is harmless, because a follower that gets no
+                // response sends its heartbeats again.
                 is StoreResult.InvalidRequest,
                 is StoreResult.Compacted -> scanForWatchRevision()
                 else -> nextWatchAt = context.now + WATCH_RETRY_PAUSE
@@ -82,6 +83,7 @@
         }
     }
 
+    /** Continues watching from the store's current revision. */
     private fun scanForWatchRevision() =
         store.scan(StoredBatchClient.BATCH_KEY_PREFIX, JsonElement.serializer()) { found ->
             if (found != null) watchFromRevision = found.revision
@@ -90,12 +92,17 @@
 
     private fun handleStoredBatch(data: JsonElement) {
         val batch =
-            ForwardingCodec.decodeBatch(data) ?: return log.error("a stored batch can't be decoded")
+            ForwardingCodec.decodeBatch(data)
+                ?: return log.error("ignored a stored heartbeat batch that can't be decoded")
         if (FencingToken(batch.token) != role.token) return
         unwrittenResponses[batch.member] = handler.handle(batch) ?: return
     }
 
-    /** Writes all responses into one value; those that do not fit stay for the next write. */
+    /**
+     * Writes the pending responses as one value. If they are too large, they are written without
+     * the fields that concern individual machines; responses that still do not fit stay pending for
+     * the next write.
+     */
     private fun writeResponses() {
         val responsesToWrite = LinkedHashMap(unwrittenResponses)
         var packed = ForwardingCodec.pack(StoredBatchResponses(responsesToWrite))
@@ -109,7 +116,11 @@
         }
         unwrittenResponses.keys.removeAll(responsesToWrite.keys.toSet())
         if (packed.length > maxPackedBytes) {
-            return log.error("a response is too large to be stored")
+            return log.error(
+                "discarded a batch response of {} compressed bytes; at most {} can be stored",
+                packed.length,
+                maxPackedBytes,
+            )
         }
         isWriting = true
         nextWriteAt = context.now + RESPONSE_WRITE_PERIOD
--- a/src/main/kotlin/wardmux/forwarding/WaitingHeartbeats.kt
+++ b/src/main/kotlin/wardmux/forwarding/WaitingHeartbeats.kt
@@ -3,33 +3,33 @@
 import wardmux.model.Micros
 import wardmux.worker.WorkerHeartbeat
 
-/** A worker's heartbeat that waits for the grant that is being requested. */
+/** A worker's heartbeat that can't be answered until this follower has received a grant. */
 class WaitingHeartbeat(
-    /** The request to be answered. */
+    /** Identifies the worker's request that will be answered. */
     val call: Long,
     val heartbeat: WorkerHeartbeat,
     val body: ByteArray,
     val receivedAt: Micros,
 )
 
-/** Heartbeats that wait for a grant, in their order; at most [maxSize]. */
+/** Queue of at most [maxSize] heartbeats that wait for a grant, in the order of their arrival. */
 class WaitingHeartbeats(private val maxSize: Int) {
     private val waiting = ArrayDeque<WaitingHeartbeat>()
 
-    /** Whether no more may wait. */
+    /** Whether the queue has reached its maximum size. The caller checks this before [add]. */
     val isFull: Boolean
         get() = waiting.size >= maxSize
 
-    /** Adds [heartbeat] behind the others. */
+    /** Adds [heartbeat] to the end of the queue. */
     fun add(heartbeat: WaitingHeartbeat) = waiting.addLast(heartbeat)
 
-    /** Takes out the first if it was received before [time]; null if it was not. */
+    /** Removes and returns the oldest heartbeat if it was received before [time], else null. */
     fun takeReceivedBefore(time: Micros): WaitingHeartbeat? {
         val first = waiting.firstOrNull() ?: return null
         return if (first.receivedAt < time) waiting.removeFirst() else null
     }
 
-    /** Takes out all. */
+    /** Removes and returns all heartbeats, oldest first. */
     fun takeAll(): List<WaitingHeartbeat> {
         val all = waiting.toList()
         waiting.clear()
--- a/src/main/kotlin/wardmux/forwarding/WorkerRebalancer.kt
+++ b/src/main/kotlin/wardmux/forwarding/WorkerRebalancer.kt
@@ -3,17 +3,18 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * Balances workers over the controllers in small steps, from those with too many to the one with
- * the fewest. The leader, which decides for all, counts for less than a follower.
+ * Balances workers across controllers. In small steps, it has controllers with too many workers
+ * redirect some of them to the follower with the fewest. The leader gets a smaller share than a
+ * follower, because it also makes the scheduling decisions for the whole cluster.
  */
 class WorkerRebalancer(
     private val cluster: ClusterState,
-    /** This controller, the leader. */
+    /** The member name of this controller, which is the leader. */
     private val member: String,
-    /** How many workers may be connected to one controller. */
+    /** The maximum number of workers that may be connected to one controller. */
     private val maxWorkers: Int,
 ) {
-    /** How many workers of this controller are to be redirected to [redirectTarget]. */
+    /** How many workers of this controller are still to be redirected to [redirectTarget]. */
     private var redirectCount = 0
     private var redirectTarget: String? = null
 
@@ -22,13 +23,14 @@
         redirectCount = 0
     }
 
-    /** Sets how many workers this controller and each of [followers] redirect. */
+    /** Sets how many workers this controller and each of [followers] redirect in this step. */
     fun rebalance(followers: List<Forwarder>) {
         if (followers.isEmpty()) return
         val workers = workersByMember()
         val leaderWeight = 1.0 / (followers.size + 1)
         val totalWorkers = followers.sumOf { workers[it.member] ?: 0 } + (workers[member] ?: 0)
-        // Not more than there are sockets: the others would come back, and be redirected again.
+        // A share larger than the number of sockets would be pointless: workers that can't connect
+        // to the target would come back and be redirected again.
         val fairShare =
             minOf(totalWorkers / (followers.size + leaderWeight), maxWorkers * MAX_SOCKET_USE_SHARE)
         val leastLoaded = followers.minBy { workers[it.member] ?: 0 }
@@ -51,7 +53,7 @@
         }
     }
 
-    /** How many machines' workers each controller answers. */
+    /** The number of workers that each controller answers, by member. */
     private fun workersByMember(): Map<String, Int> {
         val counts = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
@@ -61,7 +63,10 @@
         return counts
     }
 
-    /** The member to redirect a worker of this controller to, or null to answer it. */
+    /**
+     * The member to which the next worker of this controller is redirected, or null if the worker
+     * is to be answered. Each non-null result counts as one redirected worker.
+     */
     fun takeRedirectTarget(): String? {
         if (redirectCount <= 0) return null
         redirectCount--
@@ -69,14 +74,23 @@
     }
 
     private companion object {
-        /** At most this part of all workers, and at least one, is redirected in one step. */
+        /**
+         * One step redirects at most all workers divided by this number, but may always redirect
+         * one worker.
+         */
         const val MIN_STEPS_TO_REDIRECT_ALL = 100
 
-        /** A controller keeps its share times this, and some machines more. */
+        /**
+         * A controller redirects workers only in excess of its share times this factor plus
+         * [TOLERATED_EXCESS_WORKERS].
+         */
         const val SHARE_TOLERANCE_FACTOR = 1.2
         const val TOLERATED_EXCESS_WORKERS = 3
 
-        /** Of a controller's sockets for workers; the rest is for those that come and go. */
+        /**
+         * The largest share of a controller's sockets for workers that balancing aims to use. The
+         * rest is needed for workers that connect and disconnect.
+         */
         const val MAX_SOCKET_USE_SHARE = 0.95
     }
 }
--- a/src/main/kotlin/wardmux/jobs/FinalJobStates.kt
+++ b/src/main/kotlin/wardmux/jobs/FinalJobStates.kt
@@ -5,17 +5,23 @@
 import wardmux.model.JobState
 import wardmux.peers.CancellationTracker
 
-/** States of jobs that are over. They never change, so users are answered from memory. */
+/**
+ * Cache of the states of completed and cancelled jobs. Such a state never changes, so users can be
+ * answered from memory.
+ */
 class FinalJobStates(
     private val cancellations: CancellationTracker,
     private val openVersions: OpenJobVersions,
 ) {
     private val states = Object2ObjectLinkedOpenHashMap<String, JobState>()
 
-    /** The final state of [job]; null if it is open, or not known here. */
+    /** The final state of [job]; null if the job is open or its state is not cached. */
     operator fun get(job: JobId): JobState? = states[job.value]
 
-    /** Keeps [state] if it is final, before its user is told of it. */
+    /**
+     * Caches [state] if it is final. Must be called before the user gets an answer with this state,
+     * because it also records that the user is about to be informed of a cancellation.
+     */
     fun record(job: JobId, state: JobState) {
         if (state == JobState.ACCEPTED) return
         if (state == JobState.CANCELLED) cancellations.acknowledged(job)
@@ -25,6 +31,9 @@
     }
 
     private companion object {
+        /**
+         * The maximum number of cached states; the least recently recorded one is removed first.
+         */
         const val MAX_JOBS = 20_000
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -17,8 +17,9 @@
 import wardmux.store.WriteOperation
 
 /**
- * Accepts the jobs that users submit: records each once, and answers after that. A submission that
- * repeats a known job is answered with the job's state, whatever else it says.
+ * Accepts the jobs that users submit. Each job is recorded once, and its user gets an answer only
+ * after the record has been written. A submission with the id of a recorded job is answered with
+ * the state of that job, regardless of its other fields.
  */
 class JobAdmission(
     private val context: CoreContext,
@@ -30,7 +31,7 @@
 ) {
     private val log = logger<JobAdmission>()
 
-    /** Answers [call], a submission. */
+    /** Handles the submission in [body] and answers [call]. */
     fun submit(call: Long, body: ByteArray) {
         when (val submission = SubmissionReader.read(body)) {
             is Submission.Malformed ->
@@ -47,7 +48,11 @@
         else acceptIfRecordFits(call, spec, knownTypes)
     }
 
-    /** A known job is never told that it is malformed or can't run, whatever the repeat says. */
+    /**
+     * Answers [call] with an error, unless [job] is already recorded: then the answer is the job's
+     * state, because an accepted job must not be reported as malformed or infeasible. [job] is null
+     * if the submission has no readable id.
+     */
     private fun refuse(call: Long, job: JobId?, status: Int, reason: String) {
         val answerRefusal = {
             log.debug("submission refused with status {}: {}", status, reason)
@@ -56,7 +61,7 @@
         if (job == null) answerRefusal() else answerFromRecordOrElse(call, job, answerRefusal)
     }
 
-    /** Answers with the state of a job that is recorded, and runs [onAbsent] for any other. */
+    /** Answers [call] with the state in the record of [job], or runs [onAbsent] if it has none. */
     private fun answerFromRecordOrElse(call: Long, job: JobId, onAbsent: () -> Unit) {
         store.get(JobRecord.key(job)) { result ->
             when (result) {
@@ -70,7 +75,11 @@
     private fun answerFromRecordOrUnavailable(call: Long, job: JobId) =
         answerFromRecordOrElse(call, job) { responder.answerUnavailable(call) }
 
-    /** What can't be recorded can never run. */
+    /**
+     * Accepts the job if its record fits into a value of the key-value store, and refuses it
+     * otherwise, because a job that can't be recorded can never run. Machine types on which the job
+     * can't run may be left out of the record.
+     */
     private fun acceptIfRecordFits(call: Long, spec: JobSpec, knownTypes: List<MachineType>) {
         val usefulTypes = knownTypes.filter { it.allowedFor(spec) }.mapTo(HashSet()) { it.label }
         val fittingSpec = JobRecord.shortened(spec, usefulTypes, maxRecordBytes)
@@ -80,7 +89,10 @@
     private fun refuseTooLarge(call: Long, job: JobId) =
         refuse(call, job, HttpStatus.UNPROCESSABLE_CONTENT, RECORD_TOO_LARGE_REASON)
 
-    /** A record is written twice in the transaction that accepts it. */
+    /**
+     * The maximum size of a record in bytes. The transaction that accepts a job contains its record
+     * twice, so the record must be smaller than half of a transaction.
+     */
     private val maxRecordBytes: Int
         get() = minOf(store.maxValueBytes, MAX_RECORD_BYTES_PER_TRANSACTION)
 
@@ -97,9 +109,10 @@
             when (result) {
                 is StoreResult.Ok -> answerAccepted(call, spec, result.value.keyVersion)
                 is StoreResult.Conflict -> answerFromRecordOrUnavailable(call, job)
-                // Perhaps written: the record is read before anything is said.
+                // The record may or may not have been written, so it is read before answering.
                 is StoreResult.Indeterminate -> answerFromRecordOrUnavailable(call, job)
-                // The store counts the record as too large; it is not sent that again.
+                // The store may escape characters and then count the record as too large. Such a
+                // record is not sent again.
                 is StoreResult.InvalidRequest ->
                     if (JobRecord.maxBytes(spec) > maxRecordBytes) refuseTooLarge(call, job)
                     else responder.answerUnavailable(call)
@@ -111,7 +124,7 @@
     private fun answerAccepted(call: Long, spec: JobSpec, version: KeyVersion) {
         openVersions.record(spec.jobId, version)
         log.info(
-            "{} accepted: {} {} tasks of {} CPUs for {}",
+            "job {} accepted: {} tasks of class {} with {} CPUs each for team {}",
             spec.jobId,
             spec.tasks,
             spec.jobClass,
@@ -125,6 +138,6 @@
         /** Well below half of the 64 KiB that a transaction may hold. */
         const val MAX_RECORD_BYTES_PER_TRANSACTION = 30_000
         const val RECORD_TOO_LARGE_REASON =
-            "its record is larger than the state service may come to hold"
+            "the job's record is too large for the state service's current or announced limits"
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobApi.kt
+++ b/src/main/kotlin/wardmux/jobs/JobApi.kt
@@ -10,9 +10,9 @@
 import wardmux.store.KeyValueStore
 
 /**
- * What users ask of jobs: to submit one, its status, and to cancel it. Any controller writes a
- * job's record itself and answers only after the write; an answer that is not final rests on a read
- * that began after the call came.
+ * The users' operations on jobs: submission, status and cancellation. Every controller serves them,
+ * leader or not: it writes the record of a job itself and answers only after the write. An answer
+ * with a state that is not final is based on a read that began after the call arrived.
  */
 class JobApi(
     context: CoreContext,
@@ -30,7 +30,7 @@
     private val statusReads = JobStatusReads(context, store, openVersions, ::answerStatus)
     private val cancellation = JobCancellation(store, finalStates, responder)
 
-    /** Answers [call], the submission of a job. */
+    /** Handles the submission of a job in [body] and answers [call]. */
     fun submit(call: Long, body: ByteArray) = admission.submit(call, body)
 
     /** Answers [call] with the status of [job]. */
@@ -38,16 +38,17 @@
         if (!responder.answerIfFinal(call, job)) statusReads.request(call, job)
     }
 
-    /** Cancels [job] and answers [call]; a job that is over stays as it is. */
+    /** Cancels [job] and answers [call]. The state of a completed or cancelled job is kept. */
     fun cancel(call: Long, job: JobId) = cancellation.cancel(call, job)
 
-    /** Starts the reads that calls wait for; to be called several times a second. */
+    /** Starts the reads for waiting status calls. Must be called several times a second. */
     fun tick() = statusReads.startReads()
 
     override fun jobCompleted(job: JobId) = finalStates.record(job, JobState.DONE)
 
     private fun answerStatus(call: Long, job: JobId, status: JobStatus) {
-        // It may have become known during the read, which is older.
+        // A final state may have become known while the read was in flight. It is newer than the
+        // result of the read.
         if (responder.answerIfFinal(call, job)) return
         when (status) {
             is JobStatus.Open -> responder.answerOpen(call, job)
--- a/src/main/kotlin/wardmux/jobs/JobCancellation.kt
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -12,7 +12,7 @@
 import wardmux.store.VersionCondition
 import wardmux.store.WriteOperation
 
-/** Cancels jobs for their users: records it, and answers after that. */
+/** Cancels jobs on request of users. The answer is sent after the cancellation is recorded. */
 class JobCancellation(
     private val store: KeyValueStore,
     private val finalStates: FinalJobStates,
@@ -20,7 +20,7 @@
 ) {
     private val log = logger<JobCancellation>()
 
-    /** Cancels [job] and answers [call]; a job that is over stays as it is. */
+    /** Cancels [job] and answers [call]. The state of a completed or cancelled job is kept. */
     fun cancel(call: Long, job: JobId) = attemptCancellation(call, job, MAX_RETRIES)
 
     private fun attemptCancellation(call: Long, job: JobId, remainingRetries: Int) {
@@ -57,11 +57,12 @@
         store.compareAndSwap(recordIsUnchanged, changes, RequestPriority.USER_WRITE) { result ->
             when {
                 result is StoreResult.Ok -> {
-                    log.info("{} is cancelled by its user", job)
+                    log.info("job {} cancelled by its user", job)
                     finalStates.record(job, JobState.CANCELLED)
                     responder.answerState(call, HttpStatus.OK, job, JobState.CANCELLED)
                 }
-                // Changed meanwhile, or perhaps written: the record tells.
+                // The record has changed since the read, or the cancellation may have been written.
+                // The next attempt reads the record again.
                 (result is StoreResult.Conflict || result is StoreResult.Indeterminate) &&
                     remainingRetries > 0 -> attemptCancellation(call, job, remainingRetries - 1)
                 else -> responder.answerUnavailable(call)
@@ -70,6 +71,7 @@
     }
 
     private companion object {
+        /** Retries after a conflict or a write with an unknown result. */
         const val MAX_RETRIES = 3
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobResponder.kt
+++ b/src/main/kotlin/wardmux/jobs/JobResponder.kt
@@ -12,9 +12,9 @@
 import wardmux.serialization.lenientJson
 import wardmux.store.KeyValue
 
-/** Tells how far jobs are. */
+/** Provides the progress of jobs. */
 fun interface JobProgressSource {
-    /** How far [job] is; null if that is not known here. */
+    /** The progress of [job]; null if this controller does not know it. */
     fun progressOf(job: JobId): JobProgress?
 }
 
@@ -26,14 +26,14 @@
     @SerialName("running") val running: Int? = null,
 )
 
-/** Writes the answers to users' calls. */
+/** Answers the calls of users about jobs. */
 class JobResponder(
     private val context: CoreContext,
     private val finalStates: FinalJobStates,
     private val openVersions: OpenJobVersions,
     private val progress: JobProgressSource,
 ) {
-    /** Answers [call] with the [state] of [job], and its progress if it is open. */
+    /** Answers [call] with the [state] of [job], and with its progress if the job is open. */
     fun answerState(call: Long, status: Int, job: JobId, state: JobState) {
         val jobProgress = progress.progressOf(job)
         val running = jobProgress?.running ?: 0
@@ -51,18 +51,21 @@
         context.answer(call, status, body)
     }
 
-    /** Answers [call] for a [job] that is open. */
+    /** Answers [call] with the state of the open [job]. */
     fun answerOpen(call: Long, job: JobId) =
         answerState(call, HttpStatus.OK, job, JobState.ACCEPTED)
 
-    /** Answers [call] if the job is known to be over; false if it is not. */
+    /** Answers [call] if a final state of [job] is cached. Returns false if it is not. */
     fun answerIfFinal(call: Long, job: JobId): Boolean {
         val state = finalStates[job] ?: return false
         answerState(call, HttpStatus.OK, job, state)
         return true
     }
 
-    /** Answers [call] with the state that the record of [job] holds, and remembers it. */
+    /**
+     * Answers [call] with the state in the record [item] of [job]. Caches that state if it is
+     * final, and the version of the record if the job is open.
+     */
     fun answerRecord(call: Long, job: JobId, item: KeyValue) {
         val state = JobRecord.decode(item.data)?.state ?: return answerUnavailable(call)
         if (state == JobState.ACCEPTED) openVersions.record(job, item.version)
@@ -70,17 +73,20 @@
         answerState(call, HttpStatus.OK, job, state)
     }
 
-    /** Answers [call], which is wrong in itself, with the [reason]. */
+    /** Answers [call], whose request is invalid, with an error that gives the [reason]. */
     fun answerError(call: Long, status: Int, reason: String) {
         val quoted = lenientJson.encodeToString(String.serializer(), reason)
         context.answer(call, status, """{"error":$quoted}""")
     }
 
-    /** Answers [call], whose job was never accepted. */
+    /** Answers [call] with an error, because its job was never accepted. */
     fun answerUnknownJob(call: Long) =
         context.answer(call, HttpStatus.NOT_FOUND, """{"error":"unknown job"}""")
 
-    /** Answers [call], which can't be served now, at once, with when to come back. */
+    /**
+     * Answers [call] with an error, because the key-value store is not available. The answer says
+     * when to retry.
+     */
     fun answerUnavailable(call: Long) =
         context.answer(
             call,
@@ -90,6 +96,7 @@
         )
 
     private companion object {
+        /** Time after which the user should retry, in seconds. */
         const val RETRY_AFTER_S = 1
     }
 }
--- a/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
+++ b/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
@@ -12,32 +12,34 @@
 import wardmux.store.StoreResult
 import wardmux.store.VersionCondition
 
-/** What a read that began after the call came has shown of a job. */
+/** The status of a job according to a read that began after the user's call arrived. */
 sealed interface JobStatus {
-    /** Its record says that it is accepted, and not over. */
+    /** The job is accepted, and neither completed nor cancelled. */
     data object Open : JobStatus
 
-    /** Its record was read. */
+    /** The record of the job was read; its state is not decoded yet. */
     class Recorded(val item: KeyValue) : JobStatus
 
-    /** It has no record. */
+    /** The job has no record. */
     data object Absent : JobStatus
 
-    /** The key-value store could not be asked, or not in time. */
+    /** The key-value store did not answer, or not in time. */
     data object Unavailable : JobStatus
 }
 
-/** Is given the status that a call has waited for. */
+/** Receives the status for each call that waits for a read. */
 fun interface JobStatusListener {
-    /** A read for [call] has shown that [job] has this [status]. */
+    /** Called with the [status] of [job] that was read for [call]. */
     fun statusRead(call: Long, job: JobId, status: JobStatus)
 }
 
 /**
- * Reads the status of jobs for the calls that wait for it, those that have waited longest first;
- * one read serves all calls for a job that came before it began. Of a job whose record was once
- * seen as accepted it is enough to learn that the record has not changed since, and one request
- * tells that for many jobs: a transaction that only compares.
+ * Reads the status of jobs for users' calls, starting with the job that has waited longest. One
+ * read serves all calls for the job that arrived before the read began.
+ *
+ * If the record of a job was once seen in the accepted state, it is enough to check that the record
+ * still has the same version. One request checks this for many jobs: a transaction with conditions
+ * on the versions and without changes.
  */
 class JobStatusReads(
     private val context: CoreContext,
@@ -47,19 +49,22 @@
 ) {
     private class WaitingCall(val call: Long, val waitingSince: Micros)
 
-    /** Calls by their job, in the order of each job's oldest call. */
+    /** Waiting calls by job, ordered by the oldest call of each job. */
     private val waitingCalls = LinkedHashMap<JobId, ArrayList<WaitingCall>>()
     private var comparisonsInFlight = 0
     private var readsInFlight = 0
     private var isScanning = false
 
-    /** Has [job] read for [call]. */
+    /** Requests a read of [job] for [call]. The result goes to the listener. */
     fun request(call: Long, job: JobId) {
         waitingCalls.getOrPut(job) { ArrayList(1) }.add(WaitingCall(call, context.now))
         startReads()
     }
 
-    /** Starts the reads that there is room for; calls that come during one wait for the next. */
+    /**
+     * Starts as many reads as the limits on concurrent requests allow. A call that arrives during a
+     * read of its job waits for the next read.
+     */
     fun startReads() {
         answerExpiredCalls()
         while (waitingCalls.isNotEmpty()) {
@@ -81,13 +86,16 @@
 
     private fun countUnknownJobs() = waitingCalls.keys.count { it !in openVersions }
 
-    /** Nobody waits for an answer that comes too late: these calls are answered now. */
+    /**
+     * Reports calls that have waited for [MAX_CALL_WAIT] as unavailable, because their users would
+     * time out before the result of a read arrives.
+     */
     private fun answerExpiredCalls() {
         val expired = LinkedHashMap<JobId, List<WaitingCall>>()
         val iterator = waitingCalls.entries.iterator()
         while (iterator.hasNext()) {
             val (job, calls) = iterator.next()
-            // In the order of their oldest call, so no later one has waited longer.
+            // Jobs are ordered by their oldest call, so no later job has waited longer.
             if (context.now - calls.first().waitingSince < MAX_CALL_WAIT) break
             expired[job] = calls
             iterator.remove()
@@ -145,8 +153,9 @@
     }
 
     /**
-     * A fresh process is asked for many jobs that it has never seen. The keys of open jobs were
-     * written together with their records, so both have the same versions.
+     * Reads the versions of all open jobs with one scan, because a newly started process may get
+     * calls for many jobs that it does not know. The copy of an open job's record is written in the
+     * same transaction as the record, so both have the same version.
      */
     private fun scanOpenJobs() {
         isScanning = true
@@ -173,16 +182,16 @@
     }
 
     private companion object {
-        /** Comparing transactions that may be under way at once. */
+        /** The maximum number of version comparisons in flight. */
         const val MAX_CONCURRENT_COMPARISONS = 2
 
-        /** Reads of single records that may be under way at once. */
+        /** The maximum number of reads of single records in flight. */
         const val MAX_CONCURRENT_READS = 16
 
-        /** If more jobs than these have no known version, one scan shows them all. */
+        /** If more waiting jobs than this have no known version, one scan reads all open jobs. */
         const val MAX_UNKNOWN_JOBS_READ_INDIVIDUALLY = 12
 
-        /** Users wait for two seconds. */
+        /** Below the two seconds for which users wait for an answer. */
         val MAX_CALL_WAIT = 1_700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/jobs/OpenJobVersions.kt
+++ b/src/main/kotlin/wardmux/jobs/OpenJobVersions.kt
@@ -4,28 +4,32 @@
 import wardmux.model.JobId
 import wardmux.model.KeyVersion
 
-/** The versions that the records of open jobs had when they were last seen as accepted. */
+/**
+ * The versions at which the records of open jobs were last seen in the accepted state. A record
+ * that still has this version has not changed, so its job is still open.
+ */
 class OpenJobVersions {
     private val versions = Object2LongLinkedOpenHashMap<String>()
 
-    /** The record of [job] was seen as accepted at [version]. */
+    /** Records that the record of [job] was in the accepted state at [version]. */
     fun record(job: JobId, version: KeyVersion) {
         versions.putAndMoveToLast(job.value, version.value)
         if (versions.size > MAX_JOBS) versions.removeFirstLong()
     }
 
-    /** The record of [job] has changed. */
+    /** Removes the version of [job], because its record has changed. */
     fun remove(job: JobId) {
         versions.removeLong(job.value)
     }
 
-    /** A version of the record of [job] is known. */
+    /** Whether a version of the record of [job] is known. */
     operator fun contains(job: JobId): Boolean = versions.containsKey(job.value)
 
-    /** The version of the record of [job], which must be known. */
+    /** The known version of the record of [job]. The caller checks that there is one. */
     fun getValue(job: JobId) = KeyVersion(versions.getLong(job.value))
 
     private companion object {
+        /** The maximum number of versions; the least recently recorded one is removed first. */
         const val MAX_JOBS = 20_000
     }
 }
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -12,38 +12,42 @@
 import wardmux.model.JobSpec
 import wardmux.model.PriorityClass
 
-/** Why a submission is malformed; [message] is what its user is told. */
+/** The reason why a submission is malformed; [message] is the error text for the user. */
 sealed class SubmissionError(val message: String) {
     /** The body is not UTF-8. */
-    data object NotUtf8 : SubmissionError("not UTF-8")
+    data object NotUtf8 : SubmissionError("the body is not UTF-8")
 
     /** The body is not JSON. */
-    data object NotJson : SubmissionError("not JSON")
+    data object NotJson : SubmissionError("the body is not JSON")
 
     /** The body is JSON, but not an object. */
-    data object NotAnObject : SubmissionError("not an object")
+    data object NotAnObject : SubmissionError("the body is not a JSON object")
 
-    /** [field] is missing, or its value is not one that it may have. */
-    data class InvalidField(val field: String) : SubmissionError("missing or invalid: $field")
+    /** [field] is missing or has a value that is not allowed. */
+    data class InvalidField(val field: String) :
+        SubmissionError("field $field is missing or invalid")
 }
 
-/** What came of reading a submission. */
+/** The result of reading a submission. */
 sealed interface Submission {
-    /** The job that it describes; it may still be one that can never run. */
+    /** The submission has valid fields. The job in [spec] may still be infeasible. */
     data class WellFormed(val spec: JobSpec) : Submission
 
-    /** It breaks the protocol. [id] is the job's wherever that could be read. */
+    /** The submission violates the protocol. [id] is the id of the job; null if unreadable. */
     data class Malformed(val id: JobId?, val error: SubmissionError) : Submission
 }
 
-/** Reads submissions strictly: a missing, mistyped, negative or non-finite field is malformed. */
+/**
+ * Reads submissions strictly: a submission is malformed if a field is missing, has a wrong type, or
+ * holds a negative or non-finite number.
+ */
 object SubmissionReader {
     private val jobIdPattern = Regex("job-[0-9]{1,18}")
     private val numberPattern = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
 
     private class InvalidFieldException(val field: String) : Exception(field)
 
-    /** Whether [text] has the form of a job's id. */
+    /** Whether [text] is a valid job id. */
     fun isId(text: String): Boolean = jobIdPattern.matches(text)
 
     /** Reads the [body] of a submission. */
@@ -159,5 +163,6 @@
         }
     }
 
+    /** The largest number that any field may hold. */
     private const val MAX_NUMBER_VALUE = 1e9
 }
