--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -104,8 +104,8 @@
                 WriteOperation(put = JobRecord.key(job), data = record),
                 WriteOperation(put = JobRecord.openKey(job), data = record),
             )
-        val recordIsAbsent = listOf(VersionCondition(JobRecord.key(job), KeyVersion.ABSENT))
-        store.compareAndSwap(recordIsAbsent, changes, RequestPriority.USER_WRITE) { result ->
+        val conditions = listOf(VersionCondition(JobRecord.key(job), KeyVersion.ABSENT))
+        store.compareAndSwap(conditions, changes, RequestPriority.USER_WRITE) { result ->
             when (result) {
                 is StoreResult.Ok -> answerAccepted(call, spec, result.value.keyVersion)
                 is StoreResult.Conflict -> answerFromRecordOrUnavailable(call, job)
--- a/src/main/kotlin/wardmux/jobs/JobCancellation.kt
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -53,8 +53,8 @@
                 WriteOperation(put = JobRecord.cancelledKey(job), data = cancelled),
                 WriteOperation(remove = JobRecord.openKey(job)),
             )
-        val recordIsUnchanged = listOf(VersionCondition(JobRecord.key(job), item.version))
-        store.compareAndSwap(recordIsUnchanged, changes, RequestPriority.USER_WRITE) { result ->
+        val conditions = listOf(VersionCondition(JobRecord.key(job), item.version))
+        store.compareAndSwap(conditions, changes, RequestPriority.USER_WRITE) { result ->
             when {
                 result is StoreResult.Ok -> {
                     log.info("job {} cancelled by its user", job)
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -17,15 +17,19 @@
 import wardmux.sim.forwardingSettings
 import wardmux.sim.plainJob
 
-/** The leader's side: what follows from a batch, and what a grant leaves possible. */
+/**
+ * Tests heartbeat forwarding on the leader, with batches sent by hand as from the follower n1.
+ * Guards against acting twice or wrongly on forwarded heartbeats that are delayed or duplicated,
+ * and against treating a machine's lease as expired while a follower may still have renewed it.
+ */
 class ForwardingCoordinatorTest {
     private val harness = ControllerHarness(listOf("n1"), forwardingSettings())
     private val directMachines = List(8) { ManualWorker(harness, "i-00001$it") }
     private var token = 0L
-    private var echo = 0L
-    private var echoAt = 0L
-    private var number = 0L
-    private var tick = 0L
+    private var echoedClock = 0L
+    private var echoedAt = 0L
+    private var lastNumber = 0L
+    private var lastTick = 0L
 
     init {
         harness.run(2.seconds)
@@ -39,31 +43,43 @@
         return ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall))
     }
 
-    private fun batch(
-        reports: List<FullHeartbeat> = emptyList(),
+    private fun sendBatch(
+        fullHeartbeats: List<FullHeartbeat> = emptyList(),
         unchanged: List<Long> = emptyList(),
-        echo: Long = this.echo,
-        boot: String = "b",
+        echoedClock: Long = this.echoedClock,
+        processIncarnation: String = "b",
     ): HeartbeatBatchResponse? {
-        val since = harness.now.value - echoAt
-        val answer = send(HeartbeatBatch("n1", boot, 1, token, echo, since, reports, unchanged))
-        if (answer != null) {
-            this.echo = answer.leaderClock
-            echoAt = harness.now.value
+        val since = harness.now.value - echoedAt
+        val response =
+            send(
+                HeartbeatBatch(
+                    "n1",
+                    processIncarnation,
+                    1,
+                    token,
+                    echoedClock,
+                    since,
+                    fullHeartbeats,
+                    unchanged,
+                )
+            )
+        if (response != null) {
+            this.echoedClock = response.leaderClock
+            echoedAt = harness.now.value
         }
-        return answer
+        return response
     }
 
-    private fun full(tasks: String = "", machine: String = "i-000001"): FullHeartbeat {
+    private fun fullHeartbeat(tasks: String = "", machine: String = "i-000001"): FullHeartbeat {
         val body =
             """{"box":"$machine","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","loaners":""" +
-                """false,"shift":1,"tick":${++tick},"baton":$token,"pieces":[$tasks]}"""
-        return FullHeartbeat(++number, body.encodeToByteArray())
+                """false,"shift":1,"tick":${++lastTick},"baton":$token,"pieces":[$tasks]}"""
+        return FullHeartbeat(++lastNumber, body.encodeToByteArray())
     }
 
-    private fun directHeartbeats() = directMachines.forEach { it.report(token) }
+    private fun sendDirectHeartbeats() = directMachines.forEach { it.report(token) }
 
-    private fun peerHeartbeat() =
+    private fun sendPeerHeartbeat() =
         harness.call(
             "POST",
             "/beat",
@@ -71,44 +87,47 @@
             ListenerKind.PEER,
         )
 
-    private fun starts(task: String) = harness.direct.count { "\"start\"" in it && task in it }
+    private fun countStartCommands(task: String) =
+        harness.direct.count { "\"start\"" in it && task in it }
 
     @Test
-    fun `a machine with a forwarded heartbeat gets starts, by direct commands only`() {
+    fun `start commands for a forwarded machine are sent once, and only directly`() {
         harness.accept(plainJob(1))
         harness.directOutcome = Outcome.NoResponse
         val undelivered = ArrayList<UndeliveredCommands>()
-        undelivered += batch(listOf(full()))!!.undelivered
+        undelivered += sendBatch(listOf(fullHeartbeat()))!!.undelivered
         repeat(6) {
-            undelivered += batch(unchanged = listOf(number, ++tick))!!.undelivered
+            undelivered += sendBatch(unchanged = listOf(lastNumber, ++lastTick))!!.undelivered
             harness.run(1.seconds)
         }
-        assertEquals(1, starts("job-000001/0"))
-        // An unanswered start may still be executed: it is not sent another way.
+        assertEquals(1, countStartCommands("job-000001/0"))
+        // A start command without a response may still be executed, so it must not be sent to the
+        // machine in a second way.
         assertTrue(undelivered.flatMap { it.commands }.none { it.typeName == "start" })
     }
 
     @Test
-    fun `an ended task is forgotten once it is recorded, although the heartbeat is unchanged`() {
+    fun `an unchanged heartbeat with a recorded ended task gets a forget command`() {
         harness.accept(plainJob(1))
-        batch(listOf(full()))
+        sendBatch(listOf(fullHeartbeat()))
         harness.run(1.seconds)
-        val ended = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"done"}"""
-        batch(listOf(full(ended)))
+        val endedTask = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"done"}"""
+        sendBatch(listOf(fullHeartbeat(endedTask)))
         harness.run(2.seconds)
-        val response = batch(unchanged = listOf(number, ++tick))!!
+        val response = sendBatch(unchanged = listOf(lastNumber, ++lastTick))!!
         assertEquals("forget", response.undelivered.single().commands.single().typeName)
     }
 
     @Test
-    fun `an unknown number is asked for, and a late copy changes nothing`() {
-        val first = full()
-        batch(listOf(first))
-        assertEquals(listOf(77L), batch(unchanged = listOf(77, 3))!!.unknownNumbers)
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        batch(listOf(full(running)))
-        // A copy of the first comes late: it ends no task and brings none back.
-        batch(listOf(first))
+    fun `unknown numbers are requested, and delayed or invalid batches have no effect`() {
+        val firstHeartbeat = fullHeartbeat()
+        sendBatch(listOf(firstHeartbeat))
+        assertEquals(listOf(77L), sendBatch(unchanged = listOf(77, 3))!!.unknownNumbers)
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        sendBatch(listOf(fullHeartbeat(runningTask)))
+        // A delayed copy of the first heartbeat, which lists no task, must neither end the running
+        // task nor bring an earlier one back.
+        sendBatch(listOf(firstHeartbeat))
         harness.run(1.seconds)
         assertEquals(null, send(HeartbeatBatch("n1", "b", 1, token - 1, 0, 0)))
         assertEquals(
@@ -117,76 +136,108 @@
         )
     }
 
-    private val machines = List(6) { "i-00000${it + 1}" }
+    private val forwardedMachines = List(6) { "i-00000${it + 1}" }
 
-    /** A task runs on one of the forwarder's machines; so many that none is decommissioned. */
-    private fun runOneTask(): String {
-        val idle = machines.map { full(machine = it) }
-        batch(idle)
+    /**
+     * Runs a job with one task on one of the forwarded machines and returns that machine. There are
+     * enough forwarded machines that the leader does not decommission them early when all of them
+     * are silent.
+     */
+    private fun runTaskOnForwardedMachine(): String {
+        val idleHeartbeats = forwardedMachines.map { fullHeartbeat(machine = it) }
+        sendBatch(idleHeartbeats)
         harness.accept(plainJob(1))
         harness.run(1.seconds)
-        val machine = machines.first { isOn(it) }
-        val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
-        batch(machines.map { full(if (it == machine) running else "", it) })
+        val machine = forwardedMachines.first { isTaskAssignedTo(it) }
+        val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
+        sendBatch(
+            forwardedMachines.map { fullHeartbeat(if (it == machine) runningTask else "", it) }
+        )
         return machine
     }
 
-    private fun isOn(machine: String) = machine in harness.stored("t/job-000001/0").toString()
+    private fun isTaskAssignedTo(machine: String) =
+        machine in harness.stored("t/job-000001/0").toString()
 
-    /** The machines are silent; the forwarder, if it [reports], has answered none. */
-    private fun runSilent(until: Micros, boot: String = "b", reports: Boolean) {
+    /**
+     * Advances to [until] while the forwarded machines send no heartbeat. If [forwarderReports] is
+     * true, the forwarder sends batches without heartbeats, which say that it has answered none.
+     */
+    private fun runWithSilentMachines(
+        until: Micros,
+        processIncarnation: String = "b",
+        forwarderReports: Boolean,
+    ) {
         while (harness.now < until) {
-            if (reports) batch(boot = boot)
-            peerHeartbeat()
-            directHeartbeats()
+            if (forwarderReports) sendBatch(processIncarnation = processIncarnation)
+            sendPeerHeartbeat()
+            sendDirectHeartbeats()
             harness.run(0.5.seconds)
         }
     }
 
     @Test
-    fun `a lease that a forwarder may still renew is not expired, also if it is restarted`() {
-        val machine = runOneTask()
+    fun `a lease does not expire while a silent or restarted forwarder may have renewed it`() {
+        val machine = runTaskOnForwardedMachine()
         val lastHeartbeatAt = harness.now
-        // The forwarder falls silent with a valid grant: it may have renewed the lease since.
-        runSilent(lastHeartbeatAt + 17.seconds, reports = false)
-        // A new process of the member does not report what the former one answered.
-        echo = 0
-        runSilent(lastHeartbeatAt + 20.seconds, boot = "c", reports = true)
-        assertTrue(isOn(machine), "the lease was taken for expired while a grant was valid")
-        runSilent(lastHeartbeatAt + 26.seconds, boot = "c", reports = true)
-        assertFalse(isOn(machine), "its lease never expires")
+        // The forwarder stops sending batches while its grant is valid, so it may have renewed the
+        // lease since its last batch.
+        runWithSilentMachines(lastHeartbeatAt + 17.seconds, forwarderReports = false)
+        // The restarted process does not know which heartbeats the previous process answered.
+        echoedClock = 0
+        runWithSilentMachines(
+            lastHeartbeatAt + 20.seconds,
+            processIncarnation = "c",
+            forwarderReports = true,
+        )
+        assertTrue(
+            isTaskAssignedTo(machine),
+            "the lease of $machine expired while the forwarder may have renewed it",
+        )
+        runWithSilentMachines(
+            lastHeartbeatAt + 26.seconds,
+            processIncarnation = "c",
+            forwarderReports = true,
+        )
+        assertFalse(
+            isTaskAssignedTo(machine),
+            "the lease of $machine has not expired after the grant ended",
+        )
     }
 
     @Test
-    fun `where a forwarder has reported all, a lease expires as if the leader had answered`() {
-        val machine = runOneTask()
+    fun `a lease expires without delay if the forwarder has reported all heartbeats it answered`() {
+        val machine = runTaskOnForwardedMachine()
         val lastHeartbeatAt = harness.now
-        runSilent(lastHeartbeatAt + 16.seconds, reports = true)
-        assertTrue(isOn(machine))
-        runSilent(lastHeartbeatAt + 20.seconds, reports = true)
-        assertFalse(isOn(machine))
+        runWithSilentMachines(lastHeartbeatAt + 16.seconds, forwarderReports = true)
+        assertTrue(isTaskAssignedTo(machine))
+        runWithSilentMachines(lastHeartbeatAt + 20.seconds, forwarderReports = true)
+        assertFalse(isTaskAssignedTo(machine))
     }
 
     @Test
-    fun `a leader that gets heartbeats but reaches no machine lets another lead`() {
+    fun `a leader that gets forwarded heartbeats but can't reach the machines abdicates`() {
         harness.directOutcome = Outcome.NoResponse
-        batch(machines.map { full(machine = it) })
+        sendBatch(forwardedMachines.map { fullHeartbeat(machine = it) })
         harness.accept(plainJob(6).copy(cpus = 10.0))
         repeat(5) {
-            peerHeartbeat()
+            sendPeerHeartbeat()
             harness.run(1.seconds)
         }
-        assertTrue(harness.stored("leader") != null, "abdicated for machines that may be dead")
-        batch(machines.map { full(machine = it) })
+        assertTrue(
+            harness.stored("leader") != null,
+            "the leader abdicated because of machines that may have failed themselves",
+        )
+        sendBatch(forwardedMachines.map { fullHeartbeat(machine = it) })
         harness.run(1.seconds)
         assertEquals(null, harness.stored("leader"))
     }
 
     @Test
-    fun `a batch in the key-value store is answered there, one that can't be decoded ignored`() {
+    fun `a stored batch gets a stored response, and one that can't be decoded is ignored`() {
         harness.write("r/n2", JsonPrimitive("no such thing"))
         harness.write("r/n3", JsonPrimitive(42))
-        val batch = HeartbeatBatch("n1", "b", 9, token, 0, 0, listOf(full()))
+        val batch = HeartbeatBatch("n1", "b", 9, token, 0, 0, listOf(fullHeartbeat()))
         harness.write("r/n1", JsonPrimitive(ForwardingCodec.pack(batch)))
         harness.run(2.seconds)
         val answer =
@@ -197,21 +248,24 @@
         assertTrue(answer.grantDuration > 0)
     }
 
-    /** Store requests of 5 s in which each machine sends an unchanged heartbeat a second. */
-    private fun requestsWith(machines: Int): Int {
+    /**
+     * Returns the number of store requests in 5 s during which each of [machines] machines sends
+     * one unchanged heartbeat per second through the follower.
+     */
+    private fun countStoreRequestsWith(machines: Int): Int {
         val numbers = ArrayList<Long>()
         repeat(machines) {
-            batch(listOf(full(machine = "i-%06d".format(1_000 + it))))
-            numbers.add(number)
+            sendBatch(listOf(fullHeartbeat(machine = "i-%06d".format(1_000 + it))))
+            numbers.add(lastNumber)
         }
         harness.run(1.seconds)
         harness.stateCalls.clear()
         harness.direct.clear()
         repeat(5) {
-            val response = batch(unchanged = numbers.flatMap { n -> listOf(n, ++tick) })!!
+            val response = sendBatch(unchanged = numbers.flatMap { n -> listOf(n, ++lastTick) })!!
             assertTrue(response.unknownNumbers.isEmpty() && response.undelivered.isEmpty())
-            directHeartbeats()
-            peerHeartbeat()
+            sendDirectHeartbeats()
+            sendPeerHeartbeat()
             harness.run(1.seconds)
         }
         assertEquals(emptyList(), harness.direct)
@@ -219,28 +273,42 @@
     }
 
     @Test
-    fun `unchanged heartbeats cost the key-value store nothing, however many they are`() {
-        val few = requestsWith(20)
-        val many = requestsWith(2_000)
-        assertTrue(many <= few + 2, "$few requests with 20 machines, $many with 2,000")
+    fun `the number of unchanged heartbeats does not affect the number of store requests`() {
+        val requestsForFew = countStoreRequestsWith(20)
+        val requestsForMany = countStoreRequestsWith(2_000)
+        assertTrue(
+            requestsForMany <= requestsForFew + 2,
+            "expected as many store requests with 2,000 machines as with 20 ($requestsForFew), " +
+                "but there were $requestsForMany",
+        )
     }
 
     @Test
-    fun `a batch that was delayed counts as of when it was sent`() {
-        batch(listOf(full()))
+    fun `a delayed batch counts as received when it was sent, so its machine is decommissioned`() {
+        sendBatch(listOf(fullHeartbeat()))
         harness.run(1.seconds)
-        val old = echo
-        // Sent now, and delayed for long.
-        val late = HeartbeatBatch("n1", "b", 1, token, old, 0, emptyList(), listOf(number, ++tick))
+        val oldClock = echoedClock
+        // This batch is created now and delivered 10 s later.
+        val delayedBatch =
+            HeartbeatBatch(
+                "n1",
+                "b",
+                1,
+                token,
+                oldClock,
+                0,
+                emptyList(),
+                listOf(lastNumber, ++lastTick),
+            )
         repeat(20) {
-            directHeartbeats()
-            peerHeartbeat()
+            sendDirectHeartbeats()
+            sendPeerHeartbeat()
             harness.run(0.5.seconds)
         }
-        send(late)
+        send(delayedBatch)
         repeat(3) {
-            directHeartbeats()
-            peerHeartbeat()
+            sendDirectHeartbeats()
+            sendPeerHeartbeat()
             harness.run(0.5.seconds)
         }
         val deletions = harness.cloud.filter { it.startsWith("/machines/delete") }
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -15,17 +15,23 @@
 import wardmux.sim.ManualWorker
 import wardmux.worker.WorkerCommand
 
-/** A follower that answers workers for a leader, which is simulated here. */
+/**
+ * Tests heartbeat forwarding on a follower; the test plays the leader n1. Guards against answering
+ * workers after the grant has expired or the leader has changed, and against losing heartbeats or
+ * commands when batches are lost.
+ */
 class HeartbeatForwarderTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
-    private val machine = ManualWorker(harness, "i-000001")
+    private val worker = ManualWorker(harness, "i-000001")
     private val batches = ArrayList<HeartbeatBatch>()
     private val token = 7L
 
-    /** The leader's response; null if it is not reached. */
-    private var respond: (HeartbeatBatch) -> HeartbeatBatchResponse? = { grant() }
+    /**
+     * Produces the leader's response to a batch; null simulates that the leader can't be reached.
+     */
+    private var leaderResponse: (HeartbeatBatch) -> HeartbeatBatchResponse? = { grantingResponse() }
 
-    private fun grant(
+    private fun grantingResponse(
         undelivered: List<UndeliveredCommands> = emptyList(),
         unknownNumbers: List<Long> = emptyList(),
     ) =
@@ -46,15 +52,15 @@
             else {
                 val batch = ForwardingCodec.decodeBatch(body)!!
                 batches.add(batch)
-                respond(batch)?.let { ForwardingCodec.encode(it) }
+                leaderResponse(batch)?.let { ForwardingCodec.encode(it) }
             }
         }
         harness.run(1.seconds)
     }
 
-    /** The follower learns the fencing token from the leader's heartbeat. */
-    private fun leaderHeartbeat(number: Long = token, forwardingEnabled: Boolean = true) {
-        val heartbeat = PeerHeartbeat("n1", token = number, forwardingEnabled = forwardingEnabled)
+    /** Sends a heartbeat of the leader, from which the follower learns the fencing token. */
+    private fun sendLeaderHeartbeat(token: Long = this.token, forwardingEnabled: Boolean = true) {
+        val heartbeat = PeerHeartbeat("n1", token = token, forwardingEnabled = forwardingEnabled)
         harness.call("POST", "/beat", PeerHeartbeatCodec.encode(heartbeat), ListenerKind.PEER)
         harness.run(1.seconds)
     }
@@ -63,127 +69,149 @@
         batches.flatMap { b -> b.fullHeartbeats.map { it.body.decodeToString() } }
 
     @Test
-    fun `with a grant it answers under the leader's token and forwards what changed`() {
-        leaderHeartbeat()
-        assertContains(machine.handleHeartbeat(0), "\"baton\":$token")
-        machine.handleHeartbeat(token)
+    fun `a follower with a grant answers under the leader's token and forwards changes in full`() {
+        sendLeaderHeartbeat()
+        assertContains(worker.handleHeartbeat(0), "\"baton\":$token")
+        worker.handleHeartbeat(token)
         harness.run(1.seconds)
-        val inFull = forwardedBodies().size
-        machine.handleHeartbeat(token)
+        val fullCount = forwardedBodies().size
+        worker.handleHeartbeat(token)
         harness.run(1.seconds)
-        assertEquals(inFull, forwardedBodies().size, "an unchanged heartbeat was forwarded in full")
+        assertEquals(
+            fullCount,
+            forwardedBodies().size,
+            "an unchanged heartbeat was forwarded in full",
+        )
         assertTrue(batches.any { it.unchanged.isNotEmpty() && it.unchanged[1] == 3L })
-        machine.handleHeartbeat(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
+        worker.handleHeartbeat(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
         harness.run(1.seconds)
         assertContains(forwardedBodies().last(), "job-000001/0")
     }
 
     @Test
-    fun `it stops by itself when its grant expires, and redirects to the leader`() {
-        leaderHeartbeat()
-        machine.handleHeartbeat(token)
-        respond = { null }
+    fun `a follower whose grant has expired redirects workers to the leader`() {
+        sendLeaderHeartbeat()
+        worker.handleHeartbeat(token)
+        leaderResponse = { null }
         harness.run(4.seconds)
-        assertEquals(200, machine.report(token)?.first)
+        assertEquals(200, worker.report(token)?.first)
         harness.run(2.seconds)
-        val late = machine.report(token)
-        assertEquals(421, late?.first)
-        assertContains(late!!.second, "n1")
+        val answer = worker.report(token)
+        assertEquals(421, answer?.first)
+        assertContains(answer!!.second, "n1")
     }
 
     @Test
-    fun `it answers nothing more under a token when a higher one was seen`() {
-        leaderHeartbeat()
-        machine.handleHeartbeat(token)
+    fun `a follower stops answering under its token once a worker has a higher one`() {
+        sendLeaderHeartbeat()
+        worker.handleHeartbeat(token)
         ManualWorker(harness, "i-000002").report(token + 1)
-        respond = { null }
-        assertFalse(machine.report(token)?.first == 200)
+        leaderResponse = { null }
+        assertFalse(worker.report(token)?.first == 200)
     }
 
     @Test
-    fun `a new leader's token ends the old grant and drops undelivered commands`() {
+    fun `a new leader's token revokes the old grant and drops undelivered commands`() {
         val undelivered =
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)))
-        respond = { grant(undelivered = listOf(undelivered)) }
-        leaderHeartbeat()
-        machine.handleHeartbeat(token)
+        leaderResponse = { grantingResponse(undelivered = listOf(undelivered)) }
+        sendLeaderHeartbeat()
+        worker.handleHeartbeat(token)
         harness.run(1.seconds)
-        respond = { null }
-        leaderHeartbeat(token + 5)
-        val late = machine.report(token)
-        assertFalse(late?.first == 200, "answered under an old grant")
+        leaderResponse = { null }
+        sendLeaderHeartbeat(token + 5)
+        val answer = worker.report(token)
+        assertFalse(
+            answer?.first == 200,
+            "the worker was answered under the previous leader's grant",
+        )
     }
 
     @Test
-    fun `undelivered commands go with the next answer, to the same incarnation only`() {
+    fun `undelivered commands are in the next answer only if the incarnation is the same`() {
         val undelivered =
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)))
-        val other =
+        val commandForOtherIncarnation =
             UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.stop("job-000001/1", 1, 0.0)))
-        leaderHeartbeat()
-        val second = ManualWorker(harness, "i-000002")
-        machine.handleHeartbeat(token)
-        second.handleHeartbeat(token)
-        respond = { grant(undelivered = listOf(undelivered, other)) }
+        sendLeaderHeartbeat()
+        val secondWorker = ManualWorker(harness, "i-000002")
+        worker.handleHeartbeat(token)
+        secondWorker.handleHeartbeat(token)
+        leaderResponse = {
+            grantingResponse(undelivered = listOf(undelivered, commandForOtherIncarnation))
+        }
         harness.run(2.seconds)
-        respond = { grant() }
+        leaderResponse = { grantingResponse() }
         harness.run(2.seconds)
-        assertContains(machine.handleHeartbeat(token), "job-000001/0")
-        assertFalse("job-000001/1" in second.handleHeartbeat(token))
+        assertContains(worker.handleHeartbeat(token), "job-000001/0")
+        assertFalse("job-000001/1" in secondWorker.handleHeartbeat(token))
     }
 
     @Test
-    fun `heartbeats of a lost batch are forwarded again, and those of unknown numbers in full`() {
-        leaderHeartbeat()
-        machine.handleHeartbeat(token)
+    fun `heartbeats of a lost batch are forwarded again, and requested ones in full`() {
+        sendLeaderHeartbeat()
+        worker.handleHeartbeat(token)
         harness.run(1.seconds)
-        machine.handleHeartbeat(token)
-        respond = { null }
+        worker.handleHeartbeat(token)
+        leaderResponse = { null }
         harness.run(1.seconds)
         batches.clear()
-        respond = { grant() }
-        // Forwarding through the store, where nobody responds here, ends first.
+        leaderResponse = { grantingResponse() }
+        // After the lost batch the follower sends through the store, where nothing responds in this
+        // test. The wait lasts until it sends directly again.
         harness.run(12.seconds)
-        assertTrue(batches.any { b -> b.unchanged.isNotEmpty() }, "an unchanged heartbeat was lost")
-        // A heartbeat that the leader asks for by its number is sent in full once more.
+        assertTrue(
+            batches.any { b -> b.unchanged.isNotEmpty() },
+            "no batch contains the unchanged heartbeat of the lost batch",
+        )
+        // The leader requests the heartbeat by its number, so it is sent in full again.
         val number = batches.first { it.unchanged.isNotEmpty() }.unchanged[0]
         batches.clear()
-        respond = { grant(unknownNumbers = listOf(number)) }
+        leaderResponse = { grantingResponse(unknownNumbers = listOf(number)) }
         harness.run(1.2.seconds)
-        respond = { grant() }
+        leaderResponse = { grantingResponse() }
         harness.run(2.seconds)
         assertContains(forwardedBodies().joinToString(), "i-000001")
     }
 
     @Test
-    fun `when the leader can't be reached it forwards through the store and answers on`() {
-        leaderHeartbeat()
-        machine.handleHeartbeat(token)
+    fun `a follower that can't reach the leader keeps answering by forwarding through the store`() {
+        sendLeaderHeartbeat()
+        worker.handleHeartbeat(token)
         harness.peer = { _, _ -> null }
         repeat(12) {
             harness.run(1.seconds)
             val stored = harness.stored("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
             if (stored != null && stored.number > batches.last().number) {
                 batches.add(stored)
-                val responses = StoredBatchResponses(mapOf("n0" to grant()))
+                val responses = StoredBatchResponses(mapOf("n0" to grantingResponse()))
                 harness.write("a/relays", JsonPrimitive(ForwardingCodec.pack(responses)))
             }
-            assertEquals(200, machine.report(token)?.first, "after $it s")
+            assertEquals(
+                200,
+                worker.report(token)?.first,
+                "answer to the worker after ${it + 1} s without a direct connection",
+            )
         }
-        assertTrue(batches.last().unchanged.isNotEmpty(), "unchanged heartbeats are not forwarded")
-        // A late response is for an earlier batch: it grants nothing.
+        assertTrue(
+            batches.last().unchanged.isNotEmpty(),
+            "the last stored batch contains no unchanged heartbeat",
+        )
+        // A delayed response belongs to an earlier batch, so it grants nothing.
         harness.run(10.seconds)
         harness.write(
             "a/relays",
-            JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(mapOf("n0" to grant())))),
+            JsonPrimitive(
+                ForwardingCodec.pack(StoredBatchResponses(mapOf("n0" to grantingResponse())))
+            ),
         )
         harness.run(0.2.seconds)
-        assertFalse(machine.report(token)?.first == 200)
+        assertFalse(worker.report(token)?.first == 200)
     }
 
     @Test
-    fun `where the leader answers all workers itself, they are redirected to it`() {
-        respond = {
+    fun `workers are redirected to the leader if forwarding is disabled`() {
+        leaderResponse = {
             HeartbeatBatchResponse(
                 "rig",
                 it.number,
@@ -192,8 +220,8 @@
                 forwardingEnabled = false,
             )
         }
-        leaderHeartbeat(forwardingEnabled = false)
-        val redirected = machine.report(0)
+        sendLeaderHeartbeat(forwardingEnabled = false)
+        val redirected = worker.report(0)
         assertEquals(421, redirected?.first)
         assertContains(redirected!!.second, "n1")
     }
--- a/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
@@ -7,16 +7,20 @@
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
-/** How many reads answer the status calls of users, and when they are answered. */
+/**
+ * Tests how status calls of users are answered from the key-value store. Guards against one request
+ * per call, which would exceed the store's request rate, against outdated answers, and against
+ * calls that get no answer while the store does not respond.
+ */
 class JobStatusReadsTest {
     private val harness = ControllerHarness()
 
-    private fun id(number: Int) = "job-%06d".format(number)
+    private fun jobId(number: Int) = "job-%06d".format(number)
 
     private fun submit(number: Int) {
         val body =
             submission(
-                "name_id" to JsonPrimitive(id(number)),
+                "name_id" to JsonPrimitive(jobId(number)),
                 "owner" to JsonPrimitive("team-0"),
                 "pieces" to JsonPrimitive(1),
                 "gpus" to JsonPrimitive(0.0),
@@ -26,7 +30,7 @@
     }
 
     @Test
-    fun `one request shows the status of many jobs, and each call is answered`() {
+    fun `at most five requests answer the status calls for sixty jobs`() {
         harness.run(2.seconds)
         for (number in 1..60) submit(number)
         harness.run(2.seconds)
@@ -34,36 +38,42 @@
         harness.stateCalls.clear()
         val calls =
             (1..60).map {
-                harness.call("GET", "/submissions/${id(it)}")
+                harness.call("GET", "/submissions/${jobId(it)}")
                 harness.lastCall
             }
         harness.release()
         for (call in calls) assertEquals(200, harness.answerTo(call)?.first)
-        assertTrue(harness.stateCalls.size <= 5, "${harness.stateCalls}")
+        assertTrue(
+            harness.stateCalls.size <= 5,
+            "expected at most 5 store requests for 60 calls, sent ${harness.stateCalls}",
+        )
     }
 
     @Test
-    fun `a job that was cancelled meanwhile, or never submitted, is read`() {
+    fun `a status call shows a concurrent cancellation, and gets 404 for an unknown job`() {
         harness.run(2.seconds)
         submit(1)
         harness.hold = true
-        harness.call("GET", "/submissions/${id(1)}")
-        val cancellation = harness.call("POST", "/submissions/${id(1)}/abort")
+        harness.call("GET", "/submissions/${jobId(1)}")
+        val cancellation = harness.call("POST", "/submissions/${jobId(1)}/abort")
         assertEquals(null, cancellation)
         harness.release()
-        val status = harness.call("GET", "/submissions/${id(1)}")
-        assertTrue("cancelled" in status?.second.orEmpty(), "$status")
-        assertEquals(404, harness.call("GET", "/submissions/${id(2)}")?.first)
+        val status = harness.call("GET", "/submissions/${jobId(1)}")
+        assertTrue(
+            "cancelled" in status?.second.orEmpty(),
+            "expected status cancelled, got $status",
+        )
+        assertEquals(404, harness.call("GET", "/submissions/${jobId(2)}")?.first)
     }
 
     @Test
-    fun `a call whose job can't be read in time is answered as unavailable`() {
+    fun `a status call whose job can't be read in time gets 503`() {
         harness.run(2.seconds)
         submit(1)
         harness.hold = true
-        repeat(9) { harness.call("GET", "/submissions/${id(1)}") }
-        val last = harness.lastCall
+        repeat(9) { harness.call("GET", "/submissions/${jobId(1)}") }
+        val lastCall = harness.lastCall
         harness.run(2.seconds)
-        assertEquals(503, harness.answerTo(last)?.first)
+        assertEquals(503, harness.answerTo(lastCall)?.first)
     }
 }
--- a/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
@@ -13,7 +13,11 @@
 import wardmux.records.JobRecord
 import wardmux.sim.ControllerHarness
 
-/** Answers to repeated, infeasible, malformed and oversized submissions, and to cancellations. */
+/**
+ * Tests the answers to repeated, infeasible, malformed and oversized submissions, and to
+ * cancellations. Guards against reporting an accepted job as refused when its user retries the
+ * submission, and against storing jobs that can never run.
+ */
 class SubmissionAnswersTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val id = JobId("job-000412")
@@ -24,11 +28,14 @@
 
     private fun cancel() = harness.call("POST", "/submissions/${id.value}/abort")!!
 
-    private fun stored(state: JobState) =
+    private fun writeRecord(state: JobState) =
         harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
 
-    /** Repeats: identical, of an infeasible job (twice), and without a field. */
-    private val repeats =
+    /**
+     * Changes in repeated submissions of the same job: none, two that would make it infeasible, and
+     * one that removes a required field.
+     */
+    private val changesOfRepeats =
         listOf(
             emptyArray(),
             arrayOf<Pair<String, JsonElement?>>("cores" to JsonPrimitive(9e6)),
@@ -37,9 +44,9 @@
         )
 
     @Test
-    fun `repeats of an unfinished job get 200 with its state, whatever they say`() {
+    fun `any repeated submission of an unfinished job gets 200 with the job's state`() {
         assertEquals(201, submit().first)
-        for (repeat in repeats) {
+        for (repeat in changesOfRepeats) {
             val (status, text) = submit(*repeat)
             assertEquals(200, status, text)
             assertContains(text, "\"queued\"")
@@ -47,62 +54,63 @@
     }
 
     @Test
-    fun `repeats and cancellations of a finished job get 200 with its state, from any process`() {
-        for ((state, word) in listOf(JobState.DONE to "done", JobState.CANCELLED to "cancelled")) {
-            for (repeat in repeats) {
-                // A process that has never seen the job, so that nothing comes from memory.
+    fun `repeated submissions and cancellations of a finished job get 200 from any process`() {
+        for ((state, statusText) in
+            listOf(JobState.DONE to "done", JobState.CANCELLED to "cancelled")) {
+            for (repeat in changesOfRepeats) {
+                // A new process has not cached the job's state, so it has to read the record.
                 val harness = ControllerHarness().also { it.run(2.seconds) }
                 harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
-                val before = harness.stored(JobRecord.key(id))
-                val calls =
+                val recordBefore = harness.stored(JobRecord.key(id))
+                val answers =
                     listOf(
                         harness.call("POST", "/submissions", submission(*repeat)),
                         harness.call("POST", "/submissions/${id.value}/abort"),
                         harness.call("POST", "/submissions", submission(*repeat)),
                         harness.call("GET", "/submissions/${id.value}"),
                     )
-                for (answer in calls) {
+                for (answer in answers) {
                     assertEquals(200, answer?.first, answer?.second)
-                    assertContains(answer!!.second, "\"$word\"")
+                    assertContains(answer!!.second, "\"$statusText\"")
                 }
-                assertEquals(before, harness.stored(JobRecord.key(id)))
+                assertEquals(recordBefore, harness.stored(JobRecord.key(id)))
             }
         }
     }
 
     @Test
-    fun `a job that was never submitted can't be cancelled`() {
+    fun `cancelling a job that was never submitted gets 404 and stores nothing`() {
         assertEquals(404, cancel().first)
         assertEquals(null, harness.stored(JobRecord.key(id)))
     }
 
-    private fun text(value: String) = JsonPrimitive(value)
+    private fun json(value: String) = JsonPrimitive(value)
 
-    private val service = "shape" to text("daemon")
-    private val gang = "shape" to text("group")
-    private val three = "pieces" to JsonPrimitive(3)
-    private val together = "same_place" to JsonPrimitive(true)
-    private val apart = "scatter" to JsonPrimitive(true)
+    private val service = "shape" to json("daemon")
+    private val gang = "shape" to json("group")
+    private val threeTasks = "pieces" to JsonPrimitive(3)
+    private val inOneZone = "same_place" to JsonPrimitive(true)
+    private val spread = "scatter" to JsonPrimitive(true)
 
     @Test
     fun `an infeasible job gets 422 and is not stored`() {
         val infeasible =
             listOf<Array<Pair<String, JsonElement?>>>(
-                arrayOf("owner" to text("nobody")),
+                arrayOf("owner" to json("nobody")),
                 arrayOf("cores" to JsonPrimitive(17.0)),
                 arrayOf("mem_gb" to JsonPrimitive(65.0)),
                 arrayOf("gpus" to JsonPrimitive(1.0)),
-                arrayOf("ward" to text("z")),
-                arrayOf("boxkinds" to JsonArray(listOf(text("none")))),
+                arrayOf("ward" to json("z")),
+                arrayOf("boxkinds" to JsonArray(listOf(json("none")))),
                 arrayOf("boxkinds" to JsonArray(emptyList())),
-                // More than the team's quota limit of 64 CPUs.
+                // These need more CPUs than the team's maximum quota of 64.
                 arrayOf(service, "pieces" to JsonPrimitive(9)),
                 arrayOf(gang, "pieces" to JsonPrimitive(9)),
-                // All tasks in one zone, and not more than half of them in any.
-                arrayOf(service, three, together, apart),
-                arrayOf(gang, three, together, apart),
-                arrayOf(service, three, apart, "ward" to text("a")),
-                arrayOf(gang, three, apart, "ward" to text("a")),
+                // These require all tasks in one zone and at most half of the tasks in any zone.
+                arrayOf(service, threeTasks, inOneZone, spread),
+                arrayOf(gang, threeTasks, inOneZone, spread),
+                arrayOf(service, threeTasks, spread, "ward" to json("a")),
+                arrayOf(gang, threeTasks, spread, "ward" to json("a")),
             )
         for (changes in infeasible) {
             val (status, text) = submit(*changes)
@@ -112,19 +120,19 @@
     }
 
     @Test
-    fun `a feasible job is accepted, however close to an infeasible one`() {
+    fun `jobs at the limits of feasibility are accepted`() {
         val feasible =
             listOf<Array<Pair<String, JsonElement?>>>(
                 arrayOf("cores" to JsonPrimitive(16.0), "mem_gb" to JsonPrimitive(64.0)),
                 arrayOf(service, "pieces" to JsonPrimitive(8)),
-                arrayOf(gang, three, apart),
-                arrayOf(service, "pieces" to JsonPrimitive(1), together, apart),
-                // An array's tasks may run one after the other.
-                arrayOf(three, together, apart),
-                arrayOf(three, apart, "ward" to text("a")),
+                arrayOf(gang, threeTasks, spread),
+                arrayOf(service, "pieces" to JsonPrimitive(1), inOneZone, spread),
+                // The tasks of an array job may run one after the other, so they need no spreading.
+                arrayOf(threeTasks, inOneZone, spread),
+                arrayOf(threeTasks, spread, "ward" to json("a")),
             )
         for ((i, changes) in feasible.withIndex()) {
-            val (status, text) = submit("name_id" to text("job-00050$i"), *changes)
+            val (status, text) = submit("name_id" to json("job-00050$i"), *changes)
             assertEquals(201, status, "${changes.toList()}: $text")
         }
     }
@@ -138,39 +146,45 @@
         assertEquals(400, submit("pieces" to JsonPrimitive(0)).first)
     }
 
-    private val lower = AnnouncedStoreLimits(valueKb = 2.0)
-    private val manyKinds =
-        JsonArray(List(300) { text("kind-%03d".format(it)) } + List(300) { text("mid") })
+    private val loweredLimits = AnnouncedStoreLimits(valueKb = 2.0)
+    private val manyMachineTypes =
+        JsonArray(List(300) { json("kind-%03d".format(it)) } + List(300) { json("mid") })
 
     @Test
-    fun `a job whose record fits without useless machine types is not refused for its size`() {
-        for (announced in listOf(null, lower)) {
+    fun `a job whose record fits after removing unusable machine types is accepted`() {
+        for (announced in listOf(null, loweredLimits)) {
             val harness = ControllerHarness(told = announced).also { it.run(2.seconds) }
             if (announced != null) harness.lower(announced)
-            val long = text("x".repeat(600))
-            val body = submission("boxkinds" to manyKinds, "bundle" to long, "jobclass" to long)
+            val longText = json("x".repeat(600))
+            val body =
+                submission(
+                    "boxkinds" to manyMachineTypes,
+                    "bundle" to longText,
+                    "jobclass" to longText,
+                )
             assertEquals(201, harness.call("POST", "/submissions", body)?.first)
-            val kept = JobRecord.decode(harness.stored(JobRecord.key(id))!!)?.spec
-            assertEquals(600 to 600, kept?.let { it.image.length to it.jobClass.length })
-            assertEquals(listOf("mid"), kept?.types)
+            val recordedSpec = JobRecord.decode(harness.stored(JobRecord.key(id))!!)?.spec
+            assertEquals(600 to 600, recordedSpec?.let { it.image.length to it.jobClass.length })
+            assertEquals(listOf("mid"), recordedSpec?.types)
             val cancelled = harness.call("POST", "/submissions/${id.value}/abort")
             assertEquals(200, cancelled?.first)
         }
     }
 
     @Test
-    fun `a record too large for a value gets 422 without a write, a known job its state`() {
-        val harness = ControllerHarness(told = lower).also { it.run(2.seconds) }
-        harness.lower(lower)
+    fun `an oversized submission gets 422 without a write, or the job's state if it is recorded`() {
+        val harness = ControllerHarness(told = loweredLimits).also { it.run(2.seconds) }
+        harness.lower(loweredLimits)
         val submit = { changes: Array<Pair<String, JsonElement?>> ->
             harness.call("POST", "/submissions", submission(*changes))!!
         }
-        val large = arrayOf<Pair<String, JsonElement?>>("bundle" to text("x".repeat(2_000)))
-        val calls = harness.stateCalls.count { it == "POST /multi" }
-        assertEquals(422, submit(large).first)
-        assertEquals(calls, harness.stateCalls.count { it == "POST /multi" })
+        val largeSubmission =
+            arrayOf<Pair<String, JsonElement?>>("bundle" to json("x".repeat(2_000)))
+        val writesBefore = harness.stateCalls.count { it == "POST /multi" }
+        assertEquals(422, submit(largeSubmission).first)
+        assertEquals(writesBefore, harness.stateCalls.count { it == "POST /multi" })
         assertEquals(null, harness.stored(JobRecord.key(id)))
         assertEquals(201, submit(emptyArray()).first)
-        assertEquals(200, submit(large).first)
+        assertEquals(200, submit(largeSubmission).first)
     }
 }
--- a/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionReaderTest.kt
@@ -14,6 +14,7 @@
 import wardmux.model.PriorityClass
 import wardmux.records.JobRecord
 
+/** The fields of a valid submission, by their names in the protocol. */
 val VALID_SUBMISSION_FIELDS: Map<String, JsonElement> =
     mapOf(
         "name_id" to JsonPrimitive("job-000412"),
@@ -38,27 +39,33 @@
         "due_s" to JsonPrimitive(900.0),
     )
 
+/** The body of a valid submission with [changes] to its fields; a null value removes the field. */
 fun submission(vararg changes: Pair<String, JsonElement?>): ByteArray {
     val fields = VALID_SUBMISSION_FIELDS.toMutableMap()
     for ((name, value) in changes) if (value == null) fields.remove(name) else fields[name] = value
     return JsonObject(fields).toString().encodeToByteArray()
 }
 
+/**
+ * Tests the decoding of submissions. Guards against accepting a field with a wrong type or range,
+ * against refusing fields of later versions, and against records that don't fit into a value of the
+ * key-value store.
+ */
 class SubmissionReaderTest {
-    private fun malformed(body: ByteArray) =
+    private fun assertMalformed(body: ByteArray) =
         assertIs<Submission.Malformed>(SubmissionReader.read(body), body.decodeToString())
 
     @Test
     fun `all fields of a well-formed submission are read`() {
-        val good = assertIs<Submission.WellFormed>(SubmissionReader.read(submission()))
-        assertEquals(16, good.spec.tasks)
-        assertEquals(PriorityClass.HIGH, good.spec.priority)
-        assertNull(good.spec.types)
-        assertEquals(900.0, good.spec.deadlineS)
+        val wellFormed = assertIs<Submission.WellFormed>(SubmissionReader.read(submission()))
+        assertEquals(16, wellFormed.spec.tasks)
+        assertEquals(PriorityClass.HIGH, wellFormed.spec.priority)
+        assertNull(wellFormed.spec.types)
+        assertEquals(900.0, wellFormed.spec.deadlineS)
     }
 
     @Test
-    fun `nullable fields may be left out and unknown ones are ignored`() {
+    fun `optional fields may be missing and unknown fields are ignored`() {
         val body =
             submission(
                 "boxkinds" to null,
@@ -72,14 +79,14 @@
     @Test
     fun `a submission without a required field is malformed`() {
         for (field in VALID_SUBMISSION_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
-            malformed(submission(field to null))
-            malformed(submission(field to JsonNull))
+            assertMalformed(submission(field to null))
+            assertMalformed(submission(field to JsonNull))
         }
     }
 
     @Test
     fun `values of a wrong type or range are malformed`() {
-        val wrong =
+        val invalidChanges =
             listOf(
                 "pieces" to JsonPrimitive(0),
                 "pieces" to JsonPrimitive(100_001),
@@ -100,69 +107,77 @@
                 "name_id" to JsonPrimitive("../leader"),
                 "due_s" to JsonPrimitive(-5),
             )
-        for (change in wrong) malformed(submission(change))
+        for (change in invalidChanges) assertMalformed(submission(change))
     }
 
     @Test
-    fun `numbers that JSON does not have are malformed`() {
+    fun `numbers that JSON does not allow or that exceed a double are malformed`() {
         val text = submission().decodeToString()
         for (number in listOf("NaN", "Infinity", "1e999", "0x10")) {
-            malformed(text.replace("\"mem_gb\":4.0", "\"mem_gb\":$number").encodeToByteArray())
+            assertMalformed(
+                text.replace("\"mem_gb\":4.0", "\"mem_gb\":$number").encodeToByteArray()
+            )
         }
     }
 
     @Test
-    fun `a body that is no JSON object is malformed without an id`() {
+    fun `a malformed submission has an id only if the body is an object with a valid one`() {
         for (text in listOf("", "[]", "3", "{", "\"x\"", "null")) {
-            assertNull(malformed(text.encodeToByteArray()).id)
+            assertNull(assertMalformed(text.encodeToByteArray()).id)
         }
-        assertEquals("job-000412", malformed(submission("cores" to null)).id?.value)
+        assertEquals("job-000412", assertMalformed(submission("cores" to null)).id?.value)
     }
 
     @Test
-    fun `a record is fitted to a value by leaving out useless machine types`() {
-        val long = JsonPrimitive("x".repeat(700))
-        val kinds = List(400) { JsonPrimitive("kind-%03d".format(it)) }
-        val twice = JsonArray(kinds + kinds)
-        val good = { changes: Array<Pair<String, JsonElement?>> ->
+    fun `machine types that can't be used are removed if the record would be too large`() {
+        val longText = JsonPrimitive("x".repeat(700))
+        val machineTypes = List(400) { JsonPrimitive("kind-%03d".format(it)) }
+        val typesTwice = JsonArray(machineTypes + machineTypes)
+        val readSpec = { changes: Array<Pair<String, JsonElement?>> ->
             assertIs<Submission.WellFormed>(SubmissionReader.read(submission(*changes))).spec
         }
-        val named = good(arrayOf("bundle" to long, "jobclass" to long, "boxkinds" to twice))
-        val useful = setOf("kind-007", "kind-200")
-        val kept = JobRecord.shortened(named, useful, 2048)
-        assertEquals(named.copy(types = listOf("kind-007", "kind-200")), kept)
-        assertTrue(JobRecord.maxBytes(kept!!) <= 2048)
-        assertEquals(kept, JobRecord.shortened(named, useful, 16_384))
-        // Unchanged where it is short, with types unknown so far.
-        val short = good(arrayOf("boxkinds" to JsonArray(kinds.take(60))))
-        assertEquals(short, JobRecord.shortened(short, useful, 2048))
-        val beyond = good(arrayOf("bundle" to JsonPrimitive("x".repeat(2_000))))
-        assertNull(JobRecord.shortened(beyond, useful, 2048))
-        assertEquals(beyond, JobRecord.shortened(beyond, useful, 8192))
+        val specWithTypes =
+            readSpec(
+                arrayOf("bundle" to longText, "jobclass" to longText, "boxkinds" to typesTwice)
+            )
+        val usefulTypes = setOf("kind-007", "kind-200")
+        val shortened = JobRecord.shortened(specWithTypes, usefulTypes, 2048)
+        assertEquals(specWithTypes.copy(types = listOf("kind-007", "kind-200")), shortened)
+        assertTrue(JobRecord.maxBytes(shortened!!) <= 2048)
+        assertEquals(shortened, JobRecord.shortened(specWithTypes, usefulTypes, 16_384))
+        // A short record is not changed, so it keeps machine types that are not known yet.
+        val shortSpec = readSpec(arrayOf("boxkinds" to JsonArray(machineTypes.take(60))))
+        assertEquals(shortSpec, JobRecord.shortened(shortSpec, usefulTypes, 2048))
+        val largeSpec = readSpec(arrayOf("bundle" to JsonPrimitive("x".repeat(2_000))))
+        assertNull(JobRecord.shortened(largeSpec, usefulTypes, 2048))
+        assertEquals(largeSpec, JobRecord.shortened(largeSpec, usefulTypes, 8192))
     }
 
     @Test
-    fun `a record that fits only unescaped is tried, and one that never fits is not`() {
-        // Two bytes each as written, six if the key-value store escapes them.
-        val accented = { length: Int ->
+    fun `a record that fits only if the store does not escape it is kept, a larger one is not`() {
+        // Each character takes two bytes, or six if the key-value store escapes it.
+        val specWithAccents = { length: Int ->
             val text = JsonPrimitive("\u00e9".repeat(length))
             val read = SubmissionReader.read(submission("bundle" to text, "jobclass" to text))
             assertIs<Submission.WellFormed>(read).spec
         }
-        val unescaped = accented(200)
-        assertTrue(JobRecord.maxBytes(unescaped) > 2048)
-        assertEquals(unescaped, JobRecord.shortened(unescaped, emptySet(), 2048))
-        assertNull(JobRecord.shortened(accented(500), emptySet(), 2048))
+        val specFittingUnescaped = specWithAccents(200)
+        assertTrue(JobRecord.maxBytes(specFittingUnescaped) > 2048)
+        assertEquals(
+            specFittingUnescaped,
+            JobRecord.shortened(specFittingUnescaped, emptySet(), 2048),
+        )
+        assertNull(JobRecord.shortened(specWithAccents(500), emptySet(), 2048))
     }
 
     @Test
     fun `a job accepted under a larger limit can still be cancelled`() {
-        val good = SubmissionReader.read(submission()) as Submission.WellFormed
-        val large = good.spec.copy(types = List(400) { "kind-$it" })
-        val small = JobRecord(JobState.ACCEPTED, 1, large).toCancelled(2048)
-        assertTrue(small.toJson().toString().length < 2048)
-        assertEquals(JobState.CANCELLED, small.state)
-        assertEquals(large.tasks to large.cpus, small.spec?.let { it.tasks to it.cpus })
-        assertEquals(large, JobRecord(JobState.ACCEPTED, 1, large).toCancelled(16_384).spec)
+        val wellFormed = SubmissionReader.read(submission()) as Submission.WellFormed
+        val largeSpec = wellFormed.spec.copy(types = List(400) { "kind-$it" })
+        val cancelled = JobRecord(JobState.ACCEPTED, 1, largeSpec).toCancelled(2048)
+        assertTrue(cancelled.toJson().toString().length < 2048)
+        assertEquals(JobState.CANCELLED, cancelled.state)
+        assertEquals(largeSpec.tasks to largeSpec.cpus, cancelled.spec?.let { it.tasks to it.cpus })
+        assertEquals(largeSpec, JobRecord(JobState.ACCEPTED, 1, largeSpec).toCancelled(16_384).spec)
     }
 }
