--- a/src/main/kotlin/wardmux/jobs/JobAdmission.kt
+++ b/src/main/kotlin/wardmux/jobs/JobAdmission.kt
@@ -111,8 +111,8 @@
                 is StoreResult.Conflict -> answerFromRecordOrUnavailable(call, job)
                 // The record may or may not have been written, so it is read before answering.
                 is StoreResult.Indeterminate -> answerFromRecordOrUnavailable(call, job)
-                // The store may escape characters and then count the record as too large. Such a
-                // record is not sent again.
+                // A store that escapes characters counts the record as larger. If the record may be
+                // too large for that reason, the job is refused, so it is not sent again.
                 is StoreResult.InvalidRequest ->
                     if (JobRecord.maxBytes(spec) > maxRecordBytes) refuseTooLarge(call, job)
                     else responder.answerUnavailable(call)
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -107,7 +107,7 @@
     }
 
     @Test
-    fun `an unchanged heartbeat with a recorded ended task gets a forget command`() {
+    fun `a recorded ended task gets a forget command even if the heartbeat is unchanged`() {
         harness.accept(plainJob(1))
         sendBatch(listOf(fullHeartbeat()))
         harness.run(1.seconds)
@@ -278,8 +278,8 @@
         val requestsForMany = countStoreRequestsWith(2_000)
         assertTrue(
             requestsForMany <= requestsForFew + 2,
-            "expected as many store requests with 2,000 machines as with 20 ($requestsForFew), " +
-                "but there were $requestsForMany",
+            "expected at most 2 more store requests with 2,000 machines than with 20, but there were " +
+                "$requestsForMany and $requestsForFew",
         )
     }
 
