--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -278,7 +278,7 @@
         val requestsForMany = countStoreRequestsWith(2_000)
         assertTrue(
             requestsForMany <= requestsForFew + 2,
-            "expected at most 2 more store requests with 2,000 machines than with 20, but there were " +
+            "expected at most 2 more store requests with 2,000 machines than with 20, got " +
                 "$requestsForMany and $requestsForFew",
         )
     }
