--- a/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
+++ b/src/main/kotlin/wardmux/forwarding/GrantedCancellationView.kt
@@ -8,7 +8,11 @@
 import wardmux.model.TaskAttempt
 import wardmux.peers.CancellationTracker
 
-/** What a follower knows of cancelled tasks while the grant in a leader's [response] is valid. */
+/**
+ * A follower's view of cancelled tasks: the tasks to stop that the leader listed in [response], and
+ * the cancelled jobs that the follower knows of. The view is usable until the grant in [response]
+ * expires, and not at all if the leader does not allow renewals.
+ */
 class GrantedCancellationView(
     response: HeartbeatBatchResponse,
     grantValidUntil: Micros,
@@ -16,7 +20,7 @@
 ) : CancellationView {
     override val token = FencingToken(response.token)
 
-    private val mustHalt: Map<MachineId, List<TaskAttempt>> =
+    private val tasksToStopByMachine: Map<MachineId, List<TaskAttempt>> =
         response.mustHalt.orEmpty().associate { MachineId(it.machine) to it.tasks }
 
     override val usableUntil: Micros =
@@ -27,8 +31,9 @@
 
     override fun isCancelled(job: JobId): Boolean = job in cancellations
 
-    override fun tasksToStop(machine: MachineId): List<TaskAttempt> = mustHalt[machine].orEmpty()
+    override fun tasksToStop(machine: MachineId): List<TaskAttempt> =
+        tasksToStopByMachine[machine].orEmpty()
 
     /** Whether a task on [machine] must be stopped before its lease is renewed. */
-    fun mustStopTasksOn(machine: MachineId): Boolean = machine in mustHalt
+    fun mustStopTasksOn(machine: MachineId): Boolean = machine in tasksToStopByMachine
 }
--- a/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
+++ b/src/main/kotlin/wardmux/jobs/JobStatusReads.kt
@@ -12,32 +12,34 @@
 import wardmux.store.StoreResult
 import wardmux.store.VersionCondition
 
-/** What a read that began after the call came has shown of a job. */
+/** The status of a job according to a read that began after the user's call arrived. */
 sealed interface JobStatus {
-    /** Its record says that it is accepted, and not over. */
+    /** The job is accepted, and neither completed nor cancelled. */
     data object Open : JobStatus
 
-    /** Its record was read. */
+    /** The record of the job was read; its state is not decoded yet. */
     class Recorded(val item: KeyValue) : JobStatus
 
-    /** It has no record. */
+    /** The job has no record. */
     data object Absent : JobStatus
 
-    /** The key-value store could not be asked, or not in time. */
+    /** The key-value store did not answer, or not in time. */
     data object Unavailable : JobStatus
 }
 
-/** Is given the status that a call has waited for. */
+/** Receives the status for each call that waits for a read. */
 fun interface JobStatusListener {
-    /** A read for [call] has shown that [job] has this [status]. */
+    /** Called with the [status] of [job] that was read for [call]. */
     fun statusRead(call: Long, job: JobId, status: JobStatus)
 }
 
 /**
- * Reads the status of jobs for the calls that wait for it, those that have waited longest first;
- * one read serves all calls for a job that came before it began. Of a job whose record was once
- * seen as accepted it is enough to learn that the record has not changed since, and one request
- * tells that for many jobs: a transaction that only compares.
+ * Reads the status of jobs for users' calls, starting with the job that has waited longest. One
+ * read serves all calls for the job that arrived before the read began.
+ *
+ * If the record of a job was once seen in the accepted state, it is enough to check that the record
+ * still has the same version. One request checks this for many jobs: a transaction with conditions
+ * on the versions and without changes.
  */
 class JobStatusReads(
     private val context: CoreContext,
@@ -45,32 +47,36 @@
     private val openVersions: OpenJobVersions,
     private val listener: JobStatusListener,
 ) {
-    private class WaitingCall(val call: Long, val since: Micros)
+    private class WaitingCall(val call: Long, val waitingSince: Micros)
 
-    /** Calls by their job, in the order of each job's oldest call. */
-    private val waiting = LinkedHashMap<JobId, ArrayList<WaitingCall>>()
-    private var openComparisons = 0
-    private var openReads = 0
+    /** Waiting calls by job, ordered by the oldest call of each job. */
+    private val waitingCalls = LinkedHashMap<JobId, ArrayList<WaitingCall>>()
+    private var comparisonsInFlight = 0
+    private var readsInFlight = 0
     private var isScanning = false
 
-    /** Has [job] read for [call]. */
+    /** Requests a read of [job] for [call]. The result goes to the listener. */
     fun request(call: Long, job: JobId) {
-        waiting.getOrPut(job) { ArrayList(1) }.add(WaitingCall(call, context.now))
+        waitingCalls.getOrPut(job) { ArrayList(1) }.add(WaitingCall(call, context.now))
         startReads()
     }
 
-    /** Starts the reads that there is room for; calls that come during one wait for the next. */
+    /**
+     * Starts as many reads as the limits on concurrent requests allow. A call that arrives during a
+     * read of its job waits for the next read.
+     */
     fun startReads() {
-        expireLateCalls()
-        while (waiting.isNotEmpty()) {
-            val (job, calls) = waiting.entries.first()
-            val isKnown = job in openVersions
+        answerExpiredCalls()
+        while (waitingCalls.isNotEmpty()) {
+            val (job, calls) = waitingCalls.entries.first()
+            val hasKnownVersion = job in openVersions
             when {
-                isKnown && openComparisons < MAX_COMPARISONS -> compareVersions()
-                !isKnown && unknownJobs() > MAX_UNKNOWN_READ_SINGLY ->
+                hasKnownVersion && comparisonsInFlight < MAX_CONCURRENT_COMPARISONS ->
+                    compareVersions()
+                !hasKnownVersion && countUnknownJobs() > MAX_UNKNOWN_JOBS_READ_INDIVIDUALLY ->
                     if (isScanning) return else scanOpenJobs()
-                !isKnown && openReads < MAX_READS -> {
-                    waiting.remove(job)
+                !hasKnownVersion && readsInFlight < MAX_CONCURRENT_READS -> {
+                    waitingCalls.remove(job)
                     readRecord(job, calls)
                 }
                 else -> return
@@ -78,50 +84,53 @@
         }
     }
 
-    private fun unknownJobs() = waiting.keys.count { it !in openVersions }
-
-    /** Nobody waits for an answer that comes too late: these calls are answered now. */
-    private fun expireLateCalls() {
-        val late = LinkedHashMap<JobId, List<WaitingCall>>()
-        val jobs = waiting.entries.iterator()
-        while (jobs.hasNext()) {
-            val (job, calls) = jobs.next()
-            // In the order of their oldest call, so no later one has waited longer.
-            if (context.now - calls.first().since < MAX_WAIT) break
-            late[job] = calls
-            jobs.remove()
+    private fun countUnknownJobs() = waitingCalls.keys.count { it !in openVersions }
+
+    /**
+     * Reports calls that have waited for [MAX_CALL_WAIT] as unavailable, because their users would
+     * time out before the result of a read arrives.
+     */
+    private fun answerExpiredCalls() {
+        val expired = LinkedHashMap<JobId, List<WaitingCall>>()
+        val iterator = waitingCalls.entries.iterator()
+        while (iterator.hasNext()) {
+            val (job, calls) = iterator.next()
+            // Jobs are ordered by their oldest call, so no later job has waited longer.
+            if (context.now - calls.first().waitingSince < MAX_CALL_WAIT) break
+            expired[job] = calls
+            iterator.remove()
         }
-        for ((job, calls) in late) report(job, calls, JobStatus.Unavailable)
+        for ((job, calls) in expired) notifyListener(job, calls, JobStatus.Unavailable)
     }
 
-    private fun report(job: JobId, calls: List<WaitingCall>, status: JobStatus) {
+    private fun notifyListener(job: JobId, calls: List<WaitingCall>, status: JobStatus) {
         for (waitingCall in calls) listener.statusRead(waitingCall.call, job, status)
     }
 
     private fun compareVersions() {
         val compared = LinkedHashMap<JobId, List<WaitingCall>>()
         val conditions = ArrayList<VersionCondition>()
-        val jobs = waiting.entries.iterator()
-        while (jobs.hasNext() && conditions.size < store.maxConditions) {
-            val (job, calls) = jobs.next()
+        val iterator = waitingCalls.entries.iterator()
+        while (iterator.hasNext() && conditions.size < store.maxConditions) {
+            val (job, calls) = iterator.next()
             if (job !in openVersions) continue
-            jobs.remove()
+            iterator.remove()
             compared[job] = calls
             conditions.add(VersionCondition(JobRecord.key(job), openVersions.getValue(job)))
         }
-        openComparisons++
+        comparisonsInFlight++
         store.compareAndSwap(conditions, emptyList(), RequestPriority.READ) { result ->
-            openComparisons--
+            comparisonsInFlight--
             val changed = (result as? StoreResult.Conflict)?.failed.orEmpty().toSet()
-            val isAnswered = result is StoreResult.Ok || changed.isNotEmpty()
+            val isComparisonAnswered = result is StoreResult.Ok || changed.isNotEmpty()
             for ((job, calls) in compared) {
                 when {
-                    !isAnswered -> report(job, calls, JobStatus.Unavailable)
+                    !isComparisonAnswered -> notifyListener(job, calls, JobStatus.Unavailable)
                     JobRecord.key(job) in changed -> {
                         openVersions.remove(job)
                         readRecord(job, calls)
                     }
-                    else -> report(job, calls, JobStatus.Open)
+                    else -> notifyListener(job, calls, JobStatus.Open)
                 }
             }
             startReads()
@@ -129,41 +138,42 @@
     }
 
     private fun readRecord(job: JobId, calls: List<WaitingCall>) {
-        openReads++
+        readsInFlight++
         store.get(JobRecord.key(job)) { result ->
-            openReads--
+            readsInFlight--
             val status =
                 when (result) {
                     is StoreResult.Ok -> JobStatus.Recorded(result.value)
                     is StoreResult.NotFound -> JobStatus.Absent
                     else -> JobStatus.Unavailable
                 }
-            report(job, calls, status)
+            notifyListener(job, calls, status)
             startReads()
         }
     }
 
     /**
-     * A fresh process is asked for many jobs that it has never seen. The keys of open jobs were
-     * written together with their records, so both have the same versions.
+     * Reads the versions of all open jobs with one scan, because a newly started process may get
+     * calls for many jobs that it does not know. The copy of an open job's record is written in the
+     * same transaction as the record, so both have the same version.
      */
     private fun scanOpenJobs() {
         isScanning = true
-        val scanned = LinkedHashMap(waiting)
-        waiting.clear()
+        val scanned = LinkedHashMap(waitingCalls)
+        waitingCalls.clear()
         store.scan(JobRecord.OPEN_PREFIX, IgnoredValue.serializer(), RequestPriority.READ) { found
             ->
             isScanning = false
-            val open = HashSet<JobId>()
+            val openJobs = HashSet<JobId>()
             for (item in found?.items.orEmpty()) {
                 val job = JobId(item.key.removePrefix(JobRecord.OPEN_PREFIX))
-                open.add(job)
+                openJobs.add(job)
                 openVersions.record(job, item.version)
             }
             for ((job, calls) in scanned) {
                 when {
-                    found == null -> report(job, calls, JobStatus.Unavailable)
-                    job in open -> report(job, calls, JobStatus.Open)
+                    found == null -> notifyListener(job, calls, JobStatus.Unavailable)
+                    job in openJobs -> notifyListener(job, calls, JobStatus.Open)
                     else -> readRecord(job, calls)
                 }
             }
@@ -172,16 +182,16 @@
     }
 
     private companion object {
-        /** Comparing transactions that may be under way at once. */
-        const val MAX_COMPARISONS = 2
+        /** The maximum number of version comparisons in flight. */
+        const val MAX_CONCURRENT_COMPARISONS = 2
 
-        /** Reads of single records that may be under way at once. */
-        const val MAX_READS = 16
+        /** The maximum number of reads of single records in flight. */
+        const val MAX_CONCURRENT_READS = 16
 
-        /** If more jobs than these have no known version, one scan shows them all. */
-        const val MAX_UNKNOWN_READ_SINGLY = 12
+        /** If more waiting jobs than this have no known version, one scan reads all open jobs. */
+        const val MAX_UNKNOWN_JOBS_READ_INDIVIDUALLY = 12
 
-        /** Users wait for two seconds. */
-        val MAX_WAIT = 1_700.milliseconds
+        /** Below the two seconds for which users wait for an answer. */
+        val MAX_CALL_WAIT = 1_700.milliseconds
     }
 }
