--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -60,7 +60,7 @@
         (cluster.teams[team]?.cpusMax ?: 0.0) - cluster.usedCpus(team)
 
     private fun fittingOf(spec: JobSpec, pool: MachinePool) =
-        pool.base.fitting(spec).coerceAtLeast(1)
+        pool.base.taskCapacity(spec).coerceAtLeast(1)
 
     private fun add(job: Job, tasks: Double, pool: MachinePool, backlog: Backlog) {
         val spec = job.spec
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -48,7 +48,7 @@
         cluster.machines.values.any {
             !it.isDecommissioned &&
                 it.preemptionNoticeAt == null &&
-                (it.maintenance == Maintenance.NONE || it.maintenance == Maintenance.LEAVING) &&
+                (it.maintenance == Maintenance.NONE || it.maintenance == Maintenance.PREPARING) &&
                 eligibility.couldRun(job, it.type, it.zone, it.spot) &&
                 mayBecomeFree(job, it)
         }
@@ -73,7 +73,7 @@
     private fun rentForGang(job: Job) {
         val spec = job.spec
         val type = pools.smallestFor(spec) ?: return
-        val fitting = type.fitting(spec).coerceAtLeast(1)
+        val fitting = type.taskCapacity(spec).coerceAtLeast(1)
         val rooms = type.zones.associateWith { roomFor(spec, it) + comingTo(spec, it) * fitting }
         val choices =
             listOf(true, false).flatMap { spot ->
--- a/src/main/kotlin/wardmux/cloud/MachineListReader.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineListReader.kt
@@ -58,7 +58,7 @@
         val machine =
             known ?: registry.findOrAdd(id, entry.type, entry.zone, entry.spot) ?: return false
         machine.hasOnlyStaleHeartbeats = false
-        machine.listed(context.wallTime, entry.heldS.seconds)
+        machine.recordListing(context.wallTime, entry.heldS.seconds)
         if (known == null) log.debug("discovered {} in the list: {}", id, entry.status)
         when (entry.status) {
             ListedMachine.FAILED -> {
--- a/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
@@ -94,7 +94,10 @@
     ): Boolean {
         val spec = replica.job.spec
         if (!eligibility.satisfiesConstraints(spec, machine) || !machine.fits(spec)) return false
-        if (machine.freeCpus - (reserved[machine] ?: 0.0) < spec.cpus - MachineType.EPSILON)
+        if (
+            machine.freeCpus - (reserved[machine] ?: 0.0) <
+                spec.cpus - MachineType.RESOURCE_TOLERANCE
+        )
             return false
         val zones = HashMap(eligibility.taskCountByZone(replica.job))
         zones.merge(replica.zone, -1, Int::plus)
--- a/src/main/kotlin/wardmux/drain/MaintenanceMarks.kt
+++ b/src/main/kotlin/wardmux/drain/MaintenanceMarks.kt
@@ -40,8 +40,8 @@
 
     private fun maintenanceFor(step: DrainStep, machines: List<Machine>): Maintenance =
         when {
-            step.phase == StepPhase.PREPARING -> Maintenance.LEAVING
-            urgentWork.isWaitingFor(machines) -> Maintenance.YIELDING
+            step.phase == StepPhase.PREPARING -> Maintenance.PREPARING
+            urgentWork.isWaitingFor(machines) -> Maintenance.URGENT_ONLY
             else -> Maintenance.CORDONED
         }
 
--- a/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -61,9 +61,9 @@
     ): Boolean {
         val spec = job.spec
         return eligibility.satisfiesConstraints(spec, machine) &&
-            spec.cpus <= free.cpus + MachineType.EPSILON &&
-            spec.gpus <= free.gpus + MachineType.EPSILON &&
-            spec.memoryGb <= free.memoryGb + MachineType.EPSILON &&
+            spec.cpus <= free.cpus + MachineType.RESOURCE_TOLERANCE &&
+            spec.gpus <= free.gpus + MachineType.RESOURCE_TOLERANCE &&
+            spec.memoryGb <= free.memoryGb + MachineType.RESOURCE_TOLERANCE &&
             eligibility.isZoneAllowed(machine.zone, spec, zones)
     }
 
--- a/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
@@ -86,7 +86,7 @@
         }
         val task = TaskId.parse(reported.task) ?: return true
         val job = cluster.jobs[task.job] ?: return true
-        return job.hasEnded || job.isRecorded(task.index)
+        return job.hasEnded || job.isRecordedDone(task.index)
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatReconciler.kt
@@ -63,7 +63,7 @@
         machine.recordHeartbeat(heartbeat.endpoint, heartbeat.tick)
         if (heartbeat.token == token) {
             if (!machine.hasAdoptedToken) adoptToken(machine)
-            machine.recordSignOfLife(sentAt)
+            machine.recordCurrentTokenHeartbeat(sentAt)
         } else machine.recordStaleHeartbeat(context.now)
         val preemptedInS = heartbeat.preemptedInS
         if (preemptedInS != null && machine.preemptionNoticeAt == null) {
--- a/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
+++ b/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
@@ -34,7 +34,7 @@
 
     private fun exceedsQuota(spec: JobSpec, team: TeamQuota): Boolean {
         val tasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        val slack = MachineType.EPSILON
+        val slack = MachineType.RESOURCE_TOLERANCE
         return spec.cpus * tasks > team.cpusMax + slack || spec.gpus * tasks > team.gpusMax + slack
     }
 }
--- a/src/main/kotlin/wardmux/model/ImageCache.kt
+++ b/src/main/kotlin/wardmux/model/ImageCache.kt
@@ -20,7 +20,7 @@
     }
 
     /** A task with [image] is placed: the least recently used images give way to it. */
-    fun use(image: String, gb: Double, now: Micros) {
+    fun recordUse(image: String, gb: Double, now: Micros) {
         val known = images.remove(image)
         images[image] = known ?: Image(gb, fetchesEnd(now) + fetchTime(gb))
         var total = images.values.sumOf { it.gb }
@@ -36,7 +36,7 @@
     fun markReady(image: String, gb: Double, now: Micros) {
         // Known already, as with most heartbeats.
         if ((images[image]?.readyAt ?: Micros.NEVER) <= now) return
-        use(image, gb, now)
+        recordUse(image, gb, now)
         val fetched = images[image] ?: return
         if (fetched.readyAt <= now) return
         fetched.readyAt = now
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -61,7 +61,7 @@
         get() =
             hasEnded &&
                 placements.isEmpty() &&
-                pages.noneStored &&
+                pages.hasNoStoredPages &&
                 (isDone || isCancelledKeyRemoved)
 
     /** True if the store no longer lists it among the cancelled jobs with tasks on machines. */
@@ -150,7 +150,7 @@
     fun isTaskDone(task: Int) = done.get(task)
 
     /** True if the store says that [task] is done. */
-    fun isRecorded(task: Int) = isDone || pages.isRecordedDone(task)
+    fun isRecordedDone(task: Int) = isDone || pages.isRecordedDone(task)
 
     /** Takes the next waiting task from the queue; -1 if there is none. */
     fun pollWaitingTask(): Int {
@@ -168,7 +168,7 @@
     /** The page of [task] is full: it and the rest of the page come after all other tasks. */
     fun deferRestOfPage(task: Int) {
         requeued.enqueue(task)
-        val end = pages.lastTaskBeside(task) + 1
+        val end = pages.lastTaskOnPageOf(task) + 1
         if (nextUntried <= task || nextUntried > end) return
         while (nextUntried < end) {
             val next = nextUntried++
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -75,7 +75,7 @@
     }
 
     /** A heartbeat under this leader's token came that was sent at [sentAt]. */
-    fun recordSignOfLife(sentAt: Micros) {
+    fun recordCurrentTokenHeartbeat(sentAt: Micros) {
         hasOnlyStaleHeartbeats = false
         lastHeartbeatAt = maxOf(lastHeartbeatAt ?: sentAt, sentAt)
         hasProbeFailed = false
@@ -201,7 +201,7 @@
         private set
 
     /** It is listed as [age] old at [wall]; lists are late, so the smallest time is the nearest. */
-    fun listed(wall: Micros, age: Micros) {
+    fun recordListing(wall: Micros, age: Micros) {
         rentedBefore = minOf(rentedBefore ?: Micros.NEVER, wall - age)
     }
 
--- a/src/main/kotlin/wardmux/model/MachineResources.kt
+++ b/src/main/kotlin/wardmux/model/MachineResources.kt
@@ -33,7 +33,7 @@
 
     /** Whether one more task like this has room. */
     fun fits(spec: JobSpec): Boolean {
-        val slack = MachineType.EPSILON
+        val slack = MachineType.RESOURCE_TOLERANCE
         return spec.cpus <= freeCpus + slack &&
             spec.gpus <= freeGpus + slack &&
             spec.memoryGb <= freeMemoryGb + slack
@@ -41,7 +41,7 @@
 
     /** How many more tasks like this have room. */
     fun roomFor(spec: JobSpec): Int {
-        val slack = MachineType.EPSILON
+        val slack = MachineType.RESOURCE_TOLERANCE
         val byCpu = if (spec.cpus > 0) (freeCpus + slack) / spec.cpus else Double.MAX_VALUE
         val byGpu = if (spec.gpus > 0) (freeGpus + slack) / spec.gpus else Double.MAX_VALUE
         val byMemory =
--- a/src/main/kotlin/wardmux/model/MachineType.kt
+++ b/src/main/kotlin/wardmux/model/MachineType.kt
@@ -18,28 +18,28 @@
     @SerialName("wards") val zones: List<String>,
 ) {
     /** Whether an empty machine has room for one task of [spec]. */
-    fun holds(spec: JobSpec) =
-        spec.cpus <= cpus + EPSILON &&
-            spec.gpus <= gpus + EPSILON &&
-            spec.memoryGb <= memoryGb + EPSILON
+    fun fits(spec: JobSpec) =
+        spec.cpus <= cpus + RESOURCE_TOLERANCE &&
+            spec.gpus <= gpus + RESOURCE_TOLERANCE &&
+            spec.memoryGb <= memoryGb + RESOURCE_TOLERANCE
 
     /** Whether a machine of this type in some zone may run a task of [spec]. */
     fun allowedFor(spec: JobSpec) =
-        holds(spec) &&
+        fits(spec) &&
             (spec.types == null || label in spec.types) &&
             (spec.zone == null || spec.zone in zones)
 
     /** How many tasks like this an empty machine takes. */
-    fun fitting(spec: JobSpec): Int {
+    fun taskCapacity(spec: JobSpec): Int {
         val byCpu = if (spec.cpus > 0) cpus / spec.cpus else Double.MAX_VALUE
         val byGpu = if (spec.gpus > 0) gpus / spec.gpus else Double.MAX_VALUE
         val byMemory = if (spec.memoryGb > 0) memoryGb / spec.memoryGb else Double.MAX_VALUE
-        return (minOf(byCpu, byGpu, byMemory) + EPSILON).coerceAtMost(MAX_TASKS).toInt()
+        return (minOf(byCpu, byGpu, byMemory) + RESOURCE_TOLERANCE).coerceAtMost(MAX_TASKS).toInt()
     }
 
     companion object {
         /** Sums of decimal amounts are compared with this much slack. */
-        const val EPSILON = 1e-6
+        const val RESOURCE_TOLERANCE = 1e-6
 
         /** More tasks than any machine runs. */
         private const val MAX_TASKS = 10_000.0
--- a/src/main/kotlin/wardmux/model/Maintenance.kt
+++ b/src/main/kotlin/wardmux/model/Maintenance.kt
@@ -5,11 +5,11 @@
     NONE,
 
     /** It takes tasks, but room for them is to be found elsewhere. */
-    LEAVING,
+    PREPARING,
 
     /** It takes no tasks. */
     CORDONED,
 
     /** It takes urgent tasks only, since these wait for room. */
-    YIELDING,
+    URGENT_ONLY,
 }
--- a/src/main/kotlin/wardmux/model/TaskPages.kt
+++ b/src/main/kotlin/wardmux/model/TaskPages.kt
@@ -30,7 +30,7 @@
         get() = 0..(taskCount - 1) / tasksPerPage
 
     /** True if no page of the job is stored. */
-    val noneStored: Boolean
+    val hasNoStoredPages: Boolean
         get() = versions.isEmpty()
 
     /** The page of [task]. */
@@ -43,7 +43,7 @@
     }
 
     /** The last task on the page of [task]. */
-    fun lastTaskBeside(task: Int): Int =
+    fun lastTaskOnPageOf(task: Int): Int =
         minOf((task / tasksPerPage + 1) * tasksPerPage, taskCount) - 1
 
     /** The pages that differ from what is stored of them, ascending. */
--- a/src/main/kotlin/wardmux/records/TaskPageCodec.kt
+++ b/src/main/kotlin/wardmux/records/TaskPageCodec.kt
@@ -21,7 +21,7 @@
      * The most bytes that a placement takes as a rule, on a machine of its own and charged unlike
      * all others. Placements that share a machine and a charge take about a quarter of that.
      */
-    const val BYTES_PER_TASK = 64
+    const val BYTES_PER_PLACEMENT = 64
 
     /** At the ends of the two lists that a task moves between. */
     private const val SEPARATOR_BYTES = 4
@@ -30,7 +30,7 @@
     fun key(job: JobId, page: Int) = "$KEY_PREFIX${job.value}/$page"
 
     /** How many tasks a page has where a value holds [maxValueBytes]. */
-    fun tasksPerPage(maxValueBytes: Int) = (maxValueBytes / BYTES_PER_TASK).coerceAtLeast(1)
+    fun tasksPerPage(maxValueBytes: Int) = (maxValueBytes / BYTES_PER_PLACEMENT).coerceAtLeast(1)
 
     /** What [page] of [job] holds now, however large that is. */
     fun encode(job: Job, page: Int): JsonElement = encode(job, page, Int.MAX_VALUE).data
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -81,7 +81,7 @@
             )
         job.place(placement, context.wallTime)
         addPlacement(placement, machine)
-        machine.images.use(job.spec.image, job.spec.imageGb, context.now)
+        machine.images.recordUse(job.spec.image, job.spec.imageGb, context.now)
         return placement
     }
 
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -48,7 +48,7 @@
         (spec.spot || !machine.spot) &&
             (spec.types == null || machine.type.label in spec.types) &&
             (spec.zone == null || spec.zone == machine.zone) &&
-            (machine.maintenance != Maintenance.YIELDING || spec.priority <= PriorityClass.HIGH)
+            (machine.maintenance != Maintenance.URGENT_ONLY || spec.priority <= PriorityClass.HIGH)
 
     /** True if an empty machine of [type], in [zone], could take a task of [job]. */
     fun couldRun(job: Job, type: MachineType, zone: String, spot: Boolean): Boolean {
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -114,15 +114,15 @@
         val tasksPerMachine =
             pools.offeredTypes
                 .filter { it.allowedFor(job.spec) }
-                .maxOfOrNull { it.fitting(job.spec) }
+                .maxOfOrNull { it.taskCapacity(job.spec) }
         return !PageSizeEstimate.mayHold(job, tasksPerMachine ?: 0, maxBytes)
     }
 
     /** True if [machines], were they empty, would take all of the gang. */
     fun wouldHoldAll(job: Job, machines: List<Machine>) =
-        machines.sumOf { it.type.fitting(job.spec) } >= job.spec.tasks &&
+        machines.sumOf { it.type.taskCapacity(job.spec) } >= job.spec.tasks &&
             (!PageSizeEstimate.requiresDensePacking(job, maxBytes) ||
-                pagesHold(job, machines) { it.type.fitting(job.spec) })
+                pagesHold(job, machines) { it.type.taskCapacity(job.spec) })
 
     private companion object {
         val IMAGE_WAIT_STEP = 250.milliseconds
--- a/src/main/kotlin/wardmux/scheduling/NodeCandidates.kt
+++ b/src/main/kotlin/wardmux/scheduling/NodeCandidates.kt
@@ -68,7 +68,7 @@
                 continue
             }
             val current = candidate(machine)
-            if (current.score <= candidate.score + MachineType.EPSILON) return machine
+            if (current.score <= candidate.score + MachineType.RESOURCE_TOLERANCE) return machine
             queue.poll()
             queue.add(current)
         }
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -58,7 +58,7 @@
 
     /** Half of the tasks are done, each a run of its own; between them the others, interrupted. */
     private fun endedTaskBytes(job: Job, task: Int): Int {
-        val name = PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskBeside(task)).toLong())
+        val name = PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskOnPageOf(task)).toLong())
         return (2 * name + name + ATTEMPT_BYTES + 1) / 2
     }
 
@@ -138,7 +138,7 @@
         fun alwaysFits(job: Job, maxBytes: Int): Boolean {
             val size = job.pages.tasksPerPage
             return minOf(size, job.spec.tasks).toLong() * USUAL_MAX_PLACEMENT_BYTES + FRAME_BYTES <=
-                maxBytes || size.toLong() * TaskPageCodec.BYTES_PER_TASK <= maxBytes
+                maxBytes || size.toLong() * TaskPageCodec.BYTES_PER_PLACEMENT <= maxBytes
         }
 
         /**
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -94,7 +94,7 @@
     /** What one plan has: the machines with room, and what the next transaction can write. */
     private class Round(schedulable: List<Machine>, val budget: PageWriteBudget) {
         val schedulableCount = schedulable.size
-        val withRoom = schedulable.filter { it.freeCpus > MachineType.EPSILON }
+        val withRoom = schedulable.filter { it.freeCpus > MachineType.RESOURCE_TOLERANCE }
     }
 
     /** One go over the jobs of a priority class, for exact fits or for any. */
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -171,7 +171,7 @@
     private fun isRoomFor(job: Job, machine: Machine, zones: Map<String, Int>): Boolean {
         val spec = job.spec
         val fits =
-            planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.holds(spec)
+            planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.fits(spec)
         if (!fits || planner.typeReservations.isReservedFromTask(spec, machine.type)) return false
         // Where its zone has its share of the job already, it is of no use.
         if (!planner.eligibility.isZoneAllowed(machine.zone, spec, zones)) return false
--- a/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/wardmux/scheduling/QuotaUsage.kt
@@ -27,12 +27,12 @@
         val byCpu =
             if (spec.cpus > 0) {
                 val used = cpus.getDouble(spec.team) + (beside?.cpus ?: 0.0)
-                (quota.cpusMax - used + MachineType.EPSILON) / spec.cpus
+                (quota.cpusMax - used + MachineType.RESOURCE_TOLERANCE) / spec.cpus
             } else Double.MAX_VALUE
         val byGpu =
             if (spec.gpus > 0) {
                 val used = gpus.getDouble(spec.team) + (beside?.gpus ?: 0.0)
-                (quota.gpusMax - used + MachineType.EPSILON) / spec.gpus
+                (quota.gpusMax - used + MachineType.RESOURCE_TOLERANCE) / spec.gpus
             } else Double.MAX_VALUE
         return minOf(byCpu, byGpu, MAX_HEADROOM).toInt().coerceAtLeast(0)
     }
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -271,7 +271,7 @@
             }
             val tasks = 0 until job.spec.tasks
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isTaskDone(it) })
-            assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isRecorded(it) })
+            assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isRecordedDone(it) })
             for (task in tasks) {
                 val last = FormatContents.TRIED[task] ?: job.placements.get(task)?.attempt ?: 0
                 assertEquals(last + 1, job.nextAttempt(task), "next attempt of $task")
--- a/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
+++ b/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
@@ -97,7 +97,7 @@
         assertTrue(bytes(stored) > LOWERED_LIMIT)
         var job = isRestored(spec, stored, page)
         // What machines were told to forget.
-        val forgotten = tasks.filterTo(HashSet()) { job.isRecorded(it) }
+        val forgotten = tasks.filterTo(HashSet()) { job.isRecordedDone(it) }
         for (round in 0 until 200) {
             val budget = PageWriteBudget(7, LOWERED_LIMIT)
             for (task in tasks) {
@@ -115,14 +115,14 @@
                 job.release(placement, Micros.ZERO)
             }
             stored = write(job, page)
-            tasks.filterTo(forgotten) { job.isRecorded(it) }
+            tasks.filterTo(forgotten) { job.isRecordedDone(it) }
             val known = tasks.filter { job.isTaskDone(it) }
             if (known.size == tasks.count()) return
             if (round % 4 == 3) {
                 val before = job
                 job = isRestored(spec, stored, page)
                 for (task in known) {
-                    assertEquals(before.isRecorded(task), job.isTaskDone(task), "$task")
+                    assertEquals(before.isRecordedDone(task), job.isTaskDone(task), "$task")
                     assertTrue(job.isTaskDone(task) || job.nextAttempt(task) > 1, "$task")
                     // Its machine still has the result, and reports it; else it runs once more.
                     if (task !in forgotten) job.complete(task, Micros.ZERO)
--- a/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -39,7 +39,7 @@
         holds.occupy(cpus = 2.0)
         // The eighth task would wait behind another image.
         val late = harness.machine(2, type, zone = "a")
-        late.images.use("another", 10 * spec.imageGb, harness.context.now)
+        late.images.recordUse("another", 10 * spec.imageGb, harness.context.now)
         val soon = harness.machine(3, type, zone = "b")
         val job = harness.job(spec)
         assertEquals(setOf(soon.id), machinesOf(job))
