--- a/src/main/kotlin/wardmux/core/CoreContext.kt
+++ b/src/main/kotlin/wardmux/core/CoreContext.kt
@@ -26,17 +26,17 @@
         this.wallTime = wallTime
     }
 
-    /** Sends a request; [then] is called with its outcome, exactly once. */
+    /** Sends a request; [onOutcome] is called with its outcome, exactly once. */
     fun send(
         target: Target,
         method: String,
         path: String,
         body: ByteArray,
         timeout: Micros,
-        then: (Outcome) -> Unit,
+        onOutcome: (Outcome) -> Unit,
     ) {
         val id = ++lastId
-        pendingRequests[id] = then
+        pendingRequests[id] = onOutcome
         effects.add(Effect.SendRequest(id, target, method, path, body, timeout))
     }
 
@@ -45,12 +45,14 @@
         pendingRequests.remove(response.id)?.invoke(response.outcome)
     }
 
-    /** Runs [task] in the background; [then] is called with its result, or null if it failed. */
-    fun <T : Any> compute(task: BackgroundTask<T>, then: (T?) -> Unit) {
+    /**
+     * Runs [task] in the background; [onResult] is called with its result, or null if it failed.
+     */
+    fun <T : Any> compute(task: BackgroundTask<T>, onResult: (T?) -> Unit) {
         val id = ++lastId
         // The result with this id is that of the task, whose type the caller's function takes.
         @Suppress("UNCHECKED_CAST")
-        pendingComputations[id] = then as (Any?) -> Unit
+        pendingComputations[id] = onResult as (Any?) -> Unit
         effects.add(Effect.Compute(id, task))
     }
 
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -26,10 +26,10 @@
 
     /** The placement of each task that is, or may be, on a machine. */
     val placements = Int2ObjectOpenHashMap<Placement>()
-    private val done = BitSet()
-    private val attempts = Int2IntOpenHashMap()
-    private val requeued = IntArrayFIFOQueue()
-    private var nextUntried = 0
+    private val doneTasks = BitSet()
+    private val lastAttempts = Int2IntOpenHashMap()
+    private val requeuedTasks = IntArrayFIFOQueue()
+    private var nextUntriedTask = 0
 
     /** How many tasks are reported as running, for display. */
     val running: Int
@@ -77,21 +77,21 @@
     var blockedSince: Micros? = null
 
     /** True if it has waited for room for longer than it takes some to come free by itself. */
-    fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > LONG_BLOCKED_AFTER } == true
+    fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > LONG_BLOCKED_THRESHOLD } == true
 
     /** When tasks of other teams were last stopped for it, to reclaim its team's share. */
     var lastReclaimAt = Micros.LONG_AGO
 
     /** How many tasks are done. */
     val doneCount: Int
-        get() = done.cardinality()
+        get() = doneTasks.cardinality()
 
     /** How many tasks wait to be placed; none once the job has ended. */
     val waiting: Int
         get() =
             if (hasEnded) 0
             // Of a gang all are done at once, those on their machines too.
-            else (spec.tasks - done.cardinality() - placements.size).coerceAtLeast(0)
+            else (spec.tasks - doneTasks.cardinality() - placements.size).coerceAtLeast(0)
 
     /** The current or last attempt of a gang; null before the first, and for other jobs. */
     var gangAttempt: GangAttempt? = null
@@ -106,7 +106,7 @@
 
     /** The number of a gang's next attempt, larger than any before. */
     val nextGangAttempt: Int
-        get() = (attempts.values.maxOrNull() ?: 0) + 1
+        get() = (lastAttempts.values.maxOrNull() ?: 0) + 1
 
     /**
      * Starts an attempt of a gang: all its tasks get one attempt number and are placed in their
@@ -114,8 +114,8 @@
      */
     fun startGangAttempt(now: Micros) {
         gangAttempt = GangAttempt(nextGangAttempt, now)
-        requeued.clear()
-        nextUntried = 0
+        requeuedTasks.clear()
+        nextUntriedTask = 0
     }
 
     /** False for a gang until the placements of all its tasks are committed. */
@@ -128,38 +128,39 @@
 
     /** True if all tasks are done, whether or not the job's record says so. */
     val allTasksDone: Boolean
-        get() = done.cardinality() == spec.tasks
+        get() = doneTasks.cardinality() == spec.tasks
 
     /** True if it fails on several machines: it is at fault, and comes after its team's others. */
     val isFailing: Boolean
-        get() = failedMachines.size >= MIN_FAILING_MACHINES
+        get() = failedMachines.size >= MIN_FAILED_MACHINES
 
     /** True if a task of it was placed once. */
     val hasStarted: Boolean
-        get() = !placements.isEmpty() || !attempts.isEmpty()
+        get() = !placements.isEmpty() || !lastAttempts.isEmpty()
 
     /** Tasks that were started once, are not done and are not placed now. */
     val interrupted: List<Int>
         get() =
-            attempts
+            lastAttempts
                 .int2IntEntrySet()
                 .filter { it.intValue > 0 && needsPlacement(it.intKey) }
                 .map { it.intKey }
 
     /** True if [task] is done. */
-    fun isTaskDone(task: Int) = done.get(task)
+    fun isTaskDone(task: Int) = doneTasks.get(task)
 
     /** True if the store says that [task] is done. */
     fun isRecordedDone(task: Int) = isDone || pages.isRecordedDone(task)
 
     /** Takes the next waiting task from the queue; -1 if there is none. */
     fun pollWaitingTask(): Int {
-        while (nextUntried < spec.tasks) {
-            val task = nextUntried++
-            if (needsPlacement(task) && (spec.isGang || !attempts.containsKey(task))) return task
+        while (nextUntriedTask < spec.tasks) {
+            val task = nextUntriedTask++
+            if (needsPlacement(task) && (spec.isGang || !lastAttempts.containsKey(task)))
+                return task
         }
-        while (!requeued.isEmpty) {
-            val task = requeued.dequeueInt()
+        while (!requeuedTasks.isEmpty) {
+            val task = requeuedTasks.dequeueInt()
             if (needsPlacement(task)) return task
         }
         return -1
@@ -167,29 +168,29 @@
 
     /** The page of [task] is full: it and the rest of the page come after all other tasks. */
     fun deferRestOfPage(task: Int) {
-        requeued.enqueue(task)
+        requeuedTasks.enqueue(task)
         val end = pages.lastTaskOnPageOf(task) + 1
-        if (nextUntried <= task || nextUntried > end) return
-        while (nextUntried < end) {
-            val next = nextUntried++
-            if (needsPlacement(next) && !attempts.containsKey(next)) requeued.enqueue(next)
+        if (nextUntriedTask <= task || nextUntriedTask > end) return
+        while (nextUntriedTask < end) {
+            val next = nextUntriedTask++
+            if (needsPlacement(next) && !lastAttempts.containsKey(next)) requeuedTasks.enqueue(next)
         }
     }
 
     /** [task] is the next to be taken again. */
-    fun requeueFirst(task: Int) = requeued.enqueueFirst(task)
+    fun requeueFirst(task: Int) = requeuedTasks.enqueueFirst(task)
 
-    private fun needsPlacement(task: Int) = !done.get(task) && !placements.containsKey(task)
+    private fun needsPlacement(task: Int) = !doneTasks.get(task) && !placements.containsKey(task)
 
     /** The number that an attempt of [task] gets if it is placed now. */
-    fun nextAttempt(task: Int) = gangAttempt?.number ?: (attempts.get(task) + 1)
+    fun nextAttempt(task: Int) = gangAttempt?.number ?: (lastAttempts.get(task) + 1)
 
-    /** [placement] was made at time of day [wall]. */
-    fun place(placement: Placement, wall: Micros) {
+    /** [placement] was made at time of day [wallTime]. */
+    fun place(placement: Placement, wallTime: Micros) {
         placements.put(placement.task.index, placement)
-        attempts.put(placement.task.index, placement.attempt)
+        lastAttempts.put(placement.task.index, placement.attempt)
         pages.addUncommitted(placement.task.index)
-        pages.markTaskDirty(placement.task.index, wall)
+        pages.markTaskDirty(placement.task.index, wallTime)
     }
 
     /** The record of [placement] is written. */
@@ -201,36 +202,36 @@
     }
 
     /** [placement] is proven gone; its task waits again unless it is done. */
-    fun release(placement: Placement, wall: Micros) {
+    fun release(placement: Placement, wallTime: Micros) {
         val task = placement.task.index
         if (placements.get(task) !== placement) return
         placements.remove(task)
         if (!placement.isCommitted) pages.removeUncommitted(task)
-        pages.markTaskDirty(task, wall)
-        if (!done.get(task)) requeued.enqueue(task)
+        pages.markTaskDirty(task, wallTime)
+        if (!doneTasks.get(task)) requeuedTasks.enqueue(task)
     }
 
     /** [placement] was never written, so its attempt number is used again. */
-    fun rollBack(placement: Placement, wall: Micros) {
-        attempts.put(placement.task.index, placement.attempt - 1)
-        release(placement, wall)
+    fun rollBack(placement: Placement, wallTime: Micros) {
+        lastAttempts.put(placement.task.index, placement.attempt - 1)
+        release(placement, wallTime)
     }
 
-    /** [task] is done since time of day [wall]. */
-    fun complete(task: Int, wall: Micros) {
-        if (done.get(task)) return
-        done.set(task)
-        pages.markTaskDirty(task, wall)
+    /** [task] is done since time of day [wallTime]. */
+    fun complete(task: Int, wallTime: Micros) {
+        if (doneTasks.get(task)) return
+        doneTasks.set(task)
+        pages.markTaskDirty(task, wallTime)
     }
 
     /** The placements of the tasks on [page]. */
     fun placementsOn(page: Int): List<Placement> {
-        val size = pages.tasksPerPage
-        val first = page * size
-        return if (placements.size < size) {
+        val tasksPerPage = pages.tasksPerPage
+        val first = page * tasksPerPage
+        return if (placements.size < tasksPerPage) {
             placements.values.filter { pages.pageOf(it.task.index) == page }
         } else {
-            (first until first + size).mapNotNull { placements.get(it) }
+            (first until first + tasksPerPage).mapNotNull { placements.get(it) }
         }
     }
 
@@ -239,31 +240,31 @@
         val from = page * pages.tasksPerPage
         val to = pages.tasksOn(page).last + 1
         val runs = ArrayList<IntRange>()
-        var start = done.nextSetBit(from)
+        var start = doneTasks.nextSetBit(from)
         while (start in from until to) {
-            val end = minOf(done.nextClearBit(start), to)
+            val end = minOf(doneTasks.nextClearBit(start), to)
             runs.add(start until end)
-            start = done.nextSetBit(end)
+            start = doneTasks.nextSetBit(end)
         }
         return runs
     }
 
     /** The number of the last attempt of [task], or 0 if none is known. */
-    fun lastAttempt(task: Int): Int = attempts.get(task)
+    fun lastAttempt(task: Int): Int = lastAttempts.get(task)
 
     /** True if [task] was tried, is not done and is not placed now. */
-    fun isInterrupted(task: Int) = needsPlacement(task) && attempts.get(task) > 0
+    fun isInterrupted(task: Int) = needsPlacement(task) && lastAttempts.get(task) > 0
 
     /** From the store: the tasks [first] to [last] are done. */
     fun restoreDone(first: Int, last: Int) {
-        done.set(first, last + 1)
+        doneTasks.set(first, last + 1)
         pages.restoreDone(first, last)
     }
 
     /** From the store: [task] was tried up to [lastAttempt], is not done and not placed. */
     fun restoreInterrupted(task: Int, lastAttempt: Int) {
-        attempts.put(task, lastAttempt)
-        requeued.enqueue(task)
+        lastAttempts.put(task, lastAttempt)
+        requeuedTasks.enqueue(task)
     }
 
     /** From the store: [placement] is committed, and a start of it may have gone out. */
@@ -271,7 +272,7 @@
         placement.isCommitted = true
         placement.isRestored = true
         placements.put(placement.task.index, placement)
-        attempts.put(placement.task.index, placement.attempt)
+        lastAttempts.put(placement.task.index, placement.attempt)
         // How far the attempt came is not known, so none of its tasks is replaced.
         if (spec.isGang)
             gangAttempt = GangAttempt(placement.attempt, Micros.LONG_AGO, hasRun = true)
@@ -279,7 +280,7 @@
 
     private companion object {
         /** A job that failed on so many machines is failing. */
-        const val MIN_FAILING_MACHINES = 2
-        val LONG_BLOCKED_AFTER = 4.seconds
+        const val MIN_FAILED_MACHINES = 2
+        val LONG_BLOCKED_THRESHOLD = 4.seconds
     }
 }
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -200,9 +200,11 @@
     var rentedBefore: Micros? = null
         private set
 
-    /** It is listed as [age] old at [wall]; lists are late, so the smallest time is the nearest. */
-    fun recordListing(wall: Micros, age: Micros) {
-        rentedBefore = minOf(rentedBefore ?: Micros.NEVER, wall - age)
+    /**
+     * It is listed as [age] old at [wallTime]; lists are late, so the smallest time is the nearest.
+     */
+    fun recordListing(wallTime: Micros, age: Micros) {
+        rentedBefore = minOf(rentedBefore ?: Micros.NEVER, wallTime - age)
     }
 
     // Its tasks.
@@ -279,6 +281,6 @@
     }
 
     /** See [EndedAttempts.mayForget]. */
-    fun mayForget(attempt: TaskAttempt, now: Micros, keptFor: Micros): Boolean =
-        endedAttempts.mayForget(attempt, now, keptFor)
+    fun mayForget(attempt: TaskAttempt, now: Micros, retention: Micros): Boolean =
+        endedAttempts.mayForget(attempt, now, retention)
 }
--- a/src/main/kotlin/wardmux/model/MachineResources.kt
+++ b/src/main/kotlin/wardmux/model/MachineResources.kt
@@ -33,20 +33,20 @@
 
     /** Whether one more task like this has room. */
     fun fits(spec: JobSpec): Boolean {
-        val slack = MachineType.RESOURCE_TOLERANCE
-        return spec.cpus <= freeCpus + slack &&
-            spec.gpus <= freeGpus + slack &&
-            spec.memoryGb <= freeMemoryGb + slack
+        val tolerance = MachineType.RESOURCE_TOLERANCE
+        return spec.cpus <= freeCpus + tolerance &&
+            spec.gpus <= freeGpus + tolerance &&
+            spec.memoryGb <= freeMemoryGb + tolerance
     }
 
     /** How many more tasks like this have room. */
     fun roomFor(spec: JobSpec): Int {
-        val slack = MachineType.RESOURCE_TOLERANCE
-        val byCpu = if (spec.cpus > 0) (freeCpus + slack) / spec.cpus else Double.MAX_VALUE
-        val byGpu = if (spec.gpus > 0) (freeGpus + slack) / spec.gpus else Double.MAX_VALUE
+        val tolerance = MachineType.RESOURCE_TOLERANCE
+        val byCpu = if (spec.cpus > 0) (freeCpus + tolerance) / spec.cpus else Double.MAX_VALUE
+        val byGpu = if (spec.gpus > 0) (freeGpus + tolerance) / spec.gpus else Double.MAX_VALUE
         val byMemory =
-            if (spec.memoryGb > 0) (freeMemoryGb + slack) / spec.memoryGb else Double.MAX_VALUE
-        return minOf(byCpu, byGpu, byMemory).coerceIn(0.0, MAX_ROOM).toInt()
+            if (spec.memoryGb > 0) (freeMemoryGb + tolerance) / spec.memoryGb else Double.MAX_VALUE
+        return minOf(byCpu, byGpu, byMemory).coerceIn(0.0, MAX_TASKS).toInt()
     }
 
     /** Reserves what a task needs. */
@@ -78,6 +78,6 @@
     }
 
     private companion object {
-        const val MAX_ROOM = 10_000.0
+        const val MAX_TASKS = 10_000.0
     }
 }
--- a/src/main/kotlin/wardmux/model/TaskEndCause.kt
+++ b/src/main/kotlin/wardmux/model/TaskEndCause.kt
@@ -24,9 +24,9 @@
     REFUSED(null);
 
     companion object {
-        /** The cause that workers call [name]. */
-        fun of(name: String?): TaskEndCause =
-            when (name) {
+        /** The cause that workers call [wireName]. */
+        fun of(wireName: String?): TaskEndCause =
+            when (wireName) {
                 DONE.wireName -> DONE
                 ERROR.wireName -> ERROR
                 STOPPED.wireName -> STOPPED
--- a/src/main/kotlin/wardmux/model/TaskPages.kt
+++ b/src/main/kotlin/wardmux/model/TaskPages.kt
@@ -14,12 +14,12 @@
     val tasksPerPage: Int,
     private val taskCount: Int,
 ) {
-    private val versions = Int2LongOpenHashMap()
-    private val dirty = IntOpenHashSet()
+    private val keyVersions = Int2LongOpenHashMap()
+    private val dirtyPageNumbers = IntOpenHashSet()
     private val recordedDone = BitSet()
 
     /** Placements of each page that no write holds yet. */
-    private val uncommitted = Int2IntOpenHashMap()
+    private val uncommittedCounts = Int2IntOpenHashMap()
 
     /** Since when a page has differed from what is stored of it; null while none does. */
     var dirtySince: Micros? = null
@@ -31,7 +31,7 @@
 
     /** True if no page of the job is stored. */
     val hasNoStoredPages: Boolean
-        get() = versions.isEmpty()
+        get() = keyVersions.isEmpty()
 
     /** The page of [task]. */
     fun pageOf(task: Int): Int = task / tasksPerPage
@@ -48,60 +48,61 @@
 
     /** The pages that differ from what is stored of them, ascending. */
     fun dirtyPages(): IntArray =
-        if (dirty.isEmpty()) NO_PAGES else dirty.toIntArray().also { it.sort() }
+        if (dirtyPageNumbers.isEmpty()) NO_PAGES
+        else dirtyPageNumbers.toIntArray().also { it.sort() }
 
     /** The pages of which something is stored, ascending. */
-    fun storedPages(): IntArray = versions.keys.toIntArray().also { it.sort() }
+    fun storedPages(): IntArray = keyVersions.keys.toIntArray().also { it.sort() }
 
     /** The version of the key that holds [page]; [KeyVersion.ABSENT] if it is not stored. */
-    fun version(page: Int) = KeyVersion(versions.get(page))
+    fun version(page: Int) = KeyVersion(keyVersions.get(page))
 
     /** True if [page] has a placement that is not committed. */
-    fun hasUncommitted(page: Int): Boolean = uncommitted.get(page) > 0
+    fun hasUncommitted(page: Int): Boolean = uncommittedCounts.get(page) > 0
 
     /** True if the stored page of [task] says that it is done. */
     fun isRecordedDone(task: Int): Boolean = recordedDone.get(task)
 
-    /** [page] differs from what is stored of it, at time of day [wall]. */
-    fun markDirty(page: Int, wall: Micros) {
-        dirty.add(page)
-        if (dirtySince == null) dirtySince = wall
+    /** [page] differs from what is stored of it, at time of day [wallTime]. */
+    fun markDirty(page: Int, wallTime: Micros) {
+        dirtyPageNumbers.add(page)
+        if (dirtySince == null) dirtySince = wallTime
     }
 
-    internal fun markTaskDirty(task: Int, wall: Micros) = markDirty(pageOf(task), wall)
+    internal fun markTaskDirty(task: Int, wallTime: Micros) = markDirty(pageOf(task), wallTime)
 
     /** [page] is as it is stored, or is being written as it is. */
     fun markClean(page: Int) {
-        dirty.remove(page)
-        if (dirty.isEmpty()) dirtySince = null
+        dirtyPageNumbers.remove(page)
+        if (dirtyPageNumbers.isEmpty()) dirtySince = null
     }
 
     /** [page] is stored with [version], and says that of its tasks [done] are done. */
     fun onWritten(page: Int, version: KeyVersion, done: BitSet) {
-        versions.put(page, version.value)
+        keyVersions.put(page, version.value)
         recordedDone.clear(page * tasksPerPage, (page + 1) * tasksPerPage)
         recordedDone.or(done)
     }
 
     /** [page] is no longer stored. */
     fun onRemoved(page: Int) {
-        versions.remove(page)
+        keyVersions.remove(page)
         markClean(page)
     }
 
     /** [page] was found stored with [version]. */
     fun onRead(page: Int, version: KeyVersion) {
-        versions.put(page, version.value)
+        keyVersions.put(page, version.value)
     }
 
     internal fun restoreDone(first: Int, last: Int) = recordedDone.set(first, last + 1)
 
     internal fun addUncommitted(task: Int) {
-        uncommitted.addTo(pageOf(task), 1)
+        uncommittedCounts.addTo(pageOf(task), 1)
     }
 
     internal fun removeUncommitted(task: Int) {
-        uncommitted.addTo(pageOf(task), -1)
+        uncommittedCounts.addTo(pageOf(task), -1)
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/records/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -30,9 +30,11 @@
      * the job.
      */
     fun toCancelled(maxBytes: Int): JobRecord {
-        val whole = copy(state = JobState.CANCELLED)
-        if (jsonBytes(whole.toJson()) <= maxBytes) return whole
-        return whole.copy(spec = spec?.copy(jobClass = "", image = "", types = null, zone = null))
+        val complete = copy(state = JobState.CANCELLED)
+        if (jsonBytes(complete.toJson()) <= maxBytes) return complete
+        return complete.copy(
+            spec = spec?.copy(jobClass = "", image = "", types = null, zone = null)
+        )
     }
 
     companion object {
@@ -49,7 +51,7 @@
                 .size
 
         /** A larger record has a long list of types, or other long names. */
-        private const val USUAL_BYTES = 2_000
+        private const val USUAL_RECORD_BYTES = 2_000
 
         /**
          * The specification to record for a job so that its record fits [maxBytes], or null if none
@@ -58,9 +60,9 @@
          * when it is written.
          */
         fun shortened(spec: JobSpec, usefulTypes: Set<String>, maxBytes: Int): JobSpec? {
-            if (maxBytes(spec) <= minOf(maxBytes, USUAL_BYTES)) return spec
-            val shorter = spec.copy(types = spec.types?.filter { it in usefulTypes }?.distinct())
-            return shorter.takeIf { minBytes(it) <= maxBytes }
+            if (maxBytes(spec) <= minOf(maxBytes, USUAL_RECORD_BYTES)) return spec
+            val shortened = spec.copy(types = spec.types?.filter { it in usefulTypes }?.distinct())
+            return shortened.takeIf { minBytes(it) <= maxBytes }
         }
 
         /** Prefix of the keys of all job records. */
--- a/src/main/kotlin/wardmux/records/StoredTaskPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredTaskPage.kt
@@ -42,14 +42,14 @@
 
     private fun placements(job: Job): List<Placement> {
         val placements = ArrayList<Placement>()
-        val rest = numbers.iterator()
+        val remaining = numbers.iterator()
         for (machine in machines) {
-            val incarnation = rest.next()
-            val zone = zones.at(rest.next())
-            repeat(rest.next().toInt()) {
-                val task = TaskId(job.id, rest.next().toInt())
-                val attempt = rest.next().toInt()
-                val charge = rest.next().let { Charge(Cost(costs.at(it)), weights.at(it)) }
+            val incarnation = remaining.next()
+            val zone = zones.at(remaining.next())
+            repeat(remaining.next().toInt()) {
+                val task = TaskId(job.id, remaining.next().toInt())
+                val attempt = remaining.next().toInt()
+                val charge = remaining.next().let { Charge(Cost(costs.at(it)), weights.at(it)) }
                 placements.add(
                     Placement(job, task, attempt, MachineId(machine), incarnation, zone, charge)
                 )
@@ -63,7 +63,7 @@
 
     companion object {
         /** Weights are kept to three digits after the point. */
-        private const val WEIGHT_STEPS = 1e3
+        private const val WEIGHT_STEPS_PER_UNIT = 1e3
 
         /**
          * The encoded page with [placements]; [done] holds the first and last task of each run, and
@@ -71,19 +71,21 @@
          */
         fun encode(done: List<Int>, placements: List<Placement>, tried: List<Int>): JsonElement {
             val charges = LinkedHashMap<Charge, Long>()
-            val shared = placements.firstOrNull()?.takeIf { it.job.sharesCharge }?.let(::chargeOf)
+            val sharedCharge =
+                placements.firstOrNull()?.takeIf { it.job.sharesCharge }?.let(::roundedChargeOf)
             val zones = LinkedHashMap<String, Long>()
             val machines = ArrayList<String>()
             val numbers = ArrayList<Long>()
-            for ((host, there) in placements.groupBy { Host(it.machine, it.incarnation) }) {
+            for ((host, hostPlacements) in
+                placements.groupBy { MachineIncarnation(it.machine, it.incarnation) }) {
                 machines.add(host.machine.value)
                 numbers.add(host.incarnation)
-                numbers.add(zones.indexOf(there.first().zone))
-                numbers.add(there.size.toLong())
-                for (placement in there) {
+                numbers.add(zones.indexOrAdd(hostPlacements.first().zone))
+                numbers.add(hostPlacements.size.toLong())
+                for (placement in hostPlacements) {
                     numbers.add(placement.task.index.toLong())
                     numbers.add(placement.attempt.toLong())
-                    numbers.add(charges.indexOf(shared ?: chargeOf(placement)))
+                    numbers.add(charges.indexOrAdd(sharedCharge ?: roundedChargeOf(placement)))
                 }
             }
             val page =
@@ -100,14 +102,17 @@
         }
 
         /** Rounded before it is compared: each dispatch changes its team's weight a little. */
-        private fun chargeOf(placement: Placement): Charge {
+        private fun roundedChargeOf(placement: Placement): Charge {
             val charge = placement.charge
-            return charge.copy(weight = Math.round(charge.weight * WEIGHT_STEPS) / WEIGHT_STEPS)
+            return charge.copy(
+                weight = Math.round(charge.weight * WEIGHT_STEPS_PER_UNIT) / WEIGHT_STEPS_PER_UNIT
+            )
         }
 
         /** The index of [key], which is the next one if it is new. */
-        private fun <K> MutableMap<K, Long>.indexOf(key: K): Long = getOrPut(key) { size.toLong() }
+        private fun <K> MutableMap<K, Long>.indexOrAdd(key: K): Long =
+            getOrPut(key) { size.toLong() }
 
-        private data class Host(val machine: MachineId, val incarnation: Long)
+        private data class MachineIncarnation(val machine: MachineId, val incarnation: Long)
     }
 }
--- a/src/main/kotlin/wardmux/records/TaskPageCodec.kt
+++ b/src/main/kotlin/wardmux/records/TaskPageCodec.kt
@@ -44,32 +44,32 @@
      * more.
      */
     fun encode(job: Job, page: Int, maxBytes: Int): EncodedTaskPage {
-        val runs = job.doneRunsOn(page)
-        val whole = encode(job, page, runs, BitSet())
-        var excess = jsonBytes(whole.data) - maxBytes
-        if (excess <= 0) return whole
+        val doneRuns = job.doneRunsOn(page)
+        val complete = encode(job, page, doneRuns, BitSet())
+        var excessBytes = jsonBytes(complete.data) - maxBytes
+        if (excessBytes <= 0) return complete
         val omitted = BitSet()
         val nothingPlaced = job.placementsOn(page).none { it.isCommitted }
         val candidates =
-            runs
+            doneRuns
                 .filter { it.first == it.last && !job.placements.containsKey(it.first) }
                 .map { it.first }
                 .filter { nothingPlaced || !job.pages.isRecordedDone(it) }
         for (task in candidates.sortedBy { job.pages.isRecordedDone(it) }) {
-            if (excess + SEPARATOR_BYTES <= 0) break
+            if (excessBytes + SEPARATOR_BYTES <= 0) break
             omitted.set(task)
-            excess -= task.toString().length - lastAttempt(job, task).toString().length
+            excessBytes -= task.toString().length - lastAttempt(job, task).toString().length
         }
-        return encode(job, page, runs, omitted)
+        return encode(job, page, doneRuns, omitted)
     }
 
     private fun encode(
         job: Job,
         page: Int,
-        runs: List<IntRange>,
+        doneRuns: List<IntRange>,
         omitted: BitSet,
     ): EncodedTaskPage {
-        val kept = runs.filter { !omitted.get(it.first) }
+        val kept = doneRuns.filter { !omitted.get(it.first) }
         val tried = ArrayList<Int>()
         for (task in job.pages.tasksOn(page)) {
             if (omitted.get(task) || job.isInterrupted(task)) {
--- a/src/main/kotlin/wardmux/store/KeyValueStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -35,7 +35,7 @@
 
     /** The most conditions that one transaction may hold. */
     val maxConditions: Int
-        get() = lowestLimits.txnOps * CONDITIONS_PER_OPERATION
+        get() = lowestLimits.txnOps * MAX_CONDITIONS_PER_OPERATION
 
     /**
      * The value size, in bytes, that the layout of stored pages is made for. It does not follow
@@ -53,40 +53,41 @@
 
     /** Whether this controller leads: the leader has a larger share of the rate limits. */
     fun setLeading(leading: Boolean) {
-        client.limiter.leading = leading
+        client.limiter.isLeading = leading
     }
 
     /** Reads one key; [StoreResult.NotFound] if it does not exist. */
     fun get(
         key: String,
         priority: RequestPriority = RequestPriority.READ,
-        then: (StoreResult<KeyValue>) -> Unit,
+        onResult: (StoreResult<KeyValue>) -> Unit,
     ) {
         val request =
             StoreRequest(priority, "GET", "/keys/$key", READ_TIMEOUT) { status, text ->
                 when (status) {
                     HttpStatus.OK ->
                         StoreResult.Ok(lenientJson.decodeFromString(KeyValue.serializer(), text))
-                    HttpStatus.NOT_FOUND -> StoreResult.NotFound(revisionOfAbsence(text))
+                    HttpStatus.NOT_FOUND -> StoreResult.NotFound(revisionOfNotFound(text))
                     else -> StoreClient.failure(status)
                 }
             }
-        client.submit(request, then)
+        client.submit(request, onResult)
     }
 
-    private fun revisionOfAbsence(text: String) =
+    private fun revisionOfNotFound(text: String) =
         lenientJson.decodeFromString(KeyNotFoundWire.serializer(), text).revision
 
     /**
-     * Reads all keys under [prefix]; [then] gets null if they can't be had. [values] decodes them
-     * straight from the response: a new leader reads thousands at once, on a fraction of a core.
+     * Reads all keys under [prefix]; [onResult] gets null if they can't be had. [valueSerializer]
+     * decodes them straight from the response: a new leader reads thousands at once, on a fraction
+     * of a core.
      */
     fun <T : Any> scan(
         prefix: String,
-        values: KSerializer<T>,
+        valueSerializer: KSerializer<T>,
         priority: RequestPriority = RequestPriority.LEADER,
-        then: (ScanResult<T>?) -> Unit,
-    ) = PrefixScan(client, prefix, values, priority, READ_TIMEOUT, then).start()
+        onResult: (ScanResult<T>?) -> Unit,
+    ) = PrefixScan(client, prefix, valueSerializer, priority, READ_TIMEOUT, onResult).start()
 
     /**
      * Applies all [operations] if all [conditions] hold, else none ([StoreResult.Conflict]). The
@@ -96,7 +97,7 @@
         conditions: List<VersionCondition>,
         operations: List<WriteOperation>,
         priority: RequestPriority,
-        then: (StoreResult<Revision>) -> Unit,
+        onResult: (StoreResult<Revision>) -> Unit,
     ) {
         val wire = TransactionWire(conditions, operations.ifEmpty { null })
         val body = lenientJson.encodeToString(TransactionWire.serializer(), wire)
@@ -110,7 +111,7 @@
                     else -> StoreClient.failure(status)
                 }
             }
-        client.submit(request, then)
+        client.submit(request, onResult)
     }
 
     private fun revisionOfCommit(text: String) =
@@ -120,7 +121,7 @@
         lenientJson.decodeFromString(ConflictWire.serializer(), text).failed
 
     /** Asks for a lease of the given [duration]. */
-    fun grantLease(duration: Micros, then: (StoreResult<LeaseId>) -> Unit) {
+    fun grantLease(duration: Micros, onResult: (StoreResult<LeaseId>) -> Unit) {
         val wire = LeaseRequestWire(duration.value / MICROS_PER_MS)
         val body = lenientJson.encodeToString(LeaseRequestWire.serializer(), wire)
         val request =
@@ -128,14 +129,14 @@
                 if (status == HttpStatus.OK) StoreResult.Ok(grantedLease(text))
                 else StoreClient.failure(status)
             }
-        client.submit(request, then)
+        client.submit(request, onResult)
     }
 
     private fun grantedLease(text: String) =
         lenientJson.decodeFromString(LeaseWire.serializer(), text).lease
 
     /** Extends a lease by its duration; [StoreResult.NotFound] if it has expired. */
-    fun renewLease(lease: LeaseId, then: (StoreResult<Unit>) -> Unit) {
+    fun renewLease(lease: LeaseId, onResult: (StoreResult<Unit>) -> Unit) {
         val request =
             leaseRequest("POST", "/leases/${lease.value}/renew") { status, _ ->
                 when (status) {
@@ -144,18 +145,18 @@
                     else -> StoreClient.failure(status)
                 }
             }
-        client.submit(request, then)
+        client.submit(request, onResult)
     }
 
     /** Ends a lease, also one that has expired; keys bound to it are removed. */
-    fun revokeLease(lease: LeaseId, then: (StoreResult<Unit>) -> Unit) {
+    fun revokeLease(lease: LeaseId, onResult: (StoreResult<Unit>) -> Unit) {
         val request =
             leaseRequest("DELETE", "/leases/${lease.value}") { status, _ ->
                 if (status in HttpStatus.SUCCESS || status == HttpStatus.NOT_FOUND)
                     StoreResult.Ok(Unit)
                 else StoreClient.failure(status)
             }
-        client.submit(request, then)
+        client.submit(request, onResult)
     }
 
     private fun <T> leaseRequest(
@@ -174,29 +175,29 @@
         from: Revision,
         maxWait: Micros,
         priority: RequestPriority,
-        then: (StoreResult<WatchResponse>) -> Unit,
+        onResult: (StoreResult<WatchResponse>) -> Unit,
     ) {
         val waitMs = maxWait.value / MICROS_PER_MS
         val path = "/watch?under=$prefix&from=${from.value}&block_ms=$waitMs"
         val request =
-            StoreRequest(priority, "GET", path, maxWait + WATCH_SLACK) { status, text ->
+            StoreRequest(priority, "GET", path, maxWait + WATCH_RESPONSE_MARGIN) { status, text ->
                 when (status) {
-                    HttpStatus.OK -> StoreResult.Ok(watchResponse(text))
+                    HttpStatus.OK -> StoreResult.Ok(decodeWatchResponse(text))
                     HttpStatus.GONE -> StoreResult.Compacted
                     else -> StoreClient.failure(status)
                 }
             }
-        client.submit(request, then)
+        client.submit(request, onResult)
     }
 
-    private fun watchResponse(text: String) =
+    private fun decodeWatchResponse(text: String) =
         lenientJson.decodeFromString(WatchResponse.serializer(), text)
 
     /** Sends what the limits allow, and ends requests that have waited too long. */
     fun sendDue() = client.sendDue()
 
     private companion object {
-        const val CONDITIONS_PER_OPERATION = 4
+        const val MAX_CONDITIONS_PER_OPERATION = 4
         const val BYTES_PER_KB = 1_024
         const val MICROS_PER_MS = 1_000
         val READ_TIMEOUT = 1_500.milliseconds
@@ -204,6 +205,6 @@
         val LEASE_TIMEOUT = 1.seconds
 
         /** For the way there and back, on top of the time that a watch waits. */
-        val WATCH_SLACK = 2.seconds
+        val WATCH_RESPONSE_MARGIN = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/store/PrefixScan.kt
+++ b/src/main/kotlin/wardmux/store/PrefixScan.kt
@@ -8,14 +8,14 @@
 import wardmux.model.Revision
 import wardmux.serialization.lenientJson
 
-/** Reads all keys under [prefix], page by page; [then] gets them, or null if a page failed. */
+/** Reads all keys under [prefix], page by page; [onResult] gets them, or null if a page failed. */
 internal class PrefixScan<T : Any>(
     private val client: StoreClient,
     private val prefix: String,
-    private val values: KSerializer<T>,
+    private val valueSerializer: KSerializer<T>,
     private val priority: RequestPriority,
     private val timeout: Micros,
-    private val then: (ScanResult<T>?) -> Unit,
+    private val onResult: (ScanResult<T>?) -> Unit,
 ) {
     private val log = logger<PrefixScan<*>>()
     private val items = ArrayList<ScannedKey<T>>()
@@ -24,28 +24,30 @@
     /** Reads the first page, and from there all others. */
     fun start() = readPage(null)
 
-    private fun readPage(from: String?) {
-        val path = "/keys?under=$prefix&limit=$PAGE_SIZE" + if (from == null) "" else "&from=$from"
+    private fun readPage(fromKey: String?) {
+        val path =
+            "/keys?under=$prefix&limit=$PAGE_SIZE" + if (fromKey == null) "" else "&from=$fromKey"
         val request =
             StoreRequest(priority, "GET", path, timeout) { status, text ->
-                if (status == HttpStatus.OK) StoreResult.Ok(decode(text))
+                if (status == HttpStatus.OK) StoreResult.Ok(decodePage(text))
                 else StoreClient.failure(status)
             }
         client.submit(request) { result ->
-            if (result is StoreResult.Ok) add(result.value, isFirst = from == null) else then(null)
+            if (result is StoreResult.Ok) addPage(result.value, isFirst = fromKey == null)
+            else onResult(null)
         }
     }
 
-    private fun add(page: KeyPageWire<T>, isFirst: Boolean) {
+    private fun addPage(page: KeyPageWire<T>, isFirst: Boolean) {
         if (isFirst) firstRevision = page.revision
         items.addAll(page.items)
         if (page.truncated && page.items.isNotEmpty()) readPage(page.items.last().key)
-        else then(ScanResult(items, firstRevision))
+        else onResult(ScanResult(items, firstRevision))
     }
 
-    private fun decode(text: String): KeyPageWire<T> =
+    private fun decodePage(text: String): KeyPageWire<T> =
         try {
-            lenientJson.decodeFromString(KeyPageWire.serializer(values), text)
+            lenientJson.decodeFromString(KeyPageWire.serializer(valueSerializer), text)
         } catch (e: IllegalArgumentException) {
             log.error(
                 "a value under {} can't be decoded: {}",
@@ -63,7 +65,7 @@
             page.items.map { item ->
                 val value =
                     try {
-                        item.data?.let { lenientJson.decodeFromJsonElement(values, it) }
+                        item.data?.let { lenientJson.decodeFromJsonElement(valueSerializer, it) }
                     } catch (e: IllegalArgumentException) {
                         null
                     }
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -15,7 +15,7 @@
     private var refilledAt: Micros? = null
 
     /** Whether this controller leads, and so has the leader's share. */
-    var leading = false
+    var isLeading = false
 
     /** Whether one more request may be sent now. */
     val allowsRequest: Boolean
@@ -36,27 +36,27 @@
 
     /** Adds what the time since the last call allows, up to the burst. */
     fun refill() {
-        val rate = limits.rps * share(LEADER_REQUEST_SHARE) * USABLE_SHARE
+        val rate = limits.rps * shareOfController(LEADER_REQUEST_SHARE) * USABLE_SHARE
         val elapsed = refilledAt?.let { (context.now - it).inSeconds } ?: 1.0
         refilledAt = context.now
         requestTokens = (requestTokens + elapsed * rate).coerceAtMost(rate)
         writeTokens = (writeTokens + elapsed * writeRate()).coerceAtMost(writeBurst())
     }
 
-    private fun share(leaderShare: Double): Double =
+    private fun shareOfController(leaderShare: Double): Double =
         when {
             controllers <= 1 -> 1.0
-            leading -> leaderShare
+            isLeading -> leaderShare
             else -> (1 - leaderShare) / (controllers - 1)
         }
 
-    private fun writeRate() = limits.writeRps * share(LEADER_WRITE_SHARE) * USABLE_SHARE
+    private fun writeRate() = limits.writeRps * shareOfController(LEADER_WRITE_SHARE) * USABLE_SHARE
 
     /** A whole transaction must fit, or it would wait for ever; only a leader's are large. */
     private fun writeBurst() =
         maxOf(
             writeRate(),
-            if (leading) limits.txnOps.toDouble()
+            if (isLeading) limits.txnOps.toDouble()
             else maxOf(limits.writeRps * FOLLOWER_BURST_S, MIN_FOLLOWER_BURST),
         )
 
--- a/src/main/kotlin/wardmux/store/RequestQueue.kt
+++ b/src/main/kotlin/wardmux/store/RequestQueue.kt
@@ -53,9 +53,9 @@
         for (queue in queues) {
             while (queue.isNotEmpty()) {
                 val request = queue.first()
-                val lease = queue === queues[RequestPriority.LEASE.ordinal]
-                if (!lease && (!limiter.allowsRequest || context.now < pausedUntil)) return
-                if (!lease && !limiter.allowsWrites(request.writes)) break
+                val isLease = queue === queues[RequestPriority.LEASE.ordinal]
+                if (!isLease && (!limiter.allowsRequest || context.now < pausedUntil)) return
+                if (!isLease && !limiter.allowsWrites(request.writes)) break
                 limiter.spend(request.writes)
                 queue.removeFirst()
                 request.send()
--- a/src/main/kotlin/wardmux/store/StoreClient.kt
+++ b/src/main/kotlin/wardmux/store/StoreClient.kt
@@ -52,16 +52,16 @@
     var unavailableSince: Micros? = null
         private set
 
-    /** Queues [request]; [then] gets its result, exactly once. */
-    fun <T> submit(request: StoreRequest<T>, then: (StoreResult<T>) -> Unit) =
-        queue.add(request.priority, PendingRequest(request, then))
+    /** Queues [request]; [onResult] gets its result, exactly once. */
+    fun <T> submit(request: StoreRequest<T>, onResult: (StoreResult<T>) -> Unit) =
+        queue.add(request.priority, PendingRequest(request, onResult))
 
     /** Sends what the limits allow, and rejects what has waited too long. */
     fun sendDue() = queue.sendDue()
 
     private inner class PendingRequest<T>(
         private val request: StoreRequest<T>,
-        private val then: (StoreResult<T>) -> Unit,
+        private val onResult: (StoreResult<T>) -> Unit,
     ) : QueuedRequest {
         private val body = request.body.encodeToByteArray()
         override val writes: Int
@@ -77,12 +77,12 @@
                     queue.retry(request.priority, this)
                 } else {
                     recordAvailability(outcome)
-                    then(resultOf(outcome, request.reader))
+                    onResult(resultOf(outcome, request.reader))
                 }
             }
         }
 
-        override fun expire() = then(StoreResult.NotExecuted)
+        override fun expire() = onResult(StoreResult.NotExecuted)
     }
 
     private fun recordAvailability(outcome: Outcome) {
--- a/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
+++ b/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
@@ -27,15 +27,18 @@
         val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = submitted.spec.copy(tasks = JobSpec.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
-            val size = TaskPageCodec.tasksPerPage(limit)
-            val job = Job(spec, KeyVersion(1), Micros.ZERO, size)
-            val last = (spec.tasks - 1) / size
-            for (task in last * size until spec.tasks) job.place(widest(job, task), Micros.ZERO)
-            for (task in 0 until size) job.place(widest(job, task), Micros.ZERO)
-            for (page in listOf(0, last)) {
+            val tasksPerPage = TaskPageCodec.tasksPerPage(limit)
+            val job = Job(spec, KeyVersion(1), Micros.ZERO, tasksPerPage)
+            val lastPage = (spec.tasks - 1) / tasksPerPage
+            for (task in lastPage * tasksPerPage until spec.tasks) job.place(
+                largestPlacement(job, task),
+                Micros.ZERO,
+            )
+            for (task in 0 until tasksPerPage) job.place(largestPlacement(job, task), Micros.ZERO)
+            for (page in listOf(0, lastPage)) {
                 assertTrue(
                     TaskPageCodec.encode(job, page).toString().length <= limit,
-                    "page $page of $size tasks",
+                    "page $page of $tasksPerPage tasks",
                 )
             }
             val stored =
@@ -43,8 +46,11 @@
                     StoredTaskPage.serializer(),
                     TaskPageCodec.encode(job, 0),
                 )
-            val again = Job(spec, KeyVersion(1), Micros.ZERO, size)
-            assertEquals(size, TaskPageCodec.restore(again, 0, KeyVersion(1), stored).size)
+            val restored = Job(spec, KeyVersion(1), Micros.ZERO, tasksPerPage)
+            assertEquals(
+                tasksPerPage,
+                TaskPageCodec.restore(restored, 0, KeyVersion(1), stored).size,
+            )
         }
     }
 
@@ -53,7 +59,7 @@
         val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = submitted.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
-            for (perMachine in listOf(1, 3, 16)) {
+            for (tasksPerMachine in listOf(1, 3, 16)) {
                 val job =
                     Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
                 // What two rounds place, ended in between so that the page gets as large as can be.
@@ -62,11 +68,12 @@
                     for (task in 0 until spec.tasks) {
                         if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
                         if (!budget.tryReserve(job, task)) continue
-                        val placement = widest(job, task, job.nextAttempt(task), task / perMachine)
+                        val placement =
+                            largePlacement(job, task, job.nextAttempt(task), task / tasksPerMachine)
                         job.place(placement, Micros.ZERO)
                         budget.onPlaced(placement)
                     }
-                    assertTrue(job.placements.size > 4, "too few for $limit: $perMachine")
+                    assertTrue(job.placements.size > 4, "too few for $limit: $tasksPerMachine")
                     assertFits(job, limit)
                     for (placement in job.placements.values.toList()) {
                         if (placement.task.index % 2 == 0) {
@@ -94,35 +101,35 @@
         val done = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
         val tried = tasks.filter { it % 2 == 1 }.flatMap { listOf(it, 2) }
         var stored = decode(StoredTaskPage.encode(done, emptyList(), tried))
-        assertTrue(bytes(stored) > LOWERED_LIMIT)
-        var job = isRestored(spec, stored, page)
+        assertTrue(encodedBytes(stored) > LOWERED_LIMIT_BYTES)
+        var job = restoredJob(spec, stored, page)
         // What machines were told to forget.
         val forgotten = tasks.filterTo(HashSet()) { job.isRecordedDone(it) }
         for (round in 0 until 200) {
-            val budget = PageWriteBudget(7, LOWERED_LIMIT)
+            val budget = PageWriteBudget(7, LOWERED_LIMIT_BYTES)
             for (task in tasks) {
                 if (job.isTaskDone(task) || job.placements.containsKey(task)) continue
                 if (!budget.tryReserve(job, task)) continue
-                val placement = widest(job, task, job.nextAttempt(task), task)
+                val placement = largePlacement(job, task, job.nextAttempt(task), task)
                 job.place(placement, Micros.ZERO)
                 budget.onPlaced(placement)
             }
             assertTrue(job.placements.isNotEmpty(), "nothing can be placed in round $round")
-            stored = write(job, page)
+            stored = encodeAndMarkWritten(job, page)
             for (placement in job.placements.values.toList()) {
                 job.commit(placement)
                 job.complete(placement.task.index, Micros.ZERO)
                 job.release(placement, Micros.ZERO)
             }
-            stored = write(job, page)
+            stored = encodeAndMarkWritten(job, page)
             tasks.filterTo(forgotten) { job.isRecordedDone(it) }
-            val known = tasks.filter { job.isTaskDone(it) }
-            if (known.size == tasks.count()) return
+            val doneTasks = tasks.filter { job.isTaskDone(it) }
+            if (doneTasks.size == tasks.count()) return
             if (round % 4 == 3) {
-                val before = job
-                job = isRestored(spec, stored, page)
-                for (task in known) {
-                    assertEquals(before.isRecordedDone(task), job.isTaskDone(task), "$task")
+                val previousJob = job
+                job = restoredJob(spec, stored, page)
+                for (task in doneTasks) {
+                    assertEquals(previousJob.isRecordedDone(task), job.isTaskDone(task), "$task")
                     assertTrue(job.isTaskDone(task) || job.nextAttempt(task) > 1, "$task")
                     // Its machine still has the result, and reports it; else it runs once more.
                     if (task !in forgotten) job.complete(task, Micros.ZERO)
@@ -132,9 +139,12 @@
         error("not all tasks of the page are done")
     }
 
-    private fun write(job: Job, page: Int): StoredTaskPage {
-        val content = TaskPageCodec.encode(job, page, LOWERED_LIMIT)
-        assertTrue(jsonBytes(content.data) <= LOWERED_LIMIT, "${jsonBytes(content.data)} bytes")
+    private fun encodeAndMarkWritten(job: Job, page: Int): StoredTaskPage {
+        val content = TaskPageCodec.encode(job, page, LOWERED_LIMIT_BYTES)
+        assertTrue(
+            jsonBytes(content.data) <= LOWERED_LIMIT_BYTES,
+            "${jsonBytes(content.data)} bytes",
+        )
         job.pages.onWritten(page, KeyVersion(1), content.done)
         return decode(content.data)
     }
@@ -142,10 +152,10 @@
     private fun decode(data: JsonElement) =
         lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), data)
 
-    private fun bytes(page: StoredTaskPage) =
+    private fun encodedBytes(page: StoredTaskPage) =
         jsonBytes(lenientJson.encodeToJsonElement(StoredTaskPage.serializer(), page))
 
-    private fun isRestored(spec: JobSpec, stored: StoredTaskPage, page: Int) =
+    private fun restoredJob(spec: JobSpec, stored: StoredTaskPage, page: Int) =
         Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024)).also {
             TaskPageCodec.restore(it, page, KeyVersion(1), stored)
         }
@@ -157,7 +167,7 @@
         }
     }
 
-    private fun widest(job: Job, task: Int, attempt: Int, machine: Int) =
+    private fun largePlacement(job: Job, task: Int, attempt: Int, machine: Int) =
         Placement(
             job,
             TaskId(job.id, task),
@@ -168,7 +178,7 @@
             Charge(Cost(9_999_000_000), 1230.0 + machine % 3),
         )
 
-    private fun widest(job: Job, task: Int) =
+    private fun largestPlacement(job: Job, task: Int) =
         Placement(
             job,
             TaskId(job.id, task),
@@ -180,6 +190,6 @@
         )
 
     private companion object {
-        const val LOWERED_LIMIT = 2048
+        const val LOWERED_LIMIT_BYTES = 2048
     }
 }
--- a/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
+++ b/src/test/kotlin/wardmux/store/KeyValueStoreTest.kt
@@ -16,10 +16,10 @@
     private val store = KeyValueStore(context, StoreLimits(7.0, 7.0, 8.0, 8), controllers = 7)
     private val sent = ArrayList<String>()
 
-    private fun run(seconds: Int, request: () -> Unit = {}) =
+    private fun advance(seconds: Int, eachStep: () -> Unit = {}) =
         repeat(seconds * 10) {
             context.setTime(context.now + 100.milliseconds, context.wallTime)
-            request()
+            eachStep()
             store.sendDue()
             for (effect in context.takeEffects()) if (effect is Effect.SendRequest)
                 sent.add(effect.path)
@@ -28,9 +28,9 @@
     @Test
     fun `behind many reads a follower still learns who leads`() {
         context.setTime(1.seconds, 1.seconds)
-        run(5) { repeat(5) { store.get("j/job-000001") {} } }
+        advance(5) { repeat(5) { store.get("j/job-000001") {} } }
         store.watch("leader", Revision(1), 8.seconds, RequestPriority.LEASE) {}
-        run(1) { repeat(5) { store.get("j/job-000001") {} } }
+        advance(1) { repeat(5) { store.get("j/job-000001") {} } }
         assertTrue(sent.any { it.startsWith("/watch?under=leader") }, "the watch was never sent")
     }
 
@@ -38,7 +38,7 @@
     fun `a request whose turn never comes expires in time and is not left unanswered`() {
         context.setTime(1.seconds, 1.seconds)
         var expired = 0
-        run(4) {
+        advance(4) {
             repeat(5) { store.get("j/job-000001", RequestPriority.LEADER) {} }
             store.get("j/job-000002", RequestPriority.READ) {
                 if (it is StoreResult.NotExecuted) expired++
