--- a/src/main/kotlin/wardmux/model/EndedAttempts.kt
+++ b/src/main/kotlin/wardmux/model/EndedAttempts.kt
@@ -1,13 +1,17 @@
 package wardmux.model
 
-/** Attempts that ended on a machine without completing, and when that was first reported. */
+/**
+ * The attempts that ended on a machine without completing, with the time at which the machine first
+ * reported each of them as ended.
+ */
 class EndedAttempts {
-    /** The oldest first. */
+    /** In insertion order, so the attempt that was reported first is the first key. */
     private val firstReportedAt = LinkedHashMap<TaskAttempt, Micros>()
 
     /**
-     * Whether the machine may forget [attempt], which it reports as ended: if it ended more than
-     * [retention] ago, or is the oldest of very many.
+     * Returns true if the machine may forget [attempt], which it reports as ended: the attempt was
+     * first reported as ended more than [retention] ago, or it is the oldest of more than
+     * [MAX_RETAINED_ATTEMPTS] attempts. An attempt that may be forgotten is removed from this list.
      */
     fun mayForget(attempt: TaskAttempt, now: Micros, retention: Micros): Boolean {
         val reportedSince = firstReportedAt.getOrPut(attempt) { now }
@@ -18,7 +22,7 @@
         return true
     }
 
-    /** A new incarnation of the worker begins without tasks. */
+    /** Removes all attempts, because a new incarnation of the worker starts without tasks. */
     fun clear() = firstReportedAt.clear()
 
     private companion object {
--- a/src/main/kotlin/wardmux/model/GangAttempt.kt
+++ b/src/main/kotlin/wardmux/model/GangAttempt.kt
@@ -1,13 +1,19 @@
 package wardmux.model
 
-/** One attempt of a gang as a whole. */
+/** One attempt to run all tasks of a gang together. */
 class GangAttempt(
-    /** The attempt number of all its tasks. */
+    /** The attempt number that all tasks of the gang have in this attempt. */
     val number: Int,
     val startedAt: Micros,
-    /** All its tasks ran at the same time: without one of them the others can't go on. */
+    /**
+     * True once all tasks of the gang have been running at the same time. From then on the loss of
+     * one task means that the others cannot continue.
+     */
     var hasRun: Boolean = false,
 ) {
-    /** It can't be completed: what is left of it has to be gone before the next attempt. */
+    /**
+     * True if this attempt can no longer complete. All of its remaining tasks have to be gone from
+     * their machines before the next attempt starts.
+     */
     var isAborted = false
 }
--- a/src/main/kotlin/wardmux/model/Identifiers.kt
+++ b/src/main/kotlin/wardmux/model/Identifiers.kt
@@ -2,18 +2,18 @@
 
 import kotlinx.serialization.Serializable
 
-/** The id of a job, as its user gave it. */
+/** The id of a job, as given by the user who submitted it. */
 @JvmInline
 value class JobId(val value: String) {
     override fun toString() = value
 }
 
-/** Task [index] of a job; on the wire `job-000412/3`. */
+/** Identifies the task with the number [index] of a job. Its text form is `job-000412/3`. */
 data class TaskId(val job: JobId, val index: Int) {
     override fun toString() = "${job.value}/$index"
 
     companion object {
-        /** The inverse of [toString]; null if [text] is no task id. */
+        /** Parses the text form made by [toString]; returns null if [text] is not a task id. */
         fun parse(text: String): TaskId? {
             val slash = text.lastIndexOf('/')
             if (slash <= 0) return null
@@ -23,15 +23,16 @@
     }
 }
 
-/** The id of a machine, unique for ever. */
+/** The id of a machine. An id is never used for another machine later. */
 @JvmInline
 value class MachineId(val value: String) {
     override fun toString() = value
 }
 
 /**
- * Identifies one leadership, and with it who may command workers: the revision of the write that
- * took the leader key. A later leader's token is larger.
+ * The fencing token of one leader's term. Workers accept commands by token, so that an earlier
+ * leader cannot command them. The token is the revision of the write that acquired the leader key,
+ * so a later leader has a larger token.
  */
 @JvmInline
 value class FencingToken(val value: Long) : Comparable<FencingToken> {
@@ -40,11 +41,11 @@
     override fun toString() = value.toString()
 }
 
-/** Counts the changes of the whole key-value store. */
+/** A revision of the whole key-value store, which increases with every change. */
 @Serializable
 @JvmInline
 value class Revision(val value: Long) : Comparable<Revision> {
-    /** The version of a key that was written at this revision. */
+    /** The version of a key whose last write was made at this revision. */
     val keyVersion: KeyVersion
         get() = KeyVersion(value)
 
@@ -53,12 +54,15 @@
     override fun toString() = value.toString()
 
     companion object {
-        /** Before all changes. */
+        /** The revision before the first change. */
         val ZERO = Revision(0)
     }
 }
 
-/** The revision of a key's last change in the key-value store; [ABSENT] if it does not exist. */
+/**
+ * The version of a key: the revision of the key's last change in the key-value store, or [ABSENT]
+ * if the key does not exist.
+ */
 @Serializable
 @JvmInline
 value class KeyVersion(val value: Long) {
@@ -70,7 +74,7 @@
     }
 }
 
-/** A lease of the key-value store, to which keys can be bound. */
+/** The id of a lease of the key-value store. Keys that are bound to a lease expire with it. */
 @Serializable
 @JvmInline
 value class LeaseId(val value: Long) {
--- a/src/main/kotlin/wardmux/model/ImageCache.kt
+++ b/src/main/kotlin/wardmux/model/ImageCache.kt
@@ -1,18 +1,22 @@
 package wardmux.model
 
-/** The leader's estimate of which images a machine of [type] holds or fetches. */
+/** The leader's estimate of which images a machine of [type] has cached or is fetching. */
 class ImageCache(private val type: MachineType) {
     private class Image(val sizeGb: Double, var readyAt: Micros)
 
-    /** The least recently used one first. */
+    /** Images by name, ordered from the least to the most recently used. */
     private val images = LinkedHashMap<String, Image>()
 
-    /** When all known fetches are over; kept, since each choice of a machine asks for it. */
+    /**
+     * The time at which the last known fetch ends. It is cached because it is read whenever a
+     * machine is chosen for a task.
+     */
     private var lastFetchEnd = Micros.LONG_AGO
 
     /**
-     * How long until [image] of [imageGb] GB is there. Fetches share the machine's rate, so one
-     * that starts now is taken to come after those in progress.
+     * The estimated time until [image], which has a size of [imageGb] GB, is on the machine.
+     * Fetches share the machine's bandwidth, so a fetch that starts now is assumed to run after all
+     * fetches in progress.
      */
     fun waitTime(image: String, imageGb: Double, now: Micros): Micros {
         val readyAt =
@@ -20,7 +24,10 @@
         return maxOf(readyAt - now, Micros.ZERO)
     }
 
-    /** A task with [image] is placed: the least recently used images give way to it. */
+    /**
+     * Records that a task with [image] is placed on the machine. The least recently used images are
+     * evicted until the remaining ones fit the machine's cache.
+     */
     fun recordUse(image: String, imageGb: Double, now: Micros) {
         val cached = images.remove(image)
         images[image] = cached ?: Image(imageGb, nextFetchStart(now) + fetchTime(imageGb))
@@ -33,9 +40,9 @@
         updateLastFetchEnd()
     }
 
-    /** A task with [image] runs, so the image is there. */
+    /** Records that a task with [image] runs, which shows that the image is on the machine. */
     fun markReady(image: String, imageGb: Double, now: Micros) {
-        // Known already, as with most heartbeats.
+        // The image is usually known to be ready already, because every heartbeat reports its task.
         if ((images[image]?.readyAt ?: Micros.NEVER) <= now) return
         recordUse(image, imageGb, now)
         val cached = images[image] ?: return
@@ -44,7 +51,10 @@
         updateLastFetchEnd()
     }
 
-    /** No task waits for [image] any more, so its fetch is cancelled if it is not over. */
+    /**
+     * Records that no task waits for [image] any more. Its fetch is cancelled unless it is
+     * complete.
+     */
     fun cancelFetch(image: String, now: Micros) {
         val cached = images[image] ?: return
         if (cached.readyAt <= now) return
--- a/src/main/kotlin/wardmux/model/Job.kt
+++ b/src/main/kotlin/wardmux/model/Job.kt
@@ -6,45 +6,49 @@
 import java.util.BitSet
 
 /**
- * A job with the state of its tasks, which are numbered from 0 and alike. Waiting tasks are taken
- * in this order: those never tried, then those that are to be tried again. Only tasks that were
- * tried take memory each.
+ * A job with the state of its tasks, which are identical and numbered from 0. Waiting tasks are
+ * taken in this order: first tasks without any attempt, then tasks that are to be attempted again.
+ * Only tasks that were attempted use memory individually.
  */
 class Job(val spec: JobSpec, val version: KeyVersion, val acceptedAt: Micros, tasksPerPage: Int) {
     val id: JobId = spec.jobId
 
-    /** How its tasks are stored. */
+    /** The division of the tasks into stored pages, and what the store holds of each page. */
     val pages = TaskPages(tasksPerPage, spec.tasks)
 
-    /** What each task requires of its machine. */
+    /** The requirements of each task on its machine. */
     val resourceRequest =
         ResourceRequest(spec.cpus, spec.gpus, spec.memoryGb, spec.types, spec.zone, spec.spot)
 
-    /** True if the zones that its tasks may go to depend on where its others are. */
+    /** True if the zones allowed for a task depend on the zones of the job's other tasks. */
     val isZoneBound: Boolean
         get() = spec.oneZone || spec.spread
 
-    /** The placement of each task that is, or may be, on a machine. */
+    /** The placements of all tasks that are, or may be, on a machine, by task number. */
     val placements = Int2ObjectOpenHashMap<Placement>()
     private val doneTasks = BitSet()
     private val lastAttempts = Int2IntOpenHashMap()
     private val requeuedTasks = IntArrayFIFOQueue()
     private var nextUntriedTask = 0
 
-    /** How many tasks are reported as running, for display. */
+    /** The number of tasks that are reported as running, for display. */
     val running: Int
         get() = placements.values.count { it.runningSince != null }
 
-    /** What the job's record says; only an open job has tasks started. */
+    /** The phase according to the job's record. Tasks are started only while the job is open. */
     var phase = JobPhase.OPEN
 
-    /** Cancelled or done: nothing starts any more, and what is left on machines is stopped. */
+    /**
+     * True if the job is cancelled or done. No task is started any more, and tasks that remain on
+     * machines are stopped.
+     */
     val hasEnded: Boolean
         get() = phase != JobPhase.OPEN
 
     /**
-     * The earliest moment at which a user may have been told that it is cancelled. Not when this
-     * leader learned of it: a failover must not start the time anew.
+     * The earliest time at which a user may have been informed that the job is cancelled. This is
+     * not the time at which this leader learned of the cancellation, because a failover must not
+     * restart the period within which the tasks have to stop.
      */
     var cancelledSince = Micros.LONG_AGO
 
@@ -56,7 +60,10 @@
     val isCancelled: Boolean
         get() = phase == JobPhase.CANCELLED
 
-    /** True if nothing of it is on a machine, and nothing stored says that something may be. */
+    /**
+     * True if the job has ended, none of its tasks is on a machine, and no stored key indicates
+     * that one may be.
+     */
     val isRemovable: Boolean
         get() =
             hasEnded &&
@@ -64,53 +71,65 @@
                 pages.hasNoStoredPages &&
                 (isDone || isCancelledKeyRemoved)
 
-    /** True if the store no longer lists it among the cancelled jobs with tasks on machines. */
+    /**
+     * True once the store no longer lists the job among the cancelled jobs that may have tasks on
+     * machines.
+     */
     var isCancelledKeyRemoved = false
 
-    /** Machines on which tasks of this job failed since one of them last completed. */
+    /** The machines on which tasks of this job have failed since a task of it last completed. */
     val failedMachines = HashSet<MachineId>()
 
-    /** None of its tasks is placed before this time of day. */
+    /** The time of day before which no task of the job is placed. */
     var backoffUntil = Micros.LONG_AGO
 
-    /** Since when a task that could run has not been placed; null while none waits for room. */
+    /**
+     * The time since which the job has had a task that could not be placed for lack of room; null
+     * while no task waits for room.
+     */
     var blockedSince: Micros? = null
 
-    /** True if it has waited for room for longer than it takes some to come free by itself. */
+    /**
+     * Returns true if the job has waited for room for longer than it usually takes until other
+     * tasks end and free some.
+     */
     fun isBlockedLong(now: Micros) = blockedSince?.let { now - it > LONG_BLOCKED_THRESHOLD } == true
 
-    /** When tasks of other teams were last stopped for it, to reclaim its team's share. */
+    /**
+     * When tasks of other teams were last stopped for this job to reclaim the share of its team.
+     */
     var lastReclaimAt = Micros.LONG_AGO
 
-    /** How many tasks are done. */
+    /** The number of tasks that are done. */
     val doneCount: Int
         get() = doneTasks.cardinality()
 
-    /** How many tasks wait to be placed; none once the job has ended. */
+    /** The number of tasks that wait to be placed; 0 once the job has ended. */
     val waiting: Int
         get() =
             if (hasEnded) 0
-            // Of a gang all are done at once, those on their machines too.
+            // All tasks of a gang become done at once, while they still have their placements.
             else (spec.tasks - doneTasks.cardinality() - placements.size).coerceAtLeast(0)
 
-    /** The current or last attempt of a gang; null before the first, and for other jobs. */
+    /** The current or last attempt of a gang; null before the first one and for other jobs. */
     var gangAttempt: GangAttempt? = null
         private set
 
     /**
-     * True if its stored placements name one charge for all. A gang's tasks are placed together and
-     * cost the same; those of a service never complete, so their charge is never corrected.
+     * True if all placements on a stored page share one charge. The tasks of a gang are placed
+     * together and cost the same. The tasks of a service never complete, so their charge is never
+     * corrected.
      */
     val sharesCharge: Boolean
         get() = spec.kind != JobKind.ARRAY
 
-    /** The number of a gang's next attempt, larger than any before. */
+    /** The number of the next attempt of a gang, which is larger than any earlier one. */
     val nextGangAttempt: Int
         get() = (lastAttempts.values.maxOrNull() ?: 0) + 1
 
     /**
-     * Starts an attempt of a gang: all its tasks get one attempt number and are placed in their
-     * order, so that those of a page are placed together.
+     * Begins a new attempt of a gang. All of its tasks get the same attempt number and are placed
+     * in ascending order, so that the tasks of one page are placed together.
      */
     fun startGangAttempt(now: Micros) {
         gangAttempt = GangAttempt(nextGangAttempt, now)
@@ -118,7 +137,10 @@
         nextUntriedTask = 0
     }
 
-    /** False for a gang until the placements of all its tasks are committed. */
+    /**
+     * True if tasks of the job may be started. Those of a gang may be started only once the
+     * placements of all its tasks are committed.
+     */
     val mayStart: Boolean
         get() =
             !spec.isGang ||
@@ -126,19 +148,22 @@
                     placements.size == spec.tasks &&
                     placements.values.all { it.isCommitted })
 
-    /** True if all tasks are done, whether or not the job's record says so. */
+    /** True if all tasks are done, even if the job's record does not say so yet. */
     val allTasksDone: Boolean
         get() = doneTasks.cardinality() == spec.tasks
 
-    /** True if it fails on several machines: it is at fault, and comes after its team's others. */
+    /**
+     * True if tasks of the job fail on several machines, so that the job itself is assumed to be
+     * faulty. It is then scheduled after the other jobs of its team.
+     */
     val isFailing: Boolean
         get() = failedMachines.size >= MIN_FAILED_MACHINES
 
-    /** True if a task of it was placed once. */
+    /** True if a task of the job has been placed at least once. */
     val hasStarted: Boolean
         get() = !placements.isEmpty() || !lastAttempts.isEmpty()
 
-    /** Tasks that were started once, are not done and are not placed now. */
+    /** The tasks that were attempted, are not done and have no placement now. */
     val interrupted: List<Int>
         get() =
             lastAttempts
@@ -146,13 +171,13 @@
                 .filter { it.intValue > 0 && needsPlacement(it.intKey) }
                 .map { it.intKey }
 
-    /** True if [task] is done. */
+    /** Returns true if [task] is done, whether or not the store says so. */
     fun isTaskDone(task: Int) = doneTasks.get(task)
 
-    /** True if the store says that [task] is done. */
+    /** Returns true if the store says that [task], or the whole job, is done. */
     fun isRecordedDone(task: Int) = isDone || pages.isRecordedDone(task)
 
-    /** Takes the next waiting task from the queue; -1 if there is none. */
+    /** Removes and returns the next waiting task; returns -1 if there is none. */
     fun pollWaitingTask(): Int {
         while (nextUntriedTask < spec.tasks) {
             val task = nextUntriedTask++
@@ -166,7 +191,10 @@
         return -1
     }
 
-    /** The page of [task] is full: it and the rest of the page come after all other tasks. */
+    /**
+     * Moves [task] and the following tasks of its page behind all other waiting tasks. It is called
+     * if the page of [task] is full.
+     */
     fun deferRestOfPage(task: Int) {
         requeuedTasks.enqueue(task)
         val end = pages.lastTaskOnPageOf(task) + 1
@@ -177,15 +205,15 @@
         }
     }
 
-    /** [task] is the next to be taken again. */
+    /** Puts [task] at the front of the tasks that are to be attempted again. */
     fun requeueFirst(task: Int) = requeuedTasks.enqueueFirst(task)
 
     private fun needsPlacement(task: Int) = !doneTasks.get(task) && !placements.containsKey(task)
 
-    /** The number that an attempt of [task] gets if it is placed now. */
+    /** The attempt number that [task] gets if it is placed now. */
     fun nextAttempt(task: Int) = gangAttempt?.number ?: (lastAttempts.get(task) + 1)
 
-    /** [placement] was made at time of day [wallTime]. */
+    /** Adds [placement], which was made at the time of day [wallTime] and is not written yet. */
     fun place(placement: Placement, wallTime: Micros) {
         placements.put(placement.task.index, placement)
         lastAttempts.put(placement.task.index, placement.attempt)
@@ -193,7 +221,7 @@
         pages.markTaskDirty(placement.task.index, wallTime)
     }
 
-    /** The record of [placement] is written. */
+    /** Marks [placement] as committed, after its record was written to the store. */
     fun commit(placement: Placement) {
         if (placement.isCommitted) return
         placement.isCommitted = true
@@ -201,7 +229,10 @@
         if (placements.get(task) === placement) pages.removeUncommitted(task)
     }
 
-    /** [placement] is proven gone; its task waits again unless it is done. */
+    /**
+     * Removes [placement], which is known to be on no machine any more. Its task waits to be placed
+     * again unless it is done.
+     */
     fun release(placement: Placement, wallTime: Micros) {
         val task = placement.task.index
         if (placements.get(task) !== placement) return
@@ -211,20 +242,20 @@
         if (!doneTasks.get(task)) requeuedTasks.enqueue(task)
     }
 
-    /** [placement] was never written, so its attempt number is used again. */
+    /** Removes [placement], which was never written, so that its attempt number can be reused. */
     fun rollBack(placement: Placement, wallTime: Micros) {
         lastAttempts.put(placement.task.index, placement.attempt - 1)
         release(placement, wallTime)
     }
 
-    /** [task] is done since time of day [wallTime]. */
+    /** Marks [task] as done at the time of day [wallTime]. */
     fun complete(task: Int, wallTime: Micros) {
         if (doneTasks.get(task)) return
         doneTasks.set(task)
         pages.markTaskDirty(task, wallTime)
     }
 
-    /** The placements of the tasks on [page]. */
+    /** Returns the placements of the tasks on [page]. */
     fun placementsOn(page: Int): List<Placement> {
         val tasksPerPage = pages.tasksPerPage
         val first = page * tasksPerPage
@@ -235,7 +266,7 @@
         }
     }
 
-    /** The runs of consecutive done tasks on [page], ascending. */
+    /** Returns the ranges of consecutive done tasks on [page], in ascending order. */
     fun doneRunsOn(page: Int): List<IntRange> {
         val from = page * pages.tasksPerPage
         val to = pages.tasksOn(page).last + 1
@@ -249,38 +280,44 @@
         return runs
     }
 
-    /** The number of the last attempt of [task], or 0 if none is known. */
+    /** The number of the last known attempt of [task], or 0 if none is known. */
     fun lastAttempt(task: Int): Int = lastAttempts.get(task)
 
-    /** True if [task] was tried, is not done and is not placed now. */
+    /** Returns true if [task] was attempted, is not done and has no placement now. */
     fun isInterrupted(task: Int) = needsPlacement(task) && lastAttempts.get(task) > 0
 
-    /** From the store: the tasks [first] to [last] are done. */
+    /** Restores from the store that the tasks from [first] to [last], inclusive, are done. */
     fun restoreDone(first: Int, last: Int) {
         doneTasks.set(first, last + 1)
         pages.restoreDone(first, last)
     }
 
-    /** From the store: [task] was tried up to [lastAttempt], is not done and not placed. */
+    /**
+     * Restores from the store that [task] was attempted, with [lastAttempt] as its last attempt,
+     * and that it is neither done nor placed.
+     */
     fun restoreInterrupted(task: Int, lastAttempt: Int) {
         lastAttempts.put(task, lastAttempt)
         requeuedTasks.enqueue(task)
     }
 
-    /** From the store: [placement] is committed, and a start of it may have gone out. */
+    /** Restores [placement] from the store. It is committed, and its start may have been sent. */
     fun restore(placement: Placement) {
         placement.isCommitted = true
         placement.isRestored = true
         placements.put(placement.task.index, placement)
         lastAttempts.put(placement.task.index, placement.attempt)
-        // How far the attempt came is not known, so none of its tasks is replaced.
+        // It is unknown whether all tasks of this attempt ran, so hasRun is set: a lost task is not
+        // replaced on its own.
         if (spec.isGang)
             gangAttempt = GangAttempt(placement.attempt, Micros.LONG_AGO, hasRun = true)
     }
 
     private companion object {
-        /** A job that failed on so many machines is failing. */
+        /** A job is failing once its tasks have failed on this many machines. */
         const val MIN_FAILED_MACHINES = 2
+
+        /** A job that waits for room for longer than this counts as blocked for long. */
         val LONG_BLOCKED_THRESHOLD = 4.seconds
     }
 }
--- a/src/main/kotlin/wardmux/model/JobKind.kt
+++ b/src/main/kotlin/wardmux/model/JobKind.kt
@@ -3,20 +3,20 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What the tasks of a job are to each other. */
+/** How the tasks of a job relate to each other. */
 @Serializable
 enum class JobKind {
-    /** Independent tasks that each run to completion. */
+    /** Independent tasks, each of which runs to completion. */
     @SerialName("batch") ARRAY,
 
     /** Replicas that run until the job is cancelled. */
     @SerialName("daemon") SERVICE,
 
-    /** Tasks that all run at the same time, and complete together. */
+    /** Tasks that have to run at the same time and complete together. */
     @SerialName("group") GANG,
 }
 
-/** Priority classes, the highest first. */
+/** The priority classes of jobs, from the highest to the lowest. */
 @Serializable
 enum class PriorityClass {
     @SerialName("prod") PROD,
--- a/src/main/kotlin/wardmux/model/JobPhase.kt
+++ b/src/main/kotlin/wardmux/model/JobPhase.kt
@@ -1,13 +1,13 @@
 package wardmux.model
 
-/** What the record of a job says of it, as far as the leader knows. */
+/** The phase of a job according to its stored record, as far as the leader has read it. */
 enum class JobPhase {
-    /** Accepted: its tasks are to run. */
+    /** The job is accepted, and its tasks are to be run. */
     OPEN,
 
-    /** Its user cancelled it: its tasks are stopped. */
+    /** A user cancelled the job, and its tasks are stopped. */
     CANCELLED,
 
-    /** All its tasks have completed. */
+    /** All tasks of the job have completed. */
     DONE,
 }
--- a/src/main/kotlin/wardmux/model/JobProgress.kt
+++ b/src/main/kotlin/wardmux/model/JobProgress.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The progress of a job, for display: how many of its tasks are done and are running. */
+/** The numbers of done and of running tasks of a job, for display. */
 @Serializable
 data class JobProgress(
     @SerialName("job") val job: String,
--- a/src/main/kotlin/wardmux/model/JobSpec.kt
+++ b/src/main/kotlin/wardmux/model/JobSpec.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A job as its user submitted it, and the form in which records keep it. Resources are those of one
- * task; times are in seconds.
+ * A job as submitted by its user, which is also the form in which job records store it. Resource
+ * amounts are those of one task; times are in seconds.
  */
 @Serializable
 data class JobSpec(
@@ -30,28 +30,30 @@
     @SerialName("dump_s") val saveS: Double,
     @SerialName("due_s") val deadlineS: Double? = null,
 ) {
-    /** The id as a type of its own. */
+    /** The job's [id] as a [JobId]. */
     val jobId: JobId
         get() = JobId(id)
 
-    /** How long its user expects a task to run. */
+    /** The run time that the user expects of one task. */
     val estimate: Micros
         get() = estimateS.seconds
 
-    /** True if its tasks run only all at the same time. */
+    /** True if the job's tasks can only run all at the same time. */
     val isGang: Boolean
         get() = kind == JobKind.GANG
 
-    /** True if a stopped task can write a checkpoint, from which its next attempt goes on. */
+    /**
+     * True if a task that is stopped can write a checkpoint from which its next attempt resumes.
+     */
     val isCheckpointable: Boolean
         get() = checkpointS > 0
 
-    /** At most this many tasks may be in one zone. */
+    /** The maximum number of tasks of the job in one zone; all of them unless it is [spread]. */
     val zoneLimit: Int
         get() = if (spread) (tasks + 1) / 2 else tasks
 
     companion object {
-        /** The most tasks that one job may have. */
+        /** The maximum number of tasks of one job. */
         const val MAX_TASKS = 100_000
     }
 }
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -1,245 +1,284 @@
 package wardmux.model
 
-/** A machine as the leader knows it. */
+/** The leader's knowledge of a machine. */
 class Machine(val id: MachineId, val type: MachineType, val zone: String, val spot: Boolean) {
 
-    // Its worker and the heartbeats of it.
+    // The machine's worker and its heartbeats.
 
-    /** The newest incarnation of its worker that was reported. */
+    /** The newest reported incarnation of the machine's worker. */
     var incarnation = 0L
         private set
 
-    /** The newest heartbeat of [incarnation]. */
+    /** The tick of the newest heartbeat of [incarnation]; -1 before the first. */
     var tick = -1L
         private set
 
-    /** Host and port at which it takes direct commands; empty before its first heartbeat. */
+    /**
+     * Host and port at which the worker accepts direct commands; empty before its first heartbeat.
+     */
     var endpoint = ""
         private set
 
-    /** It has sent a heartbeat under this leader's token, so no earlier leader can command it. */
+    /**
+     * True if the worker has sent a heartbeat with this leader's token, so that no earlier leader
+     * can command it any more.
+     */
     var hasAdoptedToken = false
 
-    /** When its last heartbeat under this leader's token was sent; null before the first. */
+    /** When the last heartbeat with this leader's token was sent; null before the first. */
     var lastHeartbeatAt: Micros? = null
 
-    /** When it first sent a heartbeat under an older token; perhaps a copy of an old one. */
+    /**
+     * When a heartbeat with an older token first arrived, or null. Because of delayed delivery, it
+     * may be a copy of a heartbeat that was sent long before.
+     */
     var firstStaleHeartbeatAt: Micros? = null
         private set
 
-    /** Known from heartbeats under an older token only: it may have been deleted long ago. */
+    /**
+     * True if the machine is known only from heartbeats with an older token. It may have been
+     * deleted long ago.
+     */
     var hasOnlyStaleHeartbeats = false
 
-    /** The forwarder of its last heartbeat, or null if it came to the leader itself. */
+    /**
+     * The controller that forwarded the last heartbeat, or null if the leader received it directly.
+     */
     var forwardedBy: String? = null
 
-    /** When the leader, uncertain of its lease, last redirected it to another controller. */
+    /**
+     * When the leader last redirected the worker to another controller because the leader was not
+     * certain of its own lease.
+     */
     var lastRedirectAt = Micros.LONG_AGO
 
-    /** When it is probed next at the earliest. */
+    /** The earliest time of the next probe of the machine. */
     var nextProbeAt = Micros.LONG_AGO
 
-    /** It answered no probe since its last heartbeat. */
+    /** True if the machine has failed to answer a probe since its last heartbeat. */
     var hasProbeFailed = false
 
-    /** It has sent a heartbeat under this leader's token. */
+    /** True if the worker has sent a heartbeat with this leader's token. */
     val isUp: Boolean
         get() = lastHeartbeatAt != null
 
-    /** A new incarnation of its worker was reported, with nothing on the machine but images. */
+    /**
+     * Records that a new [incarnation] of the worker was reported. Images on the machine remain,
+     * but it has no tasks.
+     */
     fun startIncarnation(incarnation: Long, now: Micros) {
         this.incarnation = incarnation
-        // Direct commands name the incarnation, so those for an earlier one are refused.
+        // Direct commands name the incarnation, so the worker refuses those for an earlier one.
         unconfirmedStarts.clear()
         endedAttempts.clear()
         startUnansweredSince = null
         incarnationSince = now
     }
 
-    /** Its first heartbeat under this leader's token came. */
+    /** Records that the first heartbeat with this leader's token arrived. */
     fun adoptToken(now: Micros) {
         hasAdoptedToken = true
-        // Until now an earlier leader may have renewed its lease.
+        // Until now an earlier leader may have renewed the machine's lease.
         incarnationSince = now
     }
 
-    /** A heartbeat of the present incarnation came. */
+    /** Records that a heartbeat of the current incarnation arrived. */
     fun recordHeartbeat(endpoint: String, tick: Long) {
         this.endpoint = endpoint
         this.tick = tick
     }
 
-    /** A heartbeat under an older token came; perhaps a copy from before this leader's time. */
+    /**
+     * Records that a heartbeat with an older token arrived, possibly as a delayed copy of one that
+     * was sent before this leader's term.
+     */
     fun recordStaleHeartbeat(now: Micros) {
         if (firstStaleHeartbeatAt == null) firstStaleHeartbeatAt = now
     }
 
-    /** A heartbeat under this leader's token came that was sent at [sentAt]. */
+    /** Records that a heartbeat with this leader's token arrived, which was sent at [sentAt]. */
     fun recordCurrentTokenHeartbeat(sentAt: Micros) {
         hasOnlyStaleHeartbeats = false
         lastHeartbeatAt = maxOf(lastHeartbeatAt ?: sentAt, sentAt)
         hasProbeFailed = false
     }
 
-    // Its lease.
+    // The machine's lease.
 
-    /** When the response to a heartbeat last renewed, or may have renewed, its lease. */
+    /** When the response to a heartbeat last renewed, or may have renewed, the machine's lease. */
     var renewedAt = Micros.LONG_AGO
 
     /**
-     * When its present incarnation was first reported, or adopted this leader's token: the first
-     * lease of an incarnation runs without a renewal, and until then others may have renewed it.
+     * When the current incarnation was first reported, or when it adopted this leader's token if
+     * that was later. The first lease of an incarnation runs without a renewal, and until the token
+     * is adopted other leaders may have renewed the lease.
      */
     private var incarnationSince = Micros.LONG_AGO
 
-    /** When its present lease began, by what the leader itself knows. */
+    /** The latest start of the current lease that the leader itself knows of. */
     val leaseStart: Micros
         get() = maxOf(renewedAt, incarnationSince)
 
     // Direct commands.
 
-    /** A direct command is in flight; there is one at a time. */
+    /** True while a direct command is in flight. There is at most one at a time. */
     var isCommandInFlight = false
         private set
 
+    /** When a direct command was last sent. */
     var commandSentAt = Micros.LONG_AGO
         private set
 
-    /** When a direct command last found no connection to it. */
+    /** When the connection for a direct command last failed. */
     var connectionFailedAt = Micros.LONG_AGO
 
-    /** A direct command found no connection, and no heartbeat has come since. */
+    /**
+     * True if the connection for a direct command failed and no later heartbeat has arrived since.
+     */
     val isUnreachable: Boolean
         get() = connectionFailedAt > (lastHeartbeatAt ?: Micros.LONG_AGO)
 
     /**
-     * Attempts whose direct start is in flight or went unanswered. Until it is confirmed, their
-     * absence from a heartbeat proves nothing, and they are not forgotten: a start that is carried
-     * out afterwards would run the attempt once more.
+     * The attempts whose direct start is in flight or unanswered. Until the start is confirmed, the
+     * absence of such an attempt from a heartbeat does not prove that it is not on the machine. The
+     * worker must not forget the attempt either, because a start that is carried out afterwards
+     * would run it again.
      */
     val unconfirmedStarts = HashSet<TaskAttempt>()
 
     /**
-     * Since when a direct start to this incarnation has gone unanswered, so that it may be carried
-     * out at any time; or null.
+     * The time since which a direct start to the current incarnation has been unanswered, or null.
+     * Such a start may still be carried out at any time.
      */
     var startUnansweredSince: Micros? = null
         private set
 
+    /** True if a direct start to the current incarnation is unanswered. */
     val hasUnansweredStart: Boolean
         get() = startUnansweredSince != null
 
-    /** A direct command is sent. */
+    /** Records that a direct command is sent. */
     fun recordCommandSent(now: Micros) {
         isCommandInFlight = true
         commandSentAt = now
     }
 
-    /** The outcome of the direct command in flight is known. */
+    /** Records that the outcome of the direct command in flight is known. */
     fun recordCommandOutcome() {
         isCommandInFlight = false
     }
 
-    /** A direct start went unanswered. */
+    /** Records that a direct start was not answered. */
     fun recordUnansweredStart(now: Micros) {
         if (startUnansweredSince == null) startUnansweredSince = now
     }
 
-    // Whether it is to be used.
+    // Whether the machine may be used.
 
-    /** When the provider gave notice that it preempts the machine, or null. */
+    /** When the cloud provider's preemption notice arrived, or null if there is none. */
     var preemptionNoticeAt: Micros? = null
 
-    /** When the provider preempts it, as its notice says. */
+    /** When the provider preempts the machine according to its notice. */
     var preemptedAt = Micros.NEVER
         private set
 
-    /** It is out of use for good. */
+    /** True if the machine is permanently out of use. */
     var isDecommissioned = false
 
-    /** Why it was decommissioned. */
+    /** Why the machine was decommissioned; empty if it was not. */
     var decommissionReason = ""
         private set
 
-    /** That it is decommissioned is recorded, so it may be deleted. */
+    /**
+     * True once the store records that the machine is decommissioned, so that it may be deleted.
+     */
     var isDeletionDue = false
         private set
 
-    /** It gets no new tasks, so that it can be returned once it is empty. */
+    /**
+     * True if the machine gets no new tasks, so that it can be returned to the provider once it is
+     * empty.
+     */
     var isScalingIn = false
 
-    /** What a drain that operators asked for makes of it. */
+    /** The restriction that a drain requested by operators puts on the machine. */
     var maintenance = Maintenance.NONE
 
-    /** It gets no new tasks before then, because one failed or was refused. */
+    /** The machine gets no new tasks before this time, because a task failed or was refused. */
     var pausedUntil = Micros.LONG_AGO
 
-    /** The tasks that failed here since one last completed, counted by job. */
+    /** The number of tasks that failed here since a task last completed, by job id. */
     val failures = HashMap<String, Int>()
 
-    /** The provider gave notice that it preempts the machine at [preemptedAt]. */
+    /** Records the provider's notice that it preempts the machine at [preemptedAt]. */
     fun recordPreemptionNotice(now: Micros, preemptedAt: Micros) {
         preemptionNoticeAt = now
         this.preemptedAt = preemptedAt
     }
 
-    /** Takes it out of use for good. */
+    /** Takes the machine out of use permanently. */
     fun decommission(reason: String) {
         isDecommissioned = true
         decommissionReason = reason
     }
 
-    /** That it is decommissioned is recorded. */
+    /** Marks that the store records the machine as decommissioned, so that it may be deleted. */
     fun markDeletionDue() {
         isDeletionDue = true
     }
 
-    // What the provider charges for.
+    // The rental of the machine.
 
-    /** It was rented at this time of day or before; null until the provider has listed it. */
+    /**
+     * The time of day at or before which the machine was rented; null until the provider has listed
+     * the machine.
+     */
     var rentedBefore: Micros? = null
         private set
 
     /**
-     * It is listed as [age] old at [wallTime]; lists are late, so the smallest time is the nearest.
+     * Records that the provider's list, read at the time of day [wallTime], gives the machine's age
+     * as [age]. Lists may be outdated, so the earliest rental time computed from them is the most
+     * accurate.
      */
     fun recordListing(wallTime: Micros, age: Micros) {
         rentedBefore = minOf(rentedBefore ?: Micros.NEVER, wallTime - age)
     }
 
-    // Its tasks.
+    // The machine's tasks.
 
-    /** The images on it. */
+    /** The images that are estimated to be on the machine. */
     val images = ImageCache(type)
 
     private val resources = MachineResources(type)
     private val endedAttempts = EndedAttempts()
 
-    /** By the task's name, as in heartbeats. */
+    /** The placements on the machine, by the task name that heartbeats use. */
     val placements = LinkedHashMap<String, Placement>()
 
-    /** Reported tasks without a record: they take room until they are gone. */
+    /** Reported tasks without a record. They occupy resources until they are gone. */
     var orphans = emptyList<JobSpec>()
         set(value) {
             field = value
             resources.setOrphans(value)
         }
 
-    /** Since when it has been empty, if it is. */
+    /** The time since which the machine has been empty; only meaningful while it is empty. */
     var idleSince = Micros.ZERO
 
+    /** True if no placement or orphan is on the machine. */
     val isEmpty: Boolean
         get() = placements.isEmpty() && orphans.isEmpty()
 
-    /** Something of a cancelled job may be here. */
+    /** True if a task of a cancelled job may be on the machine. */
     val holdsCancelled: Boolean
         get() = placements.values.any { it.job.isCancelled }
 
-    /** The largest of the shares of CPU, memory and GPU that placements reserve. */
+    /** The largest of the shares of CPUs, memory and GPUs that placements reserve, from 0 to 1. */
     val load: Double
         get() = resources.load
 
-    /** CPUs that replicas of services reserve. */
+    /** The CPUs that replicas of services reserve. */
     val serviceCpus: Double
         get() = resources.serviceCpus
 
@@ -252,26 +291,26 @@
     val freeMemoryGb: Double
         get() = resources.freeMemoryGb
 
-    /** Whether it has room for one more task like this. */
+    /** Returns true if the machine has room for one more task of [spec]. */
     fun fits(spec: JobSpec): Boolean = resources.fits(spec)
 
-    /** How many more tasks like this it has room for. */
+    /** The number of further tasks of [spec] for which the machine has room. */
     fun roomFor(spec: JobSpec): Int = resources.roomFor(spec)
 
-    /** The placement of this attempt here, or null. */
+    /** The placement of this [attempt] of [task] on the machine, or null if there is none. */
     fun placementOf(task: String, attempt: Int): Placement? =
         placements[task]?.takeIf { it.attempt == attempt }
 
-    /** Whether a task here runs or will run with [image]. */
+    /** Returns true if a task on this machine runs or will run with [image]. */
     fun needsImage(image: String): Boolean = placements.values.any { it.job.spec.image == image }
 
-    /** A task is placed here. */
+    /** Adds [placement] and reserves its resources. */
     fun add(placement: Placement) {
         placements[placement.name] = placement
         resources.reserve(placement.job.spec)
     }
 
-    /** A task is not here any more. */
+    /** Removes [placement], which is no longer on the machine, and frees its resources. */
     fun remove(placement: Placement, now: Micros) {
         if (placements[placement.name] !== placement) return
         placements.remove(placement.name)
--- a/src/main/kotlin/wardmux/model/MachineResources.kt
+++ b/src/main/kotlin/wardmux/model/MachineResources.kt
@@ -1,6 +1,9 @@
 package wardmux.model
 
-/** The CPUs, GPUs and memory (GB) of a machine of [type], by what its tasks reserve. */
+/**
+ * Tracks the CPUs, GPUs and memory (in GB) that tasks reserve on a machine of [type]. Orphans,
+ * which are reported tasks without a record, are counted separately from placements.
+ */
 class MachineResources(private val type: MachineType) {
     private var usedCpus = 0.0
     private var usedGpus = 0.0
@@ -9,7 +12,7 @@
     private var orphanGpus = 0.0
     private var orphanMemoryGb = 0.0
 
-    /** CPUs that replicas of services reserve. */
+    /** The CPUs that replicas of services reserve. */
     var serviceCpus = 0.0
         private set
 
@@ -22,7 +25,10 @@
     val freeMemoryGb: Double
         get() = type.memoryGb - usedMemoryGb - orphanMemoryGb
 
-    /** The largest of the shares of CPU, memory and GPU that placements reserve. */
+    /**
+     * The largest of the shares of the machine's CPUs, memory and GPUs that placements reserve,
+     * from 0 to 1.
+     */
     val load: Double
         get() =
             maxOf(
@@ -31,7 +37,7 @@
                 if (type.gpus > 0) usedGpus / type.gpus else 0.0,
             )
 
-    /** Whether one more task like this has room. */
+    /** Returns true if there is room for one more task of [spec]. */
     fun fits(spec: JobSpec): Boolean {
         val tolerance = MachineType.RESOURCE_TOLERANCE
         return spec.cpus <= freeCpus + tolerance &&
@@ -39,7 +45,7 @@
             spec.memoryGb <= freeMemoryGb + tolerance
     }
 
-    /** How many more tasks like this have room. */
+    /** The number of further tasks of [spec] for which there is room. */
     fun roomFor(spec: JobSpec): Int {
         val tolerance = MachineType.RESOURCE_TOLERANCE
         val byCpu = if (spec.cpus > 0) (freeCpus + tolerance) / spec.cpus else Double.MAX_VALUE
@@ -49,13 +55,16 @@
         return minOf(byCpu, byGpu, byMemory).coerceIn(0.0, MAX_TASKS).toInt()
     }
 
-    /** Reserves what a task needs. */
+    /** Reserves the resources of one task of [spec]. */
     fun reserve(spec: JobSpec) = add(spec, 1)
 
-    /** Frees what a task needed. */
+    /** Frees the resources of one task of [spec]. */
     fun free(spec: JobSpec) = add(spec, -1)
 
-    /** No task is left: what rounding errors have added up is dropped. */
+    /**
+     * Resets the reservations of placements to zero. It is called when no placement is left, to
+     * discard accumulated rounding errors.
+     */
     fun clear() {
         serviceCpus = 0.0
         usedCpus = 0.0
@@ -63,7 +72,7 @@
         usedMemoryGb = 0.0
     }
 
-    /** Reserves what these tasks need, instead of the orphans before. */
+    /** Reserves the resources of [orphans], replacing those of the previous orphans. */
     fun setOrphans(orphans: List<JobSpec>) {
         orphanCpus = orphans.sumOf { it.cpus }
         orphanGpus = orphans.sumOf { it.gpus }
@@ -78,6 +87,7 @@
     }
 
     private companion object {
+        /** An upper bound for results; no machine runs as many tasks. */
         const val MAX_TASKS = 10_000.0
     }
 }
--- a/src/main/kotlin/wardmux/model/MachineType.kt
+++ b/src/main/kotlin/wardmux/model/MachineType.kt
@@ -3,7 +3,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A kind of machine that the cloud rents out, with its prices for each hour. */
+/**
+ * A machine type that the cloud offers, with its resources and its prices per hour for ordinary and
+ * spot machines.
+ */
 @Serializable
 data class MachineType(
     @SerialName("label") val label: String,
@@ -17,19 +20,19 @@
     @SerialName("boot_s") val bootS: Double = 60.0,
     @SerialName("wards") val zones: List<String>,
 ) {
-    /** Whether an empty machine has room for one task of [spec]. */
+    /** Returns true if an empty machine of this type has room for one task of [spec]. */
     fun fits(spec: JobSpec) =
         spec.cpus <= cpus + RESOURCE_TOLERANCE &&
             spec.gpus <= gpus + RESOURCE_TOLERANCE &&
             spec.memoryGb <= memoryGb + RESOURCE_TOLERANCE
 
-    /** Whether a machine of this type in some zone may run a task of [spec]. */
+    /** Returns true if a machine of this type in at least one zone may run a task of [spec]. */
     fun allowedFor(spec: JobSpec) =
         fits(spec) &&
             (spec.types == null || label in spec.types) &&
             (spec.zone == null || spec.zone in zones)
 
-    /** How many tasks like this an empty machine takes. */
+    /** The number of tasks of [spec] for which an empty machine of this type has room. */
     fun taskCapacity(spec: JobSpec): Int {
         val byCpu = if (spec.cpus > 0) cpus / spec.cpus else Double.MAX_VALUE
         val byGpu = if (spec.gpus > 0) gpus / spec.gpus else Double.MAX_VALUE
@@ -38,10 +41,13 @@
     }
 
     companion object {
-        /** Sums of decimal amounts are compared with this much slack. */
+        /**
+         * The tolerance for comparing sums of resource amounts, which are floating-point numbers
+         * and have rounding errors.
+         */
         const val RESOURCE_TOLERANCE = 1e-6
 
-        /** More tasks than any machine runs. */
+        /** An upper bound for results; no machine runs as many tasks. */
         private const val MAX_TASKS = 10_000.0
     }
 }
--- a/src/main/kotlin/wardmux/model/MachineTypes.kt
+++ b/src/main/kotlin/wardmux/model/MachineTypes.kt
@@ -1,8 +1,8 @@
 package wardmux.model
 
-/** The machine types that the cloud offers, as far as this controller knows them. */
+/** The machine types that the cloud offers, as this controller last read them. */
 interface MachineTypes {
-    /** All types; null until they have been read for the first time. */
+    /** All types, or null until they have been read for the first time. */
     val types: List<MachineType>?
 
     /** The type named [label], or null if there is none. */
--- a/src/main/kotlin/wardmux/model/Maintenance.kt
+++ b/src/main/kotlin/wardmux/model/Maintenance.kt
@@ -1,15 +1,16 @@
 package wardmux.model
 
-/** What a drain makes of a machine. */
+/** The restriction that a drain puts on a machine. */
 enum class Maintenance {
+    /** No drain restricts the machine. */
     NONE,
 
-    /** It takes tasks, but room for them is to be found elsewhere. */
+    /** The machine accepts tasks, but replacement capacity is being provided on other machines. */
     PREPARING,
 
-    /** It takes no tasks. */
+    /** The machine accepts no new tasks. */
     CORDONED,
 
-    /** It takes urgent tasks only, since these wait for room. */
+    /** The machine accepts only urgent tasks, because some of these are waiting for room. */
     URGENT_ONLY,
 }
--- a/src/main/kotlin/wardmux/model/Placement.kt
+++ b/src/main/kotlin/wardmux/model/Placement.kt
@@ -1,66 +1,83 @@
 package wardmux.model
 
-/** A task that is, or may be, on a machine. It is recorded before its start is sent. */
+/**
+ * The assignment of one attempt of a task to a machine, on which the task is or may be. It is
+ * recorded in the store before the start command is sent.
+ */
 class Placement(
     val job: Job,
     val task: TaskId,
     val attempt: Int,
     val machine: MachineId,
-    /** The incarnation of the machine's worker that the attempt is for. */
+    /** The incarnation of the machine's worker for which the attempt was placed. */
     val incarnation: Long,
-    /** Kept with the placement: a later leader may not know the machine yet. */
+    /**
+     * The zone of the machine. It is kept with the placement because a new leader that reads the
+     * record may not know the machine yet.
+     */
     val zone: String,
     val charge: Charge,
 ) {
-    /** As workers name the task. */
+    /** The task's text form, by which workers name it. */
     val name = task.toString()
 
-    /** The task and the attempt at it, as workers name them. */
+    /** The task and the attempt number, as workers name them. */
     val taskAttempt: TaskAttempt
         get() = TaskAttempt(name, attempt)
 
-    /** Its record is written, so its start may be sent. */
+    /** True once the placement's record is written, so that its start may be sent. */
     var isCommitted = false
 
     /**
-     * Read from a record by a later leader. It may have been released since that was written, and
-     * its room and quota given to others, so it is never started again: either it turns up on its
-     * machine, or it is released.
+     * True if this leader read the placement from a record of an earlier term. The placement may
+     * have been released after that record was written, and its room and quota may have been given
+     * to other tasks. It is therefore never started again: either its machine reports it, or it is
+     * released.
      */
     var isRestored = false
 
-    /** The status that its machine last reported, or null. */
+    /** The status that the machine last reported, or null if it has reported none. */
     var status: TaskStatus? = null
 
-    /** When it was first reported as running, or null. */
+    /** When the attempt was first reported as running, or null if it was not yet. */
     var runningSince: Micros? = null
 
-    /** The tick of the newest heartbeat that lists it. */
+    /** The tick of the newest heartbeat that lists the attempt; -1 if none does. */
     var lastSeenTick = -1L
 
-    /** A start was sent in this term; heartbeats tell whether it has to be sent again. */
+    /**
+     * True if the start was sent directly or in a response in this term. Later heartbeats show
+     * whether it has to be sent again.
+     */
     var isStartSent = false
 
-    /** When a start was first sent in this term, directly or in a response; or null. */
+    /**
+     * When a start was first sent in this term, directly or in the response to a heartbeat; null if
+     * none was.
+     */
     var startedAt: Micros? = null
         private set
 
-    /** The stop in force was sent directly. */
+    /** True if the stop currently in force was sent as a direct command. */
     var isStopSent = false
 
-    /** How long it may take to save its state, if it is being stopped; otherwise null. */
+    /** How long the task may take to save its state; null if the task is not being stopped. */
     var gracePeriod: Micros? = null
 
-    /** It is being stopped. */
+    /** True if the task is being stopped. */
     val isStopping: Boolean
         get() = gracePeriod != null
 
-    /** A start may be in flight or was carried out, sent by this leader or by an earlier one. */
+    /**
+     * True if a start, sent by this leader or by an earlier one, may be in flight or may have been
+     * carried out.
+     */
     val mayBeStarted: Boolean
         get() = isRestored || startedAt != null
 
     /**
-     * Whether its start may be sent to [machine], which is its own, if the leader's lease holds.
+     * Returns true if the start may be sent to [machine], provided that the leader's lease is
+     * valid. [machine] has to be the machine of this placement.
      */
     fun mayStartOn(machine: Machine): Boolean =
         isCommitted &&
@@ -70,7 +87,7 @@
             !job.hasEnded &&
             job.mayStart
 
-    /** A start is sent. */
+    /** Records that a start is sent at [now]. */
     fun markStartSent(now: Micros) {
         isStartSent = true
         if (startedAt == null) startedAt = now
--- a/src/main/kotlin/wardmux/model/ResourceRequest.kt
+++ b/src/main/kotlin/wardmux/model/ResourceRequest.kt
@@ -1,6 +1,9 @@
 package wardmux.model
 
-/** What a task requires of its machine. Jobs with the same request find the same machines. */
+/**
+ * The requirements of a task on its machine. Jobs with equal requests have the same eligible
+ * machines.
+ */
 data class ResourceRequest(
     val cpus: Double,
     val gpus: Double,
--- a/src/main/kotlin/wardmux/model/TaskAttempt.kt
+++ b/src/main/kotlin/wardmux/model/TaskAttempt.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** One attempt of a task, as workers name it. */
+/** Identifies one attempt of a task by the names that workers use. */
 @Serializable
 data class TaskAttempt(
     @SerialName("task") val task: String,
--- a/src/main/kotlin/wardmux/model/TaskEndCause.kt
+++ b/src/main/kotlin/wardmux/model/TaskEndCause.kt
@@ -1,30 +1,30 @@
 package wardmux.model
 
-/** Why a task ended, as its worker says. */
+/** The reason why a task attempt ended, as reported by its worker. */
 enum class TaskEndCause(private val wireName: String?) {
-    /** It ran to its end and its result is kept. */
+    /** The task ran to completion, and its result is kept. */
     DONE("done"),
 
-    /** The program failed. */
+    /** The task's program failed. */
     ERROR("error"),
 
-    /** A controller had it stopped. */
+    /** A controller commanded the worker to stop the task. */
     STOPPED("stopped"),
 
-    /** Another task of its gang ended. */
+    /** Another task of the same gang ended. */
     GANG_PEER_ENDED("peers"),
 
-    /** The other tasks of its gang were not there in time. */
+    /** The other tasks of the same gang did not arrive in time. */
     GANG_INCOMPLETE("alone"),
 
-    /** The worker refused it: it found no such job or task. */
+    /** The worker refused the task because it found no such job or task. */
     TASK_UNKNOWN("unknown"),
 
-    /** The worker refused it for any other reason, or for one that this version does not know. */
+    /** The worker refused the task for another reason, or gave a cause unknown to this version. */
     REFUSED(null);
 
     companion object {
-        /** The cause that workers call [wireName]. */
+        /** The cause with the given [wireName]; [REFUSED] if the name is unknown or null. */
         fun of(wireName: String?): TaskEndCause =
             when (wireName) {
                 DONE.wireName -> DONE
--- a/src/main/kotlin/wardmux/model/TaskPages.kt
+++ b/src/main/kotlin/wardmux/model/TaskPages.kt
@@ -6,11 +6,11 @@
 import java.util.BitSet
 
 /**
- * How the tasks of a job are divided into pages, each of which is stored under a key of its own,
- * and how far what is stored agrees with the job.
+ * The division of a job's tasks into pages. Each page is stored under its own key. This class also
+ * tracks which pages differ from their stored form.
  */
 class TaskPages(
-    /** Tasks on each page but the last, which may have fewer. */
+    /** The number of tasks on each page; the last page may have fewer. */
     val tasksPerPage: Int,
     private val taskCount: Int,
 ) {
@@ -18,10 +18,13 @@
     private val dirtyPageNumbers = IntOpenHashSet()
     private val recordedDone = BitSet()
 
-    /** Placements of each page that no write holds yet. */
+    /** For each page, the number of its placements that are not committed yet. */
     private val uncommittedCounts = Int2IntOpenHashMap()
 
-    /** Since when a page has differed from what is stored of it; null while none does. */
+    /**
+     * The time of day since which at least one page has differed from its stored form; null while
+     * none does.
+     */
     var dirtySince: Micros? = null
         private set
 
@@ -29,41 +32,41 @@
     val all: IntRange
         get() = 0..(taskCount - 1) / tasksPerPage
 
-    /** True if no page of the job is stored. */
+    /** True if the store holds no page of the job. */
     val hasNoStoredPages: Boolean
         get() = keyVersions.isEmpty()
 
-    /** The page of [task]. */
+    /** The number of the page that contains [task]. */
     fun pageOf(task: Int): Int = task / tasksPerPage
 
-    /** The tasks on [page]. */
+    /** The numbers of the tasks on [page]. */
     fun tasksOn(page: Int): IntRange {
         val first = page * tasksPerPage
         return first until minOf(first + tasksPerPage, taskCount)
     }
 
-    /** The last task on the page of [task]. */
+    /** The number of the last task on the page that contains [task]. */
     fun lastTaskOnPageOf(task: Int): Int =
         minOf((task / tasksPerPage + 1) * tasksPerPage, taskCount) - 1
 
-    /** The pages that differ from what is stored of them, ascending. */
+    /** The numbers of the pages that differ from their stored form, in ascending order. */
     fun dirtyPages(): IntArray =
         if (dirtyPageNumbers.isEmpty()) NO_PAGES
         else dirtyPageNumbers.toIntArray().also { it.sort() }
 
-    /** The pages of which something is stored, ascending. */
+    /** The numbers of the pages that the store holds, in ascending order. */
     fun storedPages(): IntArray = keyVersions.keys.toIntArray().also { it.sort() }
 
     /** The version of the key that holds [page]; [KeyVersion.ABSENT] if it is not stored. */
     fun version(page: Int) = KeyVersion(keyVersions.get(page))
 
-    /** True if [page] has a placement that is not committed. */
+    /** Returns true if [page] has a placement that is not committed. */
     fun hasUncommitted(page: Int): Boolean = uncommittedCounts.get(page) > 0
 
-    /** True if the stored page of [task] says that it is done. */
+    /** Returns true if the stored page of [task] says that the task is done. */
     fun isRecordedDone(task: Int): Boolean = recordedDone.get(task)
 
-    /** [page] differs from what is stored of it, at time of day [wallTime]. */
+    /** Marks [page] as different from its stored form, at the time of day [wallTime]. */
     fun markDirty(page: Int, wallTime: Micros) {
         dirtyPageNumbers.add(page)
         if (dirtySince == null) dirtySince = wallTime
@@ -71,26 +74,26 @@
 
     internal fun markTaskDirty(task: Int, wallTime: Micros) = markDirty(pageOf(task), wallTime)
 
-    /** [page] is as it is stored, or is being written as it is. */
+    /** Marks [page] as equal to its stored form, or to the form that is being written. */
     fun markClean(page: Int) {
         dirtyPageNumbers.remove(page)
         if (dirtyPageNumbers.isEmpty()) dirtySince = null
     }
 
-    /** [page] is stored with [version], and says that of its tasks [done] are done. */
+    /** Records that [page] was written with [version] and lists the tasks in [done] as done. */
     fun onWritten(page: Int, version: KeyVersion, done: BitSet) {
         keyVersions.put(page, version.value)
         recordedDone.clear(page * tasksPerPage, (page + 1) * tasksPerPage)
         recordedDone.or(done)
     }
 
-    /** [page] is no longer stored. */
+    /** Records that the store no longer holds [page]. */
     fun onRemoved(page: Int) {
         keyVersions.remove(page)
         markClean(page)
     }
 
-    /** [page] was found stored with [version]. */
+    /** Records that [page] was read from the store with [version]. */
     fun onRead(page: Int, version: KeyVersion) {
         keyVersions.put(page, version.value)
     }
--- a/src/main/kotlin/wardmux/model/TaskStatus.kt
+++ b/src/main/kotlin/wardmux/model/TaskStatus.kt
@@ -6,14 +6,14 @@
 /** The status of a task attempt, as its worker reports it. */
 @Serializable
 enum class TaskStatus {
-    /** Waits for its image. */
+    /** The attempt waits until the machine has fetched its image. */
     @SerialName("fetching") FETCHING,
 
-    /** Has its image and waits for the rest of its gang. */
+    /** The image is on the machine, and the attempt waits for the other tasks of its gang. */
     @SerialName("gathering") GATHERING,
     @SerialName("running") RUNNING,
 
-    /** Is being stopped and writes a checkpoint. */
+    /** The attempt is being stopped and writes a checkpoint. */
     @SerialName("saving") SAVING,
     @SerialName("ended") ENDED,
 }
