--- a/src/main/kotlin/wardmux/core/CoreContext.kt
+++ b/src/main/kotlin/wardmux/core/CoreContext.kt
@@ -4,15 +4,16 @@
 import wardmux.model.Micros
 
 /**
- * What the parts of one controller share: the time of the input being handled, and the effects that
- * its handling has so far. It uses no socket, clock or thread, so that a simulation can run it.
+ * The context shared by the components of one controller: the time of the input being handled, and
+ * the effects that its handling has produced so far. It uses no socket, clock or thread, so that a
+ * simulation can run the components.
  */
 class CoreContext(private val effects: MutableList<Effect> = ArrayList()) {
     /** Monotonic time of the input being handled. */
     var now = Micros.ZERO
         private set
 
-    /** Time of day of the input being handled; controllers' clocks may differ slightly. */
+    /** Time of day of the input being handled. The clocks of controllers may differ slightly. */
     var wallTime = Micros.ZERO
         private set
 
@@ -20,13 +21,13 @@
     private val pendingRequests = Long2ObjectHashMap<(Outcome) -> Unit>()
     private val pendingComputations = Long2ObjectHashMap<(Any?) -> Unit>()
 
-    /** Sets the time of the input that is handled next. */
+    /** Sets the monotonic time and the time of day of the input that is handled next. */
     fun setTime(now: Micros, wallTime: Micros) {
         this.now = now
         this.wallTime = wallTime
     }
 
-    /** Sends a request; [onOutcome] is called with its outcome, exactly once. */
+    /** Sends a request to [target] and calls [onOutcome] exactly once with its outcome. */
     fun send(
         target: Target,
         method: String,
@@ -40,38 +41,45 @@
         effects.add(Effect.SendRequest(id, target, method, path, body, timeout))
     }
 
-    /** Passes the outcome of a request to its sender; a second response to it is ignored. */
+    /**
+     * Passes the outcome of a request to the callback given to [send]. A second response to the
+     * same request is ignored.
+     */
     fun complete(response: Input.Response) {
         pendingRequests.remove(response.id)?.invoke(response.outcome)
     }
 
     /**
-     * Runs [task] in the background; [onResult] is called with its result, or null if it failed.
+     * Runs [task] in the background and calls [onResult] with its result, or with null if the task
+     * failed.
      */
     fun <T : Any> compute(task: BackgroundTask<T>, onResult: (T?) -> Unit) {
         val id = ++lastId
-        // The result with this id is that of the task, whose type the caller's function takes.
+        // Only the result of this task, which has type T, is passed to the callback with this id.
         @Suppress("UNCHECKED_CAST")
         pendingComputations[id] = onResult as (Any?) -> Unit
         effects.add(Effect.Compute(id, task))
     }
 
-    /** Passes the result of a computation to the function that waits for it. */
+    /** Passes the result of a computation to the callback given to [compute]. */
     fun complete(computed: Input.Computed) {
         pendingComputations.remove(computed.id)?.invoke(computed.result)
     }
 
-    /** Answers the request [id] with text; [retryAfterS] in seconds. */
+    /**
+     * Answers the request [id] with a text body. [retryAfterS] is the number of seconds after which
+     * the client should retry, or null for none.
+     */
     fun answer(id: Long, status: Int, body: String = "", retryAfterS: Int? = null) {
         effects.add(Effect.Respond(id, status, body.encodeToByteArray(), retryAfterS))
     }
 
-    /** Answers the request [id] with bytes that are already encoded. */
+    /** Answers the request [id] with a body that is already encoded. */
     fun answerBytes(id: Long, status: Int, body: ByteArray) {
         effects.add(Effect.Respond(id, status, body))
     }
 
-    /** Removes and returns the effects since the last call, in their order. */
+    /** Removes and returns the effects produced since the last call, in the order of production. */
     fun takeEffects(): List<Effect> {
         if (effects.isEmpty()) return emptyList()
         val taken = ArrayList(effects)
--- a/src/main/kotlin/wardmux/core/Effects.kt
+++ b/src/main/kotlin/wardmux/core/Effects.kt
@@ -2,24 +2,27 @@
 
 import wardmux.model.Micros
 
-/** Who a request goes to. */
+/** The destination of a request that this controller sends. */
 sealed interface Target {
-    /** The consensus-backed key-value store. */
+    /** The key-value store, which is replicated by consensus. */
     data object KeyValueStore : Target
 
-    /** The service that rents out machines. */
+    /** The cloud API through which machines are rented. */
     data object Cloud : Target
 
-    /** Another controller, by its member name. */
+    /** Another controller, identified by its member name. */
     data class Peer(val member: String) : Target
 
-    /** A machine's worker, by its address. */
+    /** The worker of a machine, identified by its address. */
     data class Worker(val address: String) : Target
 }
 
-/** An action that the core asks its surroundings to perform. */
+/** An action that the core requests and the code around it performs, such as network I/O. */
 sealed interface Effect {
-    /** The answer to the [Input.Request] with the same [id]; [retryAfterS] in seconds. */
+    /**
+     * The response to the [Input.Request] with the same [id]. [retryAfterS] is the number of
+     * seconds after which the client should retry, or null for none.
+     */
     class Respond(
         val id: Long,
         val status: Int,
@@ -27,9 +30,7 @@
         val retryAfterS: Int? = null,
     ) : Effect
 
-    /**
-     * A request to another service; its outcome comes back as an [Input.Response] with this [id].
-     */
+    /** A request to [target]. Its outcome is returned as an [Input.Response] with the same [id]. */
     class SendRequest(
         val id: Long,
         val target: Target,
@@ -40,17 +41,17 @@
     ) : Effect
 
     /**
-     * A computation that takes too long for the core's thread; its result comes back as an
-     * [Input.Computed] with this [id].
+     * A computation that takes too long to run on the core's thread. Its result is returned as an
+     * [Input.Computed] with the same [id].
      */
     class Compute(val id: Long, val task: BackgroundTask<*>) : Effect
 }
 
 /**
- * A computation that runs on another thread than the core: it must not touch the core's state, and
- * bounds its own run time.
+ * A computation that runs on a different thread than the core. It must not access the core's state,
+ * and it has to limit its own run time.
  */
 interface BackgroundTask<out T : Any> {
-    /** Computes the result; an exception counts as failure. */
+    /** Computes the result. An exception means that the task failed. */
     fun run(): T
 }
--- a/src/main/kotlin/wardmux/core/Inputs.kt
+++ b/src/main/kotlin/wardmux/core/Inputs.kt
@@ -1,25 +1,25 @@
 package wardmux.core
 
-/** Which of the controller's listening sockets a request came in on. */
+/** The listening socket of the controller on which a request arrived. */
 enum class ListenerKind {
-    /** Users and workers. */
+    /** The socket for users and workers. */
     API,
 
-    /** The other controllers. */
+    /** The socket for the other controllers. */
     PEER,
 
-    /** Operators; not open unless the operators' settings name its address. */
+    /** The socket for operators. It is open only if the operators' settings name its address. */
     OPERATOR,
 }
 
-/** An event that the core handles, one at a time. */
+/** An event for the core, which handles one event at a time. */
 sealed interface Input {
-    /** Time has passed; sent several times a second. */
+    /** Notifies the core that time has passed. It is sent several times per second. */
     data object Tick : Input
 
     /**
-     * A request from a user, a worker, an operator or another controller; answered with
-     * [Effect.Respond].
+     * A request from a user, a worker, an operator or another controller. The core answers it with
+     * an [Effect.Respond] with the same [id].
      */
     class Request(
         val id: Long,
@@ -38,16 +38,19 @@
 
 /** The outcome of a request that this controller sent. */
 sealed interface Outcome {
-    /** The other side answered, with any HTTP status. */
+    /** The receiver answered, with any HTTP status. */
     class Response(val status: Int, val body: ByteArray) : Outcome {
         /** The body as text. */
         val text: String
             get() = body.decodeToString()
     }
 
-    /** The request never left this controller: no connection was established. */
+    /** The request was not sent, because no connection was established. */
     data object NotSent : Outcome
 
-    /** No response in time: the request may have been carried out, or may still be. */
+    /**
+     * No response arrived before the timeout. The request may have been carried out, or may still
+     * be carried out.
+     */
     data object NoResponse : Outcome
 }
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -55,7 +55,7 @@
     /** The earliest time of the next probe of the machine. */
     var nextProbeAt = Micros.LONG_AGO
 
-    /** True if the machine has failed to answer a probe since its last heartbeat. */
+    /** True if a probe of the machine has gone unanswered since its last heartbeat. */
     var hasProbeFailed = false
 
     /** True if the worker has sent a heartbeat with this leader's token. */
--- a/src/main/kotlin/wardmux/records/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -11,23 +11,23 @@
 import wardmux.serialization.lenientJson
 
 /**
- * The stored record of a job: the only truth on whether it is accepted, cancelled or done. It is
- * never removed; a done job's record needs no more than its state.
+ * The stored record of a job. It alone determines whether the job is accepted, cancelled or done.
+ * The record is never removed; the record of a job that is done only needs the state.
  */
 @Serializable
 data class JobRecord(
     @SerialName("state") val state: JobState,
-    /** Time of day of the acceptance, in microseconds. */
+    /** Time of day at which the job was accepted, in microseconds. */
     @SerialName("acceptedAt") val acceptedAt: Long,
     @SerialName("spec") val spec: JobSpec? = null,
 ) {
-    /** The stored form. */
+    /** Encodes this record in its stored form. */
     fun toJson(): JsonElement = lenientJson.encodeToJsonElement(serializer(), this)
 
     /**
-     * The record of the job once it is cancelled. Where that takes more than [maxBytes], as the job
-     * was accepted under higher limits, it leaves out what is not needed to stop what is left of
-     * the job.
+     * Returns the record of the job after its cancellation. If that record takes more than
+     * [maxBytes], because the job was accepted under a higher size limit, the fields that are not
+     * needed to stop the remaining tasks of the job are left empty.
      */
     fun toCancelled(maxBytes: Int): JobRecord {
         val complete = copy(state = JobState.CANCELLED)
@@ -38,11 +38,14 @@
     }
 
     companion object {
-        /** The most bytes that the record of a job with this specification takes. */
+        /** The maximum number of bytes of the record of a job with this specification. */
         fun maxBytes(spec: JobSpec): Int =
             jsonBytes(JobRecord(JobState.CANCELLED, Long.MAX_VALUE, spec).toJson())
 
-        /** The bytes that it takes where the store escapes no characters. */
+        /**
+         * The number of bytes of the record of a job with this specification if the store escapes
+         * no characters.
+         */
         private fun minBytes(spec: JobSpec): Int =
             JobRecord(JobState.CANCELLED, Long.MAX_VALUE, spec)
                 .toJson()
@@ -50,14 +53,15 @@
                 .encodeToByteArray()
                 .size
 
-        /** A larger record has a long list of types, or other long names. */
+        /** The usual maximum size. Larger records have a long list of types or other long names. */
         private const val USUAL_RECORD_BYTES = 2_000
 
         /**
-         * The specification to record for a job so that its record fits [maxBytes], or null if none
-         * does. Of its types only those in [usefulTypes] are kept, each once; all else is kept as
-         * its user gave it. Whether a record fits that does so only unescaped, the store decides
-         * when it is written.
+         * Returns the specification to store for a job so that its record fits into [maxBytes], or
+         * null if that is not possible. If the record is large, only the machine types in
+         * [usefulTypes] are kept, without duplicates. All other fields are kept as submitted. If
+         * the record only fits when no characters are escaped, the store decides whether it accepts
+         * the record when it is written.
          */
         fun shortened(spec: JobSpec, usefulTypes: Set<String>, maxBytes: Int): JobSpec? {
             if (maxBytes(spec) <= minOf(maxBytes, USUAL_RECORD_BYTES)) return spec
@@ -65,34 +69,36 @@
             return shortened.takeIf { minBytes(it) <= maxBytes }
         }
 
-        /** Prefix of the keys of all job records. */
+        /** The key prefix of all job records. */
         const val PREFIX = "j/"
 
-        /** Prefix of the copies of open jobs' records, for the leader to read and watch. */
+        /**
+         * The key prefix of copies of the records of open jobs, which the leader reads and watches.
+         */
         const val OPEN_PREFIX = "q/"
 
         /**
-         * Prefix of the copies of cancelled jobs' records, while something of the job may be on a
-         * machine. Pages of a job that is neither here nor open are of one that is done: a new
-         * leader need not read its record.
+         * The key prefix of copies of the records of cancelled jobs. A copy exists while a task of
+         * the job may be on a machine. If task pages exist of a job that has neither this copy nor
+         * that of an open job, the job is done, so a new leader need not read its record.
          */
         const val CANCELLED_PREFIX = "c/"
 
-        /** The key of a job's record. */
+        /** The key of the record of [job]. */
         fun key(job: JobId) = PREFIX + job.value
 
-        /** The key of the copy of an open job's record. */
+        /** The key of the copy of the record of [job] while it is open. */
         fun openKey(job: JobId) = OPEN_PREFIX + job.value
 
-        /** The key of the copy of a cancelled job's record. */
+        /** The key of the copy of the record of [job] after its cancellation. */
         fun cancelledKey(job: JobId) = CANCELLED_PREFIX + job.value
 
-        /** The record in [json]; null, which is logged, if it is none. */
+        /** Decodes the record in [json]; logs an error and returns null if it is not valid. */
         fun decode(json: JsonElement): JobRecord? =
             try {
                 lenientJson.decodeFromJsonElement(serializer(), json)
             } catch (e: IllegalArgumentException) {
-                logger<JobRecord>().error("a stored job record can't be decoded: {}", e.message)
+                logger<JobRecord>().error("failed to decode a stored job record: {}", e.message)
                 null
             }
     }
--- a/src/main/kotlin/wardmux/records/MachineTypeList.kt
+++ b/src/main/kotlin/wardmux/records/MachineTypeList.kt
@@ -11,11 +11,11 @@
     const val KEY = "types"
     private val serializer = ListSerializer(MachineType.serializer())
 
-    /** [types] as they are stored. */
+    /** Encodes [types] in their stored form. */
     fun encode(types: List<MachineType>): JsonElement =
         lenientJson.encodeToJsonElement(serializer, types)
 
-    /** The machine types in [json], or null if it is no such list. */
+    /** Decodes the machine types in [json]; returns null if it is not a valid list. */
     fun decode(json: JsonElement): List<MachineType>? =
         try {
             lenientJson.decodeFromJsonElement(serializer, json)
--- a/src/main/kotlin/wardmux/records/StoredTaskPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredTaskPage.kt
@@ -12,27 +12,35 @@
 import wardmux.serialization.lenientJson
 
 /**
- * The stored form of a task page: the state of a range of a job's tasks. How many tasks can start
- * is limited by the bytes and writes of the key-value store, so what placements share is written
- * once: those that were placed together have one charge, those on one machine name it once.
+ * The stored form of a task page, which holds the state of a range of a job's tasks. The size and
+ * write limits of the key-value store limit how many tasks can start, so values that placements
+ * have in common are stored once: placements with equal charges refer to one charge, and placements
+ * on the same machine are grouped under its id.
  */
 @Serializable
 class StoredTaskPage(
-    /** First and last task of each run of done tasks. */
+    /** The first and the last task of each range of consecutive done tasks, in turn. */
     @SerialName("d") val done: List<Int> = emptyList(),
+    /** The costs of the charges. The weight with the same index belongs to the same charge. */
     @SerialName("c") private val costs: List<Long> = emptyList(),
+    /** The team's weight of each charge. */
     @SerialName("w") private val weights: List<Double> = emptyList(),
+    /** The zones of the machines, without duplicates. */
     @SerialName("z") private val zones: List<String> = emptyList(),
+    /** The ids of the machines; an id occurs once for each incarnation of the worker. */
     @SerialName("m") private val machines: List<String> = emptyList(),
     /**
-     * For each machine its incarnation, the index of its zone and the number of its placements;
-     * then, for each of these, the task, the attempt and the index of its charge.
+     * For each machine: the incarnation, the index of the zone and the number of placements,
+     * followed by the task, the attempt and the index of the charge of each of these placements.
      */
     @SerialName("n") private val numbers: List<Long> = emptyList(),
-    /** Task and last attempt, for those that are neither done nor placed. */
+    /**
+     * The task and its last attempt, in turn, for each task that was attempted and is listed
+     * neither as done nor as placed.
+     */
     @SerialName("a") val tried: List<Int> = emptyList(),
 ) {
-    /** The placements of tasks of [job]; null if this is no valid page of the job. */
+    /** Decodes the placements of tasks of [job]; returns null if this is not a valid page. */
     fun placementsOf(job: Job): List<Placement>? =
         try {
             if (done.size % 2 == 0 && tried.size % 2 == 0) placements(job) else null
@@ -59,15 +67,19 @@
     }
 
     private fun <T> List<T>.at(index: Long): T =
-        getOrElse(index.toInt()) { throw NoSuchElementException("index $index of $size") }
+        getOrElse(index.toInt()) {
+            throw NoSuchElementException(
+                "index $index is out of range for a list of $size elements"
+            )
+        }
 
     companion object {
-        /** Weights are kept to three digits after the point. */
+        /** Weights are rounded to multiples of 1/1000. */
         private const val WEIGHT_STEPS_PER_UNIT = 1e3
 
         /**
-         * The encoded page with [placements]; [done] holds the first and last task of each run, and
-         * [tried] holds tasks with their last attempts.
+         * Encodes a page with [placements]. [done] contains the first and the last task of each
+         * range of done tasks, and [tried] contains tasks, each followed by its last attempt.
          */
         fun encode(done: List<Int>, placements: List<Placement>, tried: List<Int>): JsonElement {
             val charges = LinkedHashMap<Charge, Long>()
@@ -101,7 +113,10 @@
             return lenientJson.encodeToJsonElement(serializer(), page)
         }
 
-        /** Rounded before it is compared: each dispatch changes its team's weight a little. */
+        /**
+         * The charge of [placement] with a rounded weight. Each dispatch changes the team's weight
+         * slightly, so that charges would rarely be equal without rounding.
+         */
         private fun roundedChargeOf(placement: Placement): Charge {
             val charge = placement.charge
             return charge.copy(
@@ -109,7 +124,7 @@
             )
         }
 
-        /** The index of [key], which is the next one if it is new. */
+        /** Returns the index of [key]; a new key is added with the next index. */
         private fun <K> MutableMap<K, Long>.indexOrAdd(key: K): Long =
             getOrPut(key) { size.toLong() }
 
--- a/src/main/kotlin/wardmux/records/TaskPageCodec.kt
+++ b/src/main/kotlin/wardmux/records/TaskPageCodec.kt
@@ -9,39 +9,46 @@
 import wardmux.model.Placement
 import wardmux.serialization.jsonBytes
 
-/** A task page as it is to be written, and the tasks that it says are done. */
+/** A task page in its stored form ([data]) and the tasks that it lists as done ([done]). */
 class EncodedTaskPage(val data: JsonElement, val done: BitSet)
 
-/** Turns the state of a job's tasks into stored task pages, and back. */
+/** Encodes the state of a job's tasks as stored task pages, and restores it from them. */
 object TaskPageCodec {
-    /** Prefix of the keys of all task pages; a page's key is `t/<job>/<page>`. */
+    /** The key prefix of all task pages. The key of a page is `t/<job>/<page>`. */
     const val KEY_PREFIX = "t/"
 
     /**
-     * The most bytes that a placement takes as a rule, on a machine of its own and charged unlike
-     * all others. Placements that share a machine and a charge take about a quarter of that.
+     * The usual maximum number of bytes of a placement, which is reached if it shares neither its
+     * machine nor its charge with other placements. Placements that share both take about a quarter
+     * of that.
      */
     const val BYTES_PER_PLACEMENT = 64
 
-    /** At the ends of the two lists that a task moves between. */
+    /**
+     * The maximum number of separator bytes that change at the ends of the list of done tasks and
+     * of the list of tried tasks when a task is moved from the first to the second.
+     */
     private const val SEPARATOR_BYTES = 4
 
     /** The key that holds [page] of [job]. */
     fun key(job: JobId, page: Int) = "$KEY_PREFIX${job.value}/$page"
 
-    /** How many tasks a page has where a value holds [maxValueBytes]. */
+    /** The number of tasks per page if a stored value may have up to [maxValueBytes] bytes. */
     fun tasksPerPage(maxValueBytes: Int) = (maxValueBytes / BYTES_PER_PLACEMENT).coerceAtLeast(1)
 
-    /** What [page] of [job] holds now, however large that is. */
+    /** Encodes the current state of [page] of [job], without a size limit. */
     fun encode(job: Job, page: Int): JsonElement = encode(job, page, Int.MAX_VALUE).data
 
     /**
-     * What [page] of [job] holds now, in [maxBytes] if leaving out some done tasks helps: those
-     * between tasks that are not done, each of which takes two numbers. They are written among the
-     * tried ones until their neighbours end, and their machines keep the result until they are
-     * recorded. One that is recorded, and perhaps forgotten, is left out only where nothing of the
-     * page is placed, as then nothing else would ever make room: after a failover it runs once
-     * more.
+     * Encodes the current state of [page] of [job]. If it exceeds [maxBytes], single done tasks
+     * between tasks that are not done are omitted from the list of done tasks, as far as needed,
+     * because each of them takes two numbers there. The result may still exceed [maxBytes].
+     *
+     * An omitted task is listed among the tried tasks until its neighbours end too, and its machine
+     * keeps the result until the task is recorded as done. A task that the store already lists as
+     * done may have been forgotten by its machine. It is omitted only if no placement of the page
+     * is committed, because then nothing else would ever reduce the size of the page. After a
+     * failover such a task runs once more.
      */
     fun encode(job: Job, page: Int, maxBytes: Int): EncodedTaskPage {
         val doneRuns = job.doneRunsOn(page)
@@ -85,12 +92,15 @@
         )
     }
 
-    /** A task that was read as done has no attempt on record. */
+    /**
+     * The last attempt of [task], at least 1: a task that was read as done has no known attempt.
+     */
     private fun lastAttempt(job: Job, task: Int) = maxOf(1, job.lastAttempt(task))
 
     /**
-     * Restores [page] of [job] from what is stored with [version], and gives its placements: none
-     * if [stored] is null or no page of this job, which is logged.
+     * Restores [page] of [job] from [stored], which was read with the key version [version], and
+     * returns its placements. If [stored] is null or is not a valid page of this job, an error is
+     * logged and the list is empty.
      */
     fun restore(
         job: Job,
@@ -101,7 +111,7 @@
         job.pages.onRead(page, version)
         val placements = stored?.placementsOf(job)
         if (placements == null) {
-            logger<TaskPageCodec>().error("task page {} of {} can't be decoded", page, job.id)
+            logger<TaskPageCodec>().error("failed to decode task page {} of job {}", page, job.id)
             return emptyList()
         }
         for (i in stored.done.indices step 2) job.restoreDone(stored.done[i], stored.done[i + 1])
--- a/src/main/kotlin/wardmux/serialization/CborFormat.kt
+++ b/src/main/kotlin/wardmux/serialization/CborFormat.kt
@@ -4,18 +4,18 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.cbor.Cbor
 
-/** The format of messages between controllers: CBOR, by which unknown fields are ignored. */
+/** The format of messages between controllers: CBOR. Unknown fields are ignored when decoding. */
 @OptIn(ExperimentalSerializationApi::class)
 object CborFormat {
     private val cbor = Cbor { ignoreUnknownKeys = true }
 
-    /** Encodes [value]. */
+    /** Encodes [value] as CBOR. */
     fun <T> encode(serializer: KSerializer<T>, value: T): ByteArray =
         cbor.encodeToByteArray(serializer, value)
 
     /**
-     * Decodes [bytes]; null if they hold no such message. On bytes that are not CBOR the decoder
-     * fails in more than one way.
+     * Decodes [bytes]; returns null if they do not contain such a message. Any [RuntimeException]
+     * is caught because the decoder throws exceptions of several types for bytes that are not CBOR.
      */
     fun <T> decode(serializer: KSerializer<T>, bytes: ByteArray): T? =
         try {
--- a/src/main/kotlin/wardmux/store/KeyValueStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -12,51 +12,61 @@
 import wardmux.serialization.lenientJson
 
 /**
- * Client of the consensus-backed key-value store. Keeps to this controller's share of the rate
- * limits, sends requests for leases before all others, and knows the limits on one transaction.
- * Every request ends in exactly one [StoreResult].
+ * Client of the consensus-backed key-value store. It respects this controller's share of the rate
+ * limits, sends requests for leases before all others, and provides the limits on one transaction.
+ * Every request ends with exactly one [StoreResult].
  */
 class KeyValueStore(context: CoreContext, limits: StoreLimits, controllers: Int) {
-    /** Lower limits may apply from any moment on, so they are kept from the start. */
+    /**
+     * The lowest of the current and the announced limits. Announced limits may take effect at any
+     * time, so they are respected from the start.
+     */
     private val lowestLimits = limits.lowest
     private val client = StoreClient(context, lowestLimits, controllers)
 
-    /** When the store last answered with anything but that it is unavailable. */
+    /** When the store last sent a response other than that it is unavailable. */
     val lastAvailableAt: Micros
         get() = client.lastAvailableAt
 
-    /** Since when no request was answered, or null if the last one was or none was sent yet. */
+    /**
+     * The time since which no request has been answered; null if the last one was answered or none
+     * was sent yet.
+     */
     val unavailableSince: Micros?
         get() = client.unavailableSince
 
-    /** The most writes that one transaction may hold. */
+    /** The maximum number of writes in one transaction. */
     val maxOperations: Int
         get() = lowestLimits.txnOps
 
-    /** The most conditions that one transaction may hold. */
+    /** The maximum number of conditions in one transaction. */
     val maxConditions: Int
         get() = lowestLimits.txnOps * MAX_CONDITIONS_PER_OPERATION
 
     /**
-     * The value size, in bytes, that the layout of stored pages is made for. It does not follow
-     * lowered limits: controllers of the version before read and write the same keys.
+     * The value size, in bytes, on which the layout of stored task pages is based. It does not
+     * follow announced lower limits, because controllers of the previous version read and write the
+     * same keys.
      */
     val pageLayoutBytes: Int = (limits.valueKb * BYTES_PER_KB).toInt()
 
-    /** The largest value that may be written, in bytes. */
+    /** The maximum size of a written value, in bytes. */
     val maxValueBytes: Int
         get() = (lowestLimits.valueKb * BYTES_PER_KB).toInt()
 
-    /** Writes that this controller could make now and still have half of its burst left. */
+    /** The number of writes this controller can make now and still keep half of its burst. */
     val spareWrites: Int
         get() = client.limiter.spareWrites
 
-    /** Whether this controller leads: the leader has a larger share of the rate limits. */
+    /**
+     * Sets whether this controller is the leader. The leader has a different share of the rate
+     * limits than the followers.
+     */
     fun setLeading(leading: Boolean) {
         client.limiter.isLeading = leading
     }
 
-    /** Reads one key; [StoreResult.NotFound] if it does not exist. */
+    /** Reads one key. The result is [StoreResult.NotFound] if the key does not exist. */
     fun get(
         key: String,
         priority: RequestPriority = RequestPriority.READ,
@@ -78,9 +88,9 @@
         lenientJson.decodeFromString(KeyNotFoundWire.serializer(), text).revision
 
     /**
-     * Reads all keys under [prefix]; [onResult] gets null if they can't be had. [valueSerializer]
-     * decodes them straight from the response: a new leader reads thousands at once, on a fraction
-     * of a core.
+     * Reads all keys under [prefix]. [onResult] gets null if a request fails. [valueSerializer]
+     * decodes the values directly from the response, because a new leader reads thousands of keys
+     * at once and has only a fraction of a CPU core.
      */
     fun <T : Any> scan(
         prefix: String,
@@ -90,8 +100,9 @@
     ) = PrefixScan(client, prefix, valueSerializer, priority, READ_TIMEOUT, onResult).start()
 
     /**
-     * Applies all [operations] if all [conditions] hold, else none ([StoreResult.Conflict]). The
-     * result is the revision of the writes, which is the new version of every key written.
+     * Applies all [operations] if all [conditions] hold; otherwise applies none, and the result is
+     * [StoreResult.Conflict]. On success the result is the revision of the writes, which is the new
+     * version of every key written.
      */
     fun compareAndSwap(
         conditions: List<VersionCondition>,
@@ -120,7 +131,7 @@
     private fun failedConditions(text: String) =
         lenientJson.decodeFromString(ConflictWire.serializer(), text).failed
 
-    /** Asks for a lease of the given [duration]. */
+    /** Requests a new lease of the given [duration]. */
     fun grantLease(duration: Micros, onResult: (StoreResult<LeaseId>) -> Unit) {
         val wire = LeaseRequestWire(duration.value / MICROS_PER_MS)
         val body = lenientJson.encodeToString(LeaseRequestWire.serializer(), wire)
@@ -135,7 +146,7 @@
     private fun grantedLease(text: String) =
         lenientJson.decodeFromString(LeaseWire.serializer(), text).lease
 
-    /** Extends a lease by its duration; [StoreResult.NotFound] if it has expired. */
+    /** Renews a lease for its duration. The result is [StoreResult.NotFound] if it has expired. */
     fun renewLease(lease: LeaseId, onResult: (StoreResult<Unit>) -> Unit) {
         val request =
             leaseRequest("POST", "/leases/${lease.value}/renew") { status, _ ->
@@ -148,7 +159,10 @@
         client.submit(request, onResult)
     }
 
-    /** Ends a lease, also one that has expired; keys bound to it are removed. */
+    /**
+     * Revokes a lease, which removes the keys bound to it. Revoking a lease that has expired
+     * succeeds too.
+     */
     fun revokeLease(lease: LeaseId, onResult: (StoreResult<Unit>) -> Unit) {
         val request =
             leaseRequest("DELETE", "/leases/${lease.value}") { status, _ ->
@@ -167,8 +181,8 @@
     ) = StoreRequest(RequestPriority.LEASE, method, path, LEASE_TIMEOUT, body, reader = reader)
 
     /**
-     * Waits up to [maxWait] for changes under [prefix] after the revision [from];
-     * [StoreResult.Compacted] if the store no longer keeps what changed since then.
+     * Waits up to [maxWait] for changes under [prefix] after the revision [from]. The result is
+     * [StoreResult.Compacted] if the store no longer keeps the changes since that revision.
      */
     fun watch(
         prefix: String,
@@ -193,7 +207,7 @@
     private fun decodeWatchResponse(text: String) =
         lenientJson.decodeFromString(WatchResponse.serializer(), text)
 
-    /** Sends what the limits allow, and ends requests that have waited too long. */
+    /** Sends the queued requests that the limits allow, and expires those past their deadline. */
     fun sendDue() = client.sendDue()
 
     private companion object {
@@ -204,7 +218,7 @@
         val WRITE_TIMEOUT = 2.seconds
         val LEASE_TIMEOUT = 1.seconds
 
-        /** For the way there and back, on top of the time that a watch waits. */
+        /** The time for the network round trip of a watch, in addition to the time it waits. */
         val WATCH_RESPONSE_MARGIN = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/store/PrefixScan.kt
+++ b/src/main/kotlin/wardmux/store/PrefixScan.kt
@@ -8,7 +8,10 @@
 import wardmux.model.Revision
 import wardmux.serialization.lenientJson
 
-/** Reads all keys under [prefix], page by page; [onResult] gets them, or null if a page failed. */
+/**
+ * Reads all keys under [prefix], page by page. [onResult] gets the keys, or null if the request for
+ * a page failed.
+ */
 internal class PrefixScan<T : Any>(
     private val client: StoreClient,
     private val prefix: String,
@@ -21,7 +24,7 @@
     private val items = ArrayList<ScannedKey<T>>()
     private var firstRevision = Revision.ZERO
 
-    /** Reads the first page, and from there all others. */
+    /** Requests the first page. Each further page is requested when the previous one arrives. */
     fun start() = readPage(null)
 
     private fun readPage(fromKey: String?) {
@@ -50,14 +53,17 @@
             lenientJson.decodeFromString(KeyPageWire.serializer(valueSerializer), text)
         } catch (e: IllegalArgumentException) {
             log.error(
-                "a value under {} can't be decoded: {}",
+                "failed to decode a value under the key prefix {}: {}",
                 prefix,
                 e.message?.lineSequence()?.first(),
             )
             decodeEach(text)
         }
 
-    /** Value by value: one that can't be decoded must not keep the others from being read. */
+    /**
+     * Decodes the values of a page one by one. A value that cannot be decoded becomes null, so that
+     * it does not prevent the others from being read.
+     */
     private fun decodeEach(text: String): KeyPageWire<T> {
         val page =
             lenientJson.decodeFromString(KeyPageWire.serializer(JsonElement.serializer()), text)
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -4,7 +4,10 @@
 import wardmux.core.CoreContext
 import wardmux.model.Micros
 
-/** Token buckets for this controller's share of the store's limits on requests and writes. */
+/**
+ * Token buckets for this controller's share of the key-value store's rate limits, one for requests
+ * and one for writes.
+ */
 class RateLimiter(
     private val context: CoreContext,
     private val limits: StoreLimits,
@@ -14,27 +17,30 @@
     private var writeTokens = 0.0
     private var refilledAt: Micros? = null
 
-    /** Whether this controller leads, and so has the leader's share. */
+    /** True if this controller is the leader and therefore has the leader's share. */
     var isLeading = false
 
-    /** Whether one more request may be sent now. */
+    /** True if one more request may be sent now. */
     val allowsRequest: Boolean
         get() = requestTokens >= 1
 
-    /** Writes that this controller could make now and still have half of its burst left. */
+    /** The number of writes this controller can make now and still keep half of its burst. */
     val spareWrites: Int
         get() = (writeTokens - writeBurst() / 2).toInt()
 
-    /** Whether a request with so many [writes] may be sent now. */
+    /** Returns true if the write limit allows a request with [writes] writes now. */
     fun allowsWrites(writes: Int) = writeTokens >= writes
 
-    /** Counts a request that is sent; one for a lease is sent also where nothing is left. */
+    /**
+     * Takes the tokens of a request that is sent. The number of tokens may become negative, because
+     * requests for leases are sent even if none are left.
+     */
     fun spend(writes: Int) {
         requestTokens -= 1
         writeTokens -= writes
     }
 
-    /** Adds what the time since the last call allows, up to the burst. */
+    /** Adds the tokens for the time since the last call, up to the burst sizes. */
     fun refill() {
         val rate = limits.rps * shareOfController(LEADER_REQUEST_SHARE) * USABLE_SHARE
         val elapsed = refilledAt?.let { (context.now - it).inSeconds } ?: 1.0
@@ -52,7 +58,10 @@
 
     private fun writeRate() = limits.writeRps * shareOfController(LEADER_WRITE_SHARE) * USABLE_SHARE
 
-    /** A whole transaction must fit, or it would wait for ever; only a leader's are large. */
+    /**
+     * The maximum number of write tokens. The burst of a leader has to allow the largest
+     * transaction, which would otherwise never be sent. Transactions of followers are small.
+     */
     private fun writeBurst() =
         maxOf(
             writeRate(),
@@ -61,23 +70,27 @@
         )
 
     private companion object {
-        /** Of all requests; most are users' polls, which every controller answers. */
+        /**
+         * The leader's share of the request limit. It is not larger because most requests result
+         * from users' polls, which every controller answers.
+         */
         const val LEADER_REQUEST_SHARE = 0.3
 
-        /** Of all writes; the leader records every placement. */
+        /** The leader's share of the write limit, because the leader records every placement. */
         const val LEADER_WRITE_SHARE = 0.6
 
         /**
-         * A follower may save up the writes that all controllers together may make in this time:
-         * users come in bunches. Where several bunches meet, the store rejects what is too much,
-         * and it is sent again.
+         * The time in seconds that determines a follower's burst: the number of writes that all
+         * controllers together may make within it. Users submit jobs in bursts. If bursts at
+         * several controllers coincide, the store rejects the excess requests, which are then sent
+         * again.
          */
         const val FOLLOWER_BURST_S = 0.33
 
-        /** The writes of one cancellation, which must fit however low the rate. */
+        /** The number of writes of one cancellation, which has to be possible at any rate limit. */
         const val MIN_FOLLOWER_BURST = 3.0
 
-        /** Of the limits; the rest is a safety margin. */
+        /** The share of the limits that is used; the rest is a safety margin. */
         const val USABLE_SHARE = 0.95
     }
 }
--- a/src/main/kotlin/wardmux/store/RequestQueue.kt
+++ b/src/main/kotlin/wardmux/store/RequestQueue.kt
@@ -4,7 +4,10 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Requests of a higher priority, which stand first, are sent before all others. */
+/**
+ * The priorities of requests, from the highest to the lowest. Requests of a higher priority are
+ * sent first.
+ */
 enum class RequestPriority {
     LEASE,
     USER_WRITE,
@@ -12,41 +15,47 @@
     READ,
 }
 
-/** A request that waits for its turn; it is either sent or expires. */
+/** A request in the queue, which is either sent or expires. */
 interface QueuedRequest {
-    /** How many writes it makes. */
+    /** The number of writes that the request makes. */
     val writes: Int
 
-    /** It expires if it was not sent by then. */
+    /** The request expires if it has not been sent by this time. */
     val deadline: Micros
 
-    /** Sends it. */
+    /** Sends the request. */
     fun send()
 
-    /** Ends it unsent. */
+    /** Ends the request without sending it. */
     fun expire()
 }
 
-/** Requests to the key-value store in the order of their priority, as fast as [limiter] allows. */
+/** Sends requests to the key-value store in the order of their priority, as [limiter] allows. */
 class RequestQueue(private val context: CoreContext, private val limiter: RateLimiter) {
     private val queues = List(RequestPriority.entries.size) { ArrayDeque<QueuedRequest>() }
 
-    /** Until then only requests for leases are sent: the store has reported its rate limit. */
+    /**
+     * Until this time only requests for leases are sent, because the store rejected a request for
+     * exceeding the rate limit.
+     */
     private var pausedUntil = Micros.LONG_AGO
 
-    /** Queues [request] behind the others of its priority, and sends what may be sent. */
+    /** Adds [request] behind the others of its [priority], and sends what the limits allow. */
     fun add(priority: RequestPriority, request: QueuedRequest) {
         queues[priority.ordinal].addLast(request)
         sendDue()
     }
 
-    /** The store rejected [request] for its rate limit: it goes first, after a pause. */
+    /**
+     * Puts [request], which the store rejected for exceeding the rate limit, at the front of its
+     * [priority] and pauses sending.
+     */
     fun retry(priority: RequestPriority, request: QueuedRequest) {
         pausedUntil = context.now + RATE_LIMIT_PAUSE
         queues[priority.ordinal].addFirst(request)
     }
 
-    /** Sends what the limits allow; ends requests whose deadline has passed. */
+    /** Sends the requests that the limits allow, and expires those whose deadline has passed. */
     fun sendDue() {
         limiter.refill()
         expireOverdue()
@@ -64,8 +73,9 @@
     }
 
     /**
-     * In every queue, also those whose turn never comes: a request that is neither sent nor ended
-     * would keep its caller waiting for ever.
+     * Expires overdue requests in the queues of all priorities, including those that are never
+     * reached because of a backlog of higher priority. A request that is neither sent nor expired
+     * would leave its caller waiting indefinitely.
      */
     private fun expireOverdue() {
         for (queue in queues) {
@@ -76,6 +86,7 @@
     }
 
     private companion object {
+        /** How long sending pauses after the store rejected a request for the rate limit. */
         val RATE_LIMIT_PAUSE = 150.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/store/StoreClient.kt
+++ b/src/main/kotlin/wardmux/store/StoreClient.kt
@@ -10,11 +10,11 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Turns a response of the key-value store into a result. */
+/** Converts a response of the key-value store into a result. */
 internal fun interface ResponseReader<T> {
     /**
-     * The result of a request that was answered with [status] and the body [text]; throws
-     * [SerializationException] if the body can't be decoded.
+     * Returns the result of a request that was answered with [status] and the body [text]. Throws a
+     * [SerializationException] if the body cannot be decoded.
      */
     fun read(status: Int, text: String): StoreResult<T>
 }
@@ -24,10 +24,10 @@
     val priority: RequestPriority,
     val method: String,
     val path: String,
-    /** How long the store may take to answer once the request was sent. */
+    /** How long to wait for a response after the request was sent. */
     val timeout: Micros,
     val body: String = "",
-    /** How many writes it makes, for the limit on these. */
+    /** The number of writes that the request makes, for the write rate limit. */
     val writes: Int = 0,
     val reader: ResponseReader<T>,
 )
@@ -40,23 +40,26 @@
 ) {
     private val log = logger<StoreClient>()
 
-    /** The rate limits that the queue keeps to. */
+    /** Limits the rate at which the queue sends requests. */
     val limiter = RateLimiter(context, limits, controllers)
     private val queue = RequestQueue(context, limiter)
 
-    /** When the store last answered with anything but that it is unavailable. */
+    /** When the store last sent a response other than that it is unavailable. */
     var lastAvailableAt = Micros.LONG_AGO
         private set
 
-    /** Since when no request was answered, or null if the last one was or none was sent yet. */
+    /**
+     * The time since which no request has been answered; null if the last one was answered or none
+     * was sent yet.
+     */
     var unavailableSince: Micros? = null
         private set
 
-    /** Queues [request]; [onResult] gets its result, exactly once. */
+    /** Queues [request] and calls [onResult] exactly once with its result. */
     fun <T> submit(request: StoreRequest<T>, onResult: (StoreResult<T>) -> Unit) =
         queue.add(request.priority, PendingRequest(request, onResult))
 
-    /** Sends what the limits allow, and rejects what has waited too long. */
+    /** Sends the queued requests that the limits allow, and expires those past their deadline. */
     fun sendDue() = queue.sendDue()
 
     private inner class PendingRequest<T>(
@@ -73,7 +76,7 @@
             val target = Target.KeyValueStore
             context.send(target, request.method, request.path, body, request.timeout) { outcome ->
                 if (isRateLimited(outcome) && context.now < deadline) {
-                    // Other controllers have used up the limits for now.
+                    // Other controllers have exhausted the rate limits for now.
                     queue.retry(request.priority, this)
                 } else {
                     recordAvailability(outcome)
@@ -106,7 +109,7 @@
                     reader.read(outcome.status, outcome.text)
                 } catch (e: SerializationException) {
                     log.error(
-                        "response {} of the key-value store can't be decoded: {}",
+                        "failed to decode a key-value store response with status {}: {}",
                         outcome.status,
                         e.message,
                     )
@@ -115,10 +118,10 @@
         }
 
     companion object {
-        /** A request that was not sent by then is not executed. */
+        /** How long a request may wait in the queue. After that it expires without being sent. */
         private val MAX_QUEUE_TIME = 1_200.milliseconds
 
-        /** The result of a request that was answered with a [status] other than the expected. */
+        /** Returns the result of a request that was answered with an unexpected [status]. */
         fun failure(status: Int): StoreResult<Nothing> =
             when (status) {
                 HttpStatus.TOO_MANY_REQUESTS,
--- a/src/main/kotlin/wardmux/store/StoreMessages.kt
+++ b/src/main/kotlin/wardmux/store/StoreMessages.kt
@@ -17,11 +17,11 @@
     @SerialName("permit") val lease: LeaseId? = null,
 )
 
-/** The answer for a key that does not exist. */
+/** The response for a key that does not exist. */
 @Serializable
 internal class KeyNotFoundWire(@SerialName("epoch") val revision: Revision = Revision.ZERO)
 
-/** A key that was read by [KeyValueStore.scan]; [data] is null where it can't be decoded. */
+/** A key read by [KeyValueStore.scan]; [data] is null if the value could not be decoded. */
 @Serializable
 class ScannedKey<T : Any>(
     @SerialName("k") val key: String,
@@ -32,7 +32,7 @@
 /** All keys under a prefix, and the store's [revision] when the first page of them was read. */
 class ScanResult<T : Any>(val items: List<ScannedKey<T>>, val revision: Revision)
 
-/** Stands for a value that is not decoded, where only keys and versions are needed. */
+/** Placeholder for values that are not decoded, for scans that need only keys and versions. */
 @Serializable object IgnoredValue
 
 /** One page of the keys under a prefix. */
@@ -44,7 +44,8 @@
 )
 
 /**
- * A condition of a transaction: the key has this version, [KeyVersion.ABSENT] if it must not exist.
+ * A condition of a transaction: the key has this version, or does not exist if the version is
+ * [KeyVersion.ABSENT].
  */
 @Serializable
 data class VersionCondition(
@@ -53,7 +54,8 @@
 )
 
 /**
- * One write of a transaction: a put (with [data], bound to [lease] if there is one) or a removal.
+ * One write of a transaction: either a put of [data] under the key [put], bound to [lease] unless
+ * it is null, or a removal of the key [remove].
  */
 @Serializable
 data class WriteOperation(
@@ -67,24 +69,27 @@
 @Serializable
 internal class TransactionWire(
     @SerialName("if") val conditions: List<VersionCondition>,
-    /** Null if the transaction only compares. */
+    /** The writes; null if the transaction only checks its conditions. */
     @SerialName("then") val operations: List<WriteOperation>?,
 )
 
-/** The answer to a transaction that was committed. */
+/** The response to a transaction that was committed. */
 @Serializable internal class CommittedWire(@SerialName("epoch") val revision: Revision)
 
-/** The answer to a transaction whose conditions did not hold. */
+/** The response to a transaction of which the conditions on the keys in [failed] did not hold. */
 @Serializable
 internal class ConflictWire(@SerialName("failed") val failed: List<String> = emptyList())
 
-/** Asks for a lease of [durationMs] milliseconds. */
+/** Requests a lease of [durationMs] milliseconds. */
 @Serializable internal class LeaseRequestWire(@SerialName("life_ms") val durationMs: Long)
 
-/** The answer that grants a lease. */
+/** The response that grants a lease. */
 @Serializable internal class LeaseWire(@SerialName("permit") val lease: LeaseId)
 
-/** A change that a watch observed: a put (with [data]) or a removal. */
+/**
+ * A change observed by a watch: either a put of [data] under the key [put], or a removal of the key
+ * [remove].
+ */
 @Serializable
 data class WatchEvent(
     @SerialName("put") val put: String? = null,
@@ -93,7 +98,7 @@
     @SerialName("stamp") val version: KeyVersion = KeyVersion.ABSENT,
 )
 
-/** The changes that a watch observed up to [revision]; none if it timed out. */
+/** The changes that a watch observed up to [revision]; empty if the watch timed out. */
 @Serializable
 class WatchResponse(
     @SerialName("epoch") val revision: Revision,
--- a/src/main/kotlin/wardmux/store/StoreResult.kt
+++ b/src/main/kotlin/wardmux/store/StoreResult.kt
@@ -2,9 +2,9 @@
 
 import wardmux.model.Revision
 
-/** What became of a request to the key-value store. */
+/** The result of a request to the key-value store. */
 sealed interface StoreResult<out T> {
-    /** Executed. */
+    /** The request was executed. */
     data class Ok<T>(val value: T) : StoreResult<T>
 
     /**
@@ -12,18 +12,23 @@
      */
     data class NotFound(val revision: Revision) : StoreResult<Nothing>
 
-    /** A condition of the transaction did not hold: the keys that [failed]. */
+    /** The conditions of the transaction on the keys in [failed] did not hold. */
     data class Conflict(val failed: List<String>) : StoreResult<Nothing>
 
-    /** Surely not executed: rejected by the store for now, or expired before it was sent. */
+    /**
+     * The request was certainly not executed: the store rejected it temporarily, no connection was
+     * established, or the request expired before it was sent.
+     */
     data object NotExecuted : StoreResult<Nothing>
 
-    /** May have been executed, or may still be. */
+    /** The request may have been executed, or may still be executed. */
     data object Indeterminate : StoreResult<Nothing>
 
-    /** Not executed: the store rejects the request as it is, for instance as too large. */
+    /**
+     * The store rejected the request as invalid, for example as too large, and did not execute it.
+     */
     data object InvalidRequest : StoreResult<Nothing>
 
-    /** The store no longer keeps the revision that a watch was to start from. */
+    /** The store no longer keeps the revision from which the watch should start. */
     data object Compacted : StoreResult<Nothing>
 }
--- a/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
+++ b/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
@@ -20,10 +20,13 @@
 import wardmux.serialization.jsonBytes
 import wardmux.serialization.lenientJson
 
-/** Task pages are as small as a value may be, and are read as they were written. */
+/**
+ * Guards against task pages that exceed the store's limit on the size of a value, which could never
+ * be written, and against pages that are restored differently from how they were written.
+ */
 class TaskPageCodecTest {
     @Test
-    fun `the fullest page of the largest job fits a value, under small and large limits`() {
+    fun `the fullest page of the largest job fits into a value under small and large limits`() {
         val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = submitted.spec.copy(tasks = JobSpec.MAX_TASKS)
         for (limit in listOf(8 * 1024, 16 * 1024)) {
@@ -38,7 +41,7 @@
             for (page in listOf(0, lastPage)) {
                 assertTrue(
                     TaskPageCodec.encode(job, page).toString().length <= limit,
-                    "page $page of $tasksPerPage tasks",
+                    "page $page of $tasksPerPage tasks exceeds the limit of $limit bytes",
                 )
             }
             val stored =
@@ -55,14 +58,15 @@
     }
 
     @Test
-    fun `no more tasks are placed than a page of a smaller value holds`() {
+    fun `no more tasks are placed than fit into a page under a lowered value limit`() {
         val submitted = SubmissionReader.read(submission()) as Submission.WellFormed
         val spec = submitted.spec.copy(tasks = 300)
         for (limit in listOf(1024, 2048)) {
             for (tasksPerMachine in listOf(1, 3, 16)) {
                 val job =
                     Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
-                // What two rounds place, ended in between so that the page gets as large as can be.
+                // Places tasks in two rounds. Between them every second task completes and the
+                // others are interrupted, which makes the page as large as possible.
                 repeat(2) {
                     val budget = PageWriteBudget(7, limit)
                     for (task in 0 until spec.tasks) {
@@ -73,7 +77,11 @@
                         job.place(placement, Micros.ZERO)
                         budget.onPlaced(placement)
                     }
-                    assertTrue(job.placements.size > 4, "too few for $limit: $tasksPerMachine")
+                    assertTrue(
+                        job.placements.size > 4,
+                        "expected more than 4 placements with a limit of $limit bytes and " +
+                            "$tasksPerMachine tasks per machine, but got ${job.placements.size}",
+                    )
                     assertFits(job, limit)
                     for (placement in job.placements.values.toList()) {
                         if (placement.task.index % 2 == 0) {
@@ -88,9 +96,10 @@
     }
 
     /**
-     * As it may be left under higher limits: every second task of a page beyond number 1,000 is
-     * done, the others were interrupted. Each round writes what it can of it, and now and then a
-     * later leader goes on from what is stored.
+     * A page that was written under a higher limit on the value size may exceed a lowered limit:
+     * here every second task of a page is done and the others were interrupted, and all task
+     * numbers exceed 1,000. Each round places and completes the tasks that the page has room for.
+     * After every fourth round a new leader continues from the stored page.
      */
     @Test
     fun `a page of which every second task is done is written until all are done`() {
@@ -101,9 +110,9 @@
         val done = tasks.filter { it % 2 == 0 }.flatMap { listOf(it, it) }
         val tried = tasks.filter { it % 2 == 1 }.flatMap { listOf(it, 2) }
         var stored = decode(StoredTaskPage.encode(done, emptyList(), tried))
-        assertTrue(encodedBytes(stored) > LOWERED_LIMIT_BYTES)
+        assertTrue(encodedBytes(stored) > LOWERED_LIMIT_BYTES, "the page does not exceed the limit")
         var job = restoredJob(spec, stored, page)
-        // What machines were told to forget.
+        // The tasks that are recorded as done, whose results the machines may have forgotten.
         val forgotten = tasks.filterTo(HashSet()) { job.isRecordedDone(it) }
         for (round in 0 until 200) {
             val budget = PageWriteBudget(7, LOWERED_LIMIT_BYTES)
@@ -114,7 +123,10 @@
                 job.place(placement, Micros.ZERO)
                 budget.onPlaced(placement)
             }
-            assertTrue(job.placements.isNotEmpty(), "nothing can be placed in round $round")
+            assertTrue(
+                job.placements.isNotEmpty(),
+                "expected placements in round $round, but none was possible",
+            )
             stored = encodeAndMarkWritten(job, page)
             for (placement in job.placements.values.toList()) {
                 job.commit(placement)
@@ -129,21 +141,33 @@
                 val previousJob = job
                 job = restoredJob(spec, stored, page)
                 for (task in doneTasks) {
-                    assertEquals(previousJob.isRecordedDone(task), job.isTaskDone(task), "$task")
-                    assertTrue(job.isTaskDone(task) || job.nextAttempt(task) > 1, "$task")
-                    // Its machine still has the result, and reports it; else it runs once more.
+                    assertEquals(
+                        previousJob.isRecordedDone(task),
+                        job.isTaskDone(task),
+                        "done state of task $task after the failover",
+                    )
+                    assertTrue(
+                        job.isTaskDone(task) || job.nextAttempt(task) > 1,
+                        "task $task is neither done nor known as attempted",
+                    )
+                    // A machine that has not forgotten the result reports it to the new leader.
+                    // Otherwise the task runs once more.
                     if (task !in forgotten) job.complete(task, Micros.ZERO)
                 }
             }
         }
-        error("not all tasks of the page are done")
+        error("expected all tasks of the page to be done after 200 rounds, but some are not")
     }
 
+    /**
+     * Encodes the page within the lowered limit and marks it as written. Returns the stored page.
+     */
     private fun encodeAndMarkWritten(job: Job, page: Int): StoredTaskPage {
         val content = TaskPageCodec.encode(job, page, LOWERED_LIMIT_BYTES)
         assertTrue(
             jsonBytes(content.data) <= LOWERED_LIMIT_BYTES,
-            "${jsonBytes(content.data)} bytes",
+            "page $page takes ${jsonBytes(content.data)} bytes, " +
+                "expected at most $LOWERED_LIMIT_BYTES",
         )
         job.pages.onWritten(page, KeyVersion(1), content.done)
         return decode(content.data)
@@ -155,6 +179,7 @@
     private fun encodedBytes(page: StoredTaskPage) =
         jsonBytes(lenientJson.encodeToJsonElement(StoredTaskPage.serializer(), page))
 
+    /** A job as a new leader restores it from the [stored] page. */
     private fun restoredJob(spec: JobSpec, stored: StoredTaskPage, page: Int) =
         Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024)).also {
             TaskPageCodec.restore(it, page, KeyVersion(1), stored)
@@ -163,10 +188,11 @@
     private fun assertFits(job: Job, limit: Int) {
         for (page in 0..1) {
             val bytes = TaskPageCodec.encode(job, page).toString().length
-            assertTrue(bytes <= limit, "page $page takes $bytes of $limit")
+            assertTrue(bytes <= limit, "page $page takes $bytes bytes, expected at most $limit")
         }
     }
 
+    /** A placement that takes many bytes, on the given machine. */
     private fun largePlacement(job: Job, task: Int, attempt: Int, machine: Int) =
         Placement(
             job,
@@ -178,6 +204,7 @@
             Charge(Cost(9_999_000_000), 1230.0 + machine % 3),
         )
 
+    /** A placement with the largest usual field values, on a machine of its own. */
     private fun largestPlacement(job: Job, task: Int) =
         Placement(
             job,
@@ -190,6 +217,7 @@
         )
 
     private companion object {
+        /** The lowered limit on the size of a value. */
         const val LOWERED_LIMIT_BYTES = 2048
     }
 }
