--- a/src/main/kotlin/wardmux/records/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -53,7 +53,7 @@
                 .encodeToByteArray()
                 .size
 
-        /** The usual maximum size. Larger records have a long list of types or other long names. */
+        /** The usual maximum size in bytes; larger records have many types or other long names. */
         private const val USUAL_RECORD_BYTES = 2_000
 
         /**
--- a/src/main/kotlin/wardmux/records/StoredTaskPage.kt
+++ b/src/main/kotlin/wardmux/records/StoredTaskPage.kt
@@ -88,13 +88,12 @@
             val zones = LinkedHashMap<String, Long>()
             val machines = ArrayList<String>()
             val numbers = ArrayList<Long>()
-            for ((host, hostPlacements) in
-                placements.groupBy { MachineIncarnation(it.machine, it.incarnation) }) {
-                machines.add(host.machine.value)
-                numbers.add(host.incarnation)
-                numbers.add(zones.indexOrAdd(hostPlacements.first().zone))
-                numbers.add(hostPlacements.size.toLong())
-                for (placement in hostPlacements) {
+            for ((worker, group) in placements.groupBy { WorkerId(it.machine, it.incarnation) }) {
+                machines.add(worker.machine.value)
+                numbers.add(worker.incarnation)
+                numbers.add(zones.indexOrAdd(group.first().zone))
+                numbers.add(group.size.toLong())
+                for (placement in group) {
                     numbers.add(placement.task.index.toLong())
                     numbers.add(placement.attempt.toLong())
                     numbers.add(charges.indexOrAdd(sharedCharge ?: roundedChargeOf(placement)))
@@ -128,6 +127,7 @@
         private fun <K> MutableMap<K, Long>.indexOrAdd(key: K): Long =
             getOrPut(key) { size.toLong() }
 
-        private data class MachineIncarnation(val machine: MachineId, val incarnation: Long)
+        /** One incarnation of the worker of a machine. */
+        private data class WorkerId(val machine: MachineId, val incarnation: Long)
     }
 }
--- a/src/main/kotlin/wardmux/store/RequestQueue.kt
+++ b/src/main/kotlin/wardmux/store/RequestQueue.kt
@@ -48,7 +48,7 @@
 
     /**
      * Puts [request], which the store rejected for exceeding the rate limit, at the front of its
-     * [priority] and pauses sending.
+     * [priority]. For a short time only requests for leases are sent.
      */
     fun retry(priority: RequestPriority, request: QueuedRequest) {
         pausedUntil = context.now + RATE_LIMIT_PAUSE
@@ -86,7 +86,7 @@
     }
 
     private companion object {
-        /** How long sending pauses after the store rejected a request for the rate limit. */
+        /** How long only requests for leases are sent after the store reported its rate limit. */
         val RATE_LIMIT_PAUSE = 150.milliseconds
     }
 }
--- a/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
+++ b/src/test/kotlin/wardmux/records/TaskPageCodecTest.kt
@@ -65,7 +65,7 @@
             for (tasksPerMachine in listOf(1, 3, 16)) {
                 val job =
                     Job(spec, KeyVersion(1), Micros.ZERO, TaskPageCodec.tasksPerPage(16 * 1024))
-                // Places tasks in two rounds. Between them every second task completes and the
+                // Places tasks in two rounds. After each round every second task completes and the
                 // others are interrupted, which makes the page as large as possible.
                 repeat(2) {
                     val budget = PageWriteBudget(7, limit)
