--- a/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
+++ b/src/main/kotlin/wardmux/jobs/JobFeasibility.kt
@@ -43,7 +43,7 @@
 
     private fun exceedsQuota(spec: JobSpec, team: TeamQuota): Boolean {
         val concurrentTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        val tolerance = MachineType.EPSILON
+        val tolerance = MachineType.RESOURCE_TOLERANCE
         return spec.cpus * concurrentTasks > team.cpusMax + tolerance ||
             spec.gpus * concurrentTasks > team.gpusMax + tolerance
     }
--- a/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangPlacement.kt
@@ -127,15 +127,15 @@
         val tasksPerMachine =
             pools.offeredTypes
                 .filter { it.allowedFor(job.spec) }
-                .maxOfOrNull { it.fitting(job.spec) }
+                .maxOfOrNull { it.taskCapacity(job.spec) }
         return !PageSizeEstimate.mayFitAllTasks(job, tasksPerMachine ?: 0, maxBytes)
     }
 
     /** True if all tasks of the gang would fit on [machines] if these were empty. */
     fun wouldFitWhenEmpty(job: Job, machines: List<Machine>) =
-        machines.sumOf { it.type.fitting(job.spec) } >= job.spec.tasks &&
+        machines.sumOf { it.type.taskCapacity(job.spec) } >= job.spec.tasks &&
             (!PageSizeEstimate.requiresDensePacking(job, maxBytes) ||
-                fitsOnPages(job, machines) { it.type.fitting(job.spec) })
+                fitsOnPages(job, machines) { it.type.taskCapacity(job.spec) })
 
     private companion object {
         val IMAGE_WAIT_STEP = 250.milliseconds
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -71,7 +71,7 @@
      */
     private fun endedTaskBytes(job: Job, task: Int): Int {
         val taskNumberBytes =
-            PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskBeside(task)).toLong())
+            PlacementsSize.bytesOf(maxOf(task, job.pages.lastTaskOnPageOf(task)).toLong())
         return (2 * taskNumberBytes + taskNumberBytes + ATTEMPT_BYTES + 1) / 2
     }
 
@@ -166,7 +166,7 @@
             val size = job.pages.tasksPerPage
             return minOf(size, job.spec.tasks).toLong() * TYPICAL_MAX_PLACEMENT_BYTES +
                 PAGE_FRAME_BYTES <= maxBytes ||
-                size.toLong() * TaskPageCodec.BYTES_PER_TASK <= maxBytes
+                size.toLong() * TaskPageCodec.BYTES_PER_PLACEMENT <= maxBytes
         }
 
         /**
--- a/src/main/kotlin/wardmux/scheduling/Planner.kt
+++ b/src/main/kotlin/wardmux/scheduling/Planner.kt
@@ -104,7 +104,7 @@
     /** The inputs of one plan: the machines with free capacity and the budget of page writes. */
     private class Round(schedulable: List<Machine>, val budget: PageWriteBudget) {
         val schedulableCount = schedulable.size
-        val machinesWithRoom = schedulable.filter { it.freeCpus > MachineType.EPSILON }
+        val machinesWithRoom = schedulable.filter { it.freeCpus > MachineType.RESOURCE_TOLERANCE }
     }
 
     /** One pass over the jobs of a priority class, for exact fits only or for any machine type. */
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -205,7 +205,7 @@
     private fun isUsefulRoom(job: Job, machine: Machine, taskCounts: Map<String, Int>): Boolean {
         val spec = job.spec
         val fits =
-            planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.holds(spec)
+            planner.eligibility.satisfiesConstraints(spec, machine) && machine.type.fits(spec)
         if (!fits || planner.typeReservations.isReservedFromTask(spec, machine.type)) return false
         // The room is of no use in a zone that already has its share of the job's tasks.
         if (!planner.eligibility.isZoneAllowed(machine.zone, spec, taskCounts)) return false
--- a/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
+++ b/src/test/kotlin/wardmux/scheduling/GangPlacementTest.kt
@@ -46,7 +46,7 @@
         withImage.occupy(cpus = 2.0)
         // The eighth task would have to wait until another image is fetched.
         val busyFetcher = harness.addMachine(2, type, zone = "a")
-        busyFetcher.images.use("another", 10 * spec.imageGb, harness.context.now)
+        busyFetcher.images.recordUse("another", 10 * spec.imageGb, harness.context.now)
         val idleFetcher = harness.addMachine(3, type, zone = "b")
         val job = harness.addJob(spec)
         assertEquals(setOf(idleFetcher.id), machinesAfterPlan(job))
