--- a/src/main/kotlin/wardmux/fleet/CommandReachability.kt
+++ b/src/main/kotlin/wardmux/fleet/CommandReachability.kt
@@ -5,35 +5,39 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Whether direct commands reach any machine at all. */
+/** Tracks whether direct commands of this controller reach any machine. */
 class CommandReachability(private val context: CoreContext) {
-    /** Machines that did not answer a command, and since when; empty once any does. */
-    private val unreachedSince = HashMap<Machine, Micros>()
+    /**
+     * When each machine first failed to answer a command. Cleared as soon as any machine answers.
+     */
+    private val unansweredSince = HashMap<Machine, Micros>()
 
-    /** A machine answered a command. */
-    fun recordResponse() = unreachedSince.clear()
+    /** Records that a machine answered a command. */
+    fun recordResponse() = unansweredSince.clear()
 
-    /** [machine] did not answer a command. */
+    /** Records that [machine] did not answer a command. */
     fun recordNoResponse(machine: Machine) {
-        unreachedSince.putIfAbsent(machine, context.now)
+        unansweredSince.putIfAbsent(machine, context.now)
     }
 
     /**
-     * Whether commands have reached no machine for a while, although several of those that were
-     * tried have sent a heartbeat since, through forwarders then. Another controller may reach
-     * them.
+     * Whether commands have reached no machine for more than [MIN_UNANSWERED_TIME], although at
+     * least [MIN_UNANSWERED_MACHINES] of the machines that did not answer have sent a heartbeat
+     * since. Those heartbeats came through forwarders, so another controller may be able to reach
+     * the machines.
      */
     val isCutOff: Boolean
         get() =
-            unreachedSince.size >= MIN_UNREACHED_MACHINES &&
-                unreachedSince.values.any { context.now - it > MIN_UNREACHED_TIME } &&
-                unreachedSince.count { (machine, at) -> machine.isAliveSince(at) } >=
-                    MIN_UNREACHED_MACHINES
+            unansweredSince.size >= MIN_UNANSWERED_MACHINES &&
+                unansweredSince.values.any { context.now - it > MIN_UNANSWERED_TIME } &&
+                unansweredSince.count { (machine, at) -> machine.hasSentHeartbeatSince(at) } >=
+                    MIN_UNANSWERED_MACHINES
 
-    private fun Machine.isAliveSince(at: Micros) = !isDecommissioned && (lastHeartbeatAt ?: at) > at
+    private fun Machine.hasSentHeartbeatSince(at: Micros) =
+        !isDecommissioned && (lastHeartbeatAt ?: at) > at
 
     private companion object {
-        const val MIN_UNREACHED_MACHINES = 6
-        val MIN_UNREACHED_TIME = 3.seconds
+        const val MIN_UNANSWERED_MACHINES = 6
+        val MIN_UNANSWERED_TIME = 3.seconds
     }
 }
