--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -90,7 +90,7 @@
         leadership.tick()
         cancellations.tick()
         jobs.tick()
-        services.machineTypes.tick(leading = currentTerm.term != null)
+        services.machineTypes.tick(isLeader = currentTerm.term != null)
         currentTerm.term?.tick()
         forwarder.tick()
         services.renewalCounters.tick()
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -39,7 +39,7 @@
     }
 
     private fun addClient(target: Target, address: String, maxConnections: Int) {
-        val socketAddress = requireNotNull(SettingsFiles.address(address))
+        val socketAddress = requireNotNull(SettingsFiles.parseAddress(address))
         clients[target] = HttpClient(group, socketAddress, maxConnections, MAX_RESPONSE_BYTES)
     }
 
@@ -78,7 +78,7 @@
 
     /** True if nothing is left to bind. */
     private fun bindOperators(isRetry: Boolean): Boolean {
-        val address = operators.drain?.listener ?: return true
+        val address = operators.drain?.listenerAddress ?: return true
         try {
             bind(address, ListenerKind.OPERATOR)
             log.info("{} listens for operators on {}", platform.member, address)
@@ -99,7 +99,7 @@
     }
 
     private fun bind(address: String, port: ListenerKind) =
-        server.listen(requireNotNull(SettingsFiles.address(address)), port)
+        server.listen(requireNotNull(SettingsFiles.parseAddress(address)), port)
 
     private fun handle(input: Input) {
         val effects =
--- a/src/main/kotlin/wardmux/app/WorkerClients.kt
+++ b/src/main/kotlin/wardmux/app/WorkerClients.kt
@@ -23,7 +23,7 @@
     /** The client for [address], as a worker reported it; if it is none, requests fail. */
     fun get(address: String): HttpClient =
         clients.getOrPut(address) {
-            val socketAddress = SettingsFiles.address(address) ?: UNREACHABLE
+            val socketAddress = SettingsFiles.parseAddress(address) ?: UNREACHABLE
             HttpClient(group, socketAddress, 1, maxResponseBytes, keepAlive = false)
         }
 
--- a/src/main/kotlin/wardmux/cli/OperatorCommand.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorCommand.kt
@@ -35,7 +35,7 @@
     /** The addresses of the controllers; throws [ParameterException] if one is malformed. */
     fun addresses(spec: CommandSpec): List<InetSocketAddress> =
         controllers.map {
-            SettingsFiles.address(it)
+            SettingsFiles.parseAddress(it)
                 ?: throw ParameterException(
                     spec.commandLine(),
                     "--controller must be HOST:PORT, but is '$it'",
--- a/src/main/kotlin/wardmux/cloud/CapacityController.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityController.kt
@@ -20,68 +20,86 @@
     private val scaleIn: ScaleIn,
 ) {
     /** The machines of a pool, counted in machines of its base type. */
-    private class Stock(val all: Double, val ordinary: Double)
+    private class PoolCapacity(val total: Double, val ordinary: Double)
 
     /** Rents for single jobs. */
-    val jobs = JobProvisioner(cluster, planner.eligibility, pools, rentals)
-    private val smoothed = HashMap<String, Double>()
+    val jobProvisioner = JobProvisioner(cluster, planner.eligibility, pools, rentals)
+    private val smoothedValues = HashMap<String, Double>()
 
     /** Decides for all pools once. */
-    fun decide() {
-        for (job in planner.jobsShortOfRoom()) jobs.rentFor(job, pools.pools.flatMap { it.types })
+    fun scalePools() {
+        for (job in planner.jobsShortOfRoom()) jobProvisioner.rentFor(
+            job,
+            pools.pools.flatMap { it.types },
+        )
         val backlogs = demand.backlogs(pools)
         val ordinaryInUse = demand.ordinaryInUse(pools)
         val machines = cluster.machines.values.filter { !it.isDecommissioned }
         for (pool in pools.pools) {
-            val own = machines.filter { pool.holds(it.type) }
-            decide(pool, own, backlogs[pool] ?: Backlog(), ordinaryInUse[pool] ?: 0.0)
+            val poolMachines = machines.filter { pool.holds(it.type) }
+            scalePool(pool, poolMachines, backlogs[pool] ?: Backlog(), ordinaryInUse[pool] ?: 0.0)
         }
-        preparation.moveReplicas()
+        preparation.evictReplicas()
     }
 
-    private fun decide(
+    private fun scalePool(
         pool: MachinePool,
-        own: List<Machine>,
+        poolMachines: List<Machine>,
         backlog: Backlog,
         ordinaryInUse: Double,
     ) {
         val label = pool.base.label
-        val inUse = own.sumOf { it.load * pool.weightOf(it.type) }
-        val share = 1 + operators.spareShare
-        val wanted = smooth("$label wanted", inUse * share + backlog.soon, SLOW_DECAY)
-        val pressing = smooth("$label pressing", inUse + backlog.pressing, FAST_DECAY)
-        val ordinary =
-            smooth("$label ordinary", ordinaryInUse * share + backlog.ordinary, SLOW_DECAY)
-        var stock = stock(pool, own)
-        preparation.adjust(pool, own, minOf(stock.all - wanted, stock.ordinary - ordinary))
-        stock = stock(pool, own)
-        rent(pool, ordinary - stock.ordinary, spot = false)
-        stock = stock(pool, own)
-        val missing = wanted - stock.all
-        if (missing + ROUNDING >= 1 && !rent(pool, missing, spot = true))
-            rent(pool, minOf(missing, pressing - stock.all), spot = false)
-        scaleIn.returnIdle(pool, own, stock.all - wanted, spot = true)
-        val ordinarySurplus = minOf(stock.all - pressing, stock.ordinary - ordinary)
-        scaleIn.returnIdle(pool, own, ordinarySurplus, spot = false)
+        val inUse = poolMachines.sumOf { it.load * pool.weightOf(it.type) }
+        val targetPerUse = 1 + operators.spareShare
+        val target =
+            smoothDecrease(
+                "$label target",
+                inUse * targetPerUse + backlog.withinBootTime,
+                SLOW_DECAY_SHARE,
+            )
+        val urgentTarget =
+            smoothDecrease("$label urgent", inUse + backlog.withinObjectives, FAST_DECAY_SHARE)
+        val ordinaryTarget =
+            smoothDecrease(
+                "$label ordinary",
+                ordinaryInUse * targetPerUse + backlog.ordinaryWithinBootTime,
+                SLOW_DECAY_SHARE,
+            )
+        var capacity = capacityOf(pool, poolMachines)
+        preparation.adjustCordons(
+            pool,
+            poolMachines,
+            minOf(capacity.total - target, capacity.ordinary - ordinaryTarget),
+        )
+        capacity = capacityOf(pool, poolMachines)
+        rent(pool, ordinaryTarget - capacity.ordinary, spot = false)
+        capacity = capacityOf(pool, poolMachines)
+        val missing = target - capacity.total
+        if (missing + MACHINE_COUNT_ROUNDING >= 1 && !rent(pool, missing, spot = true))
+            rent(pool, minOf(missing, urgentTarget - capacity.total), spot = false)
+        scaleIn.returnIdle(pool, poolMachines, capacity.total - target, spot = true)
+        val ordinarySurplus =
+            minOf(capacity.total - urgentTarget, capacity.ordinary - ordinaryTarget)
+        scaleIn.returnIdle(pool, poolMachines, ordinarySurplus, spot = false)
     }
 
-    private fun stock(pool: MachinePool, own: List<Machine>): Stock {
-        val usable = own.filter { counts(it) }
+    private fun capacityOf(pool: MachinePool, poolMachines: List<Machine>): PoolCapacity {
+        val usable = poolMachines.filter { countsAsCapacity(it) }
         val ordinary = usable.filter { !it.spot }.sumOf { pool.weightOf(it.type) }
         val spot = usable.filter { it.spot }.sumOf { pool.weightOf(it.type) }
-        val ordinaryComing = coming(pool, spot = false)
-        val all = ordinary + spot + ordinaryComing + coming(pool, spot = true)
-        return Stock(all, ordinary + ordinaryComing)
+        val pendingOrdinary = pendingCapacity(pool, spot = false)
+        val total = ordinary + spot + pendingOrdinary + pendingCapacity(pool, spot = true)
+        return PoolCapacity(total, ordinary + pendingOrdinary)
     }
 
     /** A machine that operators drain does not count, so that its replacement is rented. */
-    private fun counts(machine: Machine) =
+    private fun countsAsCapacity(machine: Machine) =
         machine.preemptionNoticeAt == null &&
             !machine.hasOnlyStaleHeartbeats &&
             !machine.isScalingIn &&
             machine.maintenance == Maintenance.NONE
 
-    private fun coming(pool: MachinePool, spot: Boolean): Double =
+    private fun pendingCapacity(pool: MachinePool, spot: Boolean): Double =
         pool.types.sumOf { type ->
             val count = rentals.count { it.type.label == type.label && it.spot == spot }
             count * pool.weightOf(type)
@@ -98,7 +116,7 @@
                 .associateWith { rentals.availableZones(it, spot) }
                 .filterValues { it.isNotEmpty() }
         for ((type, zones) in available) {
-            val count = (missing / pool.weightOf(type) + ROUNDING).toInt()
+            val count = (missing / pool.weightOf(type) + MACHINE_COUNT_ROUNDING).toInt()
             if (count <= 0) continue
             rentals.requestSpread(type, zones, count, spot)
             return true
@@ -107,19 +125,19 @@
     }
 
     /** Rises at once and decays slowly: a machine returned too early has to boot again. */
-    private fun smooth(name: String, now: Double, decay: Double): Double {
-        val before = smoothed[name] ?: now
-        val value = maxOf(now, before + (now - before) * decay)
-        smoothed[name] = value
+    private fun smoothDecrease(name: String, current: Double, decay: Double): Double {
+        val previous = smoothedValues[name] ?: current
+        val value = maxOf(current, previous + (current - previous) * decay)
+        smoothedValues[name] = value
         return value
     }
 
     private companion object {
         /** Share of a decrease that is followed in each decision. */
-        const val SLOW_DECAY = 0.03
-        const val FAST_DECAY = 0.1
+        const val SLOW_DECAY_SHARE = 0.03
+        const val FAST_DECAY_SHARE = 0.1
 
         /** Added before a number of machines is rounded down. */
-        const val ROUNDING = 0.4
+        const val MACHINE_COUNT_ROUNDING = 0.4
     }
 }
--- a/src/main/kotlin/wardmux/cloud/CloudClient.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudClient.kt
@@ -25,62 +25,68 @@
 /** The client of the cloud's API, which stays within [rps] calls a second. */
 class CloudClient(private val context: CoreContext, rps: Double) {
     private val log = logger<CloudClient>()
-    private val rate = rps * RATE_SHARE
-    private var tokens = rate
+    private val allowedRps = rps * USED_RATE_SHARE
+    private var availableRequests = allowedRps
     private var refilledAt = context.now
 
     /** False if a call now would exceed the rate limit; the caller tries again later. */
-    fun isReady(): Boolean {
-        tokens = (tokens + (context.now - refilledAt).inSeconds * rate).coerceAtMost(rate * 2)
+    fun canSendRequest(): Boolean {
+        availableRequests =
+            (availableRequests + (context.now - refilledAt).inSeconds * allowedRps).coerceAtMost(
+                allowedRps * 2
+            )
         refilledAt = context.now
-        return tokens >= 1
+        return availableRequests >= 1
     }
 
     /** Reads the machine types and their prices. */
-    fun types(then: (CloudResult<List<MachineType>>) -> Unit) =
-        call("GET", "/machine_types", "", then) {
+    fun types(onResult: (CloudResult<List<MachineType>>) -> Unit) =
+        call("GET", "/machine_types", "", onResult) {
             lenientJson.decodeFromString(MachineTypesResponse.serializer(), it).types
         }
 
     /** Rents machines; returns the ids of those that were to be had. */
-    fun rent(request: RentalRequest, then: (CloudResult<List<String>>) -> Unit) =
+    fun rent(request: RentalRequest, onResult: (CloudResult<List<String>>) -> Unit) =
         call(
             "POST",
             "/machines",
             lenientJson.encodeToString(RentalRequest.serializer(), request),
-            then,
+            onResult,
         ) {
             lenientJson.decodeFromString(MachineIds.serializer(), it).ids
         }
 
     /** Deletes machines. */
-    fun delete(ids: List<String>, then: (CloudResult<Unit>) -> Unit) {
+    fun delete(ids: List<String>, onResult: (CloudResult<Unit>) -> Unit) {
         val body = lenientJson.encodeToString(MachineIds.serializer(), MachineIds(ids))
-        call("POST", "/machines/delete", body, then) {}
+        call("POST", "/machines/delete", body, onResult) {}
     }
 
     /** Reads the whole list of machines, page by page. */
-    fun list(then: (CloudResult<List<ListedMachine>>) -> Unit) = listFrom(null, ArrayList(), then)
+    fun list(onResult: (CloudResult<List<ListedMachine>>) -> Unit) =
+        listFrom(null, ArrayList(), onResult)
 
     private fun listFrom(
-        from: String?,
+        afterId: String?,
         found: MutableList<ListedMachine>,
-        then: (CloudResult<List<ListedMachine>>) -> Unit,
+        onResult: (CloudResult<List<ListedMachine>>) -> Unit,
     ) {
-        val path = "/machines?limit=$PAGE_SIZE" + if (from == null) "" else "&from=$from"
-        val next: (CloudResult<MachineListResponse>) -> Unit = { result ->
+        val path =
+            "/machines?limit=$MACHINE_LIST_PAGE_SIZE" +
+                if (afterId == null) "" else "&from=$afterId"
+        val onPage: (CloudResult<MachineListResponse>) -> Unit = { result ->
             when (result) {
                 is CloudResult.Ok -> {
                     found.addAll(result.value.machines)
                     val last = result.value.machines.lastOrNull()
-                    if (result.value.truncated && last != null) listFrom(last.id, found, then)
-                    else then(CloudResult.Ok(found))
+                    if (result.value.truncated && last != null) listFrom(last.id, found, onResult)
+                    else onResult(CloudResult.Ok(found))
                 }
-                is CloudResult.Refused -> then(result)
-                is CloudResult.Indeterminate -> then(result)
+                is CloudResult.Refused -> onResult(result)
+                is CloudResult.Indeterminate -> onResult(result)
             }
         }
-        call("GET", path, "", next) {
+        call("GET", path, "", onPage) {
             lenientJson.decodeFromString(MachineListResponse.serializer(), it)
         }
     }
@@ -89,22 +95,23 @@
         method: String,
         path: String,
         body: String,
-        then: (CloudResult<T>) -> Unit,
-        read: (String) -> T,
+        onResult: (CloudResult<T>) -> Unit,
+        decode: (String) -> T,
     ) {
-        tokens -= 1
-        context.send(Target.Cloud, method, path, body.encodeToByteArray(), TIMEOUT) { outcome ->
-            then(interpret(outcome, read))
+        availableRequests -= 1
+        context.send(Target.Cloud, method, path, body.encodeToByteArray(), REQUEST_TIMEOUT) {
+            outcome ->
+            onResult(interpret(outcome, decode))
         }
     }
 
-    private fun <T> interpret(outcome: Outcome, read: (String) -> T): CloudResult<T> {
+    private fun <T> interpret(outcome: Outcome, decode: (String) -> T): CloudResult<T> {
         if (outcome is Outcome.NotSent) return CloudResult.Refused(noCapacity = false)
         if (outcome !is Outcome.Response) return CloudResult.Indeterminate
         return when (outcome.status) {
             HttpStatus.OK ->
                 try {
-                    CloudResult.Ok(read(outcome.text))
+                    CloudResult.Ok(decode(outcome.text))
                 } catch (e: SerializationException) {
                     log.error("the cloud's response can't be decoded: {}", e.message)
                     CloudResult.Indeterminate
@@ -118,8 +125,8 @@
     }
 
     private companion object {
-        const val RATE_SHARE = 0.8
-        const val PAGE_SIZE = 500
-        val TIMEOUT = 5.seconds
+        const val USED_RATE_SHARE = 0.8
+        const val MACHINE_LIST_PAGE_SIZE = 500
+        val REQUEST_TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/CostReport.kt
+++ b/src/main/kotlin/wardmux/cloud/CostReport.kt
@@ -18,47 +18,47 @@
 
     private val log = logger<CostReport>()
     private val costs = sortedMapOf<String, DoubleArray>()
-    private var last: Micros? = null
-    private var reportAt = Micros.LONG_AGO
+    private var lastUpdateAt: Micros? = null
+    private var nextReportAt = Micros.LONG_AGO
 
-    /** Adds the cost since the last call, and logs the sums every [PERIOD]. */
+    /** Adds the cost since the last call, and logs the sums every [REPORT_PERIOD]. */
     fun update(now: Micros, machines: Collection<Machine>) {
         if (!log.isInfoEnabled) return
-        val elapsed = (now - (last ?: now)).inSeconds
-        last = now
-        for (machine in machines) add(machine, elapsed)
-        if (now < reportAt) return
-        reportAt = now + PERIOD
-        val all = DoubleArray(Use.entries.size) { use -> costs.values.sumOf { it[use] } }
-        if (all.sum() <= 0) return
-        report("all", all)
-        for ((kind, uses) in costs) report(kind, uses)
+        val elapsed = (now - (lastUpdateAt ?: now)).inSeconds
+        lastUpdateAt = now
+        for (machine in machines) addMachine(machine, elapsed)
+        if (now < nextReportAt) return
+        nextReportAt = now + REPORT_PERIOD
+        val total = DoubleArray(Use.entries.size) { use -> costs.values.sumOf { it[use] } }
+        if (total.sum() <= 0) return
+        logCosts("all", total)
+        for ((kind, uses) in costs) logCosts(kind, uses)
         costs.clear()
     }
 
-    private fun report(kind: String, uses: DoubleArray) {
+    private fun logCosts(kind: String, uses: DoubleArray) {
         val sum = uses.sum()
         log.info(
             "cost of {} an hour for {}: {}",
-            Math.round(sum / PERIOD.inSeconds * TENTHS) / TENTHS,
+            Math.round(sum / REPORT_PERIOD.inSeconds * TENTHS_PER_UNIT) / TENTHS_PER_UNIT,
             kind,
             Use.entries.joinToString { use ->
-                "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * PERCENT)} %"
+                "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * PERCENT_PER_UNIT)} %"
             },
         )
     }
 
-    private fun add(machine: Machine, elapsed: Double) {
+    private fun addMachine(machine: Machine, elapsed: Double) {
         val price = if (machine.spot) machine.type.spotPrice else machine.type.price
         val cost = price * elapsed
         val kind = "${machine.type.label} ${if (machine.spot) "spot" else "ordinary"}"
         val uses = costs.getOrPut(kind) { DoubleArray(Use.entries.size) }
-        fun charge(use: Use, part: Double) {
+        fun addCost(use: Use, part: Double) {
             uses[use.ordinal] += part
         }
         when {
-            !machine.isUp -> charge(Use.BOOTING, cost)
-            machine.isEmpty -> charge(Use.IDLE, cost)
+            !machine.isUp -> addCost(Use.BOOTING, cost)
+            machine.isEmpty -> addCost(Use.IDLE, cost)
             else -> {
                 var running = 0.0
                 var waiting = 0.0
@@ -66,16 +66,16 @@
                     val cpus = placement.job.spec.cpus / machine.type.cpus
                     if (placement.status == TaskStatus.RUNNING) running += cpus else waiting += cpus
                 }
-                charge(Use.RUNNING, cost * running)
-                charge(Use.WAITING, cost * waiting)
-                charge(Use.FREE, cost * (1 - running - waiting))
+                addCost(Use.RUNNING, cost * running)
+                addCost(Use.WAITING, cost * waiting)
+                addCost(Use.FREE, cost * (1 - running - waiting))
             }
         }
     }
 
     private companion object {
-        val PERIOD = 10.seconds
-        const val TENTHS = 10.0
-        const val PERCENT = 100
+        val REPORT_PERIOD = 10.seconds
+        const val TENTHS_PER_UNIT = 10.0
+        const val PERCENT_PER_UNIT = 100
     }
 }
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -24,17 +24,17 @@
     /**
      * Requests what [job] lacks, which has been short of room for a while, of the [known] types.
      */
-    fun rentFor(job: Job, known: List<MachineType>) {
+    fun rentFor(job: Job, offeredTypes: List<MachineType>) {
         if (job.isFailing) return
         if (job.spec.isGang) return rentForGang(job)
-        if (hasMachine(job) || isComing(job)) return
-        rentOne(job, known)
+        if (hasSuitableMachine(job) || isBeingRented(job)) return
+        rentOneMachine(job, offeredTypes)
     }
 
     /** Requests one machine that suits the job, of the cheapest kind that is available. */
-    fun rentOne(job: Job, known: List<MachineType>) {
+    fun rentOneMachine(job: Job, offeredTypes: List<MachineType>) {
         for (spot in listOf(true, false)) {
-            for (type in known.sortedBy { if (spot) it.spotPrice else it.price }) {
+            for (type in offeredTypes.sortedBy { if (spot) it.spotPrice else it.price }) {
                 val zone =
                     rentals.availableZones(type, spot).firstOrNull {
                         eligibility.couldRun(job, type, it, spot)
@@ -44,20 +44,20 @@
         }
     }
 
-    private fun hasMachine(job: Job) =
+    private fun hasSuitableMachine(job: Job) =
         cluster.machines.values.any {
             !it.isDecommissioned &&
                 it.preemptionNoticeAt == null &&
                 (it.maintenance == Maintenance.NONE || it.maintenance == Maintenance.LEAVING) &&
                 eligibility.couldRun(job, it.type, it.zone, it.spot) &&
-                mayBecomeFree(job, it)
+                mayHaveRoomLater(job, it)
         }
 
     /**
      * Tasks free their resources as they end; services of no lower priority never do, so that a
      * task would wait for ever.
      */
-    private fun mayBecomeFree(job: Job, machine: Machine) =
+    private fun mayHaveRoomLater(job: Job, machine: Machine) =
         !machine.isUp ||
             machine.fits(job.spec) ||
             machine.placements.values.any {
@@ -65,7 +65,8 @@
             }
 
     /** True if a machine that suits the job is being requested. */
-    fun isComing(job: Job) = rentals.any { eligibility.couldRun(job, it.type, it.zone, it.spot) }
+    fun isBeingRented(job: Job) =
+        rentals.any { eligibility.couldRun(job, it.type, it.zone, it.spot) }
 
     /**
      * Requests all that the gang lacks; for one zone if it must be in one: where it lacks least.
@@ -74,7 +75,10 @@
         val spec = job.spec
         val type = pools.smallestFor(spec) ?: return
         val fitting = type.fitting(spec).coerceAtLeast(1)
-        val rooms = type.zones.associateWith { roomFor(spec, it) + comingTo(spec, it) * fitting }
+        val roomByZone =
+            type.zones.associateWith {
+                roomInZone(spec, it) + pendingMachinesIn(spec, it) * fitting
+            }
         val choices =
             listOf(true, false).flatMap { spot ->
                 rentals
@@ -82,13 +86,13 @@
                     .filter { eligibility.couldRun(job, type, it, spot) }
                     .map { MachineKind(type, it, spot) }
             }
-        val kind = choices.maxByOrNull { rooms[it.zone] ?: 0 } ?: return
-        val room = if (spec.oneZone) rooms[kind.zone] ?: 0 else rooms.values.sum()
+        val kind = choices.maxByOrNull { roomByZone[it.zone] ?: 0 } ?: return
+        val room = if (spec.oneZone) roomByZone[kind.zone] ?: 0 else roomByZone.values.sum()
         val missing = ceil((spec.tasks - room).toDouble() / fitting).toInt()
         if (missing > 0) rentals.request(kind, missing)
     }
 
-    private fun roomFor(spec: JobSpec, zone: String) =
+    private fun roomInZone(spec: JobSpec, zone: String) =
         cluster.machines.values
             .filter {
                 it.zone == zone &&
@@ -98,7 +102,7 @@
             .sumOf { it.roomFor(spec) }
 
     /** Machines requested or booting in [zone] that a task like this may use. */
-    private fun comingTo(spec: JobSpec, zone: String) =
+    private fun pendingMachinesIn(spec: JobSpec, zone: String) =
         rentals.count { it.zone == zone && (spec.spot || !it.spot) } +
             cluster.machines.values.count {
                 it.zone == zone &&
--- a/src/main/kotlin/wardmux/cloud/MachineDeletion.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDeletion.kt
@@ -8,14 +8,14 @@
 
 /** Deletes decommissioned machines at the cloud, and later their records. */
 class MachineDeletion(private val context: CoreContext, environment: ProvisioningEnvironment) {
-    private class ExpiringRecord(val at: Micros, val machine: Machine)
+    private class ExpiringRecord(val expiresAt: Micros, val machine: Machine)
 
     private val log = logger<MachineDeletion>()
     private val cloud = environment.cloud
     private val cluster = environment.cluster
     private val registry = environment.registry
     private val decommissioning = environment.decommissioning
-    private var nextAt = Micros.LONG_AGO
+    private var nextRequestAt = Micros.LONG_AGO
     private val expiringRecords = ArrayDeque<ExpiringRecord>()
 
     /** Does what is due; only under a valid lease. */
@@ -25,43 +25,44 @@
     }
 
     private fun deleteDecommissioned() {
-        if (context.now < nextAt || !cloud.isReady()) return
-        val due = cluster.machines.values.filter { it.isDeletionDue }.take(MAX_DELETED)
+        if (context.now < nextRequestAt || !cloud.canSendRequest()) return
+        val due = cluster.machines.values.filter { it.isDeletionDue }.take(MAX_MACHINES_PER_REQUEST)
         if (due.isEmpty()) return
-        nextAt = context.now + REQUEST_TIME
+        nextRequestAt = context.now + REQUEST_OUTCOME_TIMEOUT
         cloud.delete(due.map { it.id.value }) { result ->
-            nextAt = context.now + if (result is CloudResult.Ok) Micros.ZERO else RETRY
-            if (result is CloudResult.Ok) for (machine in due) deleted(machine)
+            nextRequestAt =
+                context.now + if (result is CloudResult.Ok) Micros.ZERO else DELETION_RETRY_DELAY
+            if (result is CloudResult.Ok) for (machine in due) recordDeletion(machine)
         }
     }
 
-    private fun deleted(machine: Machine) {
+    private fun recordDeletion(machine: Machine) {
         log.info("deleted {}: {}", machine.id, machine.decommissionReason)
         cluster.releaseAll(machine, "deleted")
         cluster.machines.remove(machine.id)
         registry.markDeleted(machine.id)
-        expiringRecords.addLast(ExpiringRecord(context.now + RECORD_KEPT, machine))
+        expiringRecords.addLast(ExpiringRecord(context.now + DELETED_RECORD_RETENTION, machine))
     }
 
     private fun dropExpiredRecords() {
         while (true) {
             val first = expiringRecords.firstOrNull() ?: return
-            if (context.now < first.at) return
+            if (context.now < first.expiresAt) return
             decommissioning.dropRecord(first.machine)
             expiringRecords.removeFirst()
         }
     }
 
     private companion object {
-        val RETRY = 1.seconds
+        val DELETION_RETRY_DELAY = 1.seconds
 
         /** A delayed list may show a deleted machine for a while; its record excludes it. */
-        val RECORD_KEPT = 60.seconds
+        val DELETED_RECORD_RETENTION = 60.seconds
 
         /** No further request before the outcome of one is known, or this has passed. */
-        val REQUEST_TIME = 6.seconds
+        val REQUEST_OUTCOME_TIMEOUT = 6.seconds
 
         /** The protocol's limit for one request. */
-        const val MAX_DELETED = 100
+        const val MAX_MACHINES_PER_REQUEST = 100
     }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineListReader.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineListReader.kt
@@ -18,10 +18,10 @@
     private val cluster = environment.cluster
     private val registry = environment.registry
     private val decommissioning = environment.decommissioning
-    private val lag = limits.listLagS.seconds
-    private val timeout = (limits.listLagS * MAX_LAGS).seconds
+    private val listLag = limits.listLagS.seconds
+    private val listTimeout = (limits.listLagS * LIST_TIMEOUT_IN_LAGS).seconds
     private val electedAt = context.now
-    private var nextAt = Micros.LONG_AGO
+    private var nextReadAt = Micros.LONG_AGO
     private var isReading = false
 
     /** The list was read in this term, so that machines of an earlier leader are known. */
@@ -30,28 +30,28 @@
 
     /** The list was read, or has not been available for so long that it is not waited for. */
     val isReadOrOverdue: Boolean
-        get() = isRead || context.now - electedAt > timeout
+        get() = isRead || context.now - electedAt > listTimeout
 
     /** Reads the list if that is due. */
     fun tick() {
-        if (context.now >= nextAt && !isReading && cloud.isReady()) read()
+        if (context.now >= nextReadAt && !isReading && cloud.canSendRequest()) read()
     }
 
     private fun read() {
         isReading = true
         cloud.list { result ->
             isReading = false
-            nextAt = context.now + lag
+            nextReadAt = context.now + listLag
             if (result is CloudResult.Ok) {
                 isRead = true
-                val discovered = result.value.count { observe(it) }
+                val discovered = result.value.count { recordEntry(it) }
                 if (discovered > 0) log.info("discovered {} machines in the list", discovered)
             }
         }
     }
 
     /** True if the machine was not known. */
-    private fun observe(entry: ListedMachine): Boolean {
+    private fun recordEntry(entry: ListedMachine): Boolean {
         val id = MachineId(entry.id)
         if (registry.isDeleted(id)) return false
         val known = cluster.machines[id]
@@ -68,7 +68,7 @@
             }
             ListedMachine.RUNNING -> Unit
             else -> {
-                val bootTimeoutS = machine.type.bootS * BOOT_TIMEOUT_BOOTS
+                val bootTimeoutS = machine.type.bootS * BOOT_TIMEOUT_IN_BOOT_TIMES
                 if (!machine.isUp && entry.heldS > bootTimeoutS)
                     decommissioning.decommission(machine, "does not come up")
             }
@@ -78,7 +78,7 @@
 
     private companion object {
         /** The list is not waited for beyond so many times its lag. */
-        const val MAX_LAGS = 4
-        const val BOOT_TIMEOUT_BOOTS = 3.0
+        const val LIST_TIMEOUT_IN_LAGS = 4
+        const val BOOT_TIMEOUT_IN_BOOT_TIMES = 3.0
     }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineRentals.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineRentals.kt
@@ -29,38 +29,38 @@
     private val cloud = environment.cloud
     private val cluster = environment.cluster
     private val registry = environment.registry
-    private val zones = deployment.zones
-    private val unavailableBackoff = operators.refusedPauseS.seconds
+    private val deploymentZones = deployment.zones
+    private val noCapacityBackoff = operators.noCapacityBackoffS.seconds
     private val unavailableUntil = HashMap<MachineKind, Micros>()
     private val pending = LinkedHashMap<String, PendingRental>()
     private val retryAt = HashMap<String, Micros>()
-    private var counter = 0
+    private var requestCounter = 0
 
     /** The requests that the cloud takes in a second, and one at least. */
-    private val maxPending = maxOf(1, deployment.cloud.rps.toInt())
+    private val maxPendingRequests = maxOf(1, deployment.cloud.rps.toInt())
 
     private var wasRefused = false
 
     /** Repeats requests of which it is not known whether they were carried out. */
-    fun retry() {
+    fun retryIndeterminate() {
         for ((id, at) in retryAt.toList()) {
-            if (context.now < at || !cloud.isReady()) continue
+            if (context.now < at || !cloud.canSendRequest()) continue
             retryAt.remove(id)
             pending[id]?.let { send(it) }
         }
     }
 
-    /** How many machines of the kinds that [which] accepts are being requested. */
-    fun count(which: (MachineKind) -> Boolean): Int =
-        pending.values.filter { which(it.kind) }.sumOf { it.request.count }
+    /** How many machines of the kinds that [matches] accepts are being requested. */
+    fun count(matches: (MachineKind) -> Boolean): Int =
+        pending.values.filter { matches(it.kind) }.sumOf { it.request.count }
 
-    /** True if machines of the kinds that [which] accepts are being requested. */
-    fun any(which: (MachineKind) -> Boolean): Boolean = pending.values.any { which(it.kind) }
+    /** True if machines of the kinds that [matches] accepts are being requested. */
+    fun any(matches: (MachineKind) -> Boolean): Boolean = pending.values.any { matches(it.kind) }
 
     /** Zones where the kind is not known to be unavailable, those with the fewest of it first. */
     fun availableZones(type: MachineType, spot: Boolean): List<String> =
         type.zones
-            .filter { it in zones && isAvailable(MachineKind(type, it, spot)) }
+            .filter { it in deploymentZones && isAvailable(MachineKind(type, it, spot)) }
             .sortedBy { zone ->
                 cluster.machines.values.count {
                     it.zone == zone && it.type.label == type.label && it.spot == spot
@@ -70,12 +70,12 @@
     private fun isAvailable(kind: MachineKind) =
         context.now >= (unavailableUntil[kind] ?: Micros.LONG_AGO)
 
-    /** Requests [count] machines, spread over the zones that are [available]. */
-    fun requestSpread(type: MachineType, available: List<String>, count: Int, spot: Boolean) {
-        val share = (count + available.size - 1) / available.size
+    /** Requests [count] machines, spread over the available [zones]. */
+    fun requestSpread(type: MachineType, zones: List<String>, count: Int, spot: Boolean) {
+        val perZone = (count + zones.size - 1) / zones.size
         var left = count
-        for (zone in available) {
-            val here = minOf(share, left, MAX_MACHINES)
+        for (zone in zones) {
+            val here = minOf(perZone, left, MAX_MACHINES_PER_REQUEST)
             if (here <= 0 || !request(MachineKind(type, zone, spot), here)) return
             left -= here
         }
@@ -83,10 +83,10 @@
 
     /** Requests machines of one kind; false if no request can be sent for now. */
     fun request(kind: MachineKind, count: Int): Boolean {
-        if (!cloud.isReady() || pending.size >= maxPending) return false
+        if (!cloud.canSendRequest() || pending.size >= maxPendingRequests) return false
         // Unique among all controllers, since a fencing token belongs to one leader.
-        val id = "w${token.value}-${++counter}"
-        val limited = minOf(count, MAX_MACHINES)
+        val id = "w${token.value}-${++requestCounter}"
+        val limited = minOf(count, MAX_MACHINES_PER_REQUEST)
         val request = RentalRequest(id, kind.type.label, kind.zone, kind.spot, limited)
         val rental = PendingRental(request, kind)
         pending[id] = rental
@@ -100,19 +100,19 @@
             when (result) {
                 is CloudResult.Ok -> {
                     pending.remove(id)
-                    rented(rental, result.value)
+                    addRentedMachines(rental, result.value)
                 }
                 is CloudResult.Refused -> {
                     pending.remove(id)
                     if (result.noCapacity) backOff(rental.kind)
                 }
                 // Idempotent: the same request again rents nothing new.
-                is CloudResult.Indeterminate -> retryAt[id] = context.now + RETRY
+                is CloudResult.Indeterminate -> retryAt[id] = context.now + RENTAL_RETRY_DELAY
             }
         }
     }
 
-    private fun rented(rental: PendingRental, machines: List<String>) {
+    private fun addRentedMachines(rental: PendingRental, machines: List<String>) {
         val request = rental.request
         log.info("rented {} of {}: {}", machines.size, request.count, rental.kind)
         for (id in machines) registry.findOrAdd(
@@ -125,7 +125,7 @@
     }
 
     private fun backOff(kind: MachineKind) {
-        unavailableUntil[kind] = context.now + unavailableBackoff
+        unavailableUntil[kind] = context.now + noCapacityBackoff
         wasRefused = true
     }
 
@@ -133,9 +133,9 @@
     fun consumeRefusal(): Boolean = wasRefused.also { wasRefused = false }
 
     private companion object {
-        val RETRY = 1.seconds
+        val RENTAL_RETRY_DELAY = 1.seconds
 
         /** The protocol's limit for one request. */
-        const val MAX_MACHINES = 50
+        const val MAX_MACHINES_PER_REQUEST = 50
     }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -25,13 +25,13 @@
     override var types: List<MachineType>? = null
         private set
 
-    private var nextAt = Micros.LONG_AGO
+    private var nextReadAt = Micros.LONG_AGO
     private var isReading = false
 
     /** Reads the types if that is due; only the leader refreshes them and their prices. */
-    fun tick(leading: Boolean) {
-        if (isReading || context.now < nextAt) return
-        if (types != null && !leading) return
+    fun tick(isLeader: Boolean) {
+        if (isReading || context.now < nextReadAt) return
+        if (types != null && !isLeader) return
         isReading = true
         if (types == null) readStored() else readCloud()
     }
@@ -42,7 +42,7 @@
                 if (result is StoreResult.Ok) MachineTypeList.decode(result.value.data) else null
             if (stored != null) {
                 types = stored
-                scheduleNext(REFRESH)
+                scheduleNextRead(REFRESH_PERIOD)
             } else {
                 readCloud()
             }
@@ -50,17 +50,17 @@
     }
 
     private fun readCloud() {
-        if (!cloud.isReady()) {
-            scheduleNext(RETRY)
+        if (!cloud.canSendRequest()) {
+            scheduleNextRead(RETRY_DELAY)
             return
         }
         cloud.types { result ->
             if (result is CloudResult.Ok) {
                 if (types != result.value) storeTypes(result.value)
                 types = result.value
-                scheduleNext(REFRESH)
+                scheduleNextRead(REFRESH_PERIOD)
             } else {
-                scheduleNext(RETRY)
+                scheduleNextRead(RETRY_DELAY)
             }
         }
     }
@@ -73,13 +73,13 @@
         store.compareAndSwap(emptyList(), listOf(change), RequestPriority.LEADER) {}
     }
 
-    private fun scheduleNext(pause: Micros) {
+    private fun scheduleNextRead(delay: Micros) {
         isReading = false
-        nextAt = context.now + pause
+        nextReadAt = context.now + delay
     }
 
     private companion object {
-        val REFRESH = 60.seconds
-        val RETRY = 700.milliseconds
+        val REFRESH_PERIOD = 60.seconds
+        val RETRY_DELAY = 700.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -16,10 +16,10 @@
     token: FencingToken,
 ) {
     private val cluster = environment.cluster
-    private val list = MachineListReader(context, environment, deployment.cloud)
+    private val machineListReader = MachineListReader(context, environment, deployment.cloud)
     private val deletion = MachineDeletion(context, environment)
     private val rentals = MachineRentals(context, environment, deployment, operators, token)
-    private val controller =
+    private val capacityController =
         CapacityController(
             cluster,
             environment.pools,
@@ -36,31 +36,31 @@
             ScaleIn(context, environment.planner, operators, environment.decommissioning),
         )
     private val costReport = CostReport()
-    private var decideAt = Micros.LONG_AGO
+    private var nextDecisionAt = Micros.LONG_AGO
 
     /** Rents for single jobs. */
-    val jobs: JobProvisioner
-        get() = controller.jobs
+    val jobProvisioner: JobProvisioner
+        get() = capacityController.jobProvisioner
 
     /** The cloud's list of machines was read in this term. */
     val isListRead: Boolean
-        get() = list.isRead
+        get() = machineListReader.isRead
 
     /** Does what is due; without a valid lease only the list is read. */
     fun tick(leaseIsValid: Boolean) {
-        list.tick()
+        machineListReader.tick()
         if (!leaseIsValid) return
         deletion.tick()
-        rentals.retry()
-        if (!list.isReadOrOverdue) return
-        if (context.now >= decideAt || rentals.consumeRefusal()) {
-            decideAt = context.now + PERIOD
-            controller.decide()
+        rentals.retryIndeterminate()
+        if (!machineListReader.isReadOrOverdue) return
+        if (context.now >= nextDecisionAt || rentals.consumeRefusal()) {
+            nextDecisionAt = context.now + DECISION_PERIOD
+            capacityController.scalePools()
             costReport.update(context.now, cluster.machines.values)
         }
     }
 
     private companion object {
-        val PERIOD = 1.seconds
+        val DECISION_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/ScaleIn.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleIn.kt
@@ -15,18 +15,18 @@
     private val decommissioning: MachineDecommissioning,
 ) {
     /**
-     * Returns idle machines of [own] up to [surplus], in machines of the pool's base type, the most
-     * expensive first.
+     * Returns idle machines of [poolMachines] up to [surplus], in machines of the pool's base type,
+     * the most expensive first.
      */
-    fun returnIdle(pool: MachinePool, own: List<Machine>, surplus: Double, spot: Boolean) {
-        val candidates = own.filter { it.spot == spot && it.isEmpty }
+    fun returnIdle(pool: MachinePool, poolMachines: List<Machine>, surplus: Double, spot: Boolean) {
+        val candidates = poolMachines.filter { it.spot == spot && it.isEmpty }
         returnEmptied(pool, candidates.filter { it.isScalingIn })
-        returnSurplus(pool, candidates, surplus + 1 - MIN_SURPLUS)
+        returnSurplus(pool, candidates, surplus + 1 - MIN_SURPLUS_MACHINES)
     }
 
     private fun returnEmptied(pool: MachinePool, emptied: List<Machine>) {
         for (machine in emptied) {
-            if (isIdleForLong(pool, machine)) decommissioning.decommission(machine, "emptied")
+            if (hasIdledLongEnough(pool, machine)) decommissioning.decommission(machine, "emptied")
         }
     }
 
@@ -36,7 +36,7 @@
         val gangs = planner.jobsShortOfRoom().filter { it.spec.isGang && !it.isFailing }
         val idle = candidates.filter { it.isUp && !it.isDecommissioned }
         for (machine in idle.sortedByDescending { pool.relativeCost(it.type, it.spot) }) {
-            if (left < pool.weightOf(machine.type) || !isIdleForLong(pool, machine)) continue
+            if (left < pool.weightOf(machine.type) || !hasIdledLongEnough(pool, machine)) continue
             // A gang waits for more machines like this: it would be rented again at once.
             if (gangs.any { planner.eligibility.satisfiesConstraints(it.spec, machine) }) continue
             left -= pool.weightOf(machine.type)
@@ -45,14 +45,14 @@
     }
 
     /** Idle for as long as another boot costs; less for a machine that costs more. */
-    private fun isIdleForLong(pool: MachinePool, machine: Machine): Boolean {
+    private fun hasIdledLongEnough(pool: MachinePool, machine: Machine): Boolean {
         val relativeCost = pool.relativeCost(machine.type, machine.spot)
-        val keep = (operators.idleKeepBoots * machine.type.bootS / relativeCost).seconds
-        return context.now - machine.idleSince > keep
+        val idleTime = (operators.idleKeepBoots * machine.type.bootS / relativeCost).seconds
+        return context.now - machine.idleSince > idleTime
     }
 
     private companion object {
         /** A surplus of this part of a machine counts as one. */
-        const val MIN_SURPLUS = 0.9
+        const val MIN_SURPLUS_MACHINES = 0.9
     }
 }
--- a/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
@@ -26,13 +26,14 @@
     private val log = logger<ScaleInPreparation>()
 
     /** Cordons machines for [surplus], or uncordons them if it is negative. */
-    fun adjust(pool: MachinePool, own: List<Machine>, surplus: Double) {
-        if (surplus < 0) uncordon(pool, own, -surplus) else cordon(pool, own, surplus)
+    fun adjustCordons(pool: MachinePool, poolMachines: List<Machine>, surplus: Double) {
+        if (surplus < 0) uncordon(pool, poolMachines, -surplus)
+        else cordon(pool, poolMachines, surplus)
     }
 
-    private fun uncordon(pool: MachinePool, own: List<Machine>, missing: Double) {
+    private fun uncordon(pool: MachinePool, poolMachines: List<Machine>, missing: Double) {
         var left = missing
-        for (machine in own.filter { it.isScalingIn }.sortedByDescending { it.load }) {
+        for (machine in poolMachines.filter { it.isScalingIn }.sortedByDescending { it.load }) {
             if (left <= 0) return
             machine.isScalingIn = false
             left -= pool.weightOf(machine.type)
@@ -41,9 +42,9 @@
         }
     }
 
-    private fun cordon(pool: MachinePool, own: List<Machine>, surplus: Double) {
+    private fun cordon(pool: MachinePool, poolMachines: List<Machine>, surplus: Double) {
         var left = surplus
-        val candidates = own.filter { !it.spot && eligibility.isSchedulable(it) }
+        val candidates = poolMachines.filter { !it.spot && eligibility.isSchedulable(it) }
         val order =
             compareByDescending<Machine> { pool.relativeCost(it.type, it.spot) }.thenBy { it.load }
         for (machine in candidates.filter { !it.isEmpty }.sortedWith(order)) {
@@ -56,21 +57,22 @@
     }
 
     /** Evicts replicas from cordoned machines, a few at a time. */
-    fun moveReplicas() {
+    fun evictReplicas() {
         val cordoned = cluster.machines.values.filter { it.isScalingIn && !it.isDecommissioned }
         // Operators' drains evict within disruption budgets, which this must not use up.
         if (cordoned.isEmpty() || cluster.hasDrains) return
         val stopping =
             cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
-        var left = MAX_STOPPING - stopping
+        var left = MAX_STOPPING_REPLICAS - stopping
         val targets = cluster.machines.values.filter { eligibility.isSchedulable(it) }
-        val reserved = HashMap<Machine, Double>()
+        val reservedCpus = HashMap<Machine, Double>()
         for (machine in cordoned.sortedBy { it.placements.size }) {
             for (replica in machine.placements.values) {
                 if (left <= 0) return
                 if (!isEvictable(replica)) continue
-                val target = targets.firstOrNull { fits(it, replica, reserved) } ?: continue
-                reserved.merge(target, replica.job.spec.cpus, Double::plus)
+                val target =
+                    targets.firstOrNull { hasPlaceFor(it, replica, reservedCpus) } ?: continue
+                reservedCpus.merge(target, replica.job.spec.cpus, Double::plus)
                 evictor.evict(replica, "its machine is emptied")
                 left--
             }
@@ -87,14 +89,14 @@
             placement.job.placements.values.none { it.isStopping } &&
             placement.job.waiting == 0
 
-    private fun fits(
+    private fun hasPlaceFor(
         machine: Machine,
         replica: Placement,
-        reserved: Map<Machine, Double>,
+        reservedCpus: Map<Machine, Double>,
     ): Boolean {
         val spec = replica.job.spec
         if (!eligibility.satisfiesConstraints(spec, machine) || !machine.fits(spec)) return false
-        if (machine.freeCpus - (reserved[machine] ?: 0.0) < spec.cpus - MachineType.EPSILON)
+        if (machine.freeCpus - (reservedCpus[machine] ?: 0.0) < spec.cpus - MachineType.EPSILON)
             return false
         val zones = HashMap(eligibility.taskCountByZone(replica.job))
         zones.merge(replica.zone, -1, Int::plus)
@@ -104,6 +106,6 @@
 
     private companion object {
         /** The number of replicas that may be stopping at once. */
-        const val MAX_STOPPING = 16
+        const val MAX_STOPPING_REPLICAS = 16
     }
 }
--- a/src/main/kotlin/wardmux/config/DrainSettings.kt
+++ b/src/main/kotlin/wardmux/config/DrainSettings.kt
@@ -25,7 +25,7 @@
     @SerialName("windows") val windows: List<WindowSettings> = emptyList(),
 ) {
     /** The listener's address with its host, or null if there is none. */
-    val listener: String?
+    val listenerAddress: String?
         get() = if (address.startsWith(":")) "$LOOPBACK$address" else address.ifEmpty { null }
 
     /** The disruption budget of [team]. */
--- a/src/main/kotlin/wardmux/config/PlatformConfigCheck.kt
+++ b/src/main/kotlin/wardmux/config/PlatformConfigCheck.kt
@@ -26,7 +26,11 @@
     }
 
     private fun checkAddress(field: String, text: String) =
-        require(SettingsFiles.address(text) != null, field, "must be HOST:PORT, but is '$text'")
+        require(
+            SettingsFiles.parseAddress(text) != null,
+            field,
+            "must be HOST:PORT, but is '$text'",
+        )
 
     private fun checkTeam(team: TeamQuota) {
         require(team.cpus >= 0, "facts.teams.cpus", "must not be negative for ${team.name}")
@@ -52,18 +56,22 @@
     }
 
     private fun requireTransactionSize(operations: Int, field: String) =
-        require(operations >= MIN_TXN_OPS, field, "must be at least $MIN_TXN_OPS")
+        require(
+            operations >= MIN_TRANSACTION_OPERATIONS,
+            field,
+            "must be at least $MIN_TRANSACTION_OPERATIONS",
+        )
 
     private fun requirePositive(value: Double, field: String) =
         require(value.isFinite() && value > 0, field, "must be a number above 0, but is $value")
 
-    private fun require(holds: Boolean, field: String, problem: String) {
-        if (!holds) throw InvalidSettingsException("$fileName: $field $problem")
+    private fun require(isValid: Boolean, field: String, problem: String) {
+        if (!isValid) throw InvalidSettingsException("$fileName: $field $problem")
     }
 
     private companion object {
         /** A submission's records and their conditions must fit into one transaction. */
-        const val MIN_TXN_OPS = 4
+        const val MIN_TRANSACTION_OPERATIONS = 4
 
         /** Below this no sockets are left for users. */
         const val MIN_FD_LIMIT = 32
--- a/src/main/kotlin/wardmux/config/SettingsFiles.kt
+++ b/src/main/kotlin/wardmux/config/SettingsFiles.kt
@@ -12,20 +12,20 @@
 
 /** Reads and checks the platform's and the operators' settings files. */
 object SettingsFiles {
-    private val PORTS = 1..65_535
+    private val VALID_PORTS = 1..65_535
 
     /**
      * The platform's configuration in [file]; throws [InvalidSettingsException] if it cannot be
      * read or is wrong.
      */
     fun platform(file: File): PlatformConfig {
-        val settings =
+        val config =
             parse(file) { text ->
                 Toml(TomlInputConfig(ignoreUnknownNames = true))
                     .decodeFromString(PlatformConfig.serializer(), text)
             }
-        PlatformConfigCheck(file.name).check(settings)
-        return settings
+        PlatformConfigCheck(file.name).check(config)
+        return config
     }
 
     /**
@@ -44,10 +44,10 @@
     }
 
     /** The address that HOST:PORT stands for, resolved or not; null if it is malformed. */
-    fun address(text: String): InetSocketAddress? {
+    fun parseAddress(text: String): InetSocketAddress? {
         val colon = text.lastIndexOf(':')
         val port = text.substring(colon + 1).toIntOrNull() ?: return null
-        if (colon <= 0 || port !in PORTS) return null
+        if (colon <= 0 || port !in VALID_PORTS) return null
         return InetSocketAddress(text.substring(0, colon), port)
     }
 
--- a/src/main/kotlin/wardmux/config/SocketBudget.kt
+++ b/src/main/kotlin/wardmux/config/SocketBudget.kt
@@ -5,21 +5,21 @@
  * direct commands are reserved, so that users and workers cannot use them up at any load; and
  * workers leave some to users.
  */
-class SocketBudget(limit: Int) {
+class SocketBudget(fdLimit: Int) {
     /** Direct commands and probes to machines at once: each has a connection of its own. */
-    val directCommands = maxOf(MIN_DIRECT_COMMANDS, limit / SOCKETS_PER_DIRECT_COMMAND)
+    val directCommands = maxOf(MIN_DIRECT_COMMANDS, fdLimit / SOCKETS_PER_DIRECT_COMMAND)
 
     /** Connections that users and workers may have open together. */
-    val clients = limit - (SERVICES + directCommands).coerceAtMost(limit / 2)
+    val clients = fdLimit - (RESERVED_SERVICE_SOCKETS + directCommands).coerceAtMost(fdLimit / 2)
 
     /** Connections that workers may have open. */
-    val workers = (clients * WORKERS_SHARE).toInt()
+    val workers = (clients * WORKER_CONNECTIONS_SHARE).toInt()
 
     private companion object {
         /** For the key-value store, the cloud, peers in both directions, and open files. */
-        const val SERVICES = 80
+        const val RESERVED_SERVICE_SOCKETS = 80
         const val MIN_DIRECT_COMMANDS = 96
         const val SOCKETS_PER_DIRECT_COMMAND = 16
-        const val WORKERS_SHARE = 0.88
+        const val WORKER_CONNECTIONS_SHARE = 0.88
     }
 }
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -43,7 +43,7 @@
             context,
             cluster,
             settings,
-            (deployment.workers.heartbeatPeriodS * operators.quietHeartbeats).seconds,
+            (deployment.workers.heartbeatPeriodS * operators.unresponsiveAfterHeartbeats).seconds,
         )
     private val inspector = StepInspector(context, cluster, budgets, store)
     private val selection = DrainSelection(cluster)
@@ -53,7 +53,7 @@
         ReplacementCapacity(
             cluster,
             environment.eligibility,
-            environment.provisioner.jobs,
+            environment.provisioner.jobProvisioner,
             environment.types,
         )
     private val plans = PlanScheduler(context, cluster, budgets, settings, inspector)
--- a/src/main/kotlin/wardmux/drain/ReplacementCapacity.kt
+++ b/src/main/kotlin/wardmux/drain/ReplacementCapacity.kt
@@ -24,8 +24,8 @@
     }
 
     private fun request(job: Job) {
-        if (!provisioner.isComing(job) && !isBooting(job))
-            provisioner.rentOne(job, types.types.orEmpty())
+        if (!provisioner.isBeingRented(job) && !isBooting(job))
+            provisioner.rentOneMachine(job, types.types.orEmpty())
     }
 
     private fun isBooting(job: Job) =
--- a/src/main/kotlin/wardmux/drain/StepAdmission.kt
+++ b/src/main/kotlin/wardmux/drain/StepAdmission.kt
@@ -63,7 +63,7 @@
         }
         val at = MaintenanceWindows.instantOf(context.wallTime)
         if (windows.isOpenFor(at, expectedDuration(record))) return null
-        return "a maintenance window; the next is from ${windows.next(at)?.from}"
+        return "a maintenance window; the next is from ${windows.nextOccurrence(at)?.from}"
     }
 
     /** As long as the step before, or the grace period and the usual time beside it. */
--- a/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
@@ -8,7 +8,7 @@
 /** How long machines may send no heartbeat, by the workers' heartbeat period. */
 class HeartbeatTimeouts(workers: WorkerTiming, operators: OperatorSettings) {
     /** A machine that was silent for longer is decommissioned. */
-    val lost: Micros = (workers.heartbeatPeriodS * operators.lostHeartbeats).seconds
+    val lost: Micros = (workers.heartbeatPeriodS * operators.lostAfterHeartbeats).seconds
 
     /** A machine that was silent for longer is probed. */
     val overdue: Micros = (workers.heartbeatPeriodS * OVERDUE_HEARTBEATS).seconds
@@ -18,7 +18,7 @@
         maxOf((workers.heartbeatPeriodS * UNREACHABLE_HEARTBEATS).seconds, MIN_UNREACHABLE)
 
     /** If most machines were silent for longer, they may be talking to other controllers. */
-    val quiet: Micros = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
+    val quiet: Micros = (workers.heartbeatPeriodS * operators.unresponsiveAfterHeartbeats).seconds
 
     /** A start that was sent this long ago is listed in a heartbeat, if it was carried out. */
     val startListed: Micros =
--- a/src/main/kotlin/wardmux/leader/LeaderComponents.kt
+++ b/src/main/kotlin/wardmux/leader/LeaderComponents.kt
@@ -59,7 +59,7 @@
     val queue =
         FairQueue(
             deployment.teams.associate { it.name to it.cpus },
-            operators.halfLifeS.seconds,
+            operators.usageHalfLifeS.seconds,
             operators.usageNormS,
         )
     val cluster = ClusterState(context, deployment.teams, queue)
--- a/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
+++ b/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
@@ -32,42 +32,45 @@
         holidays.ifEmpty { null }?.let { HolidayManager.getInstance(ManagerParameters.create(it)) }
 
     /** True if something that takes [length] from [at] on ends within one occurrence. */
-    fun isOpenFor(at: Instant, length: Duration): Boolean =
-        windows.isEmpty() || windows.any { window -> isOpenFor(window, at, length) }
+    fun isOpenFor(start: Instant, duration: Duration): Boolean =
+        windows.isEmpty() || windows.any { window -> isOpenFor(window, start, duration) }
 
     /** The first occurrence that ends after [at]; null if there is none within two years. */
-    fun next(at: Instant): WindowOccurrence? =
-        windows.mapNotNull { nextOf(it, at) }.minByOrNull { it.from }
+    fun nextOccurrence(after: Instant): WindowOccurrence? =
+        windows.mapNotNull { nextOccurrenceOf(it, after) }.minByOrNull { it.from }
 
-    private fun isOpenFor(window: WindowSettings, at: Instant, length: Duration) =
-        occurrences(window, at).takeWhile { it.from <= at }.any { at + length <= it.until }
+    private fun isOpenFor(window: WindowSettings, start: Instant, duration: Duration) =
+        occurrences(window, start)
+            .takeWhile { it.from <= start }
+            .any { start + duration <= it.until }
 
-    private fun nextOf(window: WindowSettings, at: Instant) = occurrences(window, at).firstOrNull()
+    private fun nextOccurrenceOf(window: WindowSettings, after: Instant) =
+        occurrences(window, after).firstOrNull()
 
     /** The occurrences that end after [at], in their order. */
-    private fun occurrences(window: WindowSettings, at: Instant): Sequence<WindowOccurrence> {
+    private fun occurrences(window: WindowSettings, after: Instant): Sequence<WindowOccurrence> {
         val length = Duration.ofMillis((window.lengthS * MILLIS_PER_SECOND).toLong())
-        val first = at.atZone(zone).toLocalDate().minusDays(length.toDays() + 1)
-        val opens = LocalTime.parse(window.opens)
-        return days(window, first)
+        val first = after.atZone(zone).toLocalDate().minusDays(length.toDays() + 1)
+        val openingTime = LocalTime.parse(window.opens)
+        return openingDays(window, first)
             .filter { holidayManager?.isHoliday(it) != true }
-            .map { it.atTime(opens).atZone(zone).toInstant() }
+            .map { it.atTime(openingTime).atZone(zone).toInstant() }
             .map { WindowOccurrence(it, it + length) }
-            .filter { it.until > at }
+            .filter { it.until > after }
     }
 
-    private fun days(window: WindowSettings, first: LocalDate): Sequence<LocalDate> {
+    private fun openingDays(window: WindowSettings, first: LocalDate): Sequence<LocalDate> {
         val firstDay = LocalDate.parse(window.from)
-        val last = maxOf(first, firstDay).plusYears(HORIZON_YEARS)
-        val days = iterator(window, firstDay, first) ?: return emptySequence()
+        val last = maxOf(first, firstDay).plusYears(SEARCH_HORIZON_YEARS)
+        val days = dayIterator(window, firstDay, first) ?: return emptySequence()
         return generateSequence { nextDay(days) }.takeWhile { it <= last }
     }
 
     /** Null for a rule without a day: lib-recur rejects it with an exception. */
-    private fun iterator(window: WindowSettings, firstDay: LocalDate, first: LocalDate) =
+    private fun dayIterator(window: WindowSettings, firstDay: LocalDate, first: LocalDate) =
         try {
-            RecurrenceRule(window.rule).iterator(dateOf(firstDay)).also {
-                if (first > firstDay) it.fastForward(dateOf(first))
+            RecurrenceRule(window.rule).iterator(recurrenceDateOf(firstDay)).also {
+                if (first > firstDay) it.fastForward(recurrenceDateOf(first))
             }
         } catch (e: IllegalArgumentException) {
             null
@@ -82,12 +85,13 @@
         }
 
     /** Months count from 0 in lib-recur. */
-    private fun dateOf(day: LocalDate) = DateTime(day.year, day.monthValue - 1, day.dayOfMonth)
+    private fun recurrenceDateOf(day: LocalDate) =
+        DateTime(day.year, day.monthValue - 1, day.dayOfMonth)
 
     companion object {
-        private const val HORIZON_YEARS = 2L
+        private const val SEARCH_HORIZON_YEARS = 2L
         private const val MILLIS_PER_SECOND = 1_000.0
-        private const val MAX_WINDOW_S = 7 * 86_400.0
+        private const val MAX_WINDOW_LENGTH_S = 7 * 86_400.0
         private const val MICROS_PER_SECOND = 1_000_000L
         private const val NANOS_PER_MICRO = 1_000L
 
@@ -100,46 +104,47 @@
 
         /** The first error, in one line that begins with the field, or null. */
         fun problem(timeZone: String, holidays: String, windows: List<WindowSettings>): String? {
-            val zone = zoneOf(timeZone) ?: return "time_zone: no such time zone: $timeZone"
-            if (holidays.isNotEmpty() && !isCalendar(holidays))
+            val zone = parseTimeZone(timeZone) ?: return "time_zone: no such time zone: $timeZone"
+            if (holidays.isNotEmpty() && !isHolidayCalendar(holidays))
                 return "holidays: no such calendar: $holidays"
             return windows.firstNotNullOfOrNull { problem(zone, holidays, it) }
         }
 
-        private fun zoneOf(name: String): ZoneId? =
+        private fun parseTimeZone(name: String): ZoneId? =
             try {
                 ZoneId.of(name)
             } catch (e: DateTimeException) {
                 null
             }
 
-        private fun isCalendar(name: String) =
+        private fun isHolidayCalendar(name: String) =
             HolidayManager.getSupportedCalendarCodes().any { it.equals(name, ignoreCase = true) }
 
         private fun problem(zone: ZoneId, holidays: String, window: WindowSettings): String? =
-            formProblem(window)
+            formatProblem(window)
                 ?: if (hasOccurrence(zone, holidays, window)) null
                 else "windows.rule: never opens: ${window.rule}"
 
-        private fun formProblem(window: WindowSettings): String? =
+        private fun formatProblem(window: WindowSettings): String? =
             when {
-                !isReadable { RecurrenceRule(window.rule) } ->
+                !isParsable { RecurrenceRule(window.rule) } ->
                     "windows.rule: no recurrence rule: ${window.rule}"
-                !isReadable { LocalTime.parse(window.opens) } ->
+                !isParsable { LocalTime.parse(window.opens) } ->
                     "windows.opens: no time of day: ${window.opens}"
-                !isReadable { LocalDate.parse(window.from) } ->
+                !isParsable { LocalDate.parse(window.from) } ->
                     "windows.from: no date: ${window.from}"
-                window.lengthS !in 1.0..MAX_WINDOW_S ->
-                    "windows.length_s must be from 1 to $MAX_WINDOW_S"
+                window.lengthS !in 1.0..MAX_WINDOW_LENGTH_S ->
+                    "windows.length_s must be from 1 to $MAX_WINDOW_LENGTH_S"
                 else -> null
             }
 
         private fun hasOccurrence(zone: ZoneId, holidays: String, window: WindowSettings): Boolean {
             val earliest = LocalDate.parse(window.from).atStartOfDay(zone).toInstant()
-            return MaintenanceWindows(zone, holidays, listOf(window)).next(earliest) != null
+            return MaintenanceWindows(zone, holidays, listOf(window)).nextOccurrence(earliest) !=
+                null
         }
 
-        private fun isReadable(read: () -> Any): Boolean =
+        private fun isParsable(read: () -> Any): Boolean =
             try {
                 read()
                 true
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -24,7 +24,7 @@
      */
     fun isSchedulable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
-        val maxSilence = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
+        val maxSilence = (workers.heartbeatPeriodS * operators.unresponsiveAfterHeartbeats).seconds
         return machine.hasAdoptedToken &&
             !machine.isDecommissioned &&
             !machine.isScalingIn &&
--- a/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
+++ b/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
@@ -28,18 +28,18 @@
 
     @Test
     fun `each setting of a controller is read into its own field`() {
-        assertEquals(601.0, settings.halfLifeS)
+        assertEquals(601.0, settings.usageHalfLifeS)
         assertEquals(602.0, settings.usageNormS)
         assertEquals(4.5, settings.leaderLeaseS)
         assertEquals(0.5, settings.writePeriodS)
         assertEquals(1.5, settings.leaseMarginS)
-        assertEquals(3.5, settings.quietHeartbeats)
-        assertEquals(5.5, settings.lostHeartbeats)
+        assertEquals(3.5, settings.unresponsiveAfterHeartbeats)
+        assertEquals(5.5, settings.lostAfterHeartbeats)
         assertEquals(0.75, settings.idleKeepBoots)
         assertEquals(0.25, settings.spareShare)
         assertEquals(2.75, settings.preemptAfterS)
         assertEquals(41.0, settings.reclaimAfterS)
-        assertEquals(16.0, settings.refusedPauseS)
+        assertEquals(16.0, settings.noCapacityBackoffS)
         assertEquals(121.0, settings.maxWaitS)
         assertEquals(501.0, settings.heartbeatsPerCore)
     }
--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -14,8 +14,8 @@
 import wardmux.sim.plainJob
 
 class ProvisionerTest {
-    /** The machines that are asked for in one decision, as many in each zone. */
-    private fun askedFor(next: AnnouncedStoreLimits?): Int {
+    /** The machines that are requested in one decision, as many in each zone. */
+    private fun machinesRequested(next: AnnouncedStoreLimits?): Int {
         val deployment = ControllerHarness.SETTINGS.deployment
         val settings =
             ControllerHarness.SETTINGS.copy(
@@ -32,21 +32,23 @@
             harness.cloud
                 .filter { it.startsWith("/machines {") }
                 .map { Regex("\"count\":(\\d+)").find(it)!!.groupValues[1].toInt() }
-        assertTrue(counts.isNotEmpty(), "nothing was asked for")
-        return counts.max() * ZONES
+        assertTrue(counts.isNotEmpty(), "nothing was requested")
+        return counts.max() * ZONE_COUNT
     }
 
     @Test
-    fun `a machine is asked for each task that can be placed`() = assertEquals(80, askedFor(null))
+    fun `a machine is requested for each task that can be placed`() =
+        assertEquals(80, machinesRequested(null))
 
     @Test
-    fun `none is asked for what the page of the job cannot take yet`() {
-        val asked = askedFor(AnnouncedStoreLimits(valueKb = 2.0, txnOps = 4, writeRps = 18.0))
-        assertTrue(asked in 35..50, "$asked asked for")
+    fun `none is requested for what the page of the job cannot take yet`() {
+        val requested =
+            machinesRequested(AnnouncedStoreLimits(valueKb = 2.0, txnOps = 4, writeRps = 18.0))
+        assertTrue(requested in 35..50, "$requested requested")
     }
 
-    /** Kinds of machines that are asked for first, as "type spot". */
-    private fun kindsAskedFor(vararg jobs: JobSpec): Set<String> {
+    /** Kinds of machines that are requested first, as "type spot". */
+    private fun kindsRequestedFirst(vararg jobs: JobSpec): Set<String> {
         val deployment = ControllerHarness.SETTINGS.deployment
         val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
         // The list is not waited for, so that it is decided before anything waited for long.
@@ -69,13 +71,13 @@
 
     @Test
     fun `the type that costs least for the work is rented, not the smallest that holds a task`() =
-        assertEquals(setOf("large spot"), kindsAskedFor(smallTasks))
+        assertEquals(setOf("large spot"), kindsRequestedFirst(smallTasks))
 
     @Test
     fun `a large type that other work needs is left to it`() {
         val largeTask = plainJob(4, "job-000002").copy(cpus = 32.0, memoryGb = 64.0)
-        val asked = kindsAskedFor(smallTasks, largeTask)
-        assertEquals(setOf("small spot", "large spot"), asked)
+        val requested = kindsRequestedFirst(smallTasks, largeTask)
+        assertEquals(setOf("small spot", "large spot"), requested)
     }
 
     @Test
@@ -83,12 +85,12 @@
         val service =
             plainJob(64, "job-000003")
                 .copy(kind = JobKind.SERVICE, spot = false, spread = true, estimateS = 0.0)
-        val asked = kindsAskedFor(smallTasks, service)
-        assertEquals(setOf("large spot", "large"), asked)
+        val requested = kindsRequestedFirst(smallTasks, service)
+        assertEquals(setOf("large spot", "large"), requested)
     }
 
     private companion object {
-        const val ZONES = 2
+        const val ZONE_COUNT = 2
         val SMALL =
             MachineType(
                 "small",
--- a/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
@@ -36,9 +36,9 @@
                 estimateS = 0.0,
             )
 
-    private fun ordinary(number: Int) = harness.machine(number, type, spot = false)
+    private fun ordinaryMachine(number: Int) = harness.machine(number, type, spot = false)
 
-    private fun haveImage(vararg machines: Machine) {
+    private fun markImageReady(vararg machines: Machine) {
         for (machine in machines) machine.images.markReady(
             service.image,
             service.imageGb,
@@ -46,69 +46,69 @@
         )
     }
 
-    private fun adjust(surplus: Double) {
+    private fun adjustForSurplus(surplus: Double) {
         harness.pools.refresh(harness.cluster.jobs.values)
         val pool = harness.pools.pools.single()
-        preparation.adjust(pool, harness.cluster.machines.values.toList(), surplus)
-        preparation.moveReplicas()
+        preparation.adjustCordons(pool, harness.cluster.machines.values.toList(), surplus)
+        preparation.evictReplicas()
     }
 
-    private fun stopping() =
+    private fun stoppingReplicas() =
         harness.cluster.machines.values.flatMap { it.placements.values }.filter { it.isStopping }
 
     @Test
     fun `the machine with least on it is cordoned, and one replica of a service is evicted at a time`() {
         val job = harness.job(service)
-        val sparse = ordinary(1)
-        val other = ordinary(2)
-        repeat(2) { harness.run(job, it, sparse) }
+        val leastLoaded = ordinaryMachine(1)
+        val other = ordinaryMachine(2)
+        repeat(2) { harness.run(job, it, leastLoaded) }
         harness.run(harness.job(plainJob(1, "job-000002")), 0, other)
         harness.run(harness.job(plainJob(1, "job-000003").copy(cpus = 6.0)), 0, other)
-        haveImage(sparse, other)
-        adjust(1.5)
-        assertTrue(sparse.isScalingIn)
+        markImageReady(leastLoaded, other)
+        adjustForSurplus(1.5)
+        assertTrue(leastLoaded.isScalingIn)
         assertFalse(other.isScalingIn)
-        assertEquals(listOf(sparse.id), stopping().map { it.machine })
-        adjust(-1.0)
-        assertFalse(sparse.isScalingIn, "it is uncordoned where capacity is short")
+        assertEquals(listOf(leastLoaded.id), stoppingReplicas().map { it.machine })
+        adjustForSurplus(-1.0)
+        assertFalse(leastLoaded.isScalingIn, "it is uncordoned where capacity is short")
     }
 
     @Test
     fun `a replica stays where no other machine has room and its image`() {
         val job = harness.job(service)
-        val sparse = ordinary(1)
-        repeat(2) { harness.run(job, it, sparse) }
-        val other = ordinary(2)
+        val leastLoaded = ordinaryMachine(1)
+        repeat(2) { harness.run(job, it, leastLoaded) }
+        val other = ordinaryMachine(2)
         harness.run(harness.job(plainJob(1, "job-000002").copy(cpus = 14.0)), 0, other)
-        haveImage(sparse)
-        adjust(1.5)
-        assertTrue(sparse.isScalingIn)
-        assertEquals(0, stopping().size, "its image is nowhere else")
-        haveImage(other)
-        adjust(0.5)
-        assertEquals(1, stopping().size)
+        markImageReady(leastLoaded)
+        adjustForSurplus(1.5)
+        assertTrue(leastLoaded.isScalingIn)
+        assertEquals(0, stoppingReplicas().size, "its image is nowhere else")
+        markImageReady(other)
+        adjustForSurplus(0.5)
+        assertEquals(1, stoppingReplicas().size)
     }
 
     @Test
     fun `nothing is cordoned for less than a machine, and no spot machine`() {
-        val machine = ordinary(1)
+        val machine = ordinaryMachine(1)
         val spot = harness.machine(2, type)
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
         harness.run(harness.job(plainJob(1, "job-000003")), 0, spot)
-        adjust(0.9)
+        adjustForSurplus(0.9)
         assertFalse(machine.isScalingIn)
-        adjust(5.0)
+        adjustForSurplus(5.0)
         assertTrue(machine.isScalingIn)
         assertFalse(spot.isScalingIn)
     }
 
     @Test
     fun `a cordoned machine gets no new task`() {
-        val machine = ordinary(1)
+        val machine = ordinaryMachine(1)
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
-        adjust(1.0)
-        val waits = harness.job(plainJob(1, "job-000003"))
+        adjustForSurplus(1.0)
+        val waitingJob = harness.job(plainJob(1, "job-000003"))
         harness.planner.plan(PageWriteBudget(7))
-        assertEquals(0, waits.placements.size)
+        assertEquals(0, waitingJob.placements.size)
     }
 }
--- a/src/test/kotlin/wardmux/config/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -13,18 +13,20 @@
 class SettingsTest {
     @TempDir lateinit var dir: File
 
-    private fun file(text: String) = File(dir, "settings.toml").also { it.writeText(text) }
+    private fun settingsFile(text: String) = File(dir, "settings.toml").also { it.writeText(text) }
 
-    private fun refused(text: String): String {
+    private fun rejectedPlatformConfig(text: String): String {
         val message =
-            assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(file(text)) }.message
+            assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(settingsFile(text)) }
+                .message
         assertEquals(1, message.orEmpty().lines().size)
         return message.orEmpty()
     }
 
     @Test
     fun `the platform's file is read, unknown fields and all`() {
-        val settings = SettingsFiles.platform(file("later = 3\n" + CdsTrainingRun.SAMPLE_SETTINGS))
+        val settings =
+            SettingsFiles.platform(settingsFile("later = 3\n" + CdsTrainingRun.SAMPLE_SETTINGS))
         assertEquals("wardbox-0", settings.member)
         assertEquals(listOf("team-0", "team-1"), settings.deployment.teams.map { it.name })
         assertEquals(48, settings.deployment.state.txnOps)
@@ -34,11 +36,13 @@
     @Test
     fun `a missing field is named`() {
         assertContains(
-            refused(CdsTrainingRun.SAMPLE_SETTINGS.replace("lease_s = 16.0", "")),
+            rejectedPlatformConfig(CdsTrainingRun.SAMPLE_SETTINGS.replace("lease_s = 16.0", "")),
             "lease_s",
         )
         assertContains(
-            refused(CdsTrainingRun.SAMPLE_SETTINGS.replace(Regex("member = .*wardbox-0.*"), "")),
+            rejectedPlatformConfig(
+                CdsTrainingRun.SAMPLE_SETTINGS.replace(Regex("member = .*wardbox-0.*"), "")
+            ),
             "member",
         )
     }
@@ -54,16 +58,24 @@
             )
         for ((good, bad) in wrong) {
             val field = good.substringBefore(' ')
-            assertContains(refused(CdsTrainingRun.SAMPLE_SETTINGS.replace(good, bad)), field)
+            assertContains(
+                rejectedPlatformConfig(CdsTrainingRun.SAMPLE_SETTINGS.replace(good, bad)),
+                field,
+            )
         }
-        assertContains(refused(CdsTrainingRun.SAMPLE_SETTINGS.replace(":18080", "")), "api_addr")
         assertContains(
-            refused(CdsTrainingRun.SAMPLE_SETTINGS.replace("txn_ops = 48", "txn_ops = \"x\"")),
+            rejectedPlatformConfig(CdsTrainingRun.SAMPLE_SETTINGS.replace(":18080", "")),
+            "api_addr",
+        )
+        assertContains(
+            rejectedPlatformConfig(
+                CdsTrainingRun.SAMPLE_SETTINGS.replace("txn_ops = 48", "txn_ops = \"x\"")
+            ),
             "x",
         )
     }
 
-    private val sampleWithNext =
+    private val sampleWithAnnouncedLimits =
         CdsTrainingRun.SAMPLE_SETTINGS.replace(
             "txn_ops = 48",
             "txn_ops = 48\n[facts.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4",
@@ -71,16 +83,17 @@
 
     @Test
     fun `limits to come may be named, and the smaller of both are kept`() {
-        val without = SettingsFiles.platform(file(CdsTrainingRun.SAMPLE_SETTINGS)).deployment.state
+        val without =
+            SettingsFiles.platform(settingsFile(CdsTrainingRun.SAMPLE_SETTINGS)).deployment.state
         assertNull(without.next)
         assertEquals(without, without.lowest)
-        val with = SettingsFiles.platform(file(sampleWithNext)).deployment.state
+        val with = SettingsFiles.platform(settingsFile(sampleWithAnnouncedLimits)).deployment.state
         assertEquals(48, with.txnOps)
         assertEquals(StoreLimits(with.rps, 18.0, 2.0, 4), with.lowest)
         val one = with.copy(next = AnnouncedStoreLimits(rps = 9.0, txnOps = 99))
         assertEquals(without.copy(rps = 9.0), one.lowest)
-        val partial = sampleWithNext.replace("value_kb = 2.0\ntxn_ops = 4", "later = 1")
-        val read = SettingsFiles.platform(file(partial)).deployment.state
+        val partial = sampleWithAnnouncedLimits.replace("value_kb = 2.0\ntxn_ops = 4", "later = 1")
+        val read = SettingsFiles.platform(settingsFile(partial)).deployment.state
         assertEquals(without.copy(writeRps = 18.0), read.lowest)
     }
 
@@ -93,8 +106,11 @@
                 "txn_ops = 4\n" to "txn_ops = 3\n",
                 "write_rps = 18.0" to "rps = 0.0",
             )) {
-            val wrong = (sampleWithNext + "\n").replace(good, bad)
-            assertContains(refused(wrong), "facts.state.next.${bad.substringBefore(' ')}")
+            val wrong = (sampleWithAnnouncedLimits + "\n").replace(good, bad)
+            assertContains(
+                rejectedPlatformConfig(wrong),
+                "facts.state.next.${bad.substringBefore(' ')}",
+            )
         }
     }
 
@@ -109,33 +125,36 @@
     @Test
     fun `operators' settings have defaults, ranges and no unknown fields`() {
         assertEquals(OperatorSettings(), SettingsFiles.operators(null))
-        assertEquals(60.0, SettingsFiles.operators(file("half_life_s = 60.0")).halfLifeS)
+        assertEquals(
+            60.0,
+            SettingsFiles.operators(settingsFile("half_life_s = 60.0")).usageHalfLifeS,
+        )
         val range =
             assertFailsWith<InvalidSettingsException> {
-                SettingsFiles.operators(file("norm_s = 0.0"))
+                SettingsFiles.operators(settingsFile("norm_s = 0.0"))
             }
         assertContains(range.message.orEmpty(), "norm_s must be from 1.0")
         val unknown =
             assertFailsWith<InvalidSettingsException> {
-                SettingsFiles.operators(file("nrom_s = 5.0"))
+                SettingsFiles.operators(settingsFile("nrom_s = 5.0"))
             }
         assertContains(unknown.message.orEmpty(), "nrom_s")
     }
 
-    private fun operators(text: String) = SettingsFiles.operators(file(text))
+    private fun operatorSettings(text: String) = SettingsFiles.operators(settingsFile(text))
 
-    private fun operatorsRefused(text: String): String {
+    private fun rejectedOperatorSettings(text: String): String {
         val message =
-            assertFailsWith<InvalidSettingsException> { operators(text) }.message.orEmpty()
+            assertFailsWith<InvalidSettingsException> { operatorSettings(text) }.message.orEmpty()
         assertEquals(1, message.lines().size)
         return message
     }
 
     @Test
     fun `drains are off without a section, and on with the file that deployments take`() {
-        assertNull(operators("norm_s = 300.0").drain)
+        assertNull(operatorSettings("norm_s = 300.0").drain)
         val drain = assertNotNull(SettingsFiles.operators(File("deploy/drain.toml")).drain)
-        assertEquals("127.0.0.1:7070", drain.listener)
+        assertEquals("127.0.0.1:7070", drain.listenerAddress)
         assertEquals(4, drain.budgetOf("anyone").maxDisrupted)
     }
 
@@ -143,7 +162,7 @@
     fun `a team's budget takes from the default what it leaves out`() {
         val drain =
             assertNotNull(
-                operators(
+                operatorSettings(
                         """
                         [drain]
                         [drain.budget]
@@ -163,7 +182,7 @@
             )
         assertEquals(BudgetSettings(5, minReplicas = 2), drain.budgetOf("team-1"))
         assertEquals(BudgetSettings(3, minReplicas = 2), drain.budgetOf("team-0"))
-        assertNull(drain.listener)
+        assertNull(drain.listenerAddress)
         assertNull(drain.unknownTeam(setOf("team-1")))
         assertContains(drain.unknownTeam(setOf("team-0")).orEmpty(), "drain.teams.team")
     }
@@ -183,7 +202,10 @@
                 "drain.windows.rule" to
                     "[[drain.windows]]\nrule = \"X\"\nopens = \"22:00\"\nlength_s = 9.0",
             )
-        for ((field, text) in wrong) assertContains(operatorsRefused("[drain]\n$text"), field)
-        assertContains(operatorsRefused("[drain]\nadress = \":1\""), "adress")
+        for ((field, text) in wrong) assertContains(
+            rejectedOperatorSettings("[drain]\n$text"),
+            field,
+        )
+        assertContains(rejectedOperatorSettings("[drain]\nadress = \":1\""), "adress")
     }
 }
--- a/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
+++ b/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
@@ -19,70 +19,96 @@
     private fun windows(rule: String, opens: String, lengthS: Double, holidays: String = "") =
         MaintenanceWindows(budapest, holidays, listOf(WindowSettings(rule, opens, lengthS)))
 
-    private fun at(text: String) = Instant.parse(text)
+    private fun instant(text: String) = Instant.parse(text)
 
     @Test
     fun `a step begins only if it ends in the window`() {
         val nights = windows("FREQ=WEEKLY;BYDAY=TU,WE", "23:00", 2 * 3600.0)
         val minute = Duration.ofMinutes(1)
         // Tuesday, 1 December 2026, 23:00 in Budapest is 22:00 UTC.
-        assertFalse(nights.isOpenFor(at("2026-12-01T21:59:00Z"), minute))
-        assertTrue(nights.isOpenFor(at("2026-12-01T22:00:00Z"), minute))
-        assertTrue(nights.isOpenFor(at("2026-12-01T23:59:00Z"), minute), "past midnight")
-        assertFalse(nights.isOpenFor(at("2026-12-01T23:59:30Z"), minute), "it would end too late")
-        assertFalse(nights.isOpenFor(at("2026-12-03T22:00:00Z"), minute), "Thursday")
-        assertEquals(at("2026-12-02T22:00:00Z"), nights.next(at("2026-12-02T10:00:00Z"))?.from)
+        assertFalse(nights.isOpenFor(instant("2026-12-01T21:59:00Z"), minute))
+        assertTrue(nights.isOpenFor(instant("2026-12-01T22:00:00Z"), minute))
+        assertTrue(nights.isOpenFor(instant("2026-12-01T23:59:00Z"), minute), "past midnight")
+        assertFalse(
+            nights.isOpenFor(instant("2026-12-01T23:59:30Z"), minute),
+            "it would end too late",
+        )
+        assertFalse(nights.isOpenFor(instant("2026-12-03T22:00:00Z"), minute), "Thursday")
+        assertEquals(
+            instant("2026-12-02T22:00:00Z"),
+            nights.nextOccurrence(instant("2026-12-02T10:00:00Z"))?.from,
+        )
     }
 
     @Test
     fun `holidays are left out`() {
         val daily = windows("FREQ=DAILY", "10:00", 3600.0, holidays = "hu")
-        assertFalse(daily.isOpenFor(at("2027-03-15T09:30:00Z"), Duration.ofMinutes(1)))
-        assertTrue(daily.isOpenFor(at("2027-03-16T09:30:00Z"), Duration.ofMinutes(1)))
-        assertEquals(at("2027-03-16T09:00:00Z"), daily.next(at("2027-03-14T20:00:00Z"))?.from)
+        assertFalse(daily.isOpenFor(instant("2027-03-15T09:30:00Z"), Duration.ofMinutes(1)))
+        assertTrue(daily.isOpenFor(instant("2027-03-16T09:30:00Z"), Duration.ofMinutes(1)))
+        assertEquals(
+            instant("2027-03-16T09:00:00Z"),
+            daily.nextOccurrence(instant("2027-03-14T20:00:00Z"))?.from,
+        )
     }
 
     @Test
     fun `a window in the hour that summer time skips opens at its end, for its whole length`() {
         val early = windows("FREQ=DAILY", "02:30", 3600.0)
         // On 28 March 2027 the clocks go from 02:00 to 03:00: 02:30 is 03:30, which is 01:30 UTC.
-        val opening = assertNotNull(early.next(at("2027-03-27T23:30:00Z")))
-        assertEquals(at("2027-03-28T01:30:00Z"), opening.from)
-        assertEquals(at("2027-03-28T02:30:00Z"), opening.until)
+        val opening = assertNotNull(early.nextOccurrence(instant("2027-03-27T23:30:00Z")))
+        assertEquals(instant("2027-03-28T01:30:00Z"), opening.from)
+        assertEquals(instant("2027-03-28T02:30:00Z"), opening.until)
         // The day before and the day after it is 02:30 by the clock.
-        assertEquals(at("2027-03-27T01:30:00Z"), early.next(at("2027-03-26T23:30:00Z"))?.from)
-        assertEquals(at("2027-03-29T00:30:00Z"), early.next(at("2027-03-28T23:30:00Z"))?.from)
+        assertEquals(
+            instant("2027-03-27T01:30:00Z"),
+            early.nextOccurrence(instant("2027-03-26T23:30:00Z"))?.from,
+        )
+        assertEquals(
+            instant("2027-03-29T00:30:00Z"),
+            early.nextOccurrence(instant("2027-03-28T23:30:00Z"))?.from,
+        )
     }
 
     @Test
     fun `a window in the hour that comes twice opens once, the first time`() {
         val early = windows("FREQ=DAILY", "02:30", 1800.0)
         // On 31 October 2027 it is 02:30 at 00:30 UTC and again at 01:30 UTC.
-        assertTrue(early.isOpenFor(at("2027-10-31T00:40:00Z"), Duration.ofMinutes(5)))
-        assertFalse(early.isOpenFor(at("2027-10-31T01:40:00Z"), Duration.ofMinutes(5)))
-        assertEquals(at("2027-11-01T01:30:00Z"), early.next(at("2027-10-31T01:40:00Z"))?.from)
+        assertTrue(early.isOpenFor(instant("2027-10-31T00:40:00Z"), Duration.ofMinutes(5)))
+        assertFalse(early.isOpenFor(instant("2027-10-31T01:40:00Z"), Duration.ofMinutes(5)))
+        assertEquals(
+            instant("2027-11-01T01:30:00Z"),
+            early.nextOccurrence(instant("2027-10-31T01:40:00Z"))?.from,
+        )
     }
 
     @Test
     fun `a window across the change lasts for its length`() {
         val night = windows("FREQ=DAILY", "22:00", 8 * 3600.0)
-        assertTrue(night.isOpenFor(at("2027-10-31T04:50:00Z").minusSeconds(3600), Duration.ZERO))
-        assertFalse(night.isOpenFor(at("2027-10-31T04:10:00Z"), Duration.ZERO))
+        assertTrue(
+            night.isOpenFor(instant("2027-10-31T04:50:00Z").minusSeconds(3600), Duration.ZERO)
+        )
+        assertFalse(night.isOpenFor(instant("2027-10-31T04:10:00Z"), Duration.ZERO))
     }
 
     @Test
     fun `intervals count from the first day`() {
         val everyOther = WindowSettings("FREQ=WEEKLY;INTERVAL=2", "12:00", 60.0, "2026-12-01")
         val windows = MaintenanceWindows(ZoneId.of("UTC"), "", listOf(everyOther))
-        assertEquals(at("2026-12-15T12:00:00Z"), windows.next(at("2026-12-02T00:00:00Z"))?.from)
-        assertEquals(at("2026-12-15T12:00:00Z"), windows.next(at("2026-12-14T00:00:00Z"))?.from)
+        assertEquals(
+            instant("2026-12-15T12:00:00Z"),
+            windows.nextOccurrence(instant("2026-12-02T00:00:00Z"))?.from,
+        )
+        assertEquals(
+            instant("2026-12-15T12:00:00Z"),
+            windows.nextOccurrence(instant("2026-12-14T00:00:00Z"))?.from,
+        )
     }
 
     @Test
     fun `without windows it is always open`() {
         val none = MaintenanceWindows(budapest, "", emptyList())
         assertTrue(none.isOpenFor(Instant.EPOCH, Duration.ofDays(30)))
-        assertNull(none.next(Instant.EPOCH))
+        assertNull(none.nextOccurrence(Instant.EPOCH))
     }
 
     @ParameterizedTest
