--- a/src/main/kotlin/wardmux/cloud/CapacityController.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityController.kt
@@ -8,7 +8,10 @@
 import wardmux.scheduling.MachinePools
 import wardmux.scheduling.Planner
 
-/** Scales each pool out or in, by what is in use and what waits. */
+/**
+ * Scales each machine pool out or in, so that its capacity matches the resources in use plus the
+ * backlog of waiting jobs.
+ */
 class CapacityController(
     private val cluster: ClusterState,
     private val pools: MachinePools,
@@ -19,14 +22,19 @@
     private val preparation: ScaleInPreparation,
     private val scaleIn: ScaleIn,
 ) {
-    /** The machines of a pool, counted in machines of its base type. */
+    /**
+     * The capacity of a pool, in machines of its base type: [total], and the part of it on
+     * [ordinary] machines, which are those that are not spot machines.
+     */
     private class PoolCapacity(val total: Double, val ordinary: Double)
 
-    /** Rents for single jobs. */
+    /** Rents machines for single jobs that the demand of their pool does not cover. */
     val jobProvisioner = JobProvisioner(cluster, planner.eligibility, pools, rentals)
-    private val smoothedValues = HashMap<String, Double>()
 
-    /** Decides for all pools once. */
+    /** The results of [smooth], by pool and kind of target. */
+    private val smoothedTargets = HashMap<String, Double>()
+
+    /** Rents machines for jobs that lack room, then scales every pool once. */
     fun scalePools() {
         for (job in planner.jobsShortOfRoom()) jobProvisioner.rentFor(
             job,
@@ -42,6 +50,12 @@
         preparation.evictReplicas()
     }
 
+    /**
+     * Scales one pool towards three targets, each in machines of its base type: `target` is what
+     * all its work needs, `urgentTarget` what the service-level objectives need, and
+     * `ordinaryTarget` what the work needs that may not run on spot machines. Spot machines are
+     * preferred; if none are available, ordinary machines are rented up to `urgentTarget` only.
+     */
     private fun scalePool(
         pool: MachinePool,
         poolMachines: List<Machine>,
@@ -50,21 +64,12 @@
     ) {
         val label = pool.base.label
         val inUse = poolMachines.sumOf { it.load * pool.weightOf(it.type) }
-        val targetPerUse = 1 + operators.spareShare
+        val spareFactor = 1 + operators.spareShare
         val target =
-            smoothDecrease(
-                "$label target",
-                inUse * targetPerUse + backlog.withinBootTime,
-                SLOW_DECAY_SHARE,
-            )
-        val urgentTarget =
-            smoothDecrease("$label urgent", inUse + backlog.withinObjectives, FAST_DECAY_SHARE)
+            smooth("$label target", inUse * spareFactor + backlog.withinBootTime, SLOW_DECAY)
+        val urgentTarget = smooth("$label urgent", inUse + backlog.withinObjectives, FAST_DECAY)
         val ordinaryTarget =
-            smoothDecrease(
-                "$label ordinary",
-                ordinaryInUse * targetPerUse + backlog.ordinaryWithinBootTime,
-                SLOW_DECAY_SHARE,
-            )
+            smooth("$label ordinary", ordinaryInUse * spareFactor + backlog.ordinary, SLOW_DECAY)
         var capacity = capacityOf(pool, poolMachines)
         preparation.adjustCordons(
             pool,
@@ -83,6 +88,7 @@
         scaleIn.returnIdle(pool, poolMachines, ordinarySurplus, spot = false)
     }
 
+    /** The capacity of [pool], including rental requests whose outcome is pending. */
     private fun capacityOf(pool: MachinePool, poolMachines: List<Machine>): PoolCapacity {
         val usable = poolMachines.filter { countsAsCapacity(it) }
         val ordinary = usable.filter { !it.spot }.sumOf { pool.weightOf(it.type) }
@@ -92,13 +98,17 @@
         return PoolCapacity(total, ordinary + pendingOrdinary)
     }
 
-    /** A machine that operators drain does not count, so that its replacement is rented. */
+    /**
+     * True if [machine] counts towards the capacity of its pool. A machine that an operators' drain
+     * has to empty does not count, so that a replacement for it is rented.
+     */
     private fun countsAsCapacity(machine: Machine) =
         machine.preemptionNoticeAt == null &&
             !machine.hasOnlyStaleHeartbeats &&
             !machine.isScalingIn &&
             machine.maintenance == Maintenance.NONE
 
+    /** The capacity for which rental requests are pending, in machines of the base type. */
     private fun pendingCapacity(pool: MachinePool, spot: Boolean): Double =
         pool.types.sumOf { type ->
             val count = rentals.count { it.type.label == type.label && it.spot == spot }
@@ -106,8 +116,8 @@
         }
 
     /**
-     * Requests machines of the cheapest available type of which about one or more are missing.
-     * False if no type of the pool is available for now.
+     * Requests machines for the [missing] capacity, of the cheapest available type of which about
+     * one machine or more is missing. Returns false if no type of the pool is available for now.
      */
     private fun rent(pool: MachinePool, missing: Double, spot: Boolean): Boolean {
         val available =
@@ -124,20 +134,27 @@
         return available.isNotEmpty()
     }
 
-    /** Rises at once and decays slowly: a machine returned too early has to boot again. */
-    private fun smoothDecrease(name: String, current: Double, decay: Double): Double {
-        val previous = smoothedValues[name] ?: current
+    /**
+     * Follows an increase at once and a decrease slowly, by [decay] of the difference in each call.
+     * A machine that is returned too early has to be rented and booted again.
+     */
+    private fun smooth(name: String, current: Double, decay: Double): Double {
+        val previous = smoothedTargets[name] ?: current
         val value = maxOf(current, previous + (current - previous) * decay)
-        smoothedValues[name] = value
+        smoothedTargets[name] = value
         return value
     }
 
     private companion object {
-        /** Share of a decrease that is followed in each decision. */
-        const val SLOW_DECAY_SHARE = 0.03
-        const val FAST_DECAY_SHARE = 0.1
+        /**
+         * The share of a decrease that the targets for all and for ordinary work follow at once.
+         */
+        const val SLOW_DECAY = 0.03
+
+        /** The share of a decrease that the urgent target follows at once. */
+        const val FAST_DECAY = 0.1
 
-        /** Added before a number of machines is rounded down. */
+        /** Added to a number of machines before it is rounded down: 0.6 machines count as one. */
         const val MACHINE_COUNT_ROUNDING = 0.4
     }
 }
--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -11,26 +11,29 @@
 import wardmux.scheduling.PageSizeEstimate
 import wardmux.store.KeyValueStore
 
-/** The waiting work of a pool, in machines of its base type. */
+/** The machines that the waiting work of a pool needs, in machines of its base type. */
 class Backlog {
-    /** To finish within about a boot time. */
+    /** The machines that finish the work within [CapacityDemand]'s horizon of half a boot time. */
     var withinBootTime = 0.0
 
-    /** To finish within the service-level objectives: what ordinary machines are rented for. */
+    /**
+     * The machines that finish the work within the service-level objectives. If no spot machines
+     * are available, ordinary ones are rented up to this number.
+     */
     var withinObjectives = 0.0
 
-    /** The part of [withinBootTime] that may not run on spot machines. */
-    var ordinaryWithinBootTime = 0.0
+    /** The part of [withinBootTime] for jobs that may not run on spot machines. */
+    var ordinary = 0.0
 }
 
-/** Computes how many machines the waiting jobs need. */
+/** Computes how many machines the waiting jobs and the running ordinary work need. */
 class CapacityDemand(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val objectives: List<ServiceLevelObjective>,
     private val store: KeyValueStore,
 ) {
-    /** The backlog of each pool; each team's work counts up to its quota limit only. */
+    /** The backlog of each pool. The work of a team counts only up to the team's quota limit. */
     fun backlogs(pools: MachinePools): Map<MachinePool, Backlog> {
         val backlogs = pools.pools.associateWith { Backlog() }
         val unusedQuotas = HashMap<String, Double>()
@@ -43,6 +46,7 @@
         return backlogs
     }
 
+    /** The waiting tasks of [job] that fit the rest of its team's quota; reserves that quota. */
     private fun countedTasks(
         job: Job,
         pool: MachinePool,
@@ -56,6 +60,7 @@
         return tasks
     }
 
+    /** The CPUs that [team] may still use under its quota limit. */
     private fun unusedQuota(team: String) =
         (cluster.teams[team]?.cpusMax ?: 0.0) - cluster.usedCpus(team)
 
@@ -70,9 +75,10 @@
         val horizonS = bootTimeS * HORIZON_IN_BOOT_TIMES
         val machinesWithinBootTime = machinesToFinishWithin(horizonS, spec, machines, runTimeS)
         backlog.withinBootTime += machinesWithinBootTime
-        if (!spec.spot) backlog.ordinaryWithinBootTime += machinesWithinBootTime
+        if (!spec.spot) backlog.ordinary += machinesWithinBootTime
         val slackS = slackSeconds(job, runTimeS)
-        // Such work is over before a machine is up: no ordinary machine is rented for it.
+        // The job should start less than a boot time after it was accepted. Such work is over
+        // before a new machine is up, so no ordinary machine is rented for it.
         if (slackS + ageSeconds(job) < bootTimeS) return
         backlog.withinObjectives +=
             machinesToFinishWithin(
@@ -84,8 +90,9 @@
     }
 
     /**
-     * Machines that finish the work within [horizonS] seconds. Services never free their resources,
-     * and a gang needs its capacity at once: whole machines for both.
+     * The machines that finish within [horizonS] seconds the work of [machines] machines for
+     * [runTimeS] seconds. Services never free their resources, and a gang needs all its capacity at
+     * once, so neither can share machines over time: they count as whole machines.
      */
     private fun machinesToFinishWithin(
         horizonS: Double,
@@ -96,7 +103,7 @@
         if (spec.estimateS > 0 && !spec.isGang) machines * minOf(1.0, runTimeS / horizonS)
         else ceil(machines)
 
-    /** What runs and may not be on spot machines, in machines of each pool's base type. */
+    /** The running work that may not use spot machines, in machines of each pool's base type. */
     fun ordinaryInUse(pools: MachinePools): Map<MachinePool, Double> {
         val inUse = HashMap<MachinePool, Double>()
         for (job in cluster.jobs.values) {
@@ -108,12 +115,18 @@
         return inUse
     }
 
-    /** Tasks that can be placed: all of a gang, others as far as their task page has room. */
+    /**
+     * The waiting tasks that can be placed: all of a gang; of other jobs as many as their stored
+     * task pages have room for.
+     */
     private fun placeableTasks(job: Job, tasksPerMachine: Int): Int =
         if (job.spec.isGang) job.waiting
         else PageSizeEstimate.placeableTasks(job, tasksPerMachine, store.maxValueBytes)
 
-    /** Seconds that the job can still wait before it misses an objective of its class. */
+    /**
+     * The seconds that [job] can still wait before it misses its deadline or an objective of its
+     * class; with neither, minus its age.
+     */
     private fun slackSeconds(job: Job, runTimeS: Double): Double {
         val spec = job.spec
         val maxWaitsS =
@@ -129,10 +142,14 @@
         return (maxWaitsS.minOrNull() ?: 0.0) - ageSeconds(job)
     }
 
+    /** The seconds since [job] was accepted. */
     private fun ageSeconds(job: Job) = (context.wallTime - job.acceptedAt).inSeconds
 
     private companion object {
+        /** Within this, in boot times of the pool, the backlog is to be finished. */
         const val HORIZON_IN_BOOT_TIMES = 0.5
+
+        /** The share of a job's slack within which its work is to be finished. */
         const val USABLE_SLACK_SHARE = 0.6
     }
 }
--- a/src/main/kotlin/wardmux/cloud/CloudClient.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudClient.kt
@@ -12,24 +12,30 @@
 
 /** The outcome of a request to the cloud. */
 sealed interface CloudResult<out T> {
-    /** Carried out. */
+    /** The request was carried out. */
     data class Ok<T>(val value: T) : CloudResult<T>
 
-    /** Not carried out; [noCapacity] if the cloud has no such machines for now. */
+    /**
+     * The request was not carried out. With [noCapacity] the cause is that the cloud has no such
+     * machines for now.
+     */
     data class Refused(val noCapacity: Boolean) : CloudResult<Nothing>
 
-    /** Perhaps carried out. */
+    /** The request may or may not have been carried out. */
     data object Indeterminate : CloudResult<Nothing>
 }
 
-/** The client of the cloud's API, which stays within [rps] calls a second. */
+/**
+ * The client of the cloud's API. It stays below the limit of [rps] requests a second as long as
+ * callers send a request only after [canSendRequest] returned true.
+ */
 class CloudClient(private val context: CoreContext, rps: Double) {
     private val log = logger<CloudClient>()
     private val allowedRps = rps * USED_RATE_SHARE
     private var availableRequests = allowedRps
     private var refilledAt = context.now
 
-    /** False if a call now would exceed the rate limit; the caller tries again later. */
+    /** False if a request now would exceed the rate limit; the caller then tries again later. */
     fun canSendRequest(): Boolean {
         availableRequests =
             (availableRequests + (context.now - refilledAt).inSeconds * allowedRps).coerceAtMost(
@@ -45,7 +51,7 @@
             lenientJson.decodeFromString(MachineTypesResponse.serializer(), it).types
         }
 
-    /** Rents machines; returns the ids of those that were to be had. */
+    /** Rents machines; the result lists those available, which may be fewer than requested. */
     fun rent(request: RentalRequest, onResult: (CloudResult<List<String>>) -> Unit) =
         call(
             "POST",
@@ -113,7 +119,7 @@
                 try {
                     CloudResult.Ok(decode(outcome.text))
                 } catch (e: SerializationException) {
-                    log.error("the cloud's response can't be decoded: {}", e.message)
+                    log.error("cannot decode the cloud's response with status 200: {}", e.message)
                     CloudResult.Indeterminate
                 }
             HttpStatus.SERVICE_UNAVAILABLE ->
@@ -125,6 +131,7 @@
     }
 
     private companion object {
+        /** The share of the rate limit that is used. */
         const val USED_RATE_SHARE = 0.8
         const val MACHINE_LIST_PAGE_SIZE = 500
         val REQUEST_TIMEOUT = 5.seconds
--- a/src/main/kotlin/wardmux/cloud/CloudMessages.kt
+++ b/src/main/kotlin/wardmux/cloud/CloudMessages.kt
@@ -8,7 +8,9 @@
 @Serializable
 internal class MachineTypesResponse(@SerialName("boxkinds") val types: List<MachineType>)
 
-/** A request for machines; one with the same [id] again rents nothing new. */
+/**
+ * A request for machines of one kind. Repeating it with the same [id] rents no further machines.
+ */
 @Serializable
 data class RentalRequest(
     @SerialName("hire") val id: String,
@@ -18,7 +20,7 @@
     @SerialName("count") val count: Int,
 )
 
-/** Ids of machines: those that were rented, or those to be deleted. */
+/** The ids of machines that were rented or that are to be deleted. */
 @Serializable internal class MachineIds(@SerialName("boxes") val ids: List<String>)
 
 /** A machine in the cloud's list. */
@@ -30,14 +32,14 @@
     @SerialName("ward") val zone: String,
     @SerialName("loaners") val spot: Boolean = false,
     @SerialName("status") val status: String,
-    /** For how long it has been rented, in seconds. */
+    /** The time since the machine was rented, in seconds. */
     @SerialName("held_s") val heldS: Double = 0.0,
 ) {
     internal companion object {
-        /** The [status] of a machine that is up. */
+        /** The [status] of a machine that has booted. */
         const val RUNNING = "running"
 
-        /** The [status] of a machine that stopped by itself. */
+        /** The [status] of a machine that stopped without a request to delete it. */
         const val FAILED = "failed"
     }
 }
@@ -46,6 +48,6 @@
 @Serializable
 internal class MachineListResponse(
     @SerialName("boxes") val machines: List<ListedMachine>,
-    /** More machines follow the last of this page. */
+    /** True if more machines follow the last one of this page. */
     @SerialName("truncated") val truncated: Boolean = false,
 )
--- a/src/main/kotlin/wardmux/cloud/CostReport.kt
+++ b/src/main/kotlin/wardmux/cloud/CostReport.kt
@@ -6,22 +6,35 @@
 import wardmux.model.TaskStatus
 import wardmux.model.seconds
 
-/** Logs the cost of machines by what they do: running tasks, waiting, idle, booting. */
+/**
+ * Logs the cost of machines by machine type and [Use]: how much of it pays for running tasks, and
+ * how much for capacity that does no work.
+ */
 class CostReport {
     private enum class Use {
+        /** The machine has not sent a heartbeat to this leader yet. */
         BOOTING,
+
+        /** The machine is up and holds no tasks. */
         IDLE,
+
+        /** CPUs without a task on a machine that holds tasks. */
         FREE,
+
+        /** CPUs of tasks that wait for their image or gang, or that are being stopped. */
         WAITING,
+
+        /** CPUs of running tasks. */
         RUNNING,
     }
 
     private val log = logger<CostReport>()
+    /** The cost since the last report of each [Use] by its ordinal, by machine type. */
     private val costs = sortedMapOf<String, DoubleArray>()
     private var lastUpdateAt: Micros? = null
     private var nextReportAt = Micros.LONG_AGO
 
-    /** Adds the cost since the last call, and logs the sums every [REPORT_PERIOD]. */
+    /** Adds the cost of [machines] since the last call, and logs the sums each [REPORT_PERIOD]. */
     fun update(now: Micros, machines: Collection<Machine>) {
         if (!log.isInfoEnabled) return
         val elapsed = (now - (lastUpdateAt ?: now)).inSeconds
@@ -40,10 +53,10 @@
         val sum = uses.sum()
         log.info(
             "cost of {} an hour for {}: {}",
-            Math.round(sum / REPORT_PERIOD.inSeconds * TENTHS_PER_UNIT) / TENTHS_PER_UNIT,
+            Math.round(sum / REPORT_PERIOD.inSeconds * TENTHS) / TENTHS,
             kind,
             Use.entries.joinToString { use ->
-                "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * PERCENT_PER_UNIT)} %"
+                "${use.name.lowercase()} ${Math.round(uses[use.ordinal] / sum * PERCENT)} %"
             },
         )
     }
@@ -75,7 +88,7 @@
 
     private companion object {
         val REPORT_PERIOD = 10.seconds
-        const val TENTHS_PER_UNIT = 10.0
-        const val PERCENT_PER_UNIT = 100
+        const val TENTHS = 10.0
+        const val PERCENT = 100
     }
 }
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -12,8 +12,9 @@
 import wardmux.scheduling.MachinePools
 
 /**
- * Rents machines for single jobs that the demand of their pool does not cover: no machine there or
- * requested suits them by zone, kind or type, or they need their capacity all at once.
+ * Rents machines for single jobs that the demand of their pool does not cover: either no existing
+ * or requested machine has a zone, type and spot mode that they may use, or they are gangs and need
+ * all their capacity at once.
  */
 class JobProvisioner(
     private val cluster: ClusterState,
@@ -22,7 +23,8 @@
     private val rentals: MachineRentals,
 ) {
     /**
-     * Requests what [job] lacks, which has been short of room for a while, of the [known] types.
+     * Requests the machines that [job] lacks, which has been short of room for a while. A job that
+     * is no gang gets one machine of the [offeredTypes]; a failing job gets none.
      */
     fun rentFor(job: Job, offeredTypes: List<MachineType>) {
         if (job.isFailing) return
@@ -31,7 +33,7 @@
         rentOneMachine(job, offeredTypes)
     }
 
-    /** Requests one machine that suits the job, of the cheapest kind that is available. */
+    /** Requests one machine that [job] may use: spot before ordinary, the cheapest type first. */
     fun rentOneMachine(job: Job, offeredTypes: List<MachineType>) {
         for (spot in listOf(true, false)) {
             for (type in offeredTypes.sortedBy { if (spot) it.spotPrice else it.price }) {
@@ -54,8 +56,10 @@
         }
 
     /**
-     * Tasks free their resources as they end; services of no lower priority never do, so that a
-     * task would wait for ever.
+     * True if [machine] has room for a task of [job] or may have it later. Tasks of other kinds
+     * free their resources when they end, and services of a lower priority can be preempted.
+     * Services of the same or a higher priority keep theirs, so a task that waits for them would
+     * never start. A machine that is still booting counts as having room.
      */
     private fun mayHaveRoomLater(job: Job, machine: Machine) =
         !machine.isUp ||
@@ -64,12 +68,13 @@
                 it.job.spec.kind != JobKind.SERVICE || it.job.spec.priority > job.spec.priority
             }
 
-    /** True if a machine that suits the job is being requested. */
+    /** True if a rental request is pending for a machine that [job] may use. */
     fun isBeingRented(job: Job) =
         rentals.any { eligibility.couldRun(job, it.type, it.zone, it.spot) }
 
     /**
-     * Requests all that the gang lacks; for one zone if it must be in one: where it lacks least.
+     * Requests all machines that the gang lacks, in the zone that has the most room for it. Room in
+     * other zones counts too unless the gang must be in one zone.
      */
     private fun rentForGang(job: Job) {
         val spec = job.spec
@@ -92,6 +97,7 @@
         if (missing > 0) rentals.request(kind, missing)
     }
 
+    /** How many tasks like this the schedulable machines in [zone] have room for. */
     private fun roomInZone(spec: JobSpec, zone: String) =
         cluster.machines.values
             .filter {
@@ -101,7 +107,7 @@
             }
             .sumOf { it.roomFor(spec) }
 
-    /** Machines requested or booting in [zone] that a task like this may use. */
+    /** The machines requested or booting in [zone] that a task like this may use. */
     private fun pendingMachinesIn(spec: JobSpec, zone: String) =
         rentals.count { it.zone == zone && (spec.spot || !it.spot) } +
             cluster.machines.values.count {
--- a/src/main/kotlin/wardmux/cloud/MachineDeletion.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineDeletion.kt
@@ -6,7 +6,7 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Deletes decommissioned machines at the cloud, and later their records. */
+/** Deletes decommissioned machines through the cloud's API, and their records some time later. */
 class MachineDeletion(private val context: CoreContext, environment: ProvisioningEnvironment) {
     private class ExpiringRecord(val expiresAt: Micros, val machine: Machine)
 
@@ -18,7 +18,10 @@
     private var nextRequestAt = Micros.LONG_AGO
     private val expiringRecords = ArrayDeque<ExpiringRecord>()
 
-    /** Does what is due; only under a valid lease. */
+    /**
+     * Sends the next deletion request and drops expired records, where due. The caller must hold a
+     * valid leader lease.
+     */
     fun tick() {
         deleteDecommissioned()
         dropExpiredRecords()
@@ -37,7 +40,11 @@
     }
 
     private fun recordDeletion(machine: Machine) {
-        log.info("deleted {}: {}", machine.id, machine.decommissionReason)
+        log.info(
+            "deleted machine {}, which was decommissioned with reason: {}",
+            machine.id,
+            machine.decommissionReason,
+        )
         cluster.releaseAll(machine, "deleted")
         cluster.machines.remove(machine.id)
         registry.markDeleted(machine.id)
@@ -56,13 +63,16 @@
     private companion object {
         val DELETION_RETRY_DELAY = 1.seconds
 
-        /** A delayed list may show a deleted machine for a while; its record excludes it. */
+        /**
+         * How long the record of a deleted machine is kept. The cloud's list lags and may still
+         * show the machine; the record keeps it out of use.
+         */
         val DELETED_RECORD_RETENTION = 60.seconds
 
-        /** No further request before the outcome of one is known, or this has passed. */
+        /** The next request waits for the outcome of the last one, but not longer than this. */
         val REQUEST_OUTCOME_TIMEOUT = 6.seconds
 
-        /** The protocol's limit for one request. */
+        /** The cloud API's limit of machines in one deletion request. */
         const val MAX_MACHINES_PER_REQUEST = 100
     }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineListReader.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineListReader.kt
@@ -7,7 +7,10 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Reads the cloud's list of machines, which lags behind by up to the limit that it states. */
+/**
+ * Reads the cloud's list of machines periodically, and updates the known machines from it. The list
+ * may be outdated by up to [CloudLimits.listLagS].
+ */
 class MachineListReader(
     private val context: CoreContext,
     environment: ProvisioningEnvironment,
@@ -24,15 +27,21 @@
     private var nextReadAt = Micros.LONG_AGO
     private var isReading = false
 
-    /** The list was read in this term, so that machines of an earlier leader are known. */
+    /**
+     * True once the list was read in this leader's term, so that the machines that an earlier
+     * leader rented are known.
+     */
     var isRead = false
         private set
 
-    /** The list was read, or has not been available for so long that it is not waited for. */
+    /**
+     * True if the list was read, or was unavailable for longer than [LIST_TIMEOUT_IN_LAGS] times
+     * its lag, after which decisions no longer wait for it.
+     */
     val isReadOrOverdue: Boolean
         get() = isRead || context.now - electedAt > listTimeout
 
-    /** Reads the list if that is due. */
+    /** Starts to read the list if the next read is due and none is in progress. */
     fun tick() {
         if (context.now >= nextReadAt && !isReading && cloud.canSendRequest()) read()
     }
@@ -45,12 +54,16 @@
             if (result is CloudResult.Ok) {
                 isRead = true
                 val discovered = result.value.count { recordEntry(it) }
-                if (discovered > 0) log.info("discovered {} machines in the list", discovered)
+                if (discovered > 0)
+                    log.info("discovered {} unknown machines in the cloud's list", discovered)
             }
         }
     }
 
-    /** True if the machine was not known. */
+    /**
+     * Updates the machine of [entry], and decommissions it if it failed or did not boot in time.
+     * Returns true if the machine was not known before.
+     */
     private fun recordEntry(entry: ListedMachine): Boolean {
         val id = MachineId(entry.id)
         if (registry.isDeleted(id)) return false
@@ -59,10 +72,12 @@
             known ?: registry.findOrAdd(id, entry.type, entry.zone, entry.spot) ?: return false
         machine.hasOnlyStaleHeartbeats = false
         machine.listed(context.wallTime, entry.heldS.seconds)
-        if (known == null) log.debug("discovered {} in the list: {}", id, entry.status)
+        if (known == null)
+            log.debug("discovered machine {} in the cloud's list with status {}", id, entry.status)
         when (entry.status) {
             ListedMachine.FAILED -> {
-                // It stopped by itself: nothing runs there.
+                // The machine stopped without a request to delete it, so no task runs there any
+                // more.
                 cluster.releaseAll(machine, "listed as failed")
                 decommissioning.decommission(machine, "failed")
             }
@@ -77,8 +92,10 @@
     }
 
     private companion object {
-        /** The list is not waited for beyond so many times its lag. */
+        /** How long decisions wait for the first list, as a multiple of its lag. */
         const val LIST_TIMEOUT_IN_LAGS = 4
+
+        /** A machine that is not up after this multiple of its boot time is decommissioned. */
         const val BOOT_TIMEOUT_IN_BOOT_TIMES = 3.0
     }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineRentals.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineRentals.kt
@@ -10,12 +10,15 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** A kind of machine that the cloud rents. */
+/** A machine type in one zone, as spot or ordinary machine; the cloud rents by this kind. */
 data class MachineKind(val type: MachineType, val zone: String, val spot: Boolean) {
     override fun toString() = "${type.label} in $zone, ${if (spot) "spot" else "ordinary"}"
 }
 
-/** The pending rental requests, and the kinds of machines that are unavailable for now. */
+/**
+ * Sends rental requests to the cloud. Keeps track of the pending ones, and of the kinds of machines
+ * for which the cloud had no capacity lately.
+ */
 class MachineRentals(
     private val context: CoreContext,
     environment: ProvisioningEnvironment,
@@ -33,15 +36,17 @@
     private val noCapacityBackoff = operators.noCapacityBackoffS.seconds
     private val unavailableUntil = HashMap<MachineKind, Micros>()
     private val pending = LinkedHashMap<String, PendingRental>()
+
+    /** When requests with an indeterminate outcome are repeated, by their ids. */
     private val retryAt = HashMap<String, Micros>()
     private var requestCounter = 0
 
-    /** The requests that the cloud takes in a second, and one at least. */
+    /** The requests that the cloud's rate limit allows in a second, at least one. */
     private val maxPendingRequests = maxOf(1, deployment.cloud.rps.toInt())
 
     private var wasRefused = false
 
-    /** Repeats requests of which it is not known whether they were carried out. */
+    /** Repeats due requests of which the outcome is indeterminate. */
     fun retryIndeterminate() {
         for ((id, at) in retryAt.toList()) {
             if (context.now < at || !cloud.canSendRequest()) continue
@@ -50,14 +55,17 @@
         }
     }
 
-    /** How many machines of the kinds that [matches] accepts are being requested. */
+    /** The number of machines of the kinds that [matches] accepts in pending requests. */
     fun count(matches: (MachineKind) -> Boolean): Int =
         pending.values.filter { matches(it.kind) }.sumOf { it.request.count }
 
-    /** True if machines of the kinds that [matches] accepts are being requested. */
+    /** True if a request for a kind that [matches] accepts is pending. */
     fun any(matches: (MachineKind) -> Boolean): Boolean = pending.values.any { matches(it.kind) }
 
-    /** Zones where the kind is not known to be unavailable, those with the fewest of it first. */
+    /**
+     * The zones where no back-off applies to this kind of machine, those with the fewest machines
+     * of it first.
+     */
     fun availableZones(type: MachineType, spot: Boolean): List<String> =
         type.zones
             .filter { it in deploymentZones && isAvailable(MachineKind(type, it, spot)) }
@@ -70,7 +78,10 @@
     private fun isAvailable(kind: MachineKind) =
         context.now >= (unavailableUntil[kind] ?: Micros.LONG_AGO)
 
-    /** Requests [count] machines, spread over the available [zones]. */
+    /**
+     * Requests [count] machines, spread evenly over [zones], at most [MAX_MACHINES_PER_REQUEST] in
+     * each. Stops at the first request that cannot be sent.
+     */
     fun requestSpread(type: MachineType, zones: List<String>, count: Int, spot: Boolean) {
         val perZone = (count + zones.size - 1) / zones.size
         var left = count
@@ -81,10 +92,14 @@
         }
     }
 
-    /** Requests machines of one kind; false if no request can be sent for now. */
+    /**
+     * Requests [count] machines of one kind, at most [MAX_MACHINES_PER_REQUEST]. Returns false if
+     * no request can be sent for now.
+     */
     fun request(kind: MachineKind, count: Int): Boolean {
         if (!cloud.canSendRequest() || pending.size >= maxPendingRequests) return false
-        // Unique among all controllers, since a fencing token belongs to one leader.
+        // The id is unique among all controllers, because each fencing token belongs to one
+        // leader only.
         val id = "w${token.value}-${++requestCounter}"
         val limited = minOf(count, MAX_MACHINES_PER_REQUEST)
         val request = RentalRequest(id, kind.type.label, kind.zone, kind.spot, limited)
@@ -106,7 +121,7 @@
                     pending.remove(id)
                     if (result.noCapacity) backOff(rental.kind)
                 }
-                // Idempotent: the same request again rents nothing new.
+                // Repeating the request is safe: with the same id it rents no further machines.
                 is CloudResult.Indeterminate -> retryAt[id] = context.now + RENTAL_RETRY_DELAY
             }
         }
@@ -114,7 +129,12 @@
 
     private fun addRentedMachines(rental: PendingRental, machines: List<String>) {
         val request = rental.request
-        log.info("rented {} of {}: {}", machines.size, request.count, rental.kind)
+        log.info(
+            "rented {} of {} requested machines: {}",
+            machines.size,
+            request.count,
+            rental.kind,
+        )
         for (id in machines) registry.findOrAdd(
             MachineId(id),
             request.type,
@@ -129,13 +149,16 @@
         wasRefused = true
     }
 
-    /** True once after a refusal, so that another kind can be requested at once. */
+    /**
+     * True once after a request found no or not enough capacity, so that another kind can be
+     * requested at once.
+     */
     fun consumeRefusal(): Boolean = wasRefused.also { wasRefused = false }
 
     private companion object {
         val RENTAL_RETRY_DELAY = 1.seconds
 
-        /** The protocol's limit for one request. */
+        /** The cloud API's limit of machines in one rental request. */
         const val MAX_MACHINES_PER_REQUEST = 50
     }
 }
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -14,8 +14,8 @@
 import wardmux.store.WriteOperation
 
 /**
- * The machine types, stored in the key-value store so that a controller that starts during an
- * outage of the cloud can decide.
+ * The machine types that the cloud offers. They are also stored in the key-value store, so that a
+ * controller that starts during an outage of the cloud knows them.
  */
 class MachineTypeCatalog(
     private val context: CoreContext,
@@ -28,7 +28,10 @@
     private var nextReadAt = Micros.LONG_AGO
     private var isReading = false
 
-    /** Reads the types if that is due; only the leader refreshes them and their prices. */
+    /**
+     * Reads the types if that is due. Once they are known, only the leader refreshes them and their
+     * prices.
+     */
     fun tick(isLeader: Boolean) {
         if (isReading || context.now < nextReadAt) return
         if (types != null && !isLeader) return
@@ -67,7 +70,8 @@
 
     private fun storeTypes(found: List<MachineType>) {
         val data = MachineTypeList.encode(found)
-        // Too large for one value: controllers that start read them from the cloud.
+        // The list is too large for one value, so it is not stored; controllers that start read it
+        // from the cloud.
         if (jsonBytes(data) > store.maxValueBytes) return
         val change = WriteOperation(put = MachineTypeList.KEY, data = data)
         store.compareAndSwap(emptyList(), listOf(change), RequestPriority.LEADER) {}
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -7,7 +7,7 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Keeps the number of machines in line with the work: rents, returns and deletes them. */
+/** Rents, returns and deletes machines, so that their number matches the work. */
 class Provisioner(
     private val context: CoreContext,
     environment: ProvisioningEnvironment,
@@ -38,15 +38,18 @@
     private val costReport = CostReport()
     private var nextDecisionAt = Micros.LONG_AGO
 
-    /** Rents for single jobs. */
+    /** Rents machines for single jobs. */
     val jobProvisioner: JobProvisioner
         get() = capacityController.jobProvisioner
 
-    /** The cloud's list of machines was read in this term. */
+    /** True if the cloud's list of machines was read in this leader's term. */
     val isListRead: Boolean
         get() = machineListReader.isRead
 
-    /** Does what is due; without a valid lease only the list is read. */
+    /**
+     * Reads the cloud's list of machines where due. With a valid leader lease also deletes
+     * machines, repeats rental requests and scales the pools; the latter waits for the first list.
+     */
     fun tick(leaseIsValid: Boolean) {
         machineListReader.tick()
         if (!leaseIsValid) return
--- a/src/main/kotlin/wardmux/cloud/ProvisioningEnvironment.kt
+++ b/src/main/kotlin/wardmux/cloud/ProvisioningEnvironment.kt
@@ -8,16 +8,19 @@
 import wardmux.scheduling.TaskEvictor
 import wardmux.store.KeyValueStore
 
-/** Decommissions machines: from then on they take no tasks and are to be deleted. */
+/** Decommissions machines. A decommissioned machine takes no tasks and is to be deleted. */
 interface MachineDecommissioning {
-    /** Records that [machine] is decommissioned, after which it is deleted. */
+    /** Records that [machine] is decommissioned and the [reason]; it is deleted afterwards. */
     fun decommission(machine: Machine, reason: String)
 
-    /** Removes the record of a machine that was deleted long enough ago. */
+    /**
+     * Removes the record of [machine]. The machine must have been deleted long enough ago that the
+     * cloud's list no longer shows it.
+     */
     fun dropRecord(machine: Machine)
 }
 
-/** What a leader's term provides for renting and returning machines. */
+/** The components of a leader's term that renting and returning machines depends on. */
 class ProvisioningEnvironment(
     val cloud: CloudClient,
     val store: KeyValueStore,
--- a/src/main/kotlin/wardmux/cloud/ScaleIn.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleIn.kt
@@ -7,7 +7,7 @@
 import wardmux.scheduling.MachinePool
 import wardmux.scheduling.Planner
 
-/** Returns idle machines that are more than are wanted. */
+/** Returns idle machines that exceed the demand of their pool. */
 class ScaleIn(
     private val context: CoreContext,
     private val planner: Planner,
@@ -15,8 +15,9 @@
     private val decommissioning: MachineDecommissioning,
 ) {
     /**
-     * Returns idle machines of [poolMachines] up to [surplus], in machines of the pool's base type,
-     * the most expensive first.
+     * Returns the machines of [poolMachines] that scale-in has emptied, and further idle ones up to
+     * [surplus], the most expensive first. The unit of [surplus] is a machine of the pool's base
+     * type; [spot] selects spot or ordinary machines.
      */
     fun returnIdle(pool: MachinePool, poolMachines: List<Machine>, surplus: Double, spot: Boolean) {
         val candidates = poolMachines.filter { it.spot == spot && it.isEmpty }
@@ -24,6 +25,7 @@
         returnSurplus(pool, candidates, surplus + 1 - MIN_SURPLUS_MACHINES)
     }
 
+    /** Returns machines that were cordoned for scale-in and are empty by now. */
     private fun returnEmptied(pool: MachinePool, emptied: List<Machine>) {
         for (machine in emptied) {
             if (hasIdledLongEnough(pool, machine)) decommissioning.decommission(machine, "emptied")
@@ -37,14 +39,19 @@
         val idle = candidates.filter { it.isUp && !it.isDecommissioned }
         for (machine in idle.sortedByDescending { pool.relativeCost(it.type, it.spot) }) {
             if (left < pool.weightOf(machine.type) || !hasIdledLongEnough(pool, machine)) continue
-            // A gang waits for more machines like this: it would be rented again at once.
+            // A gang waits for more machines that it may use, so this one would be rented again at
+            // once.
             if (gangs.any { planner.eligibility.satisfiesConstraints(it.spec, machine) }) continue
             left -= pool.weightOf(machine.type)
             decommissioning.decommission(machine, "idle")
         }
     }
 
-    /** Idle for as long as another boot costs; less for a machine that costs more. */
+    /**
+     * True if [machine] has been idle for longer than [OperatorSettings.idleKeepBoots] boot times
+     * of its type, divided by its cost relative to the cheapest type of the pool. Until then
+     * keeping it costs about as much as renting and booting another one.
+     */
     private fun hasIdledLongEnough(pool: MachinePool, machine: Machine): Boolean {
         val relativeCost = pool.relativeCost(machine.type, machine.spot)
         val idleTime = (operators.idleKeepBoots * machine.type.bootS / relativeCost).seconds
@@ -52,7 +59,7 @@
     }
 
     private companion object {
-        /** A surplus of this part of a machine counts as one. */
+        /** A surplus of at least this share of a machine counts as one machine. */
         const val MIN_SURPLUS_MACHINES = 0.9
     }
 }
--- a/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
@@ -13,9 +13,10 @@
 import wardmux.scheduling.TaskEvictor
 
 /**
- * Prepares the scale in of ordinary machines: surplus machines are cordoned, and returned once they
- * are empty. Tasks of arrays end by themselves. Replicas of services do not: they are evicted, each
- * only if another machine has room and the image, so that the restart is fast.
+ * Prepares the scale-in of ordinary machines: cordons surplus machines, which [ScaleIn] returns
+ * once they are empty. Tasks of array jobs end by themselves. Replicas of services do not, so they
+ * are evicted, each only if another machine has room for it and its image, so that it restarts
+ * fast.
  */
 class ScaleInPreparation(
     private val context: CoreContext,
@@ -25,7 +26,10 @@
 ) {
     private val log = logger<ScaleInPreparation>()
 
-    /** Cordons machines for [surplus], or uncordons them if it is negative. */
+    /**
+     * Cordons machines of [poolMachines] whose capacity is within [surplus], or uncordons machines
+     * to cover a negative [surplus]. The unit is a machine of the pool's base type.
+     */
     fun adjustCordons(pool: MachinePool, poolMachines: List<Machine>, surplus: Double) {
         if (surplus < 0) uncordon(pool, poolMachines, -surplus)
         else cordon(pool, poolMachines, surplus)
@@ -38,7 +42,10 @@
             machine.isScalingIn = false
             left -= pool.weightOf(machine.type)
             cluster.markChanged()
-            log.info("uncordoned {}: its capacity is needed", machine.id)
+            log.info(
+                "uncordoned machine {}, which was scaling in: its capacity is needed",
+                machine.id,
+            )
         }
     }
 
@@ -52,14 +59,22 @@
             if (left < weight) continue
             machine.isScalingIn = true
             left -= weight
-            log.info("scaling in {}: cordoned with {} tasks", machine.id, machine.placements.size)
+            log.info(
+                "cordoned machine {} to scale in: it still holds {} tasks",
+                machine.id,
+                machine.placements.size,
+            )
         }
     }
 
-    /** Evicts replicas from cordoned machines, a few at a time. */
+    /**
+     * Evicts replicas of services from cordoned machines, while fewer than [MAX_STOPPING_REPLICAS]
+     * tasks of the cluster are stopping. Waits while there are operators' drains.
+     */
     fun evictReplicas() {
         val cordoned = cluster.machines.values.filter { it.isScalingIn && !it.isDecommissioned }
-        // Operators' drains evict within disruption budgets, which this must not use up.
+        // Operators' drains evict within disruption budgets. Evictions for scale-in would use up
+        // these budgets.
         if (cordoned.isEmpty() || cluster.hasDrains) return
         val stopping =
             cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
@@ -73,7 +88,7 @@
                 val target =
                     targets.firstOrNull { hasPlaceFor(it, replica, reservedCpus) } ?: continue
                 reservedCpus.merge(target, replica.job.spec.cpus, Double::plus)
-                evictor.evict(replica, "its machine is emptied")
+                evictor.evict(replica, "its machine is being scaled in")
                 left--
             }
         }
@@ -85,10 +100,15 @@
             placement.isCommitted &&
             !placement.isStopping &&
             !placement.job.hasEnded &&
-            // One replica of a service at a time.
+            // Only one replica of a service is stopped at a time.
             placement.job.placements.values.none { it.isStopping } &&
             placement.job.waiting == 0
 
+    /**
+     * True if [machine] may run [replica], has its image and has room for it. The CPUs in
+     * [reservedCpus] do not count as free: they are for replicas that were evicted in the same
+     * call.
+     */
     private fun hasPlaceFor(
         machine: Machine,
         replica: Placement,
@@ -105,7 +125,7 @@
     }
 
     private companion object {
-        /** The number of replicas that may be stopping at once. */
+        /** Evictions for scale-in are sent only while fewer tasks than this are stopping. */
         const val MAX_STOPPING_REPLICAS = 16
     }
 }
--- a/src/main/kotlin/wardmux/config/DeploymentConfig.kt
+++ b/src/main/kotlin/wardmux/config/DeploymentConfig.kt
@@ -3,7 +3,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The deployment: its teams, zones, timing, and the limits of services and processes. */
+/**
+ * The part of the platform's configuration that describes the deployment: teams and their quotas,
+ * zones, objectives, the workers' timing, and the limits of services and processes.
+ */
 @Serializable
 data class DeploymentConfig(
     @SerialName("nodes") val nodes: Int,
@@ -17,7 +20,7 @@
     @SerialName("limits") val limits: ProcessLimits,
 )
 
-/** A team's quota: its guaranteed share of the cluster, and the limit of what it may use. */
+/** A team's quota: the CPUs and GPUs it is guaranteed, and the most that it may use. */
 @Serializable
 data class TeamQuota(
     @SerialName("name") val name: String,
@@ -37,22 +40,25 @@
     @SerialName("times") val times: Double = 1.0,
 ) {
     internal companion object {
-        /** A task starts within [withinS] of its submission. */
+        /** A task starts within [withinS] seconds of its submission. */
         const val KIND_WAIT = "wait"
 
-        /** A job is finished within [withinS] of its submission. */
+        /** A job is finished within [withinS] seconds of its submission. */
         const val KIND_FINISHED = "finished"
     }
 }
 
-/** The timing of workers, in seconds: heartbeat period, lease and time to cancel a task. */
+/**
+ * The timing of workers, in seconds: the heartbeat period, the length of a machine's lease and the
+ * time to cancel a task.
+ */
 @Serializable
 data class WorkerTiming(
     @SerialName("report_s") val heartbeatPeriodS: Double,
     @SerialName("lease_s") val leaseS: Double,
     @SerialName("cancel_s") val cancelS: Double,
-    /** How long a task of a gang waits for the others to start. */
+    /** How long a task of a gang waits for the other tasks of the gang to start. */
     @SerialName("gang_wait_s") val gangWaitS: Double = 30.0,
-    /** Within this the tasks of a gang notice that one has failed. */
+    /** The longest time in which the tasks of a gang notice that one of them has failed. */
     @SerialName("gang_peer_s") val gangPeerS: Double = 5.0,
 )
--- a/src/main/kotlin/wardmux/config/DrainSettings.kt
+++ b/src/main/kotlin/wardmux/config/DrainSettings.kt
@@ -5,26 +5,36 @@
 import wardmux.maintenance.MaintenanceWindows
 import wardmux.maintenance.WindowSettings
 
-/** The section `drain` of the operators' settings: listener, budgets and maintenance windows. */
+/**
+ * The section `drain` of the operators' settings: the listener for operators, the planning of
+ * drains, disruption budgets and maintenance windows.
+ */
 @Serializable
 data class DrainSettings(
-    /** The operators' listener: HOST:PORT, or :PORT on loopback; none if empty. */
+    /**
+     * The address of the listener for operators: HOST:PORT, or :PORT on the loopback interface. An
+     * empty address means that there is no listener.
+     */
     @SerialName("address") val address: String = "",
-    /** The time zone of the windows, by its IANA name. */
+    /** The time zone of the maintenance windows, by its IANA name. */
     @SerialName("time_zone") val timeZone: String = "UTC",
-    /** Public holidays without windows: a Jollyday calendar such as `hu`, or empty. */
+    /**
+     * The Jollyday calendar, such as `hu`, of the public holidays on which no window opens; empty
+     * for none.
+     */
     @SerialName("holidays") val holidays: String = "",
-    /** The share of a processor that planning may take. */
+    /** The share of one processor that planning of drains may take. */
     @SerialName("solver_share") val solverShare: Double = 0.02,
-    /** The most time for computing one plan; with 0 all plans are greedy. */
+    /** The longest time for computing one plan, in seconds; with 0 all plans are greedy. */
     @SerialName("solver_time_s") val solverTimeS: Double = 0.3,
-    /** The disruption budget of each team without one of its own. */
+    /** The disruption budget of each team that [teams] does not list. */
     @SerialName("budget") val budget: BudgetSettings = BudgetSettings(),
+    /** The disruption budgets of single teams; what they leave out is taken from [budget]. */
     @SerialName("teams") val teams: List<TeamBudgetSettings> = emptyList(),
-    /** When steps may start; at all times if there are none. */
+    /** The windows in which steps of drains may start; without windows they may always start. */
     @SerialName("windows") val windows: List<WindowSettings> = emptyList(),
 ) {
-    /** The listener's address with its host, or null if there is none. */
+    /** The address of the listener as HOST:PORT, or null if there is no listener. */
     val listenerAddress: String?
         get() = if (address.startsWith(":")) "$LOOPBACK$address" else address.ifEmpty { null }
 
@@ -32,7 +42,7 @@
     fun budgetOf(team: String): BudgetSettings =
         teams.firstOrNull { it.team == team }?.withDefaults(budget) ?: budget
 
-    /** The first error, in one line that names the field, or null. */
+    /** The first error, in one line that names the field; null if there is none. */
     fun problem(): String? =
         listOfNotNull(
                 rangeProblem("drain.solver_share", solverShare, 0.0, 1.0),
@@ -45,11 +55,14 @@
             }
             ?: MaintenanceWindows.problem(timeZone, holidays, windows)?.let { "drain.$it" }
 
-    /** The first team with a budget that is not one of [known], in one line, or null. */
+    /**
+     * An error in one line for the first team that has a budget but is not one of the [known]
+     * teams; null if there is none.
+     */
     fun unknownTeam(known: Set<String>): String? =
         teams
             .firstOrNull { it.team !in known }
-            ?.let { "drain.teams.team: no such team: ${it.team}" }
+            ?.let { "drain.teams.team: the platform's configuration has no team '${it.team}'" }
 
     internal companion object {
         const val LOOPBACK = "127.0.0.1"
@@ -58,23 +71,26 @@
     }
 }
 
-/** How much of a team's work drains may disrupt: its disruption budget. */
+/** A disruption budget: how much of a team's work drains may disrupt. */
 @Serializable
 data class BudgetSettings(
-    /** The most workers (running tasks) of the team that are disrupted at once. */
+    /** The most running tasks of the team that may be disrupted at once. */
     @SerialName("most_disrupted") val maxDisrupted: Int = 1,
-    /** The same as a share of the team's workers, rounded up; the smaller of both holds. */
+    /**
+     * The same limit as a share of the team's running tasks, rounded up. The smaller of the two
+     * limits applies.
+     */
     @SerialName("most_disrupted_share") val maxDisruptedShare: Double = 1.0,
-    /** The fewest replicas of each service that stay up. */
+    /** The fewest replicas of each service of the team that have to stay up. */
     @SerialName("least_replicas") val minReplicas: Int = 0,
-    /** The shortest time between two steps that disrupt the team. */
+    /** The shortest time between two steps that disrupt the team, in seconds. */
     @SerialName("step_pause_s") val stepPauseS: Double = 30.0,
 ) {
-    /** The first error, in one line that names the field below [prefix], or null. */
+    /** The first error, in one line that names the field below [prefix]; null if there is none. */
     fun problem(prefix: String): String? =
         when {
-            maxDisrupted < 0 -> "$prefix.most_disrupted must not be negative"
-            minReplicas < 0 -> "$prefix.least_replicas must not be negative"
+            maxDisrupted < 0 -> "$prefix.most_disrupted must not be negative, but is $maxDisrupted"
+            minReplicas < 0 -> "$prefix.least_replicas must not be negative, but is $minReplicas"
             else ->
                 rangeProblem("$prefix.most_disrupted_share", maxDisruptedShare, 0.0, 1.0)
                     ?: rangeProblem(
@@ -86,7 +102,7 @@
         }
 }
 
-/** The disruption budget of one team; what it leaves out is as in the default budget. */
+/** The disruption budget of one team. Null fields are taken from the default budget. */
 @Serializable
 data class TeamBudgetSettings(
     @SerialName("team") val team: String,
@@ -95,7 +111,7 @@
     @SerialName("least_replicas") val minReplicas: Int? = null,
     @SerialName("step_pause_s") val stepPauseS: Double? = null,
 ) {
-    /** This budget with what it leaves out taken from [default]. */
+    /** This budget, with its null fields taken from [default]. */
     fun withDefaults(default: BudgetSettings) =
         BudgetSettings(
             maxDisrupted ?: default.maxDisrupted,
--- a/src/main/kotlin/wardmux/config/OperatorSettings.kt
+++ b/src/main/kotlin/wardmux/config/OperatorSettings.kt
@@ -3,43 +3,62 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The operators' own settings; each has a default, a unit in its name and a checked range. */
+/** The operators' settings. Each has a default, a unit in its name and a range that is checked. */
 @Serializable
 data class OperatorSettings(
-    /** Half-life of a team's past usage in fair sharing. */
+    /** The half-life of a team's past usage in fair sharing, in seconds. */
     @SerialName("half_life_s") val usageHalfLifeS: Double = 600.0,
-    /** Usage that halves a team's weight, in CPU-seconds for each CPU of its guaranteed share. */
+    /**
+     * The past usage that halves a team's weight in fair sharing, in CPU-seconds for each CPU of
+     * its guaranteed share.
+     */
     @SerialName("norm_s") val usageNormS: Double = 600.0,
-    /** How long the leader's lease lasts. */
+    /** The length of the leader's lease, in seconds. */
     @SerialName("leader_lease_s") val leaderLeaseS: Double = 4.0,
-    /** Shortest time between two writes of the leader. */
+    /** The shortest time between two writes of the leader to the key-value store, in seconds. */
     @SerialName("write_period_s") val writePeriodS: Double = 0.25,
-    /** Added to a worker's lease before it counts as expired. */
+    /** The time after the end of a worker's lease until it counts as expired, in seconds. */
     @SerialName("lease_margin_s") val leaseMarginS: Double = 1.0,
-    /** Heartbeats missed before a machine gets no new tasks. */
+    /** The number of missed heartbeats after which a machine gets no new tasks. */
     @SerialName("quiet_reports") val unresponsiveAfterHeartbeats: Double = 2.5,
-    /** Heartbeats missed before a machine is decommissioned; its tasks run elsewhere. */
+    /**
+     * The number of missed heartbeats after which a machine is decommissioned and its tasks run
+     * elsewhere.
+     */
     @SerialName("lost_reports") val lostAfterHeartbeats: Double = 4.0,
-    /** Time for which an idle machine is kept, in boot times of its type. */
+    /** The time for which an idle machine is kept, in boot times of its type. */
     @SerialName("idle_keep_boots") val idleKeepBoots: Double = 0.9,
-    /** Capacity kept free for urgent work, as a share of what is in use. */
+    /** The capacity kept free for urgent work, as a share of the capacity in use. */
     @SerialName("spare_share") val spareShare: Double = 0.15,
-    /** Wait after which urgent work may preempt work of a lower urgency. */
+    /** The wait in seconds after which urgent work may preempt work of a lower priority. */
     @SerialName("preempt_after_s") val preemptAfterS: Double = 2.5,
-    /** Wait after which a team reclaims its guaranteed share from teams that exceed theirs. */
+    /**
+     * The wait in seconds after which a team reclaims its guaranteed share from teams that exceed
+     * theirs.
+     */
     @SerialName("call_back_after_s") val reclaimAfterS: Double = 40.0,
-    /** Back-off after the cloud had no capacity for a kind of machine. */
+    /**
+     * The time in seconds for which no machines of a kind are requested after the cloud had no
+     * capacity for it.
+     */
     @SerialName("refused_pause_s") val noCapacityBackoffS: Double = 15.0,
-    /** Wait after which a job that has not started goes before all others of its team. */
+    /**
+     * The wait in seconds after which a job that has not started goes before all other jobs of its
+     * team.
+     */
     @SerialName("longest_wait_s") val maxWaitS: Double = 120.0,
-    /** Heartbeats a second for each whole core above which followers take heartbeats too. */
+    /**
+     * The rate of heartbeats, in heartbeats a second for each whole core, above which followers
+     * take heartbeats as well as the leader.
+     */
     @SerialName("reports_per_core") val heartbeatsPerCore: Double = 500.0,
     /**
-     * Drains of machines for maintenance; without it there are none, and no operators' listener.
+     * The settings of drains of machines for maintenance. If it is null, drains are switched off
+     * and there is no listener for operators.
      */
     @SerialName("drain") val drain: DrainSettings? = null,
 ) {
-    /** The first error, in one line that names the field, or null. */
+    /** The first error, in one line that names the field; null if there is none. */
     fun problem(): String? = valueProblem() ?: addressProblem()
 
     private fun addressProblem(): String? {
@@ -73,7 +92,9 @@
             .firstOrNull { it != null } ?: drain?.problem()
 }
 
-/** Why [value] is outside [low] to [high], in one line that names [field], or null. */
+/**
+ * An error in one line that names [field] if [value] is not from [low] to [high]; null otherwise.
+ */
 internal fun rangeProblem(field: String, value: Double, low: Double, high: Double): String? =
     if (value.isFinite() && value in low..high) null
     else "$field must be from $low to $high, but is $value"
--- a/src/main/kotlin/wardmux/config/PlatformConfig.kt
+++ b/src/main/kotlin/wardmux/config/PlatformConfig.kt
@@ -3,9 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/**
- * The platform's configuration file for one controller. Fields that are not named here are ignored.
- */
+/** The platform's configuration file for one controller. Unknown fields in the file are ignored. */
 @Serializable
 data class PlatformConfig(
     @SerialName("member") val member: String,
--- a/src/main/kotlin/wardmux/config/PlatformConfigCheck.kt
+++ b/src/main/kotlin/wardmux/config/PlatformConfigCheck.kt
@@ -1,20 +1,28 @@
 package wardmux.config
 
-/** Checks the platform's configuration; errors name the file [fileName] and the field. */
+/** Checks the platform's configuration. Error messages name [fileName] and the field. */
 internal class PlatformConfigCheck(private val fileName: String) {
-    /** Throws [InvalidSettingsException] for the first field that is wrong. */
+    /** Throws [InvalidSettingsException] for the first field with an invalid value. */
     fun check(config: PlatformConfig) {
         require(config.member.isNotBlank(), "member", "must not be empty")
         checkAddresses(config)
         val deployment = config.deployment
         require(deployment.nodes > 0, "facts.nodes", "must be above 0, but is ${deployment.nodes}")
-        require(deployment.zones.isNotEmpty(), "facts.zones", "must name a zone")
+        require(
+            deployment.zones.isNotEmpty(),
+            "facts.zones",
+            "must name at least one zone, but is empty",
+        )
         for (team in deployment.teams) checkTeam(team)
         checkWorkers(deployment.workers)
         checkStore(deployment.state)
         requirePositive(deployment.cloud.rps, "facts.cloud.rps")
         val fdLimit = deployment.limits.fdLimit
-        require(fdLimit > MIN_FD_LIMIT, "facts.limits.fd_limit", "must be above $MIN_FD_LIMIT")
+        require(
+            fdLimit > MIN_FD_LIMIT,
+            "facts.limits.fd_limit",
+            "must be above $MIN_FD_LIMIT, but is $fdLimit",
+        )
     }
 
     private fun checkAddresses(config: PlatformConfig) {
@@ -33,8 +41,16 @@
         )
 
     private fun checkTeam(team: TeamQuota) {
-        require(team.cpus >= 0, "facts.teams.cpus", "must not be negative for ${team.name}")
-        require(team.cpusMax >= 0, "facts.teams.cpus_max", "must not be negative for ${team.name}")
+        require(
+            team.cpus >= 0,
+            "facts.teams.cpus",
+            "must not be negative, but is ${team.cpus} for team ${team.name}",
+        )
+        require(
+            team.cpusMax >= 0,
+            "facts.teams.cpus_max",
+            "must not be negative, but is ${team.cpusMax} for team ${team.name}",
+        )
     }
 
     private fun checkWorkers(timing: WorkerTiming) {
@@ -59,7 +75,7 @@
         require(
             operations >= MIN_TRANSACTION_OPERATIONS,
             field,
-            "must be at least $MIN_TRANSACTION_OPERATIONS",
+            "must be at least $MIN_TRANSACTION_OPERATIONS, but is $operations",
         )
 
     private fun requirePositive(value: Double, field: String) =
@@ -70,10 +86,13 @@
     }
 
     private companion object {
-        /** A submission's records and their conditions must fit into one transaction. */
+        /**
+         * The fewest operations that a transaction of the key-value store must allow. The records
+         * of a submission and their conditions have to fit into one transaction.
+         */
         const val MIN_TRANSACTION_OPERATIONS = 4
 
-        /** Below this no sockets are left for users. */
+        /** A process with this limit of open files or a lower one has no sockets left for users. */
         const val MIN_FD_LIMIT = 32
     }
 }
--- a/src/main/kotlin/wardmux/config/ServiceLimits.kt
+++ b/src/main/kotlin/wardmux/config/ServiceLimits.kt
@@ -3,17 +3,23 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The limits of the key-value store, for all controllers together. */
+/** The limits of the key-value store. They apply to all controllers together. */
 @Serializable
 data class StoreLimits(
     @SerialName("rps") val rps: Double,
     @SerialName("write_rps") val writeRps: Double,
     @SerialName("value_kb") val valueKb: Double,
     @SerialName("txn_ops") val txnOps: Int,
-    /** The limits from some later, unannounced moment on; null if there will be none. */
+    /**
+     * Limits that will replace these at a time that is not announced; null if no change is
+     * announced.
+     */
     @SerialName("next") val next: AnnouncedStoreLimits? = null,
 ) {
-    /** The smaller of each present and later limit: safe at any moment. */
+    /**
+     * The smaller of each present and announced limit. These are safe at any time, since it is not
+     * known when the announced limits take effect.
+     */
     val lowest: StoreLimits
         get() =
             StoreLimits(
@@ -24,7 +30,7 @@
             )
 }
 
-/** Later limits of the key-value store; one that is null stays as it is. */
+/** Announced limits of the key-value store; a limit that is null does not change. */
 @Serializable
 data class AnnouncedStoreLimits(
     @SerialName("rps") val rps: Double? = null,
@@ -33,7 +39,7 @@
     @SerialName("txn_ops") val txnOps: Int? = null,
 )
 
-/** The limits of the cloud API, and how old its list of machines may be, in seconds. */
+/** The rate limit of the cloud's API, and how outdated its list of machines may be, in seconds. */
 @Serializable
 data class CloudLimits(
     @SerialName("rps") val rps: Double,
@@ -47,11 +53,14 @@
     @SerialName("ram_mb") val ramMb: Double = 0.0,
     @SerialName("fd_limit") val fdLimit: Int,
 ) {
-    /** How the sockets of the process are divided. */
+    /** The division of the sockets of the process among their uses. */
     val sockets: SocketBudget
         get() = SocketBudget(fdLimit)
 
-    /** The most memory for the last heartbeats of machines, which spare parsing equal ones. */
+    /**
+     * The most memory for the cache of the machines' last heartbeats, in bytes. A heartbeat equal
+     * to the cached one is not parsed again.
+     */
     val heartbeatCacheBytes: Long
         get() =
             maxOf(
--- a/src/main/kotlin/wardmux/config/SettingsFiles.kt
+++ b/src/main/kotlin/wardmux/config/SettingsFiles.kt
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress
 import kotlinx.serialization.SerializationException
 
-/** A setting is wrong, missing or unreadable; the message is one line that names it. */
+/** A setting is invalid, missing or unreadable. The message is one line that names it. */
 class InvalidSettingsException(message: String) : Exception(message)
 
 /** Reads and checks the platform's and the operators' settings files. */
@@ -15,8 +15,8 @@
     private val VALID_PORTS = 1..65_535
 
     /**
-     * The platform's configuration in [file]; throws [InvalidSettingsException] if it cannot be
-     * read or is wrong.
+     * Reads and checks the platform's configuration in [file]. Throws [InvalidSettingsException] if
+     * it cannot be read or is invalid.
      */
     fun platform(file: File): PlatformConfig {
         val config =
@@ -29,8 +29,8 @@
     }
 
     /**
-     * The operators' settings in [file], or the defaults if it is null; throws
-     * [InvalidSettingsException] if they cannot be read or are wrong.
+     * Reads and checks the operators' settings in [file]; returns the defaults if it is null.
+     * Throws [InvalidSettingsException] if they cannot be read or are invalid.
      */
     fun operators(file: File?): OperatorSettings {
         if (file == null) return OperatorSettings()
@@ -43,7 +43,10 @@
         return settings
     }
 
-    /** The address that HOST:PORT stands for, resolved or not; null if it is malformed. */
+    /**
+     * The address that [text] of the form HOST:PORT stands for, or null if it is malformed. The
+     * address is unresolved if the host is not known.
+     */
     fun parseAddress(text: String): InetSocketAddress? {
         val colon = text.lastIndexOf(':')
         val port = text.substring(colon + 1).toIntOrNull() ?: return null
--- a/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
+++ b/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
@@ -14,14 +14,17 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator
 import wardmux.model.Micros
 
-/** One occurrence of a window. */
+/** One occurrence of a maintenance window. */
 data class WindowOccurrence(val from: Instant, val until: Instant)
 
 /**
- * The recurring times at which steps of drains may start. Days recur by RFC 5545 (lib-recur),
- * public holidays come from Jollyday. A window opens at a local time of day and lasts for its
- * length in elapsed time: one that would open in the hour that a change to summer time skips opens
- * at the end of that hour, and one in the hour that comes twice opens the first time.
+ * The maintenance windows, in which steps of drains may start. The days of a window recur by an RFC
+ * 5545 rule, which lib-recur evaluates; public holidays, on which no window opens, come from
+ * Jollyday.
+ *
+ * A window opens at a local time of day in [zone] and stays open for its length in elapsed time. If
+ * the change to summer time skips the local time at which it opens, it opens later by the length of
+ * the change. If the change from summer time repeats that local time, it opens the first time only.
  */
 class MaintenanceWindows(
     private val zone: ZoneId,
@@ -31,11 +34,17 @@
     private val holidayManager: HolidayManager? =
         holidays.ifEmpty { null }?.let { HolidayManager.getInstance(ManagerParameters.create(it)) }
 
-    /** True if something that takes [length] from [at] on ends within one occurrence. */
+    /**
+     * True if an activity that begins at [start] and takes [duration] lies within one occurrence of
+     * a window, or if there are no windows.
+     */
     fun isOpenFor(start: Instant, duration: Duration): Boolean =
         windows.isEmpty() || windows.any { window -> isOpenFor(window, start, duration) }
 
-    /** The first occurrence that ends after [at]; null if there is none within two years. */
+    /**
+     * The first occurrence of any window that ends later than [after]; null if there is none within
+     * [SEARCH_HORIZON_YEARS].
+     */
     fun nextOccurrence(after: Instant): WindowOccurrence? =
         windows.mapNotNull { nextOccurrenceOf(it, after) }.minByOrNull { it.from }
 
@@ -47,7 +56,7 @@
     private fun nextOccurrenceOf(window: WindowSettings, after: Instant) =
         occurrences(window, after).firstOrNull()
 
-    /** The occurrences that end after [at], in their order. */
+    /** The occurrences of [window] that end later than [after], in chronological order. */
     private fun occurrences(window: WindowSettings, after: Instant): Sequence<WindowOccurrence> {
         val length = Duration.ofMillis((window.lengthS * MILLIS_PER_SECOND).toLong())
         val first = after.atZone(zone).toLocalDate().minusDays(length.toDays() + 1)
@@ -59,6 +68,7 @@
             .filter { it.until > after }
     }
 
+    /** The days from [first] on that the rule of [window] names, up to the search horizon. */
     private fun openingDays(window: WindowSettings, first: LocalDate): Sequence<LocalDate> {
         val firstDay = LocalDate.parse(window.from)
         val last = maxOf(first, firstDay).plusYears(SEARCH_HORIZON_YEARS)
@@ -66,7 +76,10 @@
         return generateSequence { nextDay(days) }.takeWhile { it <= last }
     }
 
-    /** Null for a rule without a day: lib-recur rejects it with an exception. */
+    /**
+     * Iterates over the days of [window] from [first] on. Null for a rule that matches no day, for
+     * which lib-recur throws an exception.
+     */
     private fun dayIterator(window: WindowSettings, firstDay: LocalDate, first: LocalDate) =
         try {
             RecurrenceRule(window.rule).iterator(recurrenceDateOf(firstDay)).also {
@@ -76,6 +89,7 @@
             null
         }
 
+    /** The next day of [days]; null if there is none or lib-recur finds none. */
     private fun nextDay(days: RecurrenceRuleIterator): LocalDate? =
         try {
             if (!days.hasNext()) null
@@ -84,29 +98,32 @@
             null
         }
 
-    /** Months count from 0 in lib-recur. */
+    /** Converts [day] to a date of lib-recur, which counts months from 0. */
     private fun recurrenceDateOf(day: LocalDate) =
         DateTime(day.year, day.monthValue - 1, day.dayOfMonth)
 
     companion object {
+        /** How far ahead occurrences are searched. */
         private const val SEARCH_HORIZON_YEARS = 2L
         private const val MILLIS_PER_SECOND = 1_000.0
         private const val MAX_WINDOW_LENGTH_S = 7 * 86_400.0
         private const val MICROS_PER_SECOND = 1_000_000L
         private const val NANOS_PER_MICRO = 1_000L
 
-        /** A time of day of the core as an instant. */
+        /** Converts a wall-clock time in microseconds since the epoch. */
         fun instantOf(wallTime: Micros): Instant =
             Instant.ofEpochSecond(
                 Math.floorDiv(wallTime.value, MICROS_PER_SECOND),
                 Math.floorMod(wallTime.value, MICROS_PER_SECOND) * NANOS_PER_MICRO,
             )
 
-        /** The first error, in one line that begins with the field, or null. */
+        /** The first error, in one line that begins with the field; null if there is none. */
         fun problem(timeZone: String, holidays: String, windows: List<WindowSettings>): String? {
-            val zone = parseTimeZone(timeZone) ?: return "time_zone: no such time zone: $timeZone"
+            val zone =
+                parseTimeZone(timeZone)
+                    ?: return "time_zone: must be an IANA time zone, but is '$timeZone'"
             if (holidays.isNotEmpty() && !isHolidayCalendar(holidays))
-                return "holidays: no such calendar: $holidays"
+                return "holidays: must be a Jollyday calendar such as hu, but is '$holidays'"
             return windows.firstNotNullOfOrNull { problem(zone, holidays, it) }
         }
 
@@ -123,18 +140,19 @@
         private fun problem(zone: ZoneId, holidays: String, window: WindowSettings): String? =
             formatProblem(window)
                 ?: if (hasOccurrence(zone, holidays, window)) null
-                else "windows.rule: never opens: ${window.rule}"
+                else "windows.rule: the window never opens with the rule '${window.rule}'"
 
         private fun formatProblem(window: WindowSettings): String? =
             when {
                 !isParsable { RecurrenceRule(window.rule) } ->
-                    "windows.rule: no recurrence rule: ${window.rule}"
+                    "windows.rule: must be an RFC 5545 recurrence rule, but is '${window.rule}'"
                 !isParsable { LocalTime.parse(window.opens) } ->
-                    "windows.opens: no time of day: ${window.opens}"
+                    "windows.opens: must be HH:MM, but is '${window.opens}'"
                 !isParsable { LocalDate.parse(window.from) } ->
-                    "windows.from: no date: ${window.from}"
+                    "windows.from: must be YYYY-MM-DD, but is '${window.from}'"
                 window.lengthS !in 1.0..MAX_WINDOW_LENGTH_S ->
-                    "windows.length_s must be from 1 to $MAX_WINDOW_LENGTH_S"
+                    "windows.length_s must be from 1 to $MAX_WINDOW_LENGTH_S, " +
+                        "but is ${window.lengthS}"
                 else -> null
             }
 
