--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -13,8 +13,16 @@
 import wardmux.sim.ControllerHarness
 import wardmux.sim.plainJob
 
+/**
+ * Guards against renting machines that the waiting work cannot use, such as for tasks that cannot
+ * be placed yet, and against renting types that cost more for the work than others.
+ */
 class ProvisionerTest {
-    /** The machines that are requested in one decision, as many in each zone. */
+    /**
+     * The number of machines that one decision requests for 80 tasks of a machine each, with [next]
+     * as announced limits of the key-value store. Requests are spread evenly over the zones, so
+     * this is the largest request times their number.
+     */
     private fun machinesRequested(next: AnnouncedStoreLimits?): Int {
         val deployment = ControllerHarness.SETTINGS.deployment
         val settings =
@@ -32,26 +40,30 @@
             harness.cloud
                 .filter { it.startsWith("/machines {") }
                 .map { Regex("\"count\":(\\d+)").find(it)!!.groupValues[1].toInt() }
-        assertTrue(counts.isNotEmpty(), "nothing was requested")
+        assertTrue(counts.isNotEmpty(), "expected requests for machines, but there were none")
         return counts.max() * ZONE_COUNT
     }
 
     @Test
-    fun `a machine is requested for each task that can be placed`() =
+    fun `one machine is requested for each task that can be placed`() =
         assertEquals(80, machinesRequested(null))
 
     @Test
-    fun `none is requested for what the page of the job cannot take yet`() {
+    fun `no machine is requested for tasks that the task page of their job has no room for`() {
         val requested =
             machinesRequested(AnnouncedStoreLimits(valueKb = 2.0, txnOps = 4, writeRps = 18.0))
-        assertTrue(requested in 35..50, "$requested requested")
+        assertTrue(requested in 35..50, "expected 35 to 50 requested machines, but was $requested")
     }
 
-    /** Kinds of machines that are requested first, as "type spot". */
+    /**
+     * The kinds of machines that the first decision requests for [jobs]: the label of the type,
+     * followed by "spot" for spot machines.
+     */
     private fun kindsRequestedFirst(vararg jobs: JobSpec): Set<String> {
         val deployment = ControllerHarness.SETTINGS.deployment
         val teams = listOf(TeamQuota("team-0", 700.0, 12_000.0))
-        // The list is not waited for, so that it is decided before anything waited for long.
+        // With a short lag the cloud's list is not awaited for long, so that the first decision is
+        // made before any job has been short of room for a while.
         val cloud = deployment.cloud.copy(listLagS = 0.1)
         val settings =
             ControllerHarness.SETTINGS.copy(
@@ -70,18 +82,18 @@
     private val smallTasks = plainJob(200).copy(cpus = 2.0, memoryGb = 2.0)
 
     @Test
-    fun `the type that costs least for the work is rented, not the smallest that holds a task`() =
+    fun `the cheapest type for the work is rented, not the smallest that fits a task`() =
         assertEquals(setOf("large spot"), kindsRequestedFirst(smallTasks))
 
     @Test
-    fun `a large type that other work needs is left to it`() {
+    fun `a large type that larger tasks need is not used for small tasks`() {
         val largeTask = plainJob(4, "job-000002").copy(cpus = 32.0, memoryGb = 64.0)
         val requested = kindsRequestedFirst(smallTasks, largeTask)
         assertEquals(setOf("small spot", "large spot"), requested)
     }
 
     @Test
-    fun `a service gets ordinary machines, however many spot machines there are`() {
+    fun `a service gets ordinary machines even while spot machines are rented for other work`() {
         val service =
             plainJob(64, "job-000003")
                 .copy(kind = JobKind.SERVICE, spot = false, spread = true, estimateS = 0.0)
--- a/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ScaleInPreparationTest.kt
@@ -14,7 +14,11 @@
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
-/** Surplus machines are cordoned, and no replica is evicted that has no place elsewhere. */
+/**
+ * Guards against a scale-in that interrupts services: if a replica were evicted while no other
+ * machine has room for it and its image, or several replicas of a service at once, the service
+ * would lose replicas for longer than a restart takes.
+ */
 class ScaleInPreparationTest {
     private val type =
         MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 50.0, zones = listOf("a", "b"))
@@ -36,8 +40,10 @@
                 estimateS = 0.0,
             )
 
+    /** Adds an ordinary machine with this number. */
     private fun ordinaryMachine(number: Int) = harness.machine(number, type, spot = false)
 
+    /** Marks the image of [service] as present on [machines]. */
     private fun markImageReady(vararg machines: Machine) {
         for (machine in machines) machine.images.markReady(
             service.image,
@@ -46,6 +52,7 @@
         )
     }
 
+    /** Adjusts the cordons for [surplus] machines, then evicts replicas. */
     private fun adjustForSurplus(surplus: Double) {
         harness.pools.refresh(harness.cluster.jobs.values)
         val pool = harness.pools.pools.single()
@@ -53,11 +60,12 @@
         preparation.evictReplicas()
     }
 
+    /** All placements that are being stopped. */
     private fun stoppingReplicas() =
         harness.cluster.machines.values.flatMap { it.placements.values }.filter { it.isStopping }
 
     @Test
-    fun `the machine with least on it is cordoned, and one replica of a service is evicted at a time`() {
+    fun `the least loaded machine is cordoned and a service loses one replica at a time`() {
         val job = harness.job(service)
         val leastLoaded = ordinaryMachine(1)
         val other = ordinaryMachine(2)
@@ -66,15 +74,18 @@
         harness.run(harness.job(plainJob(1, "job-000003").copy(cpus = 6.0)), 0, other)
         markImageReady(leastLoaded, other)
         adjustForSurplus(1.5)
-        assertTrue(leastLoaded.isScalingIn)
-        assertFalse(other.isScalingIn)
+        assertTrue(leastLoaded.isScalingIn, "expected the least loaded machine to be cordoned")
+        assertFalse(other.isScalingIn, "expected the machine with more load to stay in use")
         assertEquals(listOf(leastLoaded.id), stoppingReplicas().map { it.machine })
         adjustForSurplus(-1.0)
-        assertFalse(leastLoaded.isScalingIn, "it is uncordoned where capacity is short")
+        assertFalse(
+            leastLoaded.isScalingIn,
+            "expected the machine to be uncordoned when capacity is short",
+        )
     }
 
     @Test
-    fun `a replica stays where no other machine has room and its image`() {
+    fun `a replica is not evicted unless another machine has room for it and its image`() {
         val job = harness.job(service)
         val leastLoaded = ordinaryMachine(1)
         repeat(2) { harness.run(job, it, leastLoaded) }
@@ -82,24 +93,24 @@
         harness.run(harness.job(plainJob(1, "job-000002").copy(cpus = 14.0)), 0, other)
         markImageReady(leastLoaded)
         adjustForSurplus(1.5)
-        assertTrue(leastLoaded.isScalingIn)
-        assertEquals(0, stoppingReplicas().size, "its image is nowhere else")
+        assertTrue(leastLoaded.isScalingIn, "expected the least loaded machine to be cordoned")
+        assertEquals(0, stoppingReplicas().size, "evicted replicas without their image elsewhere")
         markImageReady(other)
         adjustForSurplus(0.5)
-        assertEquals(1, stoppingReplicas().size)
+        assertEquals(1, stoppingReplicas().size, "evicted replicas with their image elsewhere")
     }
 
     @Test
-    fun `nothing is cordoned for less than a machine, and no spot machine`() {
+    fun `a surplus of less than a machine cordons none, and spot machines are never cordoned`() {
         val machine = ordinaryMachine(1)
         val spot = harness.machine(2, type)
         harness.run(harness.job(plainJob(1, "job-000002")), 0, machine)
         harness.run(harness.job(plainJob(1, "job-000003")), 0, spot)
         adjustForSurplus(0.9)
-        assertFalse(machine.isScalingIn)
+        assertFalse(machine.isScalingIn, "expected no cordon for a surplus of 0.9 machines")
         adjustForSurplus(5.0)
-        assertTrue(machine.isScalingIn)
-        assertFalse(spot.isScalingIn)
+        assertTrue(machine.isScalingIn, "expected a cordon for a surplus of 5 machines")
+        assertFalse(spot.isScalingIn, "expected the spot machine to stay in use")
     }
 
     @Test
@@ -109,6 +120,6 @@
         adjustForSurplus(1.0)
         val waitingJob = harness.job(plainJob(1, "job-000003"))
         harness.planner.plan(PageWriteBudget(7))
-        assertEquals(0, waitingJob.placements.size)
+        assertEquals(0, waitingJob.placements.size, "tasks placed on the cordoned machine")
     }
 }
--- a/src/test/kotlin/wardmux/config/SettingsTest.kt
+++ b/src/test/kotlin/wardmux/config/SettingsTest.kt
@@ -10,11 +10,17 @@
 import org.junit.jupiter.api.io.TempDir
 import wardmux.app.CdsTrainingRun
 
+/**
+ * Guards against controllers that start with settings other than the intended ones: an invalid,
+ * missing or misspelt field must be rejected with one line that names it.
+ */
 class SettingsTest {
     @TempDir lateinit var dir: File
 
+    /** Writes a settings file with this content. */
     private fun settingsFile(text: String) = File(dir, "settings.toml").also { it.writeText(text) }
 
+    /** The error message of reading [text] as the platform's configuration, which must fail. */
     private fun rejectedPlatformConfig(text: String): String {
         val message =
             assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(settingsFile(text)) }
@@ -24,7 +30,7 @@
     }
 
     @Test
-    fun `the platform's file is read, unknown fields and all`() {
+    fun `the platform's configuration is read and its unknown fields are ignored`() {
         val settings =
             SettingsFiles.platform(settingsFile("later = 3\n" + CdsTrainingRun.SAMPLE_SETTINGS))
         assertEquals("wardbox-0", settings.member)
@@ -34,7 +40,7 @@
     }
 
     @Test
-    fun `a missing field is named`() {
+    fun `the error for a missing field names the field`() {
         assertContains(
             rejectedPlatformConfig(CdsTrainingRun.SAMPLE_SETTINGS.replace("lease_s = 16.0", "")),
             "lease_s",
@@ -48,7 +54,7 @@
     }
 
     @Test
-    fun `a wrong value is named`() {
+    fun `the error for an invalid value names the field`() {
         val wrong =
             mapOf(
                 "rps = 150.0" to "rps = -1.0",
@@ -82,7 +88,7 @@
         )
 
     @Test
-    fun `limits to come may be named, and the smaller of both are kept`() {
+    fun `the lowest limits are the smaller of each present and announced limit`() {
         val without =
             SettingsFiles.platform(settingsFile(CdsTrainingRun.SAMPLE_SETTINGS)).deployment.state
         assertNull(without.next)
@@ -98,7 +104,7 @@
     }
 
     @Test
-    fun `a wrong limit to come is named`() {
+    fun `the error for an invalid announced limit names the field`() {
         for ((good, bad) in
             mapOf(
                 "write_rps = 18.0" to "write_rps = 0.0",
@@ -115,7 +121,7 @@
     }
 
     @Test
-    fun `an unreadable file is named`() {
+    fun `the error for an unreadable file names the file`() {
         val missing = File(dir, "none.toml")
         val message =
             assertFailsWith<InvalidSettingsException> { SettingsFiles.platform(missing) }.message
@@ -123,7 +129,7 @@
     }
 
     @Test
-    fun `operators' settings have defaults, ranges and no unknown fields`() {
+    fun `operators' settings have defaults and ranges, and unknown fields are rejected`() {
         assertEquals(OperatorSettings(), SettingsFiles.operators(null))
         assertEquals(
             60.0,
@@ -141,8 +147,10 @@
         assertContains(unknown.message.orEmpty(), "nrom_s")
     }
 
+    /** Reads [text] as the operators' settings. */
     private fun operatorSettings(text: String) = SettingsFiles.operators(settingsFile(text))
 
+    /** The error message of reading [text] as the operators' settings, which must fail. */
     private fun rejectedOperatorSettings(text: String): String {
         val message =
             assertFailsWith<InvalidSettingsException> { operatorSettings(text) }.message.orEmpty()
@@ -151,7 +159,7 @@
     }
 
     @Test
-    fun `drains are off without a section, and on with the file that deployments take`() {
+    fun `drains are off without their section and on with the settings file for deployments`() {
         assertNull(operatorSettings("norm_s = 300.0").drain)
         val drain = assertNotNull(SettingsFiles.operators(File("deploy/drain.toml")).drain)
         assertEquals("127.0.0.1:7070", drain.listenerAddress)
@@ -159,7 +167,7 @@
     }
 
     @Test
-    fun `a team's budget takes from the default what it leaves out`() {
+    fun `a team's budget takes unset fields from the default budget`() {
         val drain =
             assertNotNull(
                 operatorSettings(
@@ -188,7 +196,7 @@
     }
 
     @Test
-    fun `a wrong setting of drains is named`() {
+    fun `the error for an invalid setting of drains names the field`() {
         val wrong =
             mapOf(
                 "drain.address" to "address = \"nowhere\"",
--- a/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
+++ b/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
@@ -12,36 +12,47 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Windows recur in local time, keep off holidays and are right where the clocks change. */
+/**
+ * Guards against steps of drains outside the maintenance windows: on public holidays, longer than
+ * the window lasts, or shifted by an hour where the local time changes to or from summer time.
+ */
 class MaintenanceWindowsTest {
     private val budapest = ZoneId.of("Europe/Budapest")
 
+    /** One window in the time zone of Budapest. */
     private fun windows(rule: String, opens: String, lengthS: Double, holidays: String = "") =
         MaintenanceWindows(budapest, holidays, listOf(WindowSettings(rule, opens, lengthS)))
 
     private fun instant(text: String) = Instant.parse(text)
 
     @Test
-    fun `a step begins only if it ends in the window`() {
+    fun `a step may start only if it ends within the window`() {
         val nights = windows("FREQ=WEEKLY;BYDAY=TU,WE", "23:00", 2 * 3600.0)
         val minute = Duration.ofMinutes(1)
         // Tuesday, 1 December 2026, 23:00 in Budapest is 22:00 UTC.
         assertFalse(nights.isOpenFor(instant("2026-12-01T21:59:00Z"), minute))
         assertTrue(nights.isOpenFor(instant("2026-12-01T22:00:00Z"), minute))
-        assertTrue(nights.isOpenFor(instant("2026-12-01T23:59:00Z"), minute), "past midnight")
+        assertTrue(
+            nights.isOpenFor(instant("2026-12-01T23:59:00Z"), minute),
+            "expected the window to be open past midnight",
+        )
         assertFalse(
             nights.isOpenFor(instant("2026-12-01T23:59:30Z"), minute),
-            "it would end too late",
+            "expected a step that ends after the window to be refused",
+        )
+        assertFalse(
+            nights.isOpenFor(instant("2026-12-03T22:00:00Z"), minute),
+            "expected no window on a Thursday",
         )
-        assertFalse(nights.isOpenFor(instant("2026-12-03T22:00:00Z"), minute), "Thursday")
         assertEquals(
             instant("2026-12-02T22:00:00Z"),
             nights.nextOccurrence(instant("2026-12-02T10:00:00Z"))?.from,
         )
     }
 
+    // 15 March 2027 is a public holiday in Hungary.
     @Test
-    fun `holidays are left out`() {
+    fun `no window opens on a public holiday`() {
         val daily = windows("FREQ=DAILY", "10:00", 3600.0, holidays = "hu")
         assertFalse(daily.isOpenFor(instant("2027-03-15T09:30:00Z"), Duration.ofMinutes(1)))
         assertTrue(daily.isOpenFor(instant("2027-03-16T09:30:00Z"), Duration.ofMinutes(1)))
@@ -52,13 +63,15 @@
     }
 
     @Test
-    fun `a window in the hour that summer time skips opens at its end, for its whole length`() {
+    fun `a window in the hour that summer time skips opens an hour later for its whole length`() {
         val early = windows("FREQ=DAILY", "02:30", 3600.0)
-        // On 28 March 2027 the clocks go from 02:00 to 03:00: 02:30 is 03:30, which is 01:30 UTC.
+        // On 28 March 2027 the local time changes from 02:00 to 03:00, so that 02:30 does not
+        // exist.
+        // The window opens at 03:30 instead, which is 01:30 UTC.
         val opening = assertNotNull(early.nextOccurrence(instant("2027-03-27T23:30:00Z")))
         assertEquals(instant("2027-03-28T01:30:00Z"), opening.from)
         assertEquals(instant("2027-03-28T02:30:00Z"), opening.until)
-        // The day before and the day after it is 02:30 by the clock.
+        // On the day before and the day after it opens at 02:30 local time.
         assertEquals(
             instant("2027-03-27T01:30:00Z"),
             early.nextOccurrence(instant("2027-03-26T23:30:00Z"))?.from,
@@ -70,9 +83,9 @@
     }
 
     @Test
-    fun `a window in the hour that comes twice opens once, the first time`() {
+    fun `a window in the hour that is repeated in autumn opens only the first time`() {
         val early = windows("FREQ=DAILY", "02:30", 1800.0)
-        // On 31 October 2027 it is 02:30 at 00:30 UTC and again at 01:30 UTC.
+        // On 31 October 2027 the local time is 02:30 at 00:30 UTC and again at 01:30 UTC.
         assertTrue(early.isOpenFor(instant("2027-10-31T00:40:00Z"), Duration.ofMinutes(5)))
         assertFalse(early.isOpenFor(instant("2027-10-31T01:40:00Z"), Duration.ofMinutes(5)))
         assertEquals(
@@ -82,7 +95,7 @@
     }
 
     @Test
-    fun `a window across the change lasts for its length`() {
+    fun `a window during which the local time changes lasts for its length in elapsed time`() {
         val night = windows("FREQ=DAILY", "22:00", 8 * 3600.0)
         assertTrue(
             night.isOpenFor(instant("2027-10-31T04:50:00Z").minusSeconds(3600), Duration.ZERO)
@@ -91,7 +104,7 @@
     }
 
     @Test
-    fun `intervals count from the first day`() {
+    fun `intervals of the rule count from the first day of the window`() {
         val everyOther = WindowSettings("FREQ=WEEKLY;INTERVAL=2", "12:00", 60.0, "2026-12-01")
         val windows = MaintenanceWindows(ZoneId.of("UTC"), "", listOf(everyOther))
         assertEquals(
@@ -105,7 +118,7 @@
     }
 
     @Test
-    fun `without windows it is always open`() {
+    fun `steps may always start if there are no windows`() {
         val none = MaintenanceWindows(budapest, "", emptyList())
         assertTrue(none.isOpenFor(Instant.EPOCH, Duration.ofDays(30)))
         assertNull(none.nextOccurrence(Instant.EPOCH))
@@ -125,7 +138,7 @@
                 "UTC | hu | FREQ=DAILY | 22:00 | 0 | windows.length_s",
             ],
     )
-    fun `what is wrong is named`(
+    fun `the error for an invalid window names the field`(
         zone: String,
         holidays: String,
         rule: String,
