--- a/src/main/kotlin/wardmux/cloud/CapacityController.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityController.kt
@@ -8,7 +8,10 @@
 import wardmux.scheduling.MachinePools
 import wardmux.scheduling.Planner
 
-/** Scales each pool out or in, by what is in use and what waits. */
+/**
+ * Scales each machine pool out or in, so that its capacity matches the resources in use plus the
+ * backlog of waiting jobs.
+ */
 class CapacityController(
     private val cluster: ClusterState,
     private val pools: MachinePools,
@@ -19,77 +22,102 @@
     private val preparation: ScaleInPreparation,
     private val scaleIn: ScaleIn,
 ) {
-    /** The machines of a pool, counted in machines of its base type. */
-    private class Stock(val all: Double, val ordinary: Double)
+    /**
+     * The capacity of a pool, in machines of its base type: [total], and the part of it on
+     * [ordinary] machines, which are those that are not spot machines.
+     */
+    private class PoolCapacity(val total: Double, val ordinary: Double)
+
+    /** Rents machines for single jobs that the demand of their pool does not cover. */
+    val jobProvisioner = JobProvisioner(cluster, planner.eligibility, pools, rentals)
 
-    /** Rents for single jobs. */
-    val jobs = JobProvisioner(cluster, planner.eligibility, pools, rentals)
-    private val smoothed = HashMap<String, Double>()
+    /** The results of [smooth], by pool and kind of target. */
+    private val smoothedTargets = HashMap<String, Double>()
 
-    /** Decides for all pools once. */
-    fun decide() {
-        for (job in planner.jobsShortOfRoom()) jobs.rentFor(job, pools.pools.flatMap { it.types })
+    /** Rents machines for jobs that lack room, then scales every pool once. */
+    fun scalePools() {
+        for (job in planner.jobsShortOfRoom()) jobProvisioner.rentFor(
+            job,
+            pools.pools.flatMap { it.types },
+        )
         val backlogs = demand.backlogs(pools)
         val ordinaryInUse = demand.ordinaryInUse(pools)
         val machines = cluster.machines.values.filter { !it.isDecommissioned }
         for (pool in pools.pools) {
-            val own = machines.filter { pool.holds(it.type) }
-            decide(pool, own, backlogs[pool] ?: Backlog(), ordinaryInUse[pool] ?: 0.0)
+            val poolMachines = machines.filter { pool.holds(it.type) }
+            scalePool(pool, poolMachines, backlogs[pool] ?: Backlog(), ordinaryInUse[pool] ?: 0.0)
         }
-        preparation.moveReplicas()
+        preparation.evictReplicas()
     }
 
-    private fun decide(
+    /**
+     * Scales one pool towards three targets, each in machines of its base type: `target` is what
+     * all its work needs, `urgentTarget` what the service-level objectives need, and
+     * `ordinaryTarget` what the work needs that may not run on spot machines. Spot machines are
+     * preferred; if none are available, ordinary machines are rented up to `urgentTarget` only.
+     */
+    private fun scalePool(
         pool: MachinePool,
-        own: List<Machine>,
+        poolMachines: List<Machine>,
         backlog: Backlog,
         ordinaryInUse: Double,
     ) {
         val label = pool.base.label
-        val inUse = own.sumOf { it.load * pool.weightOf(it.type) }
-        val share = 1 + operators.spareShare
-        val wanted = smooth("$label wanted", inUse * share + backlog.soon, SLOW_DECAY)
-        val pressing = smooth("$label pressing", inUse + backlog.pressing, FAST_DECAY)
-        val ordinary =
-            smooth("$label ordinary", ordinaryInUse * share + backlog.ordinary, SLOW_DECAY)
-        var stock = stock(pool, own)
-        preparation.adjust(pool, own, minOf(stock.all - wanted, stock.ordinary - ordinary))
-        stock = stock(pool, own)
-        rent(pool, ordinary - stock.ordinary, spot = false)
-        stock = stock(pool, own)
-        val missing = wanted - stock.all
-        if (missing + ROUNDING >= 1 && !rent(pool, missing, spot = true))
-            rent(pool, minOf(missing, pressing - stock.all), spot = false)
-        scaleIn.returnIdle(pool, own, stock.all - wanted, spot = true)
-        val ordinarySurplus = minOf(stock.all - pressing, stock.ordinary - ordinary)
-        scaleIn.returnIdle(pool, own, ordinarySurplus, spot = false)
+        val inUse = poolMachines.sumOf { it.load * pool.weightOf(it.type) }
+        val spareFactor = 1 + operators.spareShare
+        val target =
+            smooth("$label target", inUse * spareFactor + backlog.withinBootTime, SLOW_DECAY)
+        val urgentTarget = smooth("$label urgent", inUse + backlog.withinObjectives, FAST_DECAY)
+        val ordinaryTarget =
+            smooth("$label ordinary", ordinaryInUse * spareFactor + backlog.ordinary, SLOW_DECAY)
+        var capacity = capacityOf(pool, poolMachines)
+        preparation.adjustCordons(
+            pool,
+            poolMachines,
+            minOf(capacity.total - target, capacity.ordinary - ordinaryTarget),
+        )
+        capacity = capacityOf(pool, poolMachines)
+        rent(pool, ordinaryTarget - capacity.ordinary, spot = false)
+        capacity = capacityOf(pool, poolMachines)
+        val missing = target - capacity.total
+        if (missing + MACHINE_COUNT_ROUNDING >= 1 && !rent(pool, missing, spot = true))
+            rent(pool, minOf(missing, urgentTarget - capacity.total), spot = false)
+        scaleIn.returnIdle(pool, poolMachines, capacity.total - target, spot = true)
+        val ordinarySurplus =
+            minOf(capacity.total - urgentTarget, capacity.ordinary - ordinaryTarget)
+        scaleIn.returnIdle(pool, poolMachines, ordinarySurplus, spot = false)
     }
 
-    private fun stock(pool: MachinePool, own: List<Machine>): Stock {
-        val usable = own.filter { counts(it) }
+    /** The capacity of [pool], including rental requests whose outcome is pending. */
+    private fun capacityOf(pool: MachinePool, poolMachines: List<Machine>): PoolCapacity {
+        val usable = poolMachines.filter { countsAsCapacity(it) }
         val ordinary = usable.filter { !it.spot }.sumOf { pool.weightOf(it.type) }
         val spot = usable.filter { it.spot }.sumOf { pool.weightOf(it.type) }
-        val ordinaryComing = coming(pool, spot = false)
-        val all = ordinary + spot + ordinaryComing + coming(pool, spot = true)
-        return Stock(all, ordinary + ordinaryComing)
+        val pendingOrdinary = pendingCapacity(pool, spot = false)
+        val total = ordinary + spot + pendingOrdinary + pendingCapacity(pool, spot = true)
+        return PoolCapacity(total, ordinary + pendingOrdinary)
     }
 
-    /** A machine that operators drain does not count, so that its replacement is rented. */
-    private fun counts(machine: Machine) =
+    /**
+     * True if [machine] counts towards the capacity of its pool. A machine that an operators' drain
+     * has to empty does not count, so that a replacement for it is rented.
+     */
+    private fun countsAsCapacity(machine: Machine) =
         machine.preemptionNoticeAt == null &&
             !machine.hasOnlyStaleHeartbeats &&
             !machine.isScalingIn &&
             machine.maintenance == Maintenance.NONE
 
-    private fun coming(pool: MachinePool, spot: Boolean): Double =
+    /** The capacity for which rental requests are pending, in machines of the base type. */
+    private fun pendingCapacity(pool: MachinePool, spot: Boolean): Double =
         pool.types.sumOf { type ->
             val count = rentals.count { it.type.label == type.label && it.spot == spot }
             count * pool.weightOf(type)
         }
 
     /**
-     * Requests machines of the cheapest available type of which about one or more are missing.
-     * False if no type of the pool is available for now.
+     * Requests machines for the [missing] capacity, of the cheapest available type of which about
+     * one machine or more is missing. Returns false if no type of the pool is available for now.
      */
     private fun rent(pool: MachinePool, missing: Double, spot: Boolean): Boolean {
         val available =
@@ -98,7 +126,7 @@
                 .associateWith { rentals.availableZones(it, spot) }
                 .filterValues { it.isNotEmpty() }
         for ((type, zones) in available) {
-            val count = (missing / pool.weightOf(type) + ROUNDING).toInt()
+            val count = (missing / pool.weightOf(type) + MACHINE_COUNT_ROUNDING).toInt()
             if (count <= 0) continue
             rentals.requestSpread(type, zones, count, spot)
             return true
@@ -106,20 +134,27 @@
         return available.isNotEmpty()
     }
 
-    /** Rises at once and decays slowly: a machine returned too early has to boot again. */
-    private fun smooth(name: String, now: Double, decay: Double): Double {
-        val before = smoothed[name] ?: now
-        val value = maxOf(now, before + (now - before) * decay)
-        smoothed[name] = value
+    /**
+     * Follows an increase at once and a decrease slowly, by [decay] of the difference in each call.
+     * A machine that is returned too early has to be rented and booted again.
+     */
+    private fun smooth(name: String, current: Double, decay: Double): Double {
+        val previous = smoothedTargets[name] ?: current
+        val value = maxOf(current, previous + (current - previous) * decay)
+        smoothedTargets[name] = value
         return value
     }
 
     private companion object {
-        /** Share of a decrease that is followed in each decision. */
+        /**
+         * The share of a decrease that the targets for all and for ordinary work follow at once.
+         */
         const val SLOW_DECAY = 0.03
+
+        /** The share of a decrease that the urgent target follows at once. */
         const val FAST_DECAY = 0.1
 
-        /** Added before a number of machines is rounded down. */
-        const val ROUNDING = 0.4
+        /** Added to a number of machines before it is rounded down: 0.6 machines count as one. */
+        const val MACHINE_COUNT_ROUNDING = 0.4
     }
 }
--- a/src/main/kotlin/wardmux/cloud/Provisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/Provisioner.kt
@@ -7,7 +7,7 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Keeps the number of machines in line with the work: rents, returns and deletes them. */
+/** Rents, returns and deletes machines, so that their number matches the work. */
 class Provisioner(
     private val context: CoreContext,
     environment: ProvisioningEnvironment,
@@ -16,10 +16,10 @@
     token: FencingToken,
 ) {
     private val cluster = environment.cluster
-    private val list = MachineListReader(context, environment, deployment.cloud)
+    private val machineListReader = MachineListReader(context, environment, deployment.cloud)
     private val deletion = MachineDeletion(context, environment)
     private val rentals = MachineRentals(context, environment, deployment, operators, token)
-    private val controller =
+    private val capacityController =
         CapacityController(
             cluster,
             environment.pools,
@@ -36,31 +36,34 @@
             ScaleIn(context, environment.planner, operators, environment.decommissioning),
         )
     private val costReport = CostReport()
-    private var decideAt = Micros.LONG_AGO
+    private var nextDecisionAt = Micros.LONG_AGO
 
-    /** Rents for single jobs. */
-    val jobs: JobProvisioner
-        get() = controller.jobs
+    /** Rents machines for single jobs. */
+    val jobProvisioner: JobProvisioner
+        get() = capacityController.jobProvisioner
 
-    /** The cloud's list of machines was read in this term. */
+    /** True if the cloud's list of machines was read in this leader's term. */
     val isListRead: Boolean
-        get() = list.isRead
+        get() = machineListReader.isRead
 
-    /** Does what is due; without a valid lease only the list is read. */
+    /**
+     * Reads the cloud's list of machines where due. With a valid leader lease also deletes
+     * machines, repeats rental requests and scales the pools; the latter waits for the first list.
+     */
     fun tick(leaseIsValid: Boolean) {
-        list.tick()
+        machineListReader.tick()
         if (!leaseIsValid) return
         deletion.tick()
-        rentals.retry()
-        if (!list.isReadOrOverdue) return
-        if (context.now >= decideAt || rentals.consumeRefusal()) {
-            decideAt = context.now + PERIOD
-            controller.decide()
+        rentals.retryIndeterminate()
+        if (!machineListReader.isReadOrOverdue) return
+        if (context.now >= nextDecisionAt || rentals.consumeRefusal()) {
+            nextDecisionAt = context.now + DECISION_PERIOD
+            capacityController.scalePools()
             costReport.update(context.now, cluster.machines.values)
         }
     }
 
     private companion object {
-        val PERIOD = 1.seconds
+        val DECISION_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleInPreparation.kt
@@ -13,9 +13,10 @@
 import wardmux.scheduling.TaskEvictor
 
 /**
- * Prepares the scale in of ordinary machines: surplus machines are cordoned, and returned once they
- * are empty. Tasks of arrays end by themselves. Replicas of services do not: they are evicted, each
- * only if another machine has room and the image, so that the restart is fast.
+ * Prepares the scale-in of ordinary machines: cordons surplus machines, which [ScaleIn] returns
+ * once they are empty. Tasks of array jobs end by themselves. Replicas of services do not, so they
+ * are evicted, each only if another machine has room for it and its image, so that it restarts
+ * fast.
  */
 class ScaleInPreparation(
     private val context: CoreContext,
@@ -25,25 +26,32 @@
 ) {
     private val log = logger<ScaleInPreparation>()
 
-    /** Cordons machines for [surplus], or uncordons them if it is negative. */
-    fun adjust(pool: MachinePool, own: List<Machine>, surplus: Double) {
-        if (surplus < 0) uncordon(pool, own, -surplus) else cordon(pool, own, surplus)
+    /**
+     * Cordons machines of [poolMachines] whose capacity is within [surplus], or uncordons machines
+     * to cover a negative [surplus]. The unit is a machine of the pool's base type.
+     */
+    fun adjustCordons(pool: MachinePool, poolMachines: List<Machine>, surplus: Double) {
+        if (surplus < 0) uncordon(pool, poolMachines, -surplus)
+        else cordon(pool, poolMachines, surplus)
     }
 
-    private fun uncordon(pool: MachinePool, own: List<Machine>, missing: Double) {
+    private fun uncordon(pool: MachinePool, poolMachines: List<Machine>, missing: Double) {
         var left = missing
-        for (machine in own.filter { it.isScalingIn }.sortedByDescending { it.load }) {
+        for (machine in poolMachines.filter { it.isScalingIn }.sortedByDescending { it.load }) {
             if (left <= 0) return
             machine.isScalingIn = false
             left -= pool.weightOf(machine.type)
             cluster.markChanged()
-            log.info("uncordoned {}: its capacity is needed", machine.id)
+            log.info(
+                "uncordoned machine {}, which was scaling in: its capacity is needed",
+                machine.id,
+            )
         }
     }
 
-    private fun cordon(pool: MachinePool, own: List<Machine>, surplus: Double) {
+    private fun cordon(pool: MachinePool, poolMachines: List<Machine>, surplus: Double) {
         var left = surplus
-        val candidates = own.filter { !it.spot && eligibility.isSchedulable(it) }
+        val candidates = poolMachines.filter { !it.spot && eligibility.isSchedulable(it) }
         val order =
             compareByDescending<Machine> { pool.relativeCost(it.type, it.spot) }.thenBy { it.load }
         for (machine in candidates.filter { !it.isEmpty }.sortedWith(order)) {
@@ -51,27 +59,36 @@
             if (left < weight) continue
             machine.isScalingIn = true
             left -= weight
-            log.info("scaling in {}: cordoned with {} tasks", machine.id, machine.placements.size)
+            log.info(
+                "cordoned machine {} to scale in: it still holds {} tasks",
+                machine.id,
+                machine.placements.size,
+            )
         }
     }
 
-    /** Evicts replicas from cordoned machines, a few at a time. */
-    fun moveReplicas() {
+    /**
+     * Evicts replicas of services from cordoned machines, while fewer than [MAX_STOPPING_REPLICAS]
+     * tasks of the cluster are stopping. Waits while there are operators' drains.
+     */
+    fun evictReplicas() {
         val cordoned = cluster.machines.values.filter { it.isScalingIn && !it.isDecommissioned }
-        // Operators' drains evict within disruption budgets, which this must not use up.
+        // Operators' drains evict within disruption budgets. Evictions for scale-in would use up
+        // these budgets.
         if (cordoned.isEmpty() || cluster.hasDrains) return
         val stopping =
             cluster.machines.values.sumOf { m -> m.placements.values.count { it.isStopping } }
-        var left = MAX_STOPPING - stopping
+        var left = MAX_STOPPING_REPLICAS - stopping
         val targets = cluster.machines.values.filter { eligibility.isSchedulable(it) }
-        val reserved = HashMap<Machine, Double>()
+        val reservedCpus = HashMap<Machine, Double>()
         for (machine in cordoned.sortedBy { it.placements.size }) {
             for (replica in machine.placements.values) {
                 if (left <= 0) return
                 if (!isEvictable(replica)) continue
-                val target = targets.firstOrNull { fits(it, replica, reserved) } ?: continue
-                reserved.merge(target, replica.job.spec.cpus, Double::plus)
-                evictor.evict(replica, "its machine is emptied")
+                val target =
+                    targets.firstOrNull { hasPlaceFor(it, replica, reservedCpus) } ?: continue
+                reservedCpus.merge(target, replica.job.spec.cpus, Double::plus)
+                evictor.evict(replica, "its machine is being scaled in")
                 left--
             }
         }
@@ -83,19 +100,24 @@
             placement.isCommitted &&
             !placement.isStopping &&
             !placement.job.hasEnded &&
-            // One replica of a service at a time.
+            // Only one replica of a service is stopped at a time.
             placement.job.placements.values.none { it.isStopping } &&
             placement.job.waiting == 0
 
-    private fun fits(
+    /**
+     * True if [machine] may run [replica], has its image and has room for it. The CPUs in
+     * [reservedCpus] do not count as free: they are for replicas that were evicted in the same
+     * call.
+     */
+    private fun hasPlaceFor(
         machine: Machine,
         replica: Placement,
-        reserved: Map<Machine, Double>,
+        reservedCpus: Map<Machine, Double>,
     ): Boolean {
         val spec = replica.job.spec
         if (!eligibility.satisfiesConstraints(spec, machine) || !machine.fits(spec)) return false
         if (
-            machine.freeCpus - (reserved[machine] ?: 0.0) <
+            machine.freeCpus - (reservedCpus[machine] ?: 0.0) <
                 spec.cpus - MachineType.RESOURCE_TOLERANCE
         )
             return false
@@ -106,7 +128,7 @@
     }
 
     private companion object {
-        /** The number of replicas that may be stopping at once. */
-        const val MAX_STOPPING = 16
+        /** Evictions for scale-in are sent only while fewer tasks than this are stopping. */
+        const val MAX_STOPPING_REPLICAS = 16
     }
 }
--- a/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatTimeouts.kt
@@ -11,7 +11,7 @@
  */
 class HeartbeatTimeouts(workers: WorkerTiming, operators: OperatorSettings) {
     /** A machine that is silent for longer than this is decommissioned. */
-    val lost: Micros = (workers.heartbeatPeriodS * operators.lostHeartbeats).seconds
+    val lost: Micros = (workers.heartbeatPeriodS * operators.lostAfterHeartbeats).seconds
 
     /** A machine that is silent for longer than this is probed. */
     val overdue: Micros = (workers.heartbeatPeriodS * OVERDUE_HEARTBEATS).seconds
@@ -24,7 +24,7 @@
      * If most machines are silent for longer than this, they may be sending their heartbeats to
      * other controllers.
      */
-    val quiet: Micros = (workers.heartbeatPeriodS * operators.quietHeartbeats).seconds
+    val quiet: Micros = (workers.heartbeatPeriodS * operators.unresponsiveAfterHeartbeats).seconds
 
     /**
      * A heartbeat lists every task whose start was sent at least this long before and was carried
