--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -325,21 +325,21 @@
     @Test
     fun `a decommissioned machine is recorded as production records it`() {
         val harness = ControllerHarness()
-        harness.accept(plainJob(1, "job-000001"))
-        harness.accept(plainJob(1, "job-000002"))
+        harness.writeAcceptedJob(plainJob(1, "job-000001"))
+        harness.writeAcceptedJob(plainJob(1, "job-000002"))
         harness.run(2.seconds)
         val machine = ManualWorker(harness, "i-000001")
-        val token = machine.token()
+        val token = machine.fetchLeaderToken()
         val failed = { job: Int ->
             """{"piece":"job-00000$job/0","try":1,"status":"ended","cause":"error"}"""
         }
         harness.run(1.seconds)
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
-        machine.handleHeartbeat(token, "${failed(1)},${failed(2)}")
+        machine.heartbeatResponse(token, "${failed(1)},${failed(2)}")
         harness.run(1.seconds)
         val sample = stored.getValue(FormatContents.CONDEMNED_KEY)
-        assertEquals(sample, harness.stored(FormatContents.CONDEMNED_KEY))
+        assertEquals(sample, harness.storedValue(FormatContents.CONDEMNED_KEY))
     }
 
     /**
@@ -348,13 +348,13 @@
     private fun startsWith(decommissioned: JsonElement?): Boolean {
         val harness = ControllerHarness()
         if (decommissioned != null) harness.write(FormatContents.CONDEMNED_KEY, decommissioned)
-        harness.accept(plainJob(1).copy(zone = "a"))
+        harness.writeAcceptedJob(plainJob(1).copy(zone = "a"))
         harness.run(2.seconds)
-        val token = ManualWorker(harness, "i-000002", "b").token()
+        val token = ManualWorker(harness, "i-000002", "b").fetchLeaderToken()
         val machine = ManualWorker(harness, "i-000001", "a")
         val answers =
-            List(4) { machine.report(token).toString().also { harness.run(0.5.seconds) } } +
-                harness.direct
+            List(4) { machine.sendHeartbeat(token).toString().also { harness.run(0.5.seconds) } } +
+                harness.directCommands
         return answers.any { "\"verb\":\"start\"" in it }
     }
 
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -29,7 +29,10 @@
 
     @Test
     fun `an idle follower, which hardly asks the key-value store, stays ready`() {
-        harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
+        harness.writeWithOtherLease(
+            "leader",
+            Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""),
+        )
         harness.run(2.seconds)
         repeat(20) {
             harness.call(
@@ -46,7 +49,7 @@
     @Test
     fun `in an outage for all controllers, all stay ready`() {
         harness.run(2.seconds)
-        harness.refuse = { true }
+        harness.refusesStoreRequest = { true }
         pass(12) { it.toLong() }
         assertEquals(200, ready())
     }
@@ -54,10 +57,10 @@
     @Test
     fun `a controller that alone is refused is not ready until it is served again`() {
         harness.run(2.seconds)
-        harness.refuse = { true }
+        harness.refusesStoreRequest = { true }
         pass(5) { 0 }
         assertEquals(503, ready())
-        harness.refuse = { false }
+        harness.refusesStoreRequest = { false }
         pass(2) { 0 }
         assertEquals(200, ready())
     }
--- a/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
+++ b/src/test/kotlin/wardmux/cloud/ProvisionerTest.kt
@@ -25,11 +25,11 @@
                         state = deployment.state.copy(next = next),
                     )
             )
-        val harness = ControllerHarness(given = settings)
-        harness.accept(plainJob(80).copy(cpus = 16.0))
+        val harness = ControllerHarness(platform = settings)
+        harness.writeAcceptedJob(plainJob(80).copy(cpus = 16.0))
         harness.run(20.seconds)
         val counts =
-            harness.cloud
+            harness.cloudRequests
                 .filter { it.startsWith("/machines {") }
                 .map { Regex("\"count\":(\\d+)").find(it)!!.groupValues[1].toInt() }
         assertTrue(counts.isNotEmpty(), "nothing was asked for")
@@ -55,11 +55,11 @@
             ControllerHarness.SETTINGS.copy(
                 deployment = deployment.copy(teams = teams, cloud = cloud)
             )
-        val harness = ControllerHarness(given = settings)
+        val harness = ControllerHarness(platform = settings)
         harness.write(MachineTypeList.KEY, MachineTypeList.encode(listOf(SMALL, LARGE)))
-        for (job in jobs) harness.accept(job)
+        for (job in jobs) harness.writeAcceptedJob(job)
         harness.run(4.seconds)
-        return harness.cloud
+        return harness.cloudRequests
             .filter { it.startsWith("/machines {") }
             .map { Regex(""""boxkind":"(\w+)".*"loaners":(\w+)""").find(it)!!.destructured }
             .mapTo(HashSet()) { (type, spot) -> if (spot == "true") "$type spot" else type }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -29,7 +29,7 @@
     /** Calls [action] as the leader sends its [number]th write of a drain from now. */
     private fun DrainScenario.atDrainWrite(number: Int, action: () -> Unit) {
         var seen = 0
-        simulation.state.late = { _, transaction ->
+        simulation.store.isDelayed = { _, transaction ->
             val writes =
                 transaction["then"]?.jsonArray.orEmpty().mapNotNull {
                     it.jsonObject["put"]?.jsonPrimitive?.content
@@ -63,8 +63,8 @@
             LeaderFault.FREEZES ->
                 clock.after(100.milliseconds) { simulation.freeze(leader, 15.seconds) }
             LeaderFault.IS_PARTITIONED -> {
-                simulation.network.cut(leader)
-                clock.after(15.seconds) { simulation.network.mend(leader) }
+                simulation.network.isolate(leader)
+                clock.after(15.seconds) { simulation.network.reconnect(leader) }
             }
         }
     }
@@ -84,13 +84,12 @@
     @ValueSource(longs = [1, 2, 3, 4])
     fun `delayed commands of the first leader do not exceed the budget`(seed: Long) {
         val scenario = DrainScenario(seed).begin().start()
-        for (worker in scenario.workers()) scenario.simulation.delayedCommands[worker.id] =
-            4.seconds
+        for (worker in scenario.workers()) scenario.simulation.commandDelays[worker.id] = 4.seconds
         for (write in listOf(3, 6)) {
             scenario.atDrainWrite(write) { scenario.inject(LeaderFault.FREEZES) }
             scenario.simulation.run(scenario.clock.now + 60.seconds)
         }
-        scenario.simulation.delayedCommands.clear()
+        scenario.simulation.commandDelays.clear()
         scenario.runUntilDone()
         scenario.check(noticedAfter = 20.seconds)
     }
@@ -100,7 +99,7 @@
         val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
         val scenario = DrainScenario(seed, DrainSettings(budget = budget))
         scenario.begin(scenario.service(0, 3, cpus = 10.0))
-        val machines = scenario.workers().filter { it.tasksThere > 0 }.map { it.id }.take(2)
+        val machines = scenario.workers().filter { it.activeTasks > 0 }.map { it.id }.take(2)
         for ((number, machine) in machines.withIndex()) {
             scenario.start(
                 DrainRequest("d${number + 1}", DrainSelector(machines = listOf(machine)))
@@ -127,12 +126,12 @@
             scenario
                 .workers()
                 .filter { it.id in machines }
-                .filter { it.tasksThere == 0 }
+                .filter { it.activeTasks == 0 }
                 .map { it.id }
-        scenario.simulation.network.mute.addAll(stopped)
+        scenario.simulation.network.outboundBlocked.addAll(stopped)
         scenario.crashLeader()
         scenario.clock.after(25.seconds) {
-            scenario.simulation.network.mute.removeAll(stopped.toSet())
+            scenario.simulation.network.outboundBlocked.removeAll(stopped.toSet())
         }
         scenario.runUntilBothDone()
     }
@@ -143,22 +142,24 @@
         val (scenario, machines) = sideBySide(seed)
         val network = scenario.simulation.network
         // Direct commands take long, and once the stop is sent nothing else gets through.
-        for (machine in machines) scenario.simulation.delayedCommands[machine] = 8.seconds
+        for (machine in machines) scenario.simulation.commandDelays[machine] = 8.seconds
         scenario.runUntil(200.seconds, "a stop is recorded") {
             listOf("d1", "d2").any { scenario.stored(it)?.step?.moved?.isNotEmpty() == true }
         }
         val leader = checkNotNull(scenario.simulation.leader())
-        for (machine in machines) network.part(leader, machine)
+        for (machine in machines) network.blockPath(leader, machine)
         // The next placements get no answer, so all is read again.
         var swallowed = 0
-        scenario.simulation.state.late = { _, transaction ->
+        scenario.simulation.store.isDelayed = { _, transaction ->
             "\"tags\"" in transaction.toString() && swallowed++ == 0
         }
         scenario.submit(scenario.array(1, 2, 5.0))
-        scenario.clock.after(9.seconds) { for (machine in machines) network.join(leader, machine) }
+        scenario.clock.after(9.seconds) {
+            for (machine in machines) network.unblockPath(leader, machine)
+        }
         scenario.simulation.run(scenario.clock.now + 12.seconds)
         assertTrue(swallowed > 0)
-        scenario.simulation.delayedCommands.clear()
+        scenario.simulation.commandDelays.clear()
         scenario.runUntilBothDone()
     }
 
@@ -188,8 +189,8 @@
         val scenario = DrainScenario(7)
         // Fuller than half, so that nothing fits beside what is there.
         scenario.begin(scenario.service(0, 3, cpus = 10.0))
-        if (sick) scenario.simulation.cloud.bornSick = true
-        else scenario.simulation.cloud.stillborn = 1.0
+        if (sick) scenario.simulation.cloud.newMachinesFailTasks = true
+        else scenario.simulation.cloud.startFailureProbability = 1.0
         val before = scenario.losses.stops.size
         scenario.start()
         scenario.simulation.run(scenario.clock.now + 60.seconds)
@@ -197,9 +198,10 @@
             assertEquals(before, scenario.losses.stops.size, "moved to a machine that is not up")
             assertEquals(StepPhase.PREPARING, scenario.stored()?.step?.phase)
         }
-        scenario.simulation.cloud.bornSick = false
-        scenario.simulation.cloud.stillborn = 0.0
-        for (worker in scenario.workers()) if (worker !in scenario.drained) worker.sick = false
+        scenario.simulation.cloud.newMachinesFailTasks = false
+        scenario.simulation.cloud.startFailureProbability = 0.0
+        for (worker in scenario.workers()) if (worker !in scenario.drained)
+            worker.failsEveryTask = false
         scenario.runUntilDone()
         scenario.check()
     }
@@ -212,7 +214,7 @@
         val scenario = DrainScenario(9).begin().start()
         scenario.runUntilStep(StepPhase.EMPTYING)
         for (worker in scenario.workers().filter { it.zone == zone }) scenario.simulation.cloud
-            .kill(worker)
+            .crash(worker)
         scenario.runUntilDone()
         scenario.check()
     }
@@ -222,21 +224,21 @@
         val scenario = DrainScenario(10)
         // Once one of two replicas is moved, its machine has no room for what is lost elsewhere.
         scenario.begin(scenario.service(0, 2, cpus = 7.0), scenario.service(0, 1, cpus = 14.0))
-        val first = scenario.workers().first { it.tasksThere == 2 }
-        val second = scenario.workers().first { it.tasksThere == 1 }
+        val first = scenario.workers().first { it.activeTasks == 2 }
+        val second = scenario.workers().first { it.activeTasks == 1 }
         scenario.start(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
         scenario.runUntil(60.seconds, "a stop") { scenario.losses.stops.isNotEmpty() }
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
         scenario.simulation.run(scenario.clock.now + 20.seconds)
-        assertTrue(first.tasksThere > 0, "nothing is left to be moved")
+        assertTrue(first.activeTasks > 0, "nothing is left to be moved")
         // What was there finds no machine for a while.
-        scenario.simulation.cloud.stillborn = 1.0
-        scenario.simulation.cloud.kill(second)
+        scenario.simulation.cloud.startFailureProbability = 1.0
+        scenario.simulation.cloud.crash(second)
         scenario.simulation.run(scenario.clock.now + 20.seconds)
         assertEquals(200, scenario.control(DrainPaths.RESUME))
         scenario.runUntil(30.seconds, "it pauses") { scenario.stored()?.reason == PauseReason.LOSS }
         assertTrue("workers are disrupted" in scenario.stored()?.note.orEmpty())
-        scenario.simulation.cloud.stillborn = 0.0
+        scenario.simulation.cloud.startFailureProbability = 0.0
         scenario.runUntilDone()
         scenario.checkBudgets()
     }
@@ -253,7 +255,7 @@
         scenario.runUntilStep(StepPhase.EMPTYING)
         for (worker in scenario.workers().filter { it.spot }.drop(1)) {
             worker.recallS = 10.0
-            scenario.clock.after(10.seconds) { scenario.simulation.cloud.takeBack(worker) }
+            scenario.clock.after(10.seconds) { scenario.simulation.cloud.reclaimSpot(worker) }
         }
         scenario.runUntilDone()
         scenario.check()
@@ -263,10 +265,10 @@
     fun `an outage of the key-value store for longer than a lease`() {
         val scenario = DrainScenario(13).begin().start()
         scenario.runUntilStep(StepPhase.EMPTYING)
-        scenario.simulation.state.outage(null)
+        scenario.simulation.store.startOutage(null)
         scenario.simulation.run(scenario.clock.now + 40.seconds)
         assertEquals(503, scenario.askOnce("GET", "${DrainPaths.DRAINS}/d1")?.first, "at once")
-        scenario.simulation.state.back(null)
+        scenario.simulation.store.endOutage(null)
         scenario.runUntilDone()
         scenario.check()
     }
@@ -278,8 +280,8 @@
         scenario.runUntilStep(StepPhase.EMPTYING)
         val names = scenario.stored()?.step?.machines.orEmpty()
         val hung = scenario.workers().filter { it.id in names }
-        for (worker in hung) worker.hanging = true
-        scenario.clock.after(inSeconds.seconds) { for (worker in hung) worker.hanging = false }
+        for (worker in hung) worker.unresponsive = true
+        scenario.clock.after(inSeconds.seconds) { for (worker in hung) worker.unresponsive = false }
         scenario.runUntilDone()
         scenario.check(noticedAfter = 20.seconds)
     }
@@ -289,9 +291,8 @@
         val scenario = DrainScenario(17).begin().start()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val names = scenario.stored()?.step?.machines.orEmpty()
-        for (worker in scenario.workers().filter { it.id in names }) scenario.simulation.cloud.kill(
-            worker
-        )
+        for (worker in scenario.workers().filter { it.id in names }) scenario.simulation.cloud
+            .crash(worker)
         scenario.runUntilDone()
         scenario.check()
     }
@@ -314,7 +315,7 @@
         scenario.start()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val lower = DrainSettings(budget = budget.copy(maxDisrupted = 1))
-        scenario.simulation.operatorsOf = { scenario.operators.copy(drain = lower) }
+        scenario.simulation.operatorSettingsOf = { scenario.operators.copy(drain = lower) }
         val until = scenario.clock.now + 5.seconds
         scenario.crashAll()
         scenario.simulation.run(until)
@@ -339,11 +340,11 @@
         scenario.simulation.run(scenario.clock.now + 60.seconds)
         assertEquals(emptyList(), scenario.losses.stops.map { it.team })
         val raised = DrainSettings(budget = none.copy(maxDisrupted = 1))
-        scenario.simulation.operatorsOf = { scenario.operators.copy(drain = raised) }
+        scenario.simulation.operatorSettingsOf = { scenario.operators.copy(drain = raised) }
         scenario.crashAll()
         scenario.runUntilDone()
         assertEquals(emptyList(), scenario.losses.beyond({ 1 }, 9.seconds))
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
     }
 
     @Test
@@ -368,12 +369,12 @@
         val scenario = DrainScenario(29).begin().start()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val before = scenario.stored()
-        scenario.simulation.operatorsOf = { OperatorSettings() }
+        scenario.simulation.operatorSettingsOf = { OperatorSettings() }
         scenario.crashAll()
         scenario.simulation.run(scenario.clock.now + 60.seconds)
         assertEquals(before, scenario.stored())
         assertEquals(404, scenario.askOnce("GET", "${DrainPaths.DRAINS}/d1")?.first)
-        scenario.simulation.operatorsOf = { scenario.operators }
+        scenario.simulation.operatorSettingsOf = { scenario.operators }
         scenario.crashAll()
         scenario.runUntilDone()
         scenario.check()
@@ -382,7 +383,7 @@
     @Test
     fun `drains beside controllers of a version that has none`() {
         val scenario = DrainScenario(31)
-        scenario.simulation.operatorsOf = {
+        scenario.simulation.operatorSettingsOf = {
             if (it == "n1") OperatorSettings() else scenario.operators
         }
         for (node in scenario.simulation.nodes) scenario.simulation.crash(node, 1.seconds)
@@ -405,7 +406,7 @@
     fun `each write of a drain is conditional on the leader's key and the drain's own`() {
         val scenario = DrainScenario(30).begin()
         var writes = 0
-        scenario.simulation.state.late = { _, transaction ->
+        scenario.simulation.store.isDelayed = { _, transaction ->
             val keys =
                 transaction["then"]?.jsonArray.orEmpty().mapNotNull {
                     (it.jsonObject["put"] ?: it.jsonObject["remove"])?.jsonPrimitive?.content
@@ -429,9 +430,9 @@
     @ValueSource(longs = [1, 2, 3])
     fun `writes without an answer that are carried out late`(seed: Long) {
         val scenario = DrainScenario(seed).begin().start()
-        scenario.simulation.state.lateWrites = 0.3
+        scenario.simulation.store.delayProbability = 0.3
         scenario.simulation.run(scenario.clock.now + 90.seconds)
-        scenario.simulation.state.lateWrites = 0.0
+        scenario.simulation.store.delayProbability = 0.0
         scenario.runUntilDone()
         scenario.check(noticedAfter = 20.seconds)
     }
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -55,7 +55,7 @@
     fun `machines of a cancelled drain take tasks again`() {
         val scenario = DrainScenario(7, capacity = 1)
         scenario.begin(scenario.service(0, 2, cpus = 4.0), scenario.service(1, 2, cpus = 4.0))
-        val busy = scenario.workers().first { it.tasksThere > 1 }.id
+        val busy = scenario.workers().first { it.activeTasks > 1 }.id
         scenario.start(DrainRequest("d1", DrainSelector(machines = listOf(busy))))
         scenario.runUntilStep(StepPhase.EMPTYING)
         val machines = scenario.stored()?.step?.machines.orEmpty()
@@ -140,13 +140,13 @@
 
         val scenario = DrainScenario(11).begin()
         val unknown = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
-        scenario.simulation.state.write(DrainRecord.key("d1"), unknown)
+        scenario.simulation.store.write(DrainRecord.key("d1"), unknown)
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 40.seconds)
         assertEquals(409, scenario.ask("GET", "${DrainPaths.DRAINS}/d1").first)
         assertEquals(409, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
         assertTrue("\"unreadable\":[\"d1\"]" in scenario.ask("GET", DrainPaths.DRAINS).second)
-        assertEquals(unknown, scenario.simulation.state.value(DrainRecord.key("d1")))
+        assertEquals(unknown, scenario.simulation.store.value(DrainRecord.key("d1")))
     }
 
     @Test
@@ -281,8 +281,11 @@
         assertEquals(Source.LEADER, scenario.status(by = other).source)
         scenario.simulation.crash(leader, 10.seconds)
         var refused: Int? = null
-        scenario.simulation.operate("POST", "${DrainPaths.DRAINS}/d1/pause", by = other) { status, _
-            ->
+        scenario.simulation.sendOperatorRequest(
+            "POST",
+            "${DrainPaths.DRAINS}/d1/pause",
+            controller = other,
+        ) { status, _ ->
             refused = status
         }
         val told = scenario.status(by = other)
@@ -307,7 +310,7 @@
     private fun requests(operators: OperatorSettings): List<String> {
         val simulation = ClusterSimulation(1, operators = operators)
         val seen = ArrayList<String>()
-        simulation.state.heard = { path, body -> seen.add("$path $body") }
+        simulation.store.onRequest = { path, body -> seen.add("$path $body") }
         repeat(5) { simulation.submit(simulation.randomJob()) }
         simulation.run(60.seconds)
         return seen
--- a/src/test/kotlin/wardmux/drain/DrainScenario.kt
+++ b/src/test/kotlin/wardmux/drain/DrainScenario.kt
@@ -30,7 +30,7 @@
             reclaimAfterS = 3_600.0,
             heartbeatsPerCore = if (forwarding) 0.0 else 500.0,
         )
-    val simulation = ClusterSimulation(seed, operators = operators, capacity = capacity)
+    val simulation = ClusterSimulation(seed, operators = operators, capacityPerZone = capacity)
     val clock = simulation.clock
     val losses = simulation.invariants.losses
 
@@ -118,7 +118,7 @@
     ): Pair<Int, String>? {
         var answer: Pair<Int, String>? = null
         var over = false
-        simulation.operate(method, path, body, by) { status, text ->
+        simulation.sendOperatorRequest(method, path, body, by) { status, text ->
             answer = status?.let { it to text }
             over = true
         }
@@ -139,7 +139,7 @@
 
     /** The stored record of the drain, whichever controller leads. */
     fun stored(id: String = "d1"): DrainRecord? =
-        simulation.state.value(DrainRecord.key(id))?.let {
+        simulation.store.value(DrainRecord.key(id))?.let {
             operatorJson.decodeFromJsonElement(DrainRecord.serializer(), it)
         }
 
@@ -168,7 +168,7 @@
     fun checkBudgets(noticedAfter: Micros = 9.seconds) {
         val limit = { team: String -> settings.budgetOf(team).maxDisrupted }
         assertEquals(emptyList(), losses.beyond(limit, noticedAfter, duringDrains()))
-        assertEquals(emptyList(), simulation.problems())
+        assertEquals(emptyList(), simulation.violations())
     }
 
     /** From the first start to the end of the last drain, by the leaders' clocks. */
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -45,7 +45,7 @@
         val services = listOf(scenario.service(0, 4), scenario.service(1, 5))
         scenario.begin(*services.toTypedArray(), scenario.array(2, 6, 30.0))
         scenario.start()
-        scenario.simulation.lostPlans = 0.3
+        scenario.simulation.planLossProbability = 0.3
         val clock = scenario.clock
         val faults = FaultInjector(scenario.simulation) { scenario.submit(calmJob(scenario)) }
         val kinds = faults.basicFaults + faults.networkFaults + faults.partitionFaults
@@ -55,7 +55,7 @@
                 clock.after(at.seconds - clock.now) { scenario.submit(calmJob(scenario)) }
         }
         scenario.simulation.run(230.seconds)
-        for (worker in scenario.workers()) worker.sick = false
+        for (worker in scenario.workers()) worker.failsEveryTask = false
         scenario.runUntilDone(1500.seconds)
         // Commands may be 40 s on their way: what was lost meanwhile could not be known.
         scenario.check(noticedAfter = 45.seconds)
--- a/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -140,9 +140,9 @@
 
     private fun direct(worker: FakeWorker, arrival: Input.Request): Pair<Int, String>? =
         when {
-            !worker.alive || worker.hanging -> null
-            arrival.path == "/status" -> 200 to worker.reportBody()
-            else -> worker.direct(arrival.body.decodeToString())
+            !worker.alive || worker.unresponsive -> null
+            arrival.path == "/status" -> 200 to worker.heartbeatBody()
+            else -> worker.executeDirect(arrival.body.decodeToString())
         }
 
     private fun report(id: String, node: String, body: String, answer: (Int, String) -> Unit) {
@@ -218,12 +218,12 @@
 
     /** Machines that run tasks. */
     fun busyMachines(zone: String): List<String> = onLoop {
-        cloud.workers().filter { it.zone == zone && it.tasksThere > 0 }.map { it.id }
+        cloud.workers().filter { it.zone == zone && it.activeTasks > 0 }.map { it.id }
     }
 
     /** Crashes a machine with its tasks. */
     fun crash(machine: String) = onLoop {
-        cloud.workers().filter { it.id == machine }.forEach(cloud::kill)
+        cloud.workers().filter { it.id == machine }.forEach(cloud::crash)
     }
 
     /** How many replicas run. */
@@ -234,8 +234,8 @@
     /** Invariants that the controllers broke, by the records of the fakes. */
     fun problems(limit: Int, noticedAfter: Micros): List<String> = onLoop {
         invariants.broken +
-            state.problems +
-            cloud.problems +
+            state.protocolViolations +
+            cloud.protocolViolations +
             invariants.losses.beyond({ limit }, noticedAfter)
     }
 
--- a/src/test/kotlin/wardmux/fleet/HeartbeatCommandsTest.kt
+++ b/src/test/kotlin/wardmux/fleet/HeartbeatCommandsTest.kt
@@ -19,17 +19,17 @@
 
     @Test
     fun `a stopped attempt is not forgotten while a duplicate of its start may be delivered`() {
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         harness.run(2.seconds)
-        val token = machine.token()
-        machine.handleHeartbeat(token)
+        val token = machine.fetchLeaderToken()
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
         val stopped = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"stopped"}"""
         val secondAttempt = """{"piece":"job-000001/0","try":2,"status":"running"}"""
         val responses =
             List(170) {
                 harness.run(1.seconds)
-                machine.handleHeartbeat(token, "$stopped,$secondAttempt")
+                machine.heartbeatResponse(token, "$stopped,$secondAttempt")
             }
         assertTrue(
             responses.take(150).none { "forget" in it },
--- a/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
+++ b/src/test/kotlin/wardmux/fleet/MachineHealthMonitorTest.kt
@@ -23,11 +23,11 @@
 
     /** The number of requests to the provider to delete [machine]. */
     private fun deletionRequestCount(machine: String) =
-        harness.cloud.count { it.startsWith("/machines/delete") && machine in it }
+        harness.cloudRequests.count { it.startsWith("/machines/delete") && machine in it }
 
     /** The number of direct commands that start [task]. */
     private fun directStartCount(task: String) =
-        harness.direct.count { "\"start\"" in it && task in it }
+        harness.directCommands.count { "\"start\"" in it && task in it }
 
     /**
      * Submits a job with one task, whose direct start to the first machine gets no response.
@@ -35,10 +35,10 @@
      */
     private fun sendUnansweredStart(): Long {
         harness.run(2.seconds)
-        val token = first.token()
-        first.handleHeartbeat(token)
-        harness.directOutcome = Outcome.NoResponse
-        harness.accept(plainJob(1))
+        val token = first.fetchLeaderToken()
+        first.heartbeatResponse(token)
+        harness.directCommandOutcome = Outcome.NoResponse
+        harness.writeAcceptedJob(plainJob(1))
         harness.run(2.seconds)
         assertEquals(1, directStartCount("job-000001/0"), "direct starts of job-000001/0")
         return token
@@ -47,8 +47,8 @@
     /** Sends a heartbeat without tasks from each machine every second for 20 s. */
     private fun sendHeartbeatsOfBoth(token: Long) =
         repeat(20) {
-            first.report(token)
-            second.report(token)
+            first.sendHeartbeat(token)
+            second.sendHeartbeat(token)
             harness.run(1.seconds)
         }
 
@@ -57,11 +57,11 @@
         val token = sendUnansweredStart()
         // The first machine still sends heartbeats, but none of them lists the task.
         repeat(3) {
-            first.handleHeartbeat(token)
-            second.handleHeartbeat(token)
+            first.heartbeatResponse(token)
+            second.heartbeatResponse(token)
             harness.run(1.seconds)
         }
-        harness.accept(plainJob(1, "job-000002"))
+        harness.writeAcceptedJob(plainJob(1, "job-000002"))
         sendHeartbeatsOfBoth(token)
         assertTrue(
             deletionRequestCount("i-000001") > 0,
@@ -80,8 +80,8 @@
         val token = sendUnansweredStart()
         // After a write by another process the leader no longer knows the stored state, so it loads
         // the state again.
-        harness.write("tags", harness.stored("tags")!!)
-        harness.accept(plainJob(1, "job-000002"))
+        harness.write("tags", harness.storedValue("tags")!!)
+        harness.writeAcceptedJob(plainJob(1, "job-000002"))
         sendHeartbeatsOfBoth(token)
         assertTrue(
             deletionRequestCount("i-000001") > 0,
@@ -92,11 +92,11 @@
     @Test
     fun `duplicates of a heartbeat under an older token neither keep nor revive a machine`() {
         harness.run(2.seconds)
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         // The same heartbeat under an older token arrives repeatedly. The leader knows nothing else
         // of the machine, which may have been deleted long ago.
         repeat(40) {
-            first.report(0, at = 7)
+            first.sendHeartbeat(0, heartbeatTick = 7)
             harness.run(1.seconds)
         }
         assertEquals(
@@ -113,11 +113,11 @@
     @Test
     fun `duplicates of a heartbeat do not keep a silent machine from being decommissioned`() {
         harness.run(2.seconds)
-        val token = first.token()
-        first.handleHeartbeat(token)
+        val token = first.fetchLeaderToken()
+        first.heartbeatResponse(token)
         repeat(14) {
             harness.run(1.seconds)
-            first.report(token, at = 1)
+            first.sendHeartbeat(token, heartbeatTick = 1)
         }
         assertTrue(
             deletionRequestCount("i-000001") > 0,
@@ -128,9 +128,9 @@
     @Test
     fun `a silent machine that answers no probe is decommissioned earlier than without a probe`() {
         harness.run(2.seconds)
-        val token = first.token()
+        val token = first.fetchLeaderToken()
         repeat(2) {
-            first.handleHeartbeat(token)
+            first.heartbeatResponse(token)
             harness.run(0.5.seconds)
         }
         // The heartbeat period is 2.5 s. A silent machine is probed after 3.75 s. It is
@@ -156,27 +156,30 @@
         val first = ManualWorker(harness, "i-000001")
         val second = ManualWorker(harness, "i-000002")
         harness.run(2.seconds)
-        val token = first.token()
-        first.handleHeartbeat(token)
-        harness.outage()
+        val token = first.fetchLeaderToken()
+        first.heartbeatResponse(token)
+        harness.startStoreOutage()
         repeat(40) {
             harness.run(1.seconds)
-            first.report(token)
+            first.sendHeartbeat(token)
         }
         first.incarnation = 3
-        first.report(token)
-        second.report(token)
+        first.sendHeartbeat(token)
+        second.sendHeartbeat(token)
         val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
         val heartbeatOfNewIncarnation =
             """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"a","shift":3,""" +
                 """"tick":900,"baton":$token,"pieces":[$runningTask]}"""
-        harness.directOutcome = Outcome.Response(200, heartbeatOfNewIncarnation.encodeToByteArray())
-        harness.outageOver()
-        harness.accept(plainJob(1))
-        val directStarts = { harness.direct.count { "\"start\"" in it && "job-000001/0" in it } }
+        harness.directCommandOutcome =
+            Outcome.Response(200, heartbeatOfNewIncarnation.encodeToByteArray())
+        harness.endStoreOutage()
+        harness.writeAcceptedJob(plainJob(1))
+        val directStarts = {
+            harness.directCommands.count { "\"start\"" in it && "job-000001/0" in it }
+        }
         harness.run(3.seconds)
         assertEquals(0, directStarts(), "direct starts of job-000001/0 while no lease is renewed")
-        first.report(token)
+        first.sendHeartbeat(token)
         harness.run(3.seconds)
         assertEquals(1, directStarts(), "direct starts of job-000001/0 after a renewal")
     }
--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -29,14 +29,14 @@
 
     init {
         harness.run(2.seconds)
-        token = directMachines.first().token()
+        token = directMachines.first().fetchLeaderToken()
     }
 
     private fun send(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         val status =
             harness.call("POST", "/relay", ForwardingCodec.encode(batch), ListenerKind.PEER)?.first
         if (status != 200) return null
-        return ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall))
+        return ForwardingCodec.decodeResponse(harness.responseBodyOf(harness.lastRequestId))
     }
 
     private fun batch(
@@ -61,7 +61,7 @@
         return FullHeartbeat(++number, body.encodeToByteArray())
     }
 
-    private fun directHeartbeats() = directMachines.forEach { it.report(token) }
+    private fun directHeartbeats() = directMachines.forEach { it.sendHeartbeat(token) }
 
     private fun peerHeartbeat() =
         harness.call(
@@ -71,12 +71,13 @@
             ListenerKind.PEER,
         )
 
-    private fun starts(task: String) = harness.direct.count { "\"start\"" in it && task in it }
+    private fun starts(task: String) =
+        harness.directCommands.count { "\"start\"" in it && task in it }
 
     @Test
     fun `a machine with a forwarded heartbeat gets starts, by direct commands only`() {
-        harness.accept(plainJob(1))
-        harness.directOutcome = Outcome.NoResponse
+        harness.writeAcceptedJob(plainJob(1))
+        harness.directCommandOutcome = Outcome.NoResponse
         val undelivered = ArrayList<UndeliveredCommands>()
         undelivered += batch(listOf(full()))!!.undelivered
         repeat(6) {
@@ -90,7 +91,7 @@
 
     @Test
     fun `an ended task is forgotten once it is recorded, although the heartbeat is unchanged`() {
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         batch(listOf(full()))
         harness.run(1.seconds)
         val ended = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"done"}"""
@@ -123,7 +124,7 @@
     private fun runOneTask(): String {
         val idle = machines.map { full(machine = it) }
         batch(idle)
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         harness.run(1.seconds)
         val machine = machines.first { isOn(it) }
         val running = """{"piece":"job-000001/0","try":1,"status":"running"}"""
@@ -131,7 +132,7 @@
         return machine
     }
 
-    private fun isOn(machine: String) = machine in harness.stored("t/job-000001/0").toString()
+    private fun isOn(machine: String) = machine in harness.storedValue("t/job-000001/0").toString()
 
     /** The machines are silent; the forwarder, if it [reports], has answered none. */
     private fun runSilent(until: Micros, boot: String = "b", reports: Boolean) {
@@ -169,17 +170,17 @@
 
     @Test
     fun `a leader that gets heartbeats but reaches no machine lets another lead`() {
-        harness.directOutcome = Outcome.NoResponse
+        harness.directCommandOutcome = Outcome.NoResponse
         batch(machines.map { full(machine = it) })
-        harness.accept(plainJob(6).copy(cpus = 10.0))
+        harness.writeAcceptedJob(plainJob(6).copy(cpus = 10.0))
         repeat(5) {
             peerHeartbeat()
             harness.run(1.seconds)
         }
-        assertTrue(harness.stored("leader") != null, "abdicated for machines that may be dead")
+        assertTrue(harness.storedValue("leader") != null, "abdicated for machines that may be dead")
         batch(machines.map { full(machine = it) })
         harness.run(1.seconds)
-        assertEquals(null, harness.stored("leader"))
+        assertEquals(null, harness.storedValue("leader"))
     }
 
     @Test
@@ -190,7 +191,7 @@
         harness.write("r/n1", JsonPrimitive(ForwardingCodec.pack(batch)))
         harness.run(2.seconds)
         val answer =
-            ForwardingCodec.decodeStoredResponses(harness.stored("a/relays")!!)!!
+            ForwardingCodec.decodeStoredResponses(harness.storedValue("a/relays")!!)!!
                 .byMember
                 .getValue("n1")
         assertEquals(9, answer.number)
@@ -205,8 +206,8 @@
             numbers.add(number)
         }
         harness.run(1.seconds)
-        harness.stateCalls.clear()
-        harness.direct.clear()
+        harness.storeRequests.clear()
+        harness.directCommands.clear()
         repeat(5) {
             val response = batch(unchanged = numbers.flatMap { n -> listOf(n, ++tick) })!!
             assertTrue(response.unknownNumbers.isEmpty() && response.undelivered.isEmpty())
@@ -214,8 +215,8 @@
             peerHeartbeat()
             harness.run(1.seconds)
         }
-        assertEquals(emptyList(), harness.direct)
-        return harness.stateCalls.size
+        assertEquals(emptyList(), harness.directCommands)
+        return harness.storeRequests.size
     }
 
     @Test
@@ -243,7 +244,7 @@
             peerHeartbeat()
             harness.run(0.5.seconds)
         }
-        val deletions = harness.cloud.filter { it.startsWith("/machines/delete") }
+        val deletions = harness.cloudRequests.filter { it.startsWith("/machines/delete") }
         assertContains(deletions.joinToString(), "i-000001")
     }
 }
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -40,8 +40,11 @@
         )
 
     init {
-        harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
-        harness.peer = { path, body ->
+        harness.writeWithOtherLease(
+            "leader",
+            Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""),
+        )
+        harness.peerResponse = { path, body ->
             if (path != ForwardingCodec.PATH) null
             else {
                 val batch = ForwardingCodec.decodeBatch(body)!!
@@ -65,15 +68,15 @@
     @Test
     fun `with a grant it answers under the leader's token and forwards what changed`() {
         leaderHeartbeat()
-        assertContains(machine.handleHeartbeat(0), "\"baton\":$token")
-        machine.handleHeartbeat(token)
+        assertContains(machine.heartbeatResponse(0), "\"baton\":$token")
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
         val inFull = forwardedBodies().size
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
         assertEquals(inFull, forwardedBodies().size, "an unchanged heartbeat was forwarded in full")
         assertTrue(batches.any { it.unchanged.isNotEmpty() && it.unchanged[1] == 3L })
-        machine.handleHeartbeat(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
+        machine.heartbeatResponse(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
         harness.run(1.seconds)
         assertContains(forwardedBodies().last(), "job-000001/0")
     }
@@ -81,12 +84,12 @@
     @Test
     fun `it stops by itself when its grant expires, and redirects to the leader`() {
         leaderHeartbeat()
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         respond = { null }
         harness.run(4.seconds)
-        assertEquals(200, machine.report(token)?.first)
+        assertEquals(200, machine.sendHeartbeat(token)?.first)
         harness.run(2.seconds)
-        val late = machine.report(token)
+        val late = machine.sendHeartbeat(token)
         assertEquals(421, late?.first)
         assertContains(late!!.second, "n1")
     }
@@ -94,10 +97,10 @@
     @Test
     fun `it answers nothing more under a token when a higher one was seen`() {
         leaderHeartbeat()
-        machine.handleHeartbeat(token)
-        ManualWorker(harness, "i-000002").report(token + 1)
+        machine.heartbeatResponse(token)
+        ManualWorker(harness, "i-000002").sendHeartbeat(token + 1)
         respond = { null }
-        assertFalse(machine.report(token)?.first == 200)
+        assertFalse(machine.sendHeartbeat(token)?.first == 200)
     }
 
     @Test
@@ -106,11 +109,11 @@
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)))
         respond = { grant(undelivered = listOf(undelivered)) }
         leaderHeartbeat()
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
         respond = { null }
         leaderHeartbeat(token + 5)
-        val late = machine.report(token)
+        val late = machine.sendHeartbeat(token)
         assertFalse(late?.first == 200, "answered under an old grant")
     }
 
@@ -122,22 +125,22 @@
             UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.stop("job-000001/1", 1, 0.0)))
         leaderHeartbeat()
         val second = ManualWorker(harness, "i-000002")
-        machine.handleHeartbeat(token)
-        second.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
+        second.heartbeatResponse(token)
         respond = { grant(undelivered = listOf(undelivered, other)) }
         harness.run(2.seconds)
         respond = { grant() }
         harness.run(2.seconds)
-        assertContains(machine.handleHeartbeat(token), "job-000001/0")
-        assertFalse("job-000001/1" in second.handleHeartbeat(token))
+        assertContains(machine.heartbeatResponse(token), "job-000001/0")
+        assertFalse("job-000001/1" in second.heartbeatResponse(token))
     }
 
     @Test
     fun `heartbeats of a lost batch are forwarded again, and those of unknown numbers in full`() {
         leaderHeartbeat()
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         respond = { null }
         harness.run(1.seconds)
         batches.clear()
@@ -158,17 +161,17 @@
     @Test
     fun `when the leader can't be reached it forwards through the store and answers on`() {
         leaderHeartbeat()
-        machine.handleHeartbeat(token)
-        harness.peer = { _, _ -> null }
+        machine.heartbeatResponse(token)
+        harness.peerResponse = { _, _ -> null }
         repeat(12) {
             harness.run(1.seconds)
-            val stored = harness.stored("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
+            val stored = harness.storedValue("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
             if (stored != null && stored.number > batches.last().number) {
                 batches.add(stored)
                 val responses = StoredBatchResponses(mapOf("n0" to grant()))
                 harness.write("a/relays", JsonPrimitive(ForwardingCodec.pack(responses)))
             }
-            assertEquals(200, machine.report(token)?.first, "after $it s")
+            assertEquals(200, machine.sendHeartbeat(token)?.first, "after $it s")
         }
         assertTrue(batches.last().unchanged.isNotEmpty(), "unchanged heartbeats are not forwarded")
         // A late response is for an earlier batch: it grants nothing.
@@ -178,7 +181,7 @@
             JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(mapOf("n0" to grant())))),
         )
         harness.run(0.2.seconds)
-        assertFalse(machine.report(token)?.first == 200)
+        assertFalse(machine.sendHeartbeat(token)?.first == 200)
     }
 
     @Test
@@ -193,7 +196,7 @@
             )
         }
         leaderHeartbeat(forwardingEnabled = false)
-        val redirected = machine.report(0)
+        val redirected = machine.sendHeartbeat(0)
         assertEquals(421, redirected?.first)
         assertContains(redirected!!.second, "n1")
     }
--- a/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
@@ -30,27 +30,27 @@
         harness.run(2.seconds)
         for (number in 1..60) submit(number)
         harness.run(2.seconds)
-        harness.hold = true
-        harness.stateCalls.clear()
+        harness.holdStoreResponses = true
+        harness.storeRequests.clear()
         val calls =
             (1..60).map {
                 harness.call("GET", "/submissions/${id(it)}")
-                harness.lastCall
+                harness.lastRequestId
             }
-        harness.release()
-        for (call in calls) assertEquals(200, harness.answerTo(call)?.first)
-        assertTrue(harness.stateCalls.size <= 5, "${harness.stateCalls}")
+        harness.releaseStoreResponses()
+        for (call in calls) assertEquals(200, harness.responseTo(call)?.first)
+        assertTrue(harness.storeRequests.size <= 5, "${harness.storeRequests}")
     }
 
     @Test
     fun `a job that was cancelled meanwhile, or never submitted, is read`() {
         harness.run(2.seconds)
         submit(1)
-        harness.hold = true
+        harness.holdStoreResponses = true
         harness.call("GET", "/submissions/${id(1)}")
         val cancellation = harness.call("POST", "/submissions/${id(1)}/abort")
         assertEquals(null, cancellation)
-        harness.release()
+        harness.releaseStoreResponses()
         val status = harness.call("GET", "/submissions/${id(1)}")
         assertTrue("cancelled" in status?.second.orEmpty(), "$status")
         assertEquals(404, harness.call("GET", "/submissions/${id(2)}")?.first)
@@ -60,10 +60,10 @@
     fun `a call whose job can't be read in time is answered as unavailable`() {
         harness.run(2.seconds)
         submit(1)
-        harness.hold = true
+        harness.holdStoreResponses = true
         repeat(9) { harness.call("GET", "/submissions/${id(1)}") }
-        val last = harness.lastCall
+        val last = harness.lastRequestId
         harness.run(2.seconds)
-        assertEquals(503, harness.answerTo(last)?.first)
+        assertEquals(503, harness.responseTo(last)?.first)
     }
 }
--- a/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
@@ -53,7 +53,7 @@
                 // A process that has never seen the job, so that nothing comes from memory.
                 val harness = ControllerHarness().also { it.run(2.seconds) }
                 harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
-                val before = harness.stored(JobRecord.key(id))
+                val before = harness.storedValue(JobRecord.key(id))
                 val calls =
                     listOf(
                         harness.call("POST", "/submissions", submission(*repeat)),
@@ -65,7 +65,7 @@
                     assertEquals(200, answer?.first, answer?.second)
                     assertContains(answer!!.second, "\"$word\"")
                 }
-                assertEquals(before, harness.stored(JobRecord.key(id)))
+                assertEquals(before, harness.storedValue(JobRecord.key(id)))
             }
         }
     }
@@ -73,7 +73,7 @@
     @Test
     fun `a job that was never submitted can't be cancelled`() {
         assertEquals(404, cancel().first)
-        assertEquals(null, harness.stored(JobRecord.key(id)))
+        assertEquals(null, harness.storedValue(JobRecord.key(id)))
     }
 
     private fun text(value: String) = JsonPrimitive(value)
@@ -107,7 +107,7 @@
         for (changes in infeasible) {
             val (status, text) = submit(*changes)
             assertEquals(422, status, "${changes.toList()}: $text")
-            assertEquals(null, harness.stored(JobRecord.key(id)))
+            assertEquals(null, harness.storedValue(JobRecord.key(id)))
         }
     }
 
@@ -133,7 +133,7 @@
     fun `a submission that lacks a field gets 400 and is not stored`() {
         for (field in GOOD_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
             assertEquals(400, submit(field to null).first, field)
-            assertEquals(null, harness.stored(JobRecord.key(id)), field)
+            assertEquals(null, harness.storedValue(JobRecord.key(id)), field)
         }
         assertEquals(400, submit("pieces" to JsonPrimitive(0)).first)
     }
@@ -145,12 +145,12 @@
     @Test
     fun `a job whose record fits without useless machine types is not refused for its size`() {
         for (announced in listOf(null, lower)) {
-            val harness = ControllerHarness(told = announced).also { it.run(2.seconds) }
-            if (announced != null) harness.lower(announced)
+            val harness = ControllerHarness(announcedLimits = announced).also { it.run(2.seconds) }
+            if (announced != null) harness.lowerStoreLimits(announced)
             val long = text("x".repeat(600))
             val body = submission("boxkinds" to manyKinds, "bundle" to long, "jobclass" to long)
             assertEquals(201, harness.call("POST", "/submissions", body)?.first)
-            val kept = JobRecord.decode(harness.stored(JobRecord.key(id))!!)?.spec
+            val kept = JobRecord.decode(harness.storedValue(JobRecord.key(id))!!)?.spec
             assertEquals(600 to 600, kept?.let { it.image.length to it.jobClass.length })
             assertEquals(listOf("mid"), kept?.types)
             val cancelled = harness.call("POST", "/submissions/${id.value}/abort")
@@ -160,16 +160,16 @@
 
     @Test
     fun `a record too large for a value gets 422 without a write, a known job its state`() {
-        val harness = ControllerHarness(told = lower).also { it.run(2.seconds) }
-        harness.lower(lower)
+        val harness = ControllerHarness(announcedLimits = lower).also { it.run(2.seconds) }
+        harness.lowerStoreLimits(lower)
         val submit = { changes: Array<Pair<String, JsonElement?>> ->
             harness.call("POST", "/submissions", submission(*changes))!!
         }
         val large = arrayOf<Pair<String, JsonElement?>>("bundle" to text("x".repeat(2_000)))
-        val calls = harness.stateCalls.count { it == "POST /multi" }
+        val calls = harness.storeRequests.count { it == "POST /multi" }
         assertEquals(422, submit(large).first)
-        assertEquals(calls, harness.stateCalls.count { it == "POST /multi" })
-        assertEquals(null, harness.stored(JobRecord.key(id)))
+        assertEquals(calls, harness.storeRequests.count { it == "POST /multi" })
+        assertEquals(null, harness.storedValue(JobRecord.key(id)))
         assertEquals(201, submit(emptyArray()).first)
         assertEquals(200, submit(large).first)
     }
--- a/src/test/kotlin/wardmux/leader/FailoverTest.kt
+++ b/src/test/kotlin/wardmux/leader/FailoverTest.kt
@@ -47,7 +47,7 @@
     ): String =
         ManualWorker(harness, machine, zone)
             .also { it.tick = nextTick++ }
-            .handleHeartbeat(token, tasks)
+            .heartbeatResponse(token, tasks)
 
     /** Sends [times] heartbeats, with time after each for direct commands to be sent. */
     private fun handleHeartbeats(times: Int, machine: String, zone: String, token: Long) =
@@ -57,17 +57,17 @@
         }
 
     private fun leaderToken(): Long =
-        ManualWorker(harness, "i-000099").also { it.tick = nextTick++ }.token()
+        ManualWorker(harness, "i-000099").also { it.tick = nextTick++ }.fetchLeaderToken()
 
     @Test
     fun `a job cancelled between two loads of the stored state is stopped`() {
         val job = arrayJob(1)
-        harness.accept(job)
+        harness.writeAcceptedJob(job)
         storePlacement("i-000001", "a")
         // The first load fails when it reads the cancelled jobs. By then it has read the job as
         // accepted.
         var refused = false
-        harness.refuse = { path ->
+        harness.refusesStoreRequest = { path ->
             val first = path.startsWith("/keys?under=c/") && !refused
             refused = refused || first
             first
@@ -89,38 +89,40 @@
     fun `a cancellation that a peer reports while the new leader loads is not lost`() {
         val harness = ControllerHarness(peers = listOf("n1"))
         val gang = plainJob(2).copy(kind = JobKind.GANG)
-        harness.accept(gang)
+        harness.writeAcceptedJob(gang)
         val page =
             """{"c":[1],"w":[1.0],"z":["a"],"m":["i-000001","i-000002"],""" +
                 """"n":[1,0,1,0,1,0,1,0,1,1,1,0]}"""
         harness.write("t/job-000001/0", Json.parseToJsonElement(page))
         // The new leader has read the job as open and waits for the task pages.
-        harness.refuse = { path ->
-            if (path.startsWith("/keys?under=t/")) harness.hold = true
+        harness.refusesStoreRequest = { path ->
+            if (path.startsWith("/keys?under=t/")) harness.holdStoreResponses = true
             false
         }
-        while (!harness.hold) harness.run(0.1.seconds)
-        harness.refuse = { false }
+        while (!harness.holdStoreResponses) harness.run(0.1.seconds)
+        harness.refusesStoreRequest = { false }
         val cancelled = JobRecord(JobState.CANCELLED, 0, gang).toJson()
         harness.write(JobRecord.key(gang.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(gang.jobId), cancelled)
         harness.remove(JobRecord.openKey(gang.jobId))
         var reported = 0
-        harness.peer = { path, _ ->
+        harness.peerResponse = { path, _ ->
             val update = CancellationUpdate("b", 1_000_000_000, 0, listOf(gang.id))
             if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(update).also { reported++ }
             else null
         }
         harness.run(1.2.seconds)
         assertTrue(reported > 0, "expected the controller to send a heartbeat to the peer")
-        harness.release()
+        harness.releaseStoreResponses()
         harness.run(3.seconds)
         val machine = ManualWorker(harness, "i-000001")
-        val token = machine.token()
+        val token = machine.fetchLeaderToken()
         val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
         val answers =
-            List(3) { machine.handleHeartbeat(token, runningTask).also { harness.run(1.seconds) } }
-        assertContains(answers.joinToString() + harness.direct, "\"verb\":\"halt\"")
+            List(3) {
+                machine.heartbeatResponse(token, runningTask).also { harness.run(1.seconds) }
+            }
+        assertContains(answers.joinToString() + harness.directCommands, "\"verb\":\"halt\"")
     }
 
     @Test
@@ -132,38 +134,38 @@
         harness.write(JobRecord.key(job.jobId), cancelled)
         harness.write(JobRecord.cancelledKey(job.jobId), cancelled)
         harness.run(2.seconds)
-        assertFalse(harness.stateCalls.any { it.startsWith("GET /keys/j/") })
+        assertFalse(harness.storeRequests.any { it.startsWith("GET /keys/j/") })
         harness.run(60.seconds)
-        assertEquals(null, harness.stored("t/job-000309/0"))
-        assertEquals(null, harness.stored("c/job-000001"))
+        assertEquals(null, harness.storedValue("t/job-000309/0"))
+        assertEquals(null, harness.storedValue("c/job-000001"))
     }
 
     @Test
     fun `a job bound to one zone stays in it before its machine has sent a heartbeat`() {
-        harness.accept(arrayJob(2, oneZone = true))
+        harness.writeAcceptedJob(arrayJob(2, oneZone = true))
         storePlacement("i-000009", "b")
         harness.run(2.seconds)
         val token = leaderToken()
         handleHeartbeats(6, "i-000001", "a", token)
         assertFalse(
-            harness.direct.any { "job-000001/1" in it },
-            "expected no start in zone a: ${harness.direct}",
+            harness.directCommands.any { "job-000001/1" in it },
+            "expected no start in zone a: ${harness.directCommands}",
         )
         handleHeartbeats(4, "i-000002", "b", token)
         val last = handleHeartbeat("i-000002", "b", token)
-        assertContains(harness.direct.joinToString() + last, "job-000001/1")
+        assertContains(harness.directCommands.joinToString() + last, "job-000001/1")
     }
 
     @Test
     fun `a stored task that its machine does not list is started only as a new attempt`() {
-        harness.accept(arrayJob(1))
+        harness.writeAcceptedJob(arrayJob(1))
         storePlacement("i-000001", "a")
         harness.run(2.seconds)
         val token = leaderToken()
         // Other tasks may have taken its capacity and quota after the record was written.
         val answers =
             List(4) { handleHeartbeat("i-000001", "a", token).also { harness.run(0.5.seconds) } }
-        val sent = answers.joinToString() + harness.direct.joinToString()
+        val sent = answers.joinToString() + harness.directCommands.joinToString()
         assertFalse("""{"verb":"start","piece":"job-000001/0","try":1}""" in sent)
         assertContains(sent, """{"verb":"start","piece":"job-000001/0","try":2}""")
     }
@@ -181,7 +183,7 @@
 
     @Test
     fun `a heartbeat with an older fencing token frees no placement`() {
-        harness.accept(arrayJob(1))
+        harness.writeAcceptedJob(arrayJob(1))
         storePlacement("i-000001", "a")
         harness.run(2.seconds)
         val token = leaderToken()
@@ -189,17 +191,17 @@
         handleHeartbeat("i-000001", "a", token - 1, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
         assertFalse(
-            harness.direct.any { "job-000001/0" in it },
+            harness.directCommands.any { "job-000001/0" in it },
             "expected no start, because the heartbeat may be an old copy",
         )
         handleHeartbeat("i-000001", "a", token, stopped)
         handleHeartbeats(4, "i-000002", "a", token)
-        assertContains(harness.direct.joinToString(), """"job-000001/0","try":2""")
+        assertContains(harness.directCommands.joinToString(), """"job-000001/0","try":2""")
     }
 
     @Test
     fun `a heartbeat that arrives late gets no commands and verifies no absence`() {
-        harness.accept(arrayJob(1))
+        harness.writeAcceptedJob(arrayJob(1))
         storePlacement("i-000001", "a")
         harness.run(2.seconds)
         val token = leaderToken()
--- a/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/ForwarderRenewalTest.kt
@@ -57,8 +57,11 @@
 
     /** Starts a leader in place of the peer and lets it ask this controller to forward. */
     private fun startForwarding() {
-        harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
-        harness.peer = { path, body ->
+        harness.writeWithOtherLease(
+            "leader",
+            Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""),
+        )
+        harness.peerResponse = { path, body ->
             val batch =
                 if (path == ForwardingCodec.PATH) ForwardingCodec.decodeBatch(body) else null
             batch?.let {
@@ -79,19 +82,22 @@
     @Test
     fun `a machine that lists the cancelled task is renewed with its stop and keeps other tasks`() {
         startForwarding()
-        val answer = machine.handleHeartbeat(0, "$runningTask,$uncancelledTask")
+        val answer = machine.heartbeatResponse(0, "$runningTask,$uncancelledTask")
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, stopCommand)
         assertFalse("job-000002" in answer)
         // The stop is repeated until the task is gone, because the response may have been lost.
-        assertContains(machine.handleHeartbeat(token, "$runningTask,$uncancelledTask"), stopCommand)
-        assertFalse("halt" in machine.handleHeartbeat(token, "$endedTask,$uncancelledTask"))
+        assertContains(
+            machine.heartbeatResponse(token, "$runningTask,$uncancelledTask"),
+            stopCommand,
+        )
+        assertFalse("halt" in machine.heartbeatResponse(token, "$endedTask,$uncancelledTask"))
     }
 
     @Test
     fun `a machine not listing the cancelled task is not renewed and the leader learns at once`() {
         startForwarding()
-        assertContains(machine.handleHeartbeat(3, uncancelledTask), "\"baton\":0")
+        assertContains(machine.heartbeatResponse(3, uncancelledTask), "\"baton\":0")
         harness.run(1.seconds)
         assertTrue(
             forwardedHeartbeats().any { "\"baton\":3" in it },
@@ -100,13 +106,13 @@
         // The leader has verified that the task is not on the machine.
         tasksToStop = emptyList()
         harness.run(1.1.seconds)
-        assertContains(machine.handleHeartbeat(token, uncancelledTask), "\"baton\":$token")
+        assertContains(machine.heartbeatResponse(token, uncancelledTask), "\"baton\":$token")
     }
 
     @Test
     fun `a cancelled task that is listed as ended needs no stop, as starting it has no effect`() {
         startForwarding()
-        val answer = machine.handleHeartbeat(token, endedTask)
+        val answer = machine.heartbeatResponse(token, endedTask)
         assertContains(answer, "\"baton\":$token")
         assertFalse("halt" in answer)
     }
@@ -116,7 +122,7 @@
         tasksToStop = emptyList()
         cancelledJobs = listOf("job-000001")
         startForwarding()
-        val answer = machine.handleHeartbeat(0, "$runningTask,$uncancelledTask")
+        val answer = machine.heartbeatResponse(0, "$runningTask,$uncancelledTask")
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, stopCommand)
     }
@@ -125,19 +131,19 @@
     fun `a new cancellation stops a task that an unchanged heartbeat still lists`() {
         tasksToStop = emptyList()
         startForwarding()
-        machine.handleHeartbeat(token, runningTask)
-        assertFalse("halt" in machine.handleHeartbeat(token, runningTask))
+        machine.heartbeatResponse(token, runningTask)
+        assertFalse("halt" in machine.heartbeatResponse(token, runningTask))
         cancelledJobs = listOf("job-000001")
         harness.run(1.1.seconds)
-        assertContains(machine.handleHeartbeat(token, runningTask), stopCommand)
+        assertContains(machine.heartbeatResponse(token, runningTask), stopCommand)
         // The stop is repeated, because the response may have been lost.
-        assertContains(machine.handleHeartbeat(token, runningTask), stopCommand)
+        assertContains(machine.heartbeatResponse(token, runningTask), stopCommand)
     }
 
     @Test
     fun `an undelivered stop of the leader is not sent in addition to the required stop`() {
         startForwarding()
-        machine.handleHeartbeat(token, runningTask)
+        machine.heartbeatResponse(token, runningTask)
         undelivered =
             listOf(
                 UndeliveredCommands(
@@ -147,27 +153,27 @@
                 )
             )
         harness.run(1.1.seconds)
-        val answer = machine.handleHeartbeat(token, runningTask)
+        val answer = machine.heartbeatResponse(token, runningTask)
         assertEquals(1, Regex("\"halt\"").findAll(answer).count(), answer)
     }
 
     @Test
     fun `a machine that is rejected only because of the cancelled task is still answered`() {
         startForwarding()
-        machine.handleHeartbeat(token, uncancelledTask)
+        machine.heartbeatResponse(token, uncancelledTask)
         rejectedMachines = listOf("i-000001")
         harness.run(1.1.seconds)
-        assertEquals(200, machine.report(token, uncancelledTask)?.first)
+        assertEquals(200, machine.sendHeartbeat(token, uncancelledTask)?.first)
         // The leader no longer names the tasks of a decommissioned machine, which is rejected.
         tasksToStop = emptyList()
         harness.run(1.1.seconds)
-        assertEquals(503, machine.report(token, uncancelledTask)?.first)
+        assertEquals(503, machine.sendHeartbeat(token, uncancelledTask)?.first)
     }
 
     @Test
     fun `with a leader of an earlier version the forwarder relies on its own cancellations`() {
         tasksToStop = null
         startForwarding()
-        assertContains(machine.handleHeartbeat(token, uncancelledTask), "\"baton\":$token")
+        assertContains(machine.heartbeatResponse(token, uncancelledTask), "\"baton\":$token")
     }
 }
--- a/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
+++ b/src/test/kotlin/wardmux/lease/LeaderRenewalTest.kt
@@ -54,13 +54,13 @@
         )
         setPeerCancellations()
         harness.run(2.seconds)
-        return otherMachine.token()
+        return otherMachine.fetchLeaderToken()
     }
 
     /** Lets the peer report from now on that it acknowledged the cancellations of [jobs]. */
     private fun setPeerCancellations(vararg jobs: String) {
         val update = CancellationUpdate("b", 1_000_000_000, 0, jobs.toList())
-        harness.peer = { path, _ ->
+        harness.peerResponse = { path, _ ->
             if (path == PeerHeartbeats.PATH) PeerHeartbeatCodec.encode(update) else null
         }
     }
@@ -69,7 +69,9 @@
     private fun sendBatch(token: Long, vararg heartbeats: FullHeartbeat): HeartbeatBatchResponse {
         val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, heartbeats.toList())
         harness.call("POST", ForwardingCodec.PATH, ForwardingCodec.encode(batch), ListenerKind.PEER)
-        return assertNotNull(ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall)))
+        return assertNotNull(
+            ForwardingCodec.decodeResponse(harness.responseBodyOf(harness.lastRequestId))
+        )
     }
 
     /** A heartbeat of the machine i-000001 that lists [tasks], given as JSON. */
@@ -88,7 +90,7 @@
     @Test
     fun `the first response to a machine renews its lease with the stop`() {
         val token = startAfterFailover()
-        val answer = machine.handleHeartbeat(token - 1, runningTask)
+        val answer = machine.heartbeatResponse(token - 1, runningTask)
         assertContains(answer, "\"baton\":$token")
         assertContains(answer, stopCommand)
     }
@@ -96,46 +98,49 @@
     @Test
     fun `the response to a heartbeat that arrives late or twice carries the stop`() {
         val token = startAfterFailover()
-        machine.report(token - 1, runningTask, at = 9)
-        val answer = machine.report(token - 1, runningTask, at = 8)
+        machine.sendHeartbeat(token - 1, runningTask, heartbeatTick = 9)
+        val answer = machine.sendHeartbeat(token - 1, runningTask, heartbeatTick = 8)
         assertContains(assertNotNull(answer).second, stopCommand)
     }
 
     @Test
     fun `a machine that does not list the task is not renewed before its absence is verified`() {
         val token = startAfterFailover()
-        harness.direct.clear()
-        assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
+        harness.directCommands.clear()
+        assertContains(machine.heartbeatResponse(token - 1), "\"baton\":0")
         // A start sent by an earlier leader may still be in flight. The stop makes it ineffective.
         harness.run(0.5.seconds)
-        assertEquals(1, harness.direct.count { stopCommand in it && "\"baton\":$token" in it })
-        assertContains(machine.handleHeartbeat(token), "\"baton\":$token")
+        assertEquals(
+            1,
+            harness.directCommands.count { stopCommand in it && "\"baton\":$token" in it },
+        )
+        assertContains(machine.heartbeatResponse(token), "\"baton\":$token")
     }
 
     @Test
     fun `the stop is sent again with each heartbeat until the absence is verified`() {
         val token = startAfterFailover()
-        harness.directOutcome = Outcome.NoResponse
+        harness.directCommandOutcome = Outcome.NoResponse
         repeat(4) {
-            assertContains(machine.handleHeartbeat(token - 1), "\"baton\":0")
+            assertContains(machine.heartbeatResponse(token - 1), "\"baton\":0")
             harness.run(1.5.seconds)
         }
         assertTrue(
-            harness.direct.count { stopCommand in it } >= 3,
-            "expected at least 3 stops: ${harness.direct}",
+            harness.directCommands.count { stopCommand in it } >= 3,
+            "expected at least 3 stops: ${harness.directCommands}",
         )
     }
 
     @Test
     fun `an unanswered start of a task that is then cancelled lets the lease expire in time`() {
         setPeerCancellations()
-        harness.accept(job)
+        harness.writeAcceptedJob(job)
         harness.run(2.seconds)
-        val token = machine.token()
-        machine.handleHeartbeat(token)
-        harness.directOutcome = Outcome.NoResponse
+        val token = machine.fetchLeaderToken()
+        machine.heartbeatResponse(token)
+        harness.directCommandOutcome = Outcome.NoResponse
         harness.run(1.seconds)
-        assertEquals(1, harness.direct.count { "\"start\"" in it })
+        assertEquals(1, harness.directCommands.count { "\"start\"" in it })
         setPeerCancellations(job.id)
         harness.run(1.1.seconds)
         // The leader stops renewing 36 s after the cancellation, less the lease of 16 s, the
@@ -143,7 +148,7 @@
         val renewed =
             List(20) {
                 harness.run(1.seconds)
-                "\"baton\":$token" in machine.report(token)?.second.orEmpty()
+                "\"baton\":$token" in machine.sendHeartbeat(token)?.second.orEmpty()
             }
         assertTrue(renewed.take(4).all { it }, "expected renewals in the first 4 s, saw $renewed")
         assertFalse(renewed.drop(14).any { it }, "expected no renewals after 14 s, saw $renewed")
@@ -178,12 +183,12 @@
     @Test
     fun `a cancellation reported by a peer counts from when the leader last knew all of them`() {
         setPeerCancellations()
-        harness.accept(job)
+        harness.writeAcceptedJob(job)
         harness.run(2.seconds)
-        val token = machine.token()
-        machine.handleHeartbeat(token)
+        val token = machine.fetchLeaderToken()
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
-        machine.handleHeartbeat(token, runningTask)
+        machine.heartbeatResponse(token, runningTask)
         setPeerCancellations(job.id)
         harness.run(1.1.seconds)
         assertEquals(
--- a/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
+++ b/src/test/kotlin/wardmux/peers/CancellationTrackerTest.kt
@@ -33,7 +33,7 @@
         incarnation: String = "b",
         uptimeS: Long = 1_000,
     ) {
-        harness.peer = { path, _ ->
+        harness.peerResponse = { path, _ ->
             if (path != PeerHeartbeats.PATH) null
             else {
                 peerHeartbeatCount++
@@ -46,10 +46,10 @@
 
     /** Lets this controller lead and start the task of a job, and returns its fencing token. */
     private fun becomeLeader(): Long {
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         harness.run(3.seconds)
-        val token = machine.token()
-        machine.handleHeartbeat(token)
+        val token = machine.fetchLeaderToken()
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
         return token
     }
@@ -61,7 +61,7 @@
     private fun renewedEachSecond(token: Long, seconds: Int): List<Boolean> =
         List(seconds) {
             harness.run(1.seconds)
-            val answer = machine.report(token, runningTask)
+            val answer = machine.sendHeartbeat(token, runningTask)
             answer?.first == 200 && "\"baton\":$token" in answer.second
         }
 
@@ -69,7 +69,7 @@
     fun `a leader that all peers answer renews leases in an outage of any length`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
-        harness.outage()
+        harness.startStoreOutage()
         val renewed = renewedEachSecond(token, 60)
         assertTrue(
             renewed.count { !it } <= 8,
@@ -82,8 +82,8 @@
     fun `a leader that no peer answers stops renewing in time after the last answer`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
-        harness.outage()
-        harness.peer = { _, _ -> null }
+        harness.startStoreOutage()
+        harness.peerResponse = { _, _ -> null }
         // All tasks have to be gone 36 s after a cancellation. Renewals have to stop earlier by a
         // lease of 16 s and a forwarder's grant.
         val renewed = renewedEachSecond(token, 40)
@@ -95,11 +95,11 @@
     fun `a leader whose peer restarted without its acknowledgements stops renewing too`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
-        harness.outage()
+        harness.startStoreOutage()
         setPeerAcknowledgements(incarnation = "c", uptimeS = 0)
         assertFalse(renewedEachSecond(token, 40).drop(15).any { it })
         // The store contains the cancellations that the former process acknowledged.
-        harness.outageOver()
+        harness.endStoreOutage()
         harness.run(3.seconds)
         assertTrue(renewedEachSecond(token, 3).any { it })
     }
@@ -108,11 +108,11 @@
     fun `a cancellation that a peer acknowledged stops the task in an outage of the store`() {
         setPeerAcknowledgements()
         val token = becomeLeader()
-        harness.outage()
+        harness.startStoreOutage()
         harness.run(5.seconds)
         setPeerAcknowledgements("job-000001")
         harness.run(2.seconds)
-        val answers = List(4) { machine.report(token, runningTask)?.second.orEmpty() }
+        val answers = List(4) { machine.sendHeartbeat(token, runningTask)?.second.orEmpty() }
         assertContains(answers.joinToString(), "\"verb\":\"halt\"")
     }
 
@@ -127,7 +127,7 @@
                 PeerHeartbeatCodec.encode(PeerHeartbeat("n1", cancellationCursors = cursors)),
                 ListenerKind.PEER,
             )
-            PeerHeartbeatCodec.decodeUpdate(harness.bytesOf(harness.lastCall))!!
+            PeerHeartbeatCodec.decodeUpdate(harness.responseBodyOf(harness.lastRequestId))!!
         }
         assertEquals(emptyList(), sendHeartbeat(emptyList()).jobs)
         assertEquals(200, harness.call("POST", "/submissions/job-000001/abort")?.first)
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -35,7 +35,7 @@
 
         fun submit(count: Int) =
             repeat(count) {
-                val spec = simulation.plainService("team-${jobs.size % TEAMS}", TASKS)
+                val spec = simulation.unconstrainedService("team-${jobs.size % TEAMS}", TASKS)
                 jobs.add(spec.id)
                 simulation.submit(spec)
             }
@@ -61,15 +61,15 @@
 
         fun cutOff(machine: String) {
             for (node in simulation.nodes) {
-                simulation.network.part(machine, node)
-                simulation.network.part(node, machine)
+                simulation.network.blockPath(machine, node)
+                simulation.network.blockPath(node, machine)
             }
         }
 
         fun join(machine: String, nodes: List<String>) {
             for (node in nodes) {
-                simulation.network.join(machine, node)
-                simulation.network.join(node, machine)
+                simulation.network.unblockPath(machine, node)
+                simulation.network.unblockPath(node, machine)
             }
         }
 
@@ -89,7 +89,7 @@
         /** Nothing was late, no rule broke, and what nobody cancelled runs again. */
         fun end() {
             assertEquals(emptySet(), late, "on a machine after their time")
-            assertEquals(emptyList(), simulation.problems())
+            assertEquals(emptyList(), simulation.violations())
             for (job in invariants.over()) assertEquals(
                 0,
                 invariants.placesOf(job).size,
@@ -121,7 +121,7 @@
                 val session = worker.sessions
                 val forwarder = simulation.nodes.first { it != simulation.leader() }
                 join(machine, listOf(forwarder))
-                worker.turnTo(forwarder)
+                worker.reconnectTo(forwarder)
                 val until = clock.now + LONGEST_MEETING
                 while (!worker.hasToken(simulation.leaderToken()) && clock.now < until) {
                     runFor(1.milliseconds)
@@ -145,13 +145,15 @@
             val churn = LeaderChangeFaults(simulation)
             churn.begin(CHURN)
             for (job in jobs.shuffled(clock.random).take(4)) {
-                clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancel(job) }
+                clock.after(clock.randomBetween(1.seconds, 12.seconds)) { simulation.cancel(job) }
             }
             // Some are called off while their starts are under way.
-            clock.after(clock.between(1.seconds, 6.seconds)) {
+            clock.after(clock.randomBetween(1.seconds, 6.seconds)) {
                 submit(2)
                 val job = jobs.last()
-                clock.after(clock.between(500.milliseconds, 6.seconds)) { simulation.cancel(job) }
+                clock.after(clock.randomBetween(500.milliseconds, 6.seconds)) {
+                    simulation.cancel(job)
+                }
             }
             runFor(CHURN + CALM)
             end()
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -35,31 +35,31 @@
     txnOps: Int = 8,
     private val operators: OperatorSettings = OperatorSettings(),
     /** Some machines are up at the start. */
-    rented: Boolean = true,
+    startWithMachines: Boolean = true,
     gangWaitS: Double = 35.0,
     gangPeerS: Double = 6.0,
     /** The limits that controllers which start from now on are told of beforehand. */
-    var told: AnnouncedStoreLimits? = null,
+    var announcedLimits: AnnouncedStoreLimits? = null,
     /** Machines that the cloud has, in each zone, of spot and of ordinary ones. */
-    capacity: Int = 3,
+    capacityPerZone: Int = 3,
     /** Sockets that each controller may have open. */
     fdLimit: Int = 1_000,
     /** The most CPUs that a team may use. */
-    teamCpus: Double = 40.0,
+    teamCpuLimit: Double = 40.0,
 ) {
     /** The operators' settings of a controller that starts from now on, by its name. */
-    var operatorsOf: (member: String) -> OperatorSettings = { operators }
+    var operatorSettingsOf: (member: String) -> OperatorSettings = { operators }
 
     /** Plans of drains that are never worked out. */
-    var lostPlans = 0.0
+    var planLossProbability = 0.0
 
     /** Of these limits a controller is told that starts from now on, by its name. */
-    var toldTo: (member: String) -> AnnouncedStoreLimits? = { told }
+    var announcedLimitsOf: (member: String) -> AnnouncedStoreLimits? = { announcedLimits }
     val clock = SimulatedClock(seed)
     val network = Network(clock)
     private val zones = listOf("a", "b", "c")
     val nodes = listOf("n0", "n1", "n2")
-    private val teams = List(3) { TeamQuota("team-$it", 16.0, teamCpus) }
+    private val teams = List(3) { TeamQuota("team-$it", 16.0, teamCpuLimit) }
     private val deployment =
         DeploymentConfig(
             nodes = nodes.size,
@@ -71,34 +71,38 @@
             cloud = CloudLimits(rps = 8.0, listLagS = 3.0),
             limits = ProcessLimits(fdLimit = fdLimit),
         )
-    val state = FakeKeyValueStore(clock, deployment.state)
+    val store = FakeKeyValueStore(clock, deployment.state)
     val invariants = Invariants(teams, deployment.workers.cancelS.seconds + Invariants.SLACK)
     val gangs = FakeGangs(clock, invariants, gangWaitS, gangPeerS)
-    val cloud = FakeCloud(clock, zones, capacity, ::worker)
+    val cloud = FakeCloud(clock, zones, capacityPerZone, ::createWorker)
     private val workers = HashMap<String, FakeWorker>()
-    private val running = HashMap<String, Process>()
+    private val processes = HashMap<String, ControllerProcess>()
 
     /** Those who submit jobs and ask about them. */
     val users = SimulatedUsers(clock, network, nodes, teams, invariants, ::call) { workers[it] }
 
     /** By machine: how long direct commands are held up on their way to it. */
-    val delayedCommands = HashMap<String, Micros>()
+    val commandDelays = HashMap<String, Micros>()
 
     /**
      * Told of each command to start when it is decided: by which controller, to which machine if it
      * is a direct one, and the task with its attempt.
      */
-    var onStartSent: ((by: String, machine: String?, task: String, attempt: Int) -> Unit)? = null
+    var onStartDecided:
+        ((controller: String, machine: String?, task: String, attempt: Int) -> Unit)? =
+        null
     private val connections = WorkerConnections(SocketBudget(fdLimit).workers)
     private val effectDigest = EffectDigest.start()
-    private var boots = 0L
-    private var calls = 0L
+    private var startedProcesses = 0L
+    private var lastRequestId = 0L
 
     /** One life of a controller. */
-    private inner class Process(val member: String) {
+    private inner class ControllerProcess(val member: String) {
         /** Decisions to start are held against what users were told when they were made. */
-        private fun noteOrders(effects: List<Effect>) {
-            onStartSent?.let { heard -> for (effect in effects) tellStarts(effect, heard) }
+        private fun recordStartCommands(effects: List<Effect>) {
+            onStartDecided?.let { listener ->
+                for (effect in effects) notifyStartCommands(effect, listener)
+            }
             if (!invariants.knowsCancelled) return
             for (effect in effects) {
                 val body =
@@ -107,13 +111,16 @@
                         effect is Effect.SendRequest && effect.path == "/do" -> effect.body
                         else -> continue
                     }.decodeToString()
-                for (start in startOrder.findAll(body)) {
+                for (start in startCommandJob.findAll(body)) {
                     invariants.ordered(clock.now, start.groupValues[1], start.value)
                 }
             }
         }
 
-        private fun tellStarts(effect: Effect, heard: (String, String?, String, Int) -> Unit) {
+        private fun notifyStartCommands(
+            effect: Effect,
+            listener: (String, String?, String, Int) -> Unit,
+        ) {
             val body =
                 when {
                     effect is Effect.Respond -> effect.body
@@ -121,55 +128,57 @@
                     else -> return
                 }
             val machine = (effect as? Effect.SendRequest)?.let { hostOf(it.target) }
-            for (start in startedTask.findAll(body.decodeToString())) {
+            for (start in startCommandTask.findAll(body.decodeToString())) {
                 val (task, attempt) = start.destructured
-                heard(member, machine, task, attempt.toInt())
+                listener(member, machine, task, attempt.toInt())
             }
         }
 
-        val drift = 1.0 + clock.random.nextDouble(-0.0005, 0.0005)
-        val offset = clock.between(Micros.ZERO, 100.milliseconds)
-        val answers = HashMap<Long, (Int, ByteArray) -> Unit>()
-        val core = Controller(settings(member), operatorsOf(member), "${++boots}")
+        val clockDrift = 1.0 + clock.random.nextDouble(-0.0005, 0.0005)
+        val wallClockOffset = clock.randomBetween(Micros.ZERO, 100.milliseconds)
+        val pendingResponses = HashMap<Long, (Int, ByteArray) -> Unit>()
+        val controller =
+            Controller(settingsOf(member), operatorSettingsOf(member), "${++startedProcesses}")
         var alive = true
 
         /**
          * Stands still while its clocks run on: what comes, and what was about to go out, waits.
          */
         private var frozen = false
-        private val waiting = ArrayList<() -> Unit>()
+        private val deferred = ArrayList<() -> Unit>()
 
-        fun freeze(length: Micros) {
+        fun freeze(duration: Micros) {
             if (frozen) return
             // Once more it decides, and stands still before anything of that goes out.
             val effects = handle(Input.Tick)
             frozen = true
-            clock.after(length) {
+            clock.after(duration) {
                 frozen = false
                 for (effect in effects) perform(effect)
-                val all = waiting.toList()
-                waiting.clear()
-                for (one in all) one()
+                val inputs = deferred.toList()
+                deferred.clear()
+                for (resume in inputs) resume()
             }
         }
 
         private fun handle(input: Input): List<Effect> {
-            val now = Micros((clock.now.value * drift).toLong())
-            val effects = core.handle(now, clock.now + offset, input)
+            val now = Micros((clock.now.value * clockDrift).toLong())
+            val effects = controller.handle(now, clock.now + wallClockOffset, input)
             effectDigest?.record(now, member, effects)
-            noteOrders(effects)
+            recordStartCommands(effects)
             return effects
         }
 
         fun feed(input: Input) {
             if (!alive) return
-            if (frozen) waiting.add { feed(input) }
+            if (frozen) deferred.add { feed(input) }
             else for (effect in handle(input)) perform(effect)
         }
 
         private fun perform(effect: Effect) {
             when (effect) {
-                is Effect.Respond -> answers.remove(effect.id)?.invoke(effect.status, effect.body)
+                is Effect.Respond ->
+                    pendingResponses.remove(effect.id)?.invoke(effect.status, effect.body)
                 is Effect.SendRequest -> send(effect)
                 is Effect.Compute -> compute(effect)
             }
@@ -177,47 +186,53 @@
 
         /** Bounded by nodes and not by time, so that a seed always gives the same scenario. */
         private fun compute(effect: Effect.Compute) {
-            if (lostPlans > 0 && clock.chance(lostPlans)) return
+            if (planLossProbability > 0 && clock.chance(planLossProbability)) return
             val planning = effect.task as DrainPlanning
             val plan = SolverPlanner.plan(planning.problem, 60.seconds, nodes = 2_000)
             clock.after(200.milliseconds) { feed(Input.Computed(effect.id, plan)) }
         }
 
         private fun send(effect: Effect.SendRequest) {
-            var over = false
+            var completed = false
             clock.after(effect.timeout) {
-                if (!over) feed(Input.Response(effect.id, Outcome.NoResponse))
-                over = true
+                if (!completed) feed(Input.Response(effect.id, Outcome.NoResponse))
+                completed = true
             }
             // As bytes: what controllers tell each other is no text.
-            val back = { status: Int, body: ByteArray ->
-                val answer = {
-                    if (!over) {
-                        over = true
+            val respond = { status: Int, body: ByteArray ->
+                val complete = {
+                    if (!completed) {
+                        completed = true
                         feed(Input.Response(effect.id, Outcome.Response(status, body)))
                     }
                 }
-                network.send(hostOf(effect.target), member, answer)
+                network.send(hostOf(effect.target), member, complete)
             }
             network.send(member, hostOf(effect.target)) {
-                arrive(effect, back)
+                deliver(effect, respond)
                 // A repeat of what was carried out.
-                network.copy { arrive(effect) { _, _ -> } }
+                network.maybeDuplicate { deliver(effect) { _, _ -> } }
             }
         }
 
-        private fun arrive(effect: Effect.SendRequest, answer: (Int, ByteArray) -> Unit) {
+        private fun deliver(effect: Effect.SendRequest, answer: (Int, ByteArray) -> Unit) {
             val body = effect.body.decodeToString()
-            val back = { status: Int, text: String -> answer(status, text.encodeToByteArray()) }
+            val respondText = { status: Int, text: String ->
+                answer(status, text.encodeToByteArray())
+            }
             when (val target = effect.target) {
                 is Target.KeyValueStore ->
-                    state.handle(member, effect.method, effect.path, body, back)
-                is Target.Cloud -> cloud.handle(effect.method, effect.path, body, back)
+                    store.handle(member, effect.method, effect.path, body, respondText)
+                is Target.Cloud -> cloud.handle(effect.method, effect.path, body, respondText)
                 is Target.Worker -> {
                     val host = hostOf(target)
-                    val late = delayedCommands[host]?.takeIf { effect.path != "/status" }
-                    if (late == null) deliver(workers[host], effect.path, body, back)
-                    else clock.after(late) { deliver(workers[host], effect.path, body, back) }
+                    val commandDelay = commandDelays[host]?.takeIf { effect.path != "/status" }
+                    if (commandDelay == null)
+                        deliverToWorker(workers[host], effect.path, body, respondText)
+                    else
+                        clock.after(commandDelay) {
+                            deliverToWorker(workers[host], effect.path, body, respondText)
+                        }
                 }
                 is Target.Peer ->
                     call(
@@ -233,17 +248,21 @@
     }
 
     /** A hanging machine executes what has arrived when it goes on. */
-    private fun deliver(
+    private fun deliverToWorker(
         worker: FakeWorker?,
         path: String,
         body: String,
-        back: (Int, String) -> Unit,
+        respond: (Int, String) -> Unit,
     ) {
         if (worker == null || !worker.alive) return
         when {
-            worker.hanging -> clock.after(500.milliseconds) { deliver(worker, path, body, back) }
-            path == "/status" -> back(200, worker.reportBody())
-            else -> worker.direct(body)?.let { (status, report) -> back(status, report) }
+            worker.unresponsive ->
+                clock.after(500.milliseconds) { deliverToWorker(worker, path, body, respond) }
+            path == "/status" -> respond(200, worker.heartbeatBody())
+            else ->
+                worker.executeDirect(body)?.let { (status, heartbeat) ->
+                    respond(status, heartbeat)
+                }
         }
     }
 
@@ -255,7 +274,7 @@
             is Target.Worker -> target.address.substringBefore(':')
         }
 
-    private fun settings(member: String) =
+    private fun settingsOf(member: String) =
         PlatformConfig(
             member = member,
             site = "a",
@@ -263,7 +282,8 @@
             peerAddress = "10.0.0.1:81",
             peers = (nodes - member).map { PeerConfig(it, address = "10.0.0.1:81") },
             services = ServiceAddresses("10.0.0.1:82", "10.0.0.1:83"),
-            deployment = deployment.copy(state = deployment.state.copy(next = toldTo(member))),
+            deployment =
+                deployment.copy(state = deployment.state.copy(next = announcedLimitsOf(member))),
         )
 
     private fun call(
@@ -274,37 +294,37 @@
         body: ByteArray,
         answer: (Int, ByteArray) -> Unit,
     ) {
-        val process = running[member]?.takeIf { it.alive } ?: return
-        val id = ++calls
-        process.answers[id] = answer
+        val process = processes[member]?.takeIf { it.alive } ?: return
+        val id = ++lastRequestId
+        process.pendingResponses[id] = answer
         process.feed(Input.Request(id, port, method, path, body))
     }
 
-    private fun handleHeartbeat(
+    private fun sendHeartbeat(
         id: String,
         node: String,
         body: String,
         answer: (Int, String) -> Unit,
     ) {
-        val again = {
+        val resend = {
             call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray()) { _, _ -> }
         }
-        network.copy(again)
-        if (id in network.mute) return
-        network.reportAgain(again)
+        network.maybeDuplicate(resend)
+        if (id in network.outboundBlocked) return
+        network.maybeDuplicateHeartbeat(resend)
         network.send(id, node) {
-            val back = { status: Int, text: ByteArray ->
-                network.send(node, id) { answer(status, text.decodeToString()) }
+            val respond = { status: Int, bytes: ByteArray ->
+                network.send(node, id) { answer(status, bytes.decodeToString()) }
             }
-            if (connections.admits(id, node))
-                call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray(), back)
-            else back(HttpStatus.SERVICE_UNAVAILABLE, ByteArray(0))
+            if (connections.tryConnect(id, node))
+                call(node, ListenerKind.API, "POST", "/hello", body.encodeToByteArray(), respond)
+            else respond(HttpStatus.SERVICE_UNAVAILABLE, ByteArray(0))
         }
     }
 
-    private fun worker(id: String, type: String, zone: String, spot: Boolean): FakeWorker {
+    private fun createWorker(id: String, type: String, zone: String, spot: Boolean): FakeWorker {
         val send: SimulatedHeartbeat = { node, body, answer ->
-            handleHeartbeat(id, node, body, answer)
+            sendHeartbeat(id, node, body, answer)
         }
         val worker =
             FakeWorker(
@@ -325,47 +345,55 @@
     }
 
     init {
-        invariants.whenAllDone = users::jobEnded
-        for (node in nodes) boot(node)
-        if (rented) for (zone in zones) cloud.rent(zone, spot = false)
+        invariants.whenAllDone = users::onJobEnded
+        for (node in nodes) startController(node)
+        if (startWithMachines) for (zone in zones) cloud.rent(zone, spot = false)
     }
 
-    private fun boot(member: String) {
-        val process = Process(member)
-        running[member] = process
-        tick(process)
+    private fun startController(member: String) {
+        val process = ControllerProcess(member)
+        processes[member] = process
+        scheduleTicks(process)
     }
 
-    private fun tick(process: Process) {
+    private fun scheduleTicks(process: ControllerProcess) {
         if (!process.alive) return
         process.feed(Input.Tick)
-        clock.after(100.milliseconds) { tick(process) }
+        clock.after(100.milliseconds) { scheduleTicks(process) }
     }
 
-    fun freeze(member: String, length: Micros) {
-        running[member]?.takeIf { it.alive }?.freeze(length)
+    fun freeze(member: String, duration: Micros) {
+        processes[member]?.takeIf { it.alive }?.freeze(duration)
     }
 
-    fun crash(member: String, back: Micros) {
-        val process = running[member] ?: return
+    fun crash(member: String, downtime: Micros) {
+        val process = processes[member] ?: return
         process.alive = false
         connections.closeAll(member)
-        clock.after(back) { if (running[member] === process) boot(member) }
+        clock.after(downtime) { if (processes[member] === process) startController(member) }
     }
 
-    fun leader(): String? = state.value("leader")?.jsonObject?.get("member")?.jsonPrimitive?.content
+    fun leader(): String? = store.value("leader")?.jsonObject?.get("member")?.jsonPrimitive?.content
 
     /** The token of the leader: the revision of the write that took the key. */
-    fun leaderToken(): Long? = state.version("leader")
+    fun leaderToken(): Long? = store.version("leader")
 
     /** An operator asks the controller [by], or any; null if it never answers. */
-    fun operate(
+    fun sendOperatorRequest(
         method: String,
         path: String,
         body: String = "",
-        by: String? = null,
-        then: (status: Int?, text: String) -> Unit,
-    ) = users.ask(ListenerKind.OPERATOR, method, path, body.encodeToByteArray(), by, then)
+        controller: String? = null,
+        onResponse: (status: Int?, text: String) -> Unit,
+    ) =
+        users.request(
+            ListenerKind.OPERATOR,
+            method,
+            path,
+            body.encodeToByteArray(),
+            controller,
+            onResponse,
+        )
 
     /** See [SimulatedUsers.submit]. */
     fun submit(spec: JobSpec) = users.submit(spec)
@@ -374,33 +402,35 @@
     fun poll(job: String) = users.poll(job)
 
     /** See [SimulatedUsers.cancel]. */
-    fun cancel(job: String, by: String? = null) = users.cancel(job, by)
+    fun cancel(job: String, controller: String? = null) = users.cancel(job, controller)
 
     /** See [SimulatedUsers.randomJob]. */
     fun randomJob(): JobSpec = users.randomJob()
 
     /** A service whose replicas run until it is cancelled, on any machine in any zone. */
-    fun plainService(team: String, tasks: Int): JobSpec =
+    fun unconstrainedService(team: String, tasks: Int): JobSpec =
         unconstrainedJob(JobKind.SERVICE, team, tasks, cpus = 2.0, estimateS = 0.0)
 
     fun run(until: Micros) = clock.run(until) { invariants.check(clock.now) }
 
     /** From now, which is calm, no job may wait beside a machine that has room for it. */
-    fun watchWaiting() = watchWaitingAgain()
+    fun startWorkConservationChecks() = repeatWorkConservationCheck()
 
-    private fun watchWaitingAgain() {
-        val healthy = cloud.workers().filter { !it.hanging && !it.sick && it.recallS == null }
+    private fun repeatWorkConservationCheck() {
+        val healthy =
+            cloud.workers().filter { !it.unresponsive && !it.failsEveryTask && it.recallS == null }
         invariants.rooms(clock.now, healthy.map { it.view() }, cloud.workers().map { it.view() })
-        clock.after(1.seconds) { watchWaitingAgain() }
+        clock.after(1.seconds) { repeatWorkConservationCheck() }
     }
 
     /** The checks at the end of a scenario whose troubles were over at [calm]. */
-    fun checkAtEnd(calm: Micros) = invariants.checkAtEnd(clock.now, calm)
+    fun checkAtEnd(faultsEndedAt: Micros) = invariants.checkAtEnd(clock.now, faultsEndedAt)
 
-    fun problems(): List<String> = invariants.broken + state.problems + cloud.problems
+    fun violations(): List<String> =
+        invariants.broken + store.protocolViolations + cloud.protocolViolations
 
     private companion object {
-        val startedTask = Regex("""\{"verb":"start","piece":"(job-\d+/\d+)","try":(\d+)""")
-        val startOrder = Regex("""\{"verb":"start","piece":"(job-\d+)/\d+"[^}]*}""")
+        val startCommandTask = Regex("""\{"verb":"start","piece":"(job-\d+/\d+)","try":(\d+)""")
+        val startCommandJob = Regex("""\{"verb":"start","piece":"(job-\d+)/\d+"[^}]*}""")
     }
 }
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -37,86 +37,87 @@
 class ControllerHarness(
     peers: List<String> = emptyList(),
     operators: OperatorSettings = OperatorSettings(),
-    given: PlatformConfig = SETTINGS,
+    platform: PlatformConfig = SETTINGS,
     /** The limits of the key-value store that are to come. */
-    told: AnnouncedStoreLimits? = given.deployment.state.next,
+    announcedLimits: AnnouncedStoreLimits? = platform.deployment.state.next,
 ) {
     private val settings =
-        given.copy(
+        platform.copy(
             peers = peers.map { PeerConfig(it, address = "10.0.0.2:81") },
-            deployment = given.deployment.let { it.copy(state = it.state.copy(next = told)) },
+            deployment =
+                platform.deployment.let { it.copy(state = it.state.copy(next = announcedLimits)) },
         )
     private val clock = SimulatedClock(1)
-    private val state = FakeKeyValueStore(clock, settings.deployment.state)
-    private val core = Controller(settings, operators, "rig")
-    private val answers = HashMap<Long, Pair<Int, String>>()
-    private val bytes = HashMap<Long, ByteArray>()
-    private var calls = 0L
+    private val store = FakeKeyValueStore(clock, settings.deployment.state)
+    private val controller = Controller(settings, operators, "rig")
+    private val responses = HashMap<Long, Pair<Int, String>>()
+    private val responseBodies = HashMap<Long, ByteArray>()
+    private var requestCount = 0L
 
     /** Direct commands, as they were sent to workers. */
-    val direct = ArrayList<String>()
+    val directCommands = ArrayList<String>()
 
     /** What becomes of direct commands: as a rule they get no connection. */
-    var directOutcome: Outcome = Outcome.NotSent
+    var directCommandOutcome: Outcome = Outcome.NotSent
 
     /** What a peer answers to the bytes it is sent on a path: as a rule it gets none. */
-    var peer: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
+    var peerResponse: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
 
     /** Requests to the cloud, which nobody answers. */
-    val cloud = ArrayList<String>()
+    val cloudRequests = ArrayList<String>()
 
     /** Requests to the key-value store, and whether their answers are held back for now. */
-    val stateCalls = ArrayList<String>()
-    var hold = false
-    private val held = ArrayList<() -> Unit>()
-
-    fun release() {
-        hold = false
-        val all = held.toList()
-        held.clear()
+    val storeRequests = ArrayList<String>()
+    var holdStoreResponses = false
+    private val heldResponses = ArrayList<() -> Unit>()
+
+    fun releaseStoreResponses() {
+        holdStoreResponses = false
+        val all = heldResponses.toList()
+        heldResponses.clear()
         for (reply in all) reply()
     }
 
     /** The key-value store serves nobody, and no lease ends. */
-    fun outage() = state.outage(null)
+    fun startStoreOutage() = store.startOutage(null)
 
-    fun outageOver() = state.back(null)
+    fun endStoreOutage() = store.endOutage(null)
 
     /** The limits are lower from now on. */
-    fun lower(limits: AnnouncedStoreLimits) = state.lower(limits)
+    fun lowerStoreLimits(limits: AnnouncedStoreLimits) = store.lowerLimits(limits)
 
     /** Requests to the key-value store that get 503. */
-    var refuse: (String) -> Boolean = { false }
+    var refusesStoreRequest: (String) -> Boolean = { false }
 
     init {
-        write(MachineTypeList.KEY, MachineTypeList.encode(listOf(TYPE)))
+        write(MachineTypeList.KEY, MachineTypeList.encode(listOf(MACHINE_TYPE)))
     }
 
-    private fun putting(key: String, data: JsonElement) = buildJsonObject {
+    private fun putOperation(key: String, data: JsonElement) = buildJsonObject {
         put("put", key)
         put("data", data)
     }
 
-    fun write(key: String, data: JsonElement) = change(putting(key, data))
+    fun write(key: String, data: JsonElement) = commit(putOperation(key, data))
 
-    fun remove(key: String) = change(JsonObject(mapOf("remove" to JsonPrimitive(key))))
+    fun remove(key: String) = commit(JsonObject(mapOf("remove" to JsonPrimitive(key))))
 
     /** All in one transaction, so that all keys get the same stamp. */
-    private fun change(vararg changes: JsonObject) {
+    private fun commit(vararg changes: JsonObject) {
         val body = buildJsonObject { put("then", JsonArray(changes.toList())) }
-        state.handle("test", "POST", "/multi", body.toString()) { _, _ -> }
+        store.handle("test", "POST", "/multi", body.toString()) { _, _ -> }
     }
 
-    fun accept(spec: JobSpec) {
+    fun writeAcceptedJob(spec: JobSpec) {
         val record = JobRecord(JobState.ACCEPTED, 0, spec).toJson()
-        change(
-            putting(JobRecord.key(spec.jobId), record),
-            putting(JobRecord.openKey(spec.jobId), record),
+        commit(
+            putOperation(JobRecord.key(spec.jobId), record),
+            putOperation(JobRecord.openKey(spec.jobId), record),
         )
     }
 
-    fun run(length: Micros) {
-        val until = clock.now + length
+    fun run(duration: Micros) {
+        val until = clock.now + duration
         while (clock.now < until) {
             feed(Input.Tick)
             clock.run(clock.now + 100.milliseconds) {}
@@ -129,28 +130,28 @@
         body: ByteArray = ByteArray(0),
         port: ListenerKind = ListenerKind.API,
     ): Pair<Int, String>? {
-        val id = ++calls
+        val id = ++requestCount
         feed(Input.Request(id, port, method, path, body))
-        return answers[id]
+        return responses[id]
     }
 
-    val lastCall: Long
-        get() = calls
+    val lastRequestId: Long
+        get() = requestCount
 
-    fun bytesOf(id: Long): ByteArray = bytes.getValue(id)
+    fun responseBodyOf(id: Long): ByteArray = responseBodies.getValue(id)
 
     /** This controller's steady clock. */
     val now: Micros
         get() = clock.now
 
     /** The status and body of a call that was answered later. */
-    fun answerTo(id: Long): Pair<Int, String>? = answers[id]
+    fun responseTo(id: Long): Pair<Int, String>? = responses[id]
 
     /** A lease of somebody else's, with a key bound to it. */
-    fun writeLeased(key: String, data: JsonElement) {
-        state.handle("test", "POST", "/leases", """{"life_ms":600000}""") { _, body ->
+    fun writeWithOtherLease(key: String, data: JsonElement) {
+        store.handle("test", "POST", "/leases", """{"life_ms":600000}""") { _, body ->
             val permit = Regex("\\d+").find(body)!!.value.toLong()
-            change(
+            commit(
                 buildJsonObject {
                     put("put", key)
                     put("data", data)
@@ -160,14 +161,14 @@
         }
     }
 
-    fun stored(key: String): JsonElement? = state.value(key)
+    fun storedValue(key: String): JsonElement? = store.value(key)
 
     private fun feed(input: Input) {
-        for (effect in core.handle(clock.now, clock.now, input)) {
+        for (effect in controller.handle(clock.now, clock.now, input)) {
             when (effect) {
                 is Effect.Respond -> {
-                    answers[effect.id] = effect.status to effect.body.decodeToString()
-                    bytes[effect.id] = effect.body
+                    responses[effect.id] = effect.status to effect.body.decodeToString()
+                    responseBodies[effect.id] = effect.body
                 }
                 is Effect.SendRequest -> send(effect)
                 // No plan comes: the greedy one has to serve.
@@ -183,30 +184,31 @@
         }
         when {
             effect.target is Target.Worker -> {
-                if (effect.path == "/do") direct.add(body)
-                feed(Input.Response(effect.id, directOutcome))
+                if (effect.path == "/do") directCommands.add(body)
+                feed(Input.Response(effect.id, directCommandOutcome))
             }
             effect.target is Target.Peer -> {
-                val answer = peer(effect.path, effect.body)
+                val answer = peerResponse(effect.path, effect.body)
                 val outcome = if (answer == null) Outcome.NotSent else Outcome.Response(200, answer)
                 feed(Input.Response(effect.id, outcome))
             }
             effect.target !is Target.KeyValueStore -> {
-                if (effect.target is Target.Cloud) cloud.add("${effect.path} $body")
+                if (effect.target is Target.Cloud) cloudRequests.add("${effect.path} $body")
                 feed(Input.Response(effect.id, Outcome.NotSent))
             }
-            refuse(effect.path) -> reply(503, "{}")
+            refusesStoreRequest(effect.path) -> reply(503, "{}")
             else -> {
-                stateCalls.add("${effect.method} ${effect.path}")
-                state.handle("rig", effect.method, effect.path, body) { status, text ->
-                    if (hold) held.add { reply(status, text) } else reply(status, text)
+                storeRequests.add("${effect.method} ${effect.path}")
+                store.handle("rig", effect.method, effect.path, body) { status, text ->
+                    if (holdStoreResponses) heldResponses.add { reply(status, text) }
+                    else reply(status, text)
                 }
             }
         }
     }
 
     companion object {
-        val TYPE =
+        val MACHINE_TYPE =
             MachineType("mid", 16.0, memoryGb = 64.0, cacheGb = 50.0, zones = listOf("a", "b"))
         val SETTINGS =
             PlatformConfig(
@@ -262,19 +264,24 @@
     var tick = 0
     var incarnation = 1
 
-    fun report(token: Long, tasks: String = "", at: Int = ++tick): Pair<Int, String>? {
+    fun sendHeartbeat(
+        token: Long,
+        tasks: String = "",
+        heartbeatTick: Int = ++tick,
+    ): Pair<Int, String>? {
         val body =
             """{"box":"$id","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"$zone","loaners":""" +
-                """false,"shift":$incarnation,"tick":$at,"baton":$token,"pieces":[$tasks]}"""
+                """false,"shift":$incarnation,"tick":$heartbeatTick,"baton":$token,"pieces":[$tasks]}"""
         return harness.call("POST", "/hello", body.encodeToByteArray())
     }
 
-    fun handleHeartbeat(token: Long, tasks: String = ""): String {
-        val answer = report(token, tasks)
+    fun heartbeatResponse(token: Long, tasks: String = ""): String {
+        val answer = sendHeartbeat(token, tasks)
         check(answer?.first == 200) { "answered $answer" }
         return answer.second
     }
 
     /** The leader's token, as a first report learns it. */
-    fun token(): Long = Regex("\"baton\":(\\d+)").find(handleHeartbeat(0))!!.groupValues[1].toLong()
+    fun fetchLeaderToken(): Long =
+        Regex("\"baton\":(\\d+)").find(heartbeatResponse(0))!!.groupValues[1].toLong()
 }
--- a/src/test/kotlin/wardmux/sim/FakeCloud.kt
+++ b/src/test/kotlin/wardmux/sim/FakeCloud.kt
@@ -20,83 +20,91 @@
     private val clock: SimulatedClock,
     private val zones: List<String>,
     /** Machines of each zone and kind. */
-    private val capacity: Int,
+    private val capacityPerZone: Int,
     private val newWorker: (id: String, type: String, zone: String, spot: Boolean) -> FakeWorker,
 ) {
-    private class Box(val id: String, val zone: String, val spot: Boolean, val rentedAt: Micros) {
+    private class RentedMachine(
+        val id: String,
+        val zone: String,
+        val spot: Boolean,
+        val rentedAt: Micros,
+    ) {
         var worker: FakeWorker? = null
-        var diedAt: Micros? = null
+        var crashedAt: Micros? = null
     }
 
-    private val boxes = LinkedHashMap<String, Box>()
-    private val hires = HashMap<String, String>()
-    private val listings = ArrayDeque<String>()
-    private var next = 0
-    var down = false
+    private val machines = LinkedHashMap<String, RentedMachine>()
+    private val rentalResponses = HashMap<String, String>()
+    private val recentListings = ArrayDeque<String>()
+    private var nextMachineNumber = 0
+    var unavailable = false
 
     /** It answers all but deletions. */
-    var keepsMachines = false
+    var refusesDeletions = false
 
     /** Chance that a machine never comes up. */
-    var stillborn = 0.0
+    var startFailureProbability = 0.0
 
     /** Machines that come up fail every task. */
-    var bornSick = false
-    val problems = ArrayList<String>()
+    var newMachinesFailTasks = false
+    val protocolViolations = ArrayList<String>()
 
     init {
         clock.every(1.seconds) {
-            listings.addLast(listing())
-            if (listings.size > LAG) listings.removeFirst()
+            recentListings.addLast(listing())
+            if (recentListings.size > RETAINED_LISTINGS) recentListings.removeFirst()
         }
     }
 
-    fun workers(): List<FakeWorker> = boxes.values.mapNotNull { it.worker }.filter { it.alive }
+    fun workers(): List<FakeWorker> = machines.values.mapNotNull { it.worker }.filter { it.alive }
 
     fun rent(zone: String, spot: Boolean): String {
-        val id = "i-%06d".format(next++)
-        val box = Box(id, zone, spot, clock.now)
-        boxes[id] = box
-        if (!clock.chance(stillborn)) {
-            clock.after(clock.between(1.seconds, 6.seconds)) {
-                if (boxes[id] === box)
-                    box.worker = newWorker(id, TYPE, zone, spot).also { it.sick = bornSick }
+        val id = "i-%06d".format(nextMachineNumber++)
+        val machine = RentedMachine(id, zone, spot, clock.now)
+        machines[id] = machine
+        if (!clock.chance(startFailureProbability)) {
+            clock.after(clock.randomBetween(1.seconds, 6.seconds)) {
+                if (machines[id] === machine)
+                    machine.worker =
+                        newWorker(id, MACHINE_TYPE_NAME, zone, spot).also {
+                            it.failsEveryTask = newMachinesFailTasks
+                        }
             }
         }
         return id
     }
 
     /** The machine stops by itself. */
-    fun kill(worker: FakeWorker) {
-        worker.die()
-        boxes[worker.id]?.diedAt = clock.now
+    fun crash(worker: FakeWorker) {
+        worker.crash()
+        machines[worker.id]?.crashedAt = clock.now
     }
 
     /** A spot machine is taken. */
-    fun takeBack(worker: FakeWorker) {
-        worker.die()
-        boxes.remove(worker.id)
+    fun reclaimSpot(worker: FakeWorker) {
+        worker.crash()
+        machines.remove(worker.id)
     }
 
     private fun listing() =
         buildJsonObject {
                 putJsonArray("boxes") {
-                    for (box in boxes.values) addJsonObject {
-                        val diedAt = box.diedAt
-                        put("name_id", box.id)
-                        put("endpoint", "${box.id}:9000")
-                        put("boxkind", TYPE)
-                        put("ward", box.zone)
-                        put("loaners", box.spot)
+                    for (machine in machines.values) addJsonObject {
+                        val crashedAt = machine.crashedAt
+                        put("name_id", machine.id)
+                        put("endpoint", "${machine.id}:9000")
+                        put("boxkind", MACHINE_TYPE_NAME)
+                        put("ward", machine.zone)
+                        put("loaners", machine.spot)
                         put(
                             "status",
                             when {
-                                diedAt != null && clock.now - diedAt > 30.seconds -> "failed"
-                                box.worker == null -> "starting"
+                                crashedAt != null && clock.now - crashedAt > 30.seconds -> "failed"
+                                machine.worker == null -> "starting"
                                 else -> "running"
                             },
                         )
-                        put("held_s", (clock.now - box.rentedAt).inSeconds)
+                        put("held_s", (clock.now - machine.rentedAt).inSeconds)
                     }
                 }
                 put("truncated", false)
@@ -104,51 +112,52 @@
             .toString()
 
     fun handle(method: String, path: String, body: String, answer: (Int, String) -> Unit) {
-        if (down) return answer(503, """{"error":"trouble"}""")
+        if (unavailable) return answer(503, """{"error":"trouble"}""")
         when ("$method ${path.substringBefore('?')}") {
-            "GET /machine_types" -> answer(200, types())
+            "GET /machine_types" -> answer(200, machineTypes())
             "GET /machines" ->
                 // At times older than the one before.
                 answer(
                     200,
-                    if (listings.isEmpty()) """{"boxes":[],"truncated":false}"""
-                    else listings[clock.random.nextInt((listings.size + 1) / 2)],
+                    if (recentListings.isEmpty()) """{"boxes":[],"truncated":false}"""
+                    else recentListings[clock.random.nextInt((recentListings.size + 1) / 2)],
                 )
             "POST /machines" -> rent(body, answer)
             "POST /machines/delete" -> {
-                if (keepsMachines) return answer(503, """{"error":"trouble"}""")
+                if (refusesDeletions) return answer(503, """{"error":"trouble"}""")
                 val ids = Json.parseToJsonElement(body).jsonObject.getValue("boxes").jsonArray
-                for (id in ids) boxes.remove(id.jsonPrimitive.content)?.worker?.die()
+                for (id in ids) machines.remove(id.jsonPrimitive.content)?.worker?.crash()
                 answer(200, "{}")
             }
-            else -> problems.add("unknown call $method $path")
+            else -> protocolViolations.add("unknown call $method $path")
         }
     }
 
     private fun rent(body: String, answer: (Int, String) -> Unit) {
         val json = Json.parseToJsonElement(body).jsonObject
         val name = json.getValue("hire").jsonPrimitive.content
-        hires[name]?.let {
-            if (!it.startsWith(body)) problems.add("$name is used twice")
+        rentalResponses[name]?.let {
+            if (!it.startsWith(body)) protocolViolations.add("$name is used twice")
             return answer(200, it.removePrefix(body))
         }
         val zone = json.getValue("ward").jsonPrimitive.content
         val spot = json.getValue("loaners").jsonPrimitive.boolean
-        val room = capacity - boxes.values.count { it.zone == zone && it.spot == spot }
-        val count = minOf(room, json.getValue("count").jsonPrimitive.int)
+        val available =
+            capacityPerZone - machines.values.count { it.zone == zone && it.spot == spot }
+        val count = minOf(available, json.getValue("count").jsonPrimitive.int)
         if (count <= 0) return answer(503, """{"error":"no capacity"}""")
         val response = buildJsonObject {
             putJsonArray("boxes") { repeat(count) { add(JsonPrimitive(rent(zone, spot))) } }
         }
-        hires[name] = body + response
+        rentalResponses[name] = body + response
         answer(200, response.toString())
     }
 
-    private fun types() =
+    private fun machineTypes() =
         buildJsonObject {
                 putJsonArray("boxkinds") {
                     addJsonObject {
-                        put("label", TYPE)
+                        put("label", MACHINE_TYPE_NAME)
                         put("cores", FakeWorker.CPUS)
                         put("mem_gb", 64.0)
                         put("local_gb", 50.0)
@@ -163,7 +172,7 @@
             .toString()
 
     companion object {
-        const val TYPE = "mid"
-        private const val LAG = 6
+        const val MACHINE_TYPE_NAME = "mid"
+        private const val RETAINED_LISTINGS = 6
     }
 }
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -60,7 +60,7 @@
     fun join(task: GangTask, spec: JobSpec) {
         if (spec.id !in lengths) {
             lengths[spec.id] =
-                clock.between(1.seconds, maxOf(1.seconds, (spec.estimateS * 1.5).seconds))
+                clock.randomBetween(1.seconds, maxOf(1.seconds, (spec.estimateS * 1.5).seconds))
         }
         attempts
             .getOrPut(task.job to task.attempt) { Attempt(spec, task.attempt) }
@@ -208,7 +208,7 @@
         }
 
         fun left(member: Member) {
-            if (member.running) lose { clock.now + clock.between(TICK, peerTime - TICK) }
+            if (member.running) lose { clock.now + clock.randomBetween(TICK, peerTime - TICK) }
         }
 
         fun halt(member: Member, within: Double) {
--- a/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
+++ b/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
@@ -20,41 +20,41 @@
 import wardmux.config.StoreLimits
 import wardmux.model.Micros
 import wardmux.model.milliseconds
-import wardmux.store.WriteOperation
 
 /** A transaction that got no answer, with what its sender changed before it was carried out. */
-class LateTransaction(
+class DelayedTransaction(
     private val transaction: JsonObject,
-    private val newer: List<JsonObject>,
+    private val newerTransactions: List<JsonObject>,
     /** The keys that it puts and that were there when it was carried out. */
-    private val present: Set<String>,
+    private val existingKeys: Set<String>,
     val status: Int,
 ) {
-    val carriedOut: Boolean
+    val committed: Boolean
         get() = status == 200
 
     /** It took the place of what was there. */
-    fun replaced(key: String) = carriedOut && key in present
+    fun replacedExisting(key: String) = committed && key in existingKeys
 
-    fun changes(prefix: String) = changes(transaction, prefix)
+    fun changesKeyUnder(prefix: String) = changesKeyUnder(transaction, prefix)
 
     /** A newer one of the same sender that changed such a key was carried out before it. */
-    fun overtakenBy(prefix: String) = newer.any { changes(it, prefix) }
+    fun overtakenByChangeUnder(prefix: String) =
+        newerTransactions.any { changesKeyUnder(it, prefix) }
 
-    private fun changes(of: JsonObject, prefix: String) =
-        of["then"]?.jsonArray.orEmpty().any { change ->
+    private fun changesKeyUnder(operations: JsonObject, prefix: String) =
+        operations["then"]?.jsonArray.orEmpty().any { change ->
             val key = change.jsonObject.let { it["put"] ?: it.getValue("remove") }
             key.jsonPrimitive.content.startsWith(prefix)
         }
 }
 
 /** The key-value store, written from PROTOCOL. */
-class FakeKeyValueStore(private val clock: SimulatedClock, private val deployment: StoreLimits) {
+class FakeKeyValueStore(private val clock: SimulatedClock, private val limits: StoreLimits) {
     private class Entry(val data: JsonElement, val version: Long, val lease: Long?)
 
-    private class Lease(val life: Micros, var until: Micros)
+    private class Lease(val duration: Micros, var expiresAt: Micros)
 
-    private class WriteOperation(val revision: Long, val key: String, val data: JsonElement?)
+    private class KeyChange(val revision: Long, val key: String, val data: JsonElement?)
 
     private class Watch(
         val member: String,
@@ -67,50 +67,50 @@
 
     private val keys = TreeMap<String, Entry>()
     private val leases = HashMap<Long, Lease>()
-    private val changes = ArrayList<WriteOperation>()
+    private val changes = ArrayList<KeyChange>()
     private val watches = ArrayList<Watch>()
     private var revision = 0L
     private var lastLease = 0L
 
     /** Members that get 503; null stands for all. */
-    private val refused = HashSet<String?>()
+    private val refusedMembers = HashSet<String?>()
 
     /** Part of the transactions that get no answer and are carried out after newer ones. */
-    var lateWrites = 0.0
+    var delayProbability = 0.0
 
     /** The open watches of a member that is refused alone wait, as PROTOCOL has it. */
-    var refusedWatchesWait = false
-    val problems = ArrayList<String>()
+    var holdsRefusedWatches = false
+    val protocolViolations = ArrayList<String>()
 
     /** Told of every request. */
-    var heard: ((path: String, body: String) -> Unit)? = null
+    var onRequest: ((path: String, body: String) -> Unit)? = null
 
     /** Lower limits than those it began with, or null. */
-    private var lowered: AnnouncedStoreLimits? = null
-    private val written = ArrayDeque<Micros>()
+    private var loweredLimits: AnnouncedStoreLimits? = null
+    private val recentWriteTimes = ArrayDeque<Micros>()
 
     /** What was refused for its size under the lower limits. */
-    val beyond = ArrayList<String>()
+    val rejectedForSize = ArrayList<String>()
 
     /** How often changes were refused for their rate under the lower limits. */
-    var limited = 0
+    var rejectedForRate = 0
         private set
 
     /** Which transactions get no answer and are carried out 2 to 12 s later. */
-    var late: (from: String, transaction: JsonObject) -> Boolean = { _, _ -> false }
-    val carriedOutLate = ArrayList<LateTransaction>()
+    var isDelayed: (from: String, transaction: JsonObject) -> Boolean = { _, _ -> false }
+    val delayedTransactions = ArrayList<DelayedTransaction>()
 
     /** What was changed for each member, in order. */
-    private val committed = HashMap<String, ArrayList<JsonObject>>()
+    private val committedBySender = HashMap<String, ArrayList<JsonObject>>()
 
     init {
-        clock.every(50.milliseconds) { expire() }
+        clock.every(50.milliseconds) { expireLeases() }
     }
 
     /** If [endsWatches], what the member watches tells it nothing more either. */
-    fun outage(member: String?, endsWatches: Boolean = false) {
-        refused.add(member)
-        if (!endsWatches) return
+    fun startOutage(member: String?, endWatches: Boolean = false) {
+        refusedMembers.add(member)
+        if (!endWatches) return
         for (watch in watches.filter { member == null || it.member == member }) {
             watch.open = false
             watches.remove(watch)
@@ -118,11 +118,12 @@
         }
     }
 
-    fun back(member: String?) {
-        refused.remove(member)
+    fun endOutage(member: String?) {
+        refusedMembers.remove(member)
         // After an outage all leases have their full time again.
-        if (member == null) for (lease in leases.values) lease.until = clock.now + lease.life
-        if (refusedWatchesWait) wake()
+        if (member == null)
+            for (lease in leases.values) lease.expiresAt = clock.now + lease.duration
+        if (holdsRefusedWatches) notifyWatches()
     }
 
     /** Written by nobody who is played here. */
@@ -134,23 +135,23 @@
 
     fun version(key: String): Long? = keys[key]?.version
 
-    private fun expire() {
-        if (null in refused) return
-        val over = leases.filterValues { it.until < clock.now }.keys
-        for (id in over) endLease(id)
+    private fun expireLeases() {
+        if (null in refusedMembers) return
+        val expired = leases.filterValues { it.expiresAt < clock.now }.keys
+        for (id in expired) endLease(id)
     }
 
     private fun endLease(id: Long) {
         leases.remove(id) ?: return
-        val gone = keys.filterValues { it.lease == id }.keys.toList()
-        if (gone.isEmpty()) return
+        val keysOfLease = keys.filterValues { it.lease == id }.keys.toList()
+        if (keysOfLease.isEmpty()) return
         revision++
-        for (key in gone) remove(key)
-        wake()
+        for (key in keysOfLease) remove(key)
+        notifyWatches()
     }
 
     private fun remove(key: String) {
-        if (keys.remove(key) != null) changes.add(WriteOperation(revision, key, null))
+        if (keys.remove(key) != null) changes.add(KeyChange(revision, key, null))
     }
 
     fun handle(
@@ -160,8 +161,8 @@
         body: String,
         answer: (Int, String) -> Unit,
     ) {
-        heard?.invoke(path, body)
-        if (null in refused || from in refused) return answer(503, "{}")
+        onRequest?.invoke(path, body)
+        if (null in refusedMembers || from in refusedMembers) return answer(503, "{}")
         val route = path.substringBefore('?')
         val query =
             path
@@ -170,30 +171,33 @@
                 .filter { '=' in it }
                 .associate { it.substringBefore('=') to it.substringAfter('=') }
         when {
-            route == "/keys" -> page(query, answer)
+            route == "/keys" -> listKeys(query, answer)
             route.startsWith("/keys/") -> get(route.removePrefix("/keys/"), answer)
             route == "/multi" -> {
                 val transaction = Json.parseToJsonElement(body).jsonObject
-                val late = late(from, transaction) || lateWrites > 0 && clock.chance(lateWrites)
-                if (late) carryOutLate(from, transaction) else multi(from, transaction, answer)
+                val delayed =
+                    isDelayed(from, transaction) ||
+                        delayProbability > 0 && clock.chance(delayProbability)
+                if (delayed) commitDelayed(from, transaction) else commit(from, transaction, answer)
             }
             route == "/watch" -> watch(from, query, answer)
             route == "/leases" -> {
-                val life =
+                val duration =
                     Json.parseToJsonElement(body).jsonObject.getValue("life_ms").jsonPrimitive.int
-                leases[++lastLease] = Lease(life.milliseconds, clock.now + life.milliseconds)
+                leases[++lastLease] =
+                    Lease(duration.milliseconds, clock.now + duration.milliseconds)
                 answer(200, """{"permit":$lastLease}""")
             }
             route.endsWith("/renew") -> {
                 val lease = leases[route.split('/')[2].toLong()]
-                lease?.let { it.until = clock.now + it.life }
+                lease?.let { it.expiresAt = clock.now + it.duration }
                 answer(if (lease == null) 404 else 200, "{}")
             }
             method == "DELETE" -> {
                 endLease(route.split('/')[2].toLong())
                 answer(200, "{}")
             }
-            else -> problems.add("unknown call $method $path")
+            else -> protocolViolations.add("unknown call $method $path")
         }
     }
 
@@ -210,7 +214,7 @@
         if (entry.lease != null) put("permit", entry.lease)
     }
 
-    private fun page(query: Map<String, String>, answer: (Int, String) -> Unit) {
+    private fun listKeys(query: Map<String, String>, answer: (Int, String) -> Unit) {
         val prefix = query.getValue("under")
         val from = query["from"] ?: ""
         // Small pages, so that reading on is tried too.
@@ -226,49 +230,54 @@
     }
 
     /** Nobody hears what becomes of it. */
-    private fun carryOutLate(from: String, transaction: JsonObject) {
-        val before = committed[from].orEmpty().size
-        clock.after(clock.between(2_000.milliseconds, 12_000.milliseconds)) {
-            carryOut(from, transaction, before)
+    private fun commitDelayed(from: String, transaction: JsonObject) {
+        val committedBefore = committedBySender[from].orEmpty().size
+        clock.after(clock.randomBetween(2_000.milliseconds, 12_000.milliseconds)) {
+            commitAfterOutage(from, transaction, committedBefore)
         }
     }
 
-    private fun carryOut(from: String, transaction: JsonObject, before: Int) {
+    private fun commitAfterOutage(from: String, transaction: JsonObject, committedBefore: Int) {
         // It arrived before the outage began, and is carried out after it.
-        if (null in refused) clock.after(500.milliseconds) { carryOut(from, transaction, before) }
+        if (null in refusedMembers)
+            clock.after(500.milliseconds) { commitAfterOutage(from, transaction, committedBefore) }
         else {
-            val newer = committed[from].orEmpty().drop(before)
-            val put =
+            val newerTransactions = committedBySender[from].orEmpty().drop(committedBefore)
+            val putKeys =
                 transaction["then"]?.jsonArray.orEmpty().mapNotNull {
                     it.jsonObject["put"]?.jsonPrimitive?.content
                 }
-            val present = put.filter { it in keys }.toSet()
-            multi(from, transaction) { status, _ ->
-                carriedOutLate.add(LateTransaction(transaction, newer, present, status))
+            val existingKeys = putKeys.filter { it in keys }.toSet()
+            commit(from, transaction) { status, _ ->
+                delayedTransactions.add(
+                    DelayedTransaction(transaction, newerTransactions, existingKeys, status)
+                )
             }
         }
     }
 
-    private fun multi(from: String, json: JsonObject, answer: (Int, String) -> Unit) {
+    private fun commit(from: String, json: JsonObject, answer: (Int, String) -> Unit) {
         val conditions = json["if"]?.jsonArray ?: JsonArray(emptyList())
-        val then = json["then"]?.jsonArray ?: JsonArray(emptyList())
-        if (then.size > deployment.txnOps) problems.add("${then.size} changes in a transaction")
-        if (conditions.size > deployment.txnOps * 4) problems.add("${conditions.size} conditions")
+        val operations = json["then"]?.jsonArray ?: JsonArray(emptyList())
+        if (operations.size > limits.txnOps)
+            protocolViolations.add("${operations.size} changes in a transaction")
+        if (conditions.size > limits.txnOps * 4)
+            protocolViolations.add("${conditions.size} conditions")
         if (json.toString().length > 65_536)
-            problems.add("a transaction of ${json.toString().length}")
-        lowered?.let { limits ->
-            val large = then.map { it.jsonObject }.firstOrNull { tooLarge(it, limits) }
-            if (large != null || then.size > (limits.txnOps ?: Int.MAX_VALUE)) {
-                val what = large?.get("put")?.jsonPrimitive?.content ?: "${then.size} changes"
-                beyond.add("$what from $from")
+            protocolViolations.add("a transaction of ${json.toString().length}")
+        loweredLimits?.let { lower ->
+            val large = operations.map { it.jsonObject }.firstOrNull { tooLarge(it, lower) }
+            if (large != null || operations.size > (lower.txnOps ?: Int.MAX_VALUE)) {
+                val what = large?.get("put")?.jsonPrimitive?.content ?: "${operations.size} changes"
+                rejectedForSize.add("$what from $from")
                 return answer(400, """{"error":"too large"}""")
             }
-            written.removeIf { it < clock.now - 1_000.milliseconds }
-            if (written.size + then.size > (limits.writeRps ?: Double.MAX_VALUE)) {
-                limited++
+            recentWriteTimes.removeIf { it < clock.now - 1_000.milliseconds }
+            if (recentWriteTimes.size + operations.size > (lower.writeRps ?: Double.MAX_VALUE)) {
+                rejectedForRate++
                 return answer(429, "{}")
             }
-            repeat(then.size) { written.addLast(clock.now) }
+            repeat(operations.size) { recentWriteTimes.addLast(clock.now) }
         }
         val failed =
             conditions
@@ -277,7 +286,7 @@
                     (keys[it.text("k")]?.version ?: 0) != it.getValue("stamp").jsonPrimitive.long
                 }
                 .map { it.text("k") }
-        val puts = then.map { it.jsonObject }.filter { "put" in it }
+        val puts = operations.map { it.jsonObject }.filter { "put" in it }
         if (puts.any { p -> p["permit"]?.let { it.jsonPrimitive.long !in leases } == true }) {
             return answer(400, """{"error":"no such lease"}""")
         }
@@ -288,81 +297,85 @@
             }
             return answer(409, body.toString())
         }
-        if (then.isNotEmpty()) {
+        if (operations.isNotEmpty()) {
             revision++
-            committed.getOrPut(from) { ArrayList() }.add(json)
+            committedBySender.getOrPut(from) { ArrayList() }.add(json)
         }
-        for (change in then.map { it.jsonObject }) {
+        for (change in operations.map { it.jsonObject }) {
             val key = (change["put"] ?: change.getValue("remove")).jsonPrimitive.content
             if ("put" in change) {
                 val data = change.getValue("data")
-                if (data.toString().length > maxValue) problems.add("$key holds too much")
+                if (data.toString().length > maxValueLength)
+                    protocolViolations.add("$key holds too much")
                 keys[key] = Entry(data, revision, change["permit"]?.jsonPrimitive?.long)
-                changes.add(WriteOperation(revision, key, data))
+                changes.add(KeyChange(revision, key, data))
             } else {
                 remove(key)
             }
         }
         answer(200, """{"epoch":$revision}""")
-        wake()
+        notifyWatches()
     }
 
-    private fun tooLarge(change: JsonObject, limits: AnnouncedStoreLimits) =
-        change["data"].toString().length > (limits.valueKb ?: Double.MAX_VALUE) * 1024
+    private fun tooLarge(change: JsonObject, lower: AnnouncedStoreLimits) =
+        change["data"].toString().length > (lower.valueKb ?: Double.MAX_VALUE) * 1024
 
     /** In force from now on, though nobody is told. */
-    fun lower(limits: AnnouncedStoreLimits) {
-        lowered = limits
+    fun lowerLimits(limits: AnnouncedStoreLimits) {
+        loweredLimits = limits
     }
 
     /** The largest value of those that are stored under [prefix]. */
-    fun largest(prefix: String): Int =
+    fun largestValueLength(prefix: String): Int =
         keys
             .tailMap(prefix)
             .filterKeys { it.startsWith(prefix) }
             .values
             .maxOfOrNull { it.data.toString().length } ?: 0
 
-    private val maxValue = (deployment.valueKb * 1024).toInt()
+    private val maxValueLength = (limits.valueKb * 1024).toInt()
 
     private fun JsonObject.text(name: String) = getValue(name).jsonPrimitive.content
 
     private fun watch(member: String, query: Map<String, String>, answer: (Int, String) -> Unit) {
         val from = query.getValue("from").toLong()
         // Few changes are kept, so that 410 is tried too.
-        if (changes.size > KEPT && changes[changes.size - KEPT].revision > from) {
+        if (
+            changes.size > RETAINED_CHANGES &&
+                changes[changes.size - RETAINED_CHANGES].revision > from
+        ) {
             return answer(410, "{}")
         }
         val watch = Watch(member, query.getValue("under"), from, answer)
         watches.add(watch)
         val block = query["block_ms"]?.toInt() ?: 0
         clock.after(block.milliseconds) { close(watch) }
-        wake()
+        notifyWatches()
     }
 
-    private fun waits(watch: Watch) =
-        refusedWatchesWait && (null in refused || watch.member in refused)
+    private fun isHeld(watch: Watch) =
+        holdsRefusedWatches && (null in refusedMembers || watch.member in refusedMembers)
 
     private fun close(watch: Watch) {
-        if (!watch.open || null in refused) return
-        if (waits(watch)) return clock.after(500.milliseconds) { close(watch) }
+        if (!watch.open || null in refusedMembers) return
+        if (isHeld(watch)) return clock.after(500.milliseconds) { close(watch) }
         watch.open = false
         watches.remove(watch)
         watch.answer(200, """{"epoch":$revision,"events":[]}""")
     }
 
-    private fun wake() {
+    private fun notifyWatches() {
         for (watch in watches.toList()) {
-            if (waits(watch)) continue
-            val news =
+            if (isHeld(watch)) continue
+            val newChanges =
                 changes.filter { it.revision > watch.from && it.key.startsWith(watch.prefix) }
-            if (news.isEmpty()) continue
+            if (newChanges.isEmpty()) continue
             watch.open = false
             watches.remove(watch)
             val body = buildJsonObject {
                 put("epoch", revision)
                 putJsonArray("events") {
-                    for (change in news) addJsonObject {
+                    for (change in newChanges) addJsonObject {
                         if (change.data == null) put("remove", change.key)
                         else {
                             put("put", JsonPrimitive(change.key))
@@ -377,6 +390,6 @@
     }
 
     private companion object {
-        const val KEPT = 400
+        const val RETAINED_CHANGES = 400
     }
 }
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -21,7 +21,7 @@
 import wardmux.model.seconds
 
 /** How a worker reaches a controller: status and body, or null for no response. */
-typealias SimulatedHeartbeat = (node: String, body: String, answer: (Int, String) -> Unit) -> Unit
+typealias HeartbeatSender = (node: String, body: String, answer: (Int, String) -> Unit) -> Unit
 
 /** A worker, written from PROTOCOL. */
 class FakeWorker(
@@ -30,14 +30,14 @@
     val zone: String,
     val spot: Boolean,
     private val clock: SimulatedClock,
-    private val deployment: WorkerTiming,
+    private val timing: WorkerTiming,
     private val nodes: List<String>,
     private val invariants: Invariants,
     private val specOf: (String) -> JobSpec?,
     private val gangs: FakeGangs = FakeGangs(clock, invariants),
     /** Where it takes direct commands. */
     private val endpoint: String = "$id:9000",
-    private val send: SimulatedHeartbeat,
+    private val send: HeartbeatSender,
 ) {
     private class Task(val name: String, val attempt: Int) {
         var status = "fetching"
@@ -47,39 +47,39 @@
         val index = name.substringAfter('/').toInt()
 
         /** Of a gang's task that has its image. */
-        var seat: GangTask? = null
+        var gangTask: GangTask? = null
     }
 
-    private inner class Seat(private val task: Task) : GangTask {
+    private inner class GangMember(private val task: Task) : GangTask {
         override val job = task.job
         override val index = task.index
         override val attempt = task.attempt
         override val hanging
-            get() = this@FakeWorker.hanging
+            get() = this@FakeWorker.unresponsive
 
-        override fun begin() = begins(task)
+        override fun begin() = beginGangTask(task)
 
         override fun exit(cause: String, kept: Boolean) {
             task.kept = kept
-            end(task, cause, done = cause == "done")
+            endTask(task, cause, done = cause == "done")
         }
     }
 
     private val tasks = LinkedHashMap<Pair<String, Int>, Task>()
-    private val results = HashSet<String>()
+    private val storedResults = HashSet<String>()
 
     /** Tasks that have not ended. */
-    val tasksThere: Int
+    val activeTasks: Int
         get() = tasks.values.count { it.status != "ended" }
 
     /** How each task of [job] that has not ended is here, by its number. */
-    fun statesOf(job: String): Map<Int, String> =
+    fun taskStatusesOf(job: String): Map<Int, String> =
         tasks.values
             .filter { it.job == job && it.status != "ended" }
             .associate { it.index to it.status }
 
     /** Tasks that began to run here. */
-    var starts = 0
+    var startedTasks = 0
         private set
 
     private var incarnation = 1L
@@ -89,82 +89,84 @@
         get() = incarnation
 
     /** It has taken this token. */
-    fun hasToken(leaders: Long?): Boolean = token == leaders
+    fun hasToken(leaderToken: Long?): Boolean = token == leaderToken
 
     private var tick = 0L
     private var token = 0L
-    private var answeredSentAt = clock.now
+    private var lastAnsweredHeartbeatAt = clock.now
     private var node = clock.random.nextInt(nodes.size)
-    private var busy = false
-    private var nextAt = clock.now
-    private var lastSentAt = Micros.LONG_AGO
-    private var changed = true
+    private var awaitingResponse = false
+    private var nextHeartbeatAt = clock.now
+    private var lastHeartbeatAt = Micros.LONG_AGO
+    private var hasUnreportedChange = true
     var alive = true
         private set
 
     /** It executes nothing, but may go on at any time. */
-    var hanging = false
+    var unresponsive = false
 
     /** Every task that it starts fails. */
-    var sick = false
+    var failsEveryTask = false
 
     /** Its connections do not last: each report goes to another controller. */
-    var wanders = false
+    var rotatesControllers = false
     var recallS: Double? = null
         set(value) {
             field = value
-            changed = true
+            hasUnreportedChange = true
         }
 
     init {
-        clock.every(100.milliseconds) { if (alive && !hanging) step() }
+        clock.every(100.milliseconds) { if (alive && !unresponsive) step() }
     }
 
     /** What this machine has and holds, fetching tasks included. */
     fun view(): MachineView {
-        val held = tasks.values.filter { it.status != "ended" }
+        val heldTasks = tasks.values.filter { it.status != "ended" }
         return MachineView(
             id,
             type,
             zone,
             spot,
-            CPUS - held.sumOf { specOf(it.job)?.cpus ?: 0.0 },
-            held.map { it.job to it.index },
+            CPUS - heldTasks.sumOf { specOf(it.job)?.cpus ?: 0.0 },
+            heldTasks.map { it.job to it.index },
         )
     }
 
     /** The machine stops with all that is on it. */
-    fun die() {
+    fun crash() {
         alive = false
-        for (task in tasks.values) lose(task)
+        for (task in tasks.values) loseTask(task)
         tasks.clear()
     }
 
     /** It ends with its machine or its incarnation. */
-    private fun lose(task: Task) {
-        leave(task, done = false)
+    private fun loseTask(task: Task) {
+        removeFromMachine(task, done = false)
         if (task.status != "ended") invariants.losses.lost(clock.now, task.name, LossCause.CRASHED)
     }
 
-    private fun leave(task: Task, done: Boolean) {
-        if (task.status in onMachine) invariants.ended(task.job, task.index, id, done)
-        task.seat?.let(gangs::gone)
+    private fun removeFromMachine(task: Task, done: Boolean) {
+        if (task.status in statusesOnMachine) invariants.ended(task.job, task.index, id, done)
+        task.gangTask?.let(gangs::gone)
     }
 
     private fun step() {
-        if (clock.now - answeredSentAt > deployment.leaseS.seconds) {
-            for (task in tasks.values) lose(task)
+        if (clock.now - lastAnsweredHeartbeatAt > timing.leaseS.seconds) {
+            for (task in tasks.values) loseTask(task)
             tasks.clear()
             incarnation++
             tick = 0
-            answeredSentAt = clock.now
-            changed = true
+            lastAnsweredHeartbeatAt = clock.now
+            hasUnreportedChange = true
         }
-        val due = clock.now >= nextAt || (changed && clock.now - lastSentAt >= 500.milliseconds)
-        if (!busy && due) report()
+        val due =
+            clock.now >= nextHeartbeatAt ||
+                (hasUnreportedChange && clock.now - lastHeartbeatAt >= 500.milliseconds)
+        if (!awaitingResponse && due) sendHeartbeat()
     }
 
-    fun reportBody() =
+    fun heartbeatBody() =
         buildJsonObject {
                 put("box", id)
                 put("endpoint", endpoint)
@@ -188,48 +190,50 @@
             .toString()
 
     /** Its connection breaks, and it reports to [controller] at once. */
-    fun turnTo(controller: String) {
-        call++
-        busy = false
+    fun reconnectTo(controller: String) {
+        heartbeatNumber++
+        awaitingResponse = false
         node = nodes.indexOf(controller)
-        nextAt = clock.now
+        nextHeartbeatAt = clock.now
     }
 
     /** Counts its reports: an answer to an earlier one is not waited for any more. */
-    private var call = 0
+    private var heartbeatNumber = 0
 
-    private fun report() {
-        busy = true
-        val own = ++call
-        changed = false
+    private fun sendHeartbeat() {
+        awaitingResponse = true
+        val number = ++heartbeatNumber
+        hasUnreportedChange = false
         val sentAt = clock.now
-        lastSentAt = sentAt
-        val sentIn = incarnation
-        nextAt =
+        lastHeartbeatAt = sentAt
+        val sentInSession = incarnation
+        nextHeartbeatAt =
             sentAt +
-                clock.between(
-                    (deployment.heartbeatPeriodS * 0.75).seconds,
-                    (deployment.heartbeatPeriodS * 1.25).seconds,
+                clock.randomBetween(
+                    (timing.heartbeatPeriodS * 0.75).seconds,
+                    (timing.heartbeatPeriodS * 1.25).seconds,
                 )
-        var over = false
-        fun end(next: Boolean) {
-            over = true
-            busy = false
-            if (next) {
+        var completed = false
+        fun finishExchange(tryNextController: Boolean) {
+            completed = true
+            awaitingResponse = false
+            if (tryNextController) {
                 node = (node + 1) % nodes.size
-                nextAt = clock.now + 1.seconds
+                nextHeartbeatAt = clock.now + 1.seconds
             }
         }
-        clock.after(4.seconds) { if (!over && own == call) end(next = true) }
-        send(nodes[node], reportBody()) { status, body ->
+        clock.after(4.seconds) {
+            if (!completed && number == heartbeatNumber) finishExchange(tryNextController = true)
+        }
+        send(nodes[node], heartbeatBody()) { status, body ->
             // Dropped after four seconds: commands in such a response are not executed.
-            if (over || own != call || !alive || hanging) return@send
+            if (completed || number != heartbeatNumber || !alive || unresponsive) return@send
             when (status) {
                 200 -> {
-                    end(next = false)
-                    if (wanders) node = (node + 1) % nodes.size
-                    if (sentIn == incarnation)
-                        take(Json.parseToJsonElement(body).jsonObject, sentAt)
+                    finishExchange(tryNextController = false)
+                    if (rotatesControllers) node = (node + 1) % nodes.size
+                    if (sentInSession == incarnation)
+                        applyResponse(Json.parseToJsonElement(body).jsonObject, sentAt)
                 }
                 421 -> {
                     val steward =
@@ -240,152 +244,160 @@
                                 ?.jsonPrimitive
                                 ?.content
                     val index = nodes.indexOf(steward)
-                    end(next = index < 0 || index == node)
+                    finishExchange(tryNextController = index < 0 || index == node)
                     if (index >= 0 && index != node) {
                         node = index
-                        nextAt = clock.now + clock.between(Micros.ZERO, 500.milliseconds)
+                        nextHeartbeatAt =
+                            clock.now + clock.randomBetween(Micros.ZERO, 500.milliseconds)
                     }
                 }
-                else -> end(next = true)
+                else -> finishExchange(tryNextController = true)
             }
         }
     }
 
-    private fun take(answer: JsonObject, sentAt: Micros) {
-        val given = answer["baton"]?.jsonPrimitive?.long ?: return
-        if (given < token) return
-        if (given > token) changed = true
-        token = given
-        answeredSentAt = sentAt
-        answer["orders"]?.jsonArray?.forEach { order(it.jsonObject) }
+    private fun applyResponse(answer: JsonObject, sentAt: Micros) {
+        val receivedToken = answer["baton"]?.jsonPrimitive?.long ?: return
+        if (receivedToken < token) return
+        if (receivedToken > token) hasUnreportedChange = true
+        token = receivedToken
+        lastAnsweredHeartbeatAt = sentAt
+        answer["orders"]?.jsonArray?.forEach { executeCommand(it.jsonObject) }
     }
 
     /** POST /do; status and body. */
-    fun direct(body: String): Pair<Int, String>? {
+    fun executeDirect(body: String): Pair<Int, String>? {
         if (!alive) return null
         val json = Json.parseToJsonElement(body).jsonObject
-        val given = json.getValue("baton").jsonPrimitive.long
-        val right = given >= token && json.getValue("shift").jsonPrimitive.long == incarnation
-        if (right) {
-            if (given > token) changed = true
-            token = given
-            json.getValue("orders").jsonArray.forEach { order(it.jsonObject) }
+        val receivedToken = json.getValue("baton").jsonPrimitive.long
+        val accepted =
+            receivedToken >= token && json.getValue("shift").jsonPrimitive.long == incarnation
+        if (accepted) {
+            if (receivedToken > token) hasUnreportedChange = true
+            token = receivedToken
+            json.getValue("orders").jsonArray.forEach { executeCommand(it.jsonObject) }
         }
-        return (if (right) 200 else 409) to reportBody()
+        return (if (accepted) 200 else 409) to heartbeatBody()
     }
 
-    private fun order(order: JsonObject) {
-        val name = order.getValue("piece").jsonPrimitive.content
-        val attempt = order.getValue("try").jsonPrimitive.int
+    private fun executeCommand(command: JsonObject) {
+        val name = command.getValue("piece").jsonPrimitive.content
+        val attempt = command.getValue("try").jsonPrimitive.int
         val key = name to attempt
-        when (order.getValue("verb").jsonPrimitive.content) {
+        when (command.getValue("verb").jsonPrimitive.content) {
             "start" ->
                 if (key !in tasks) {
                     invariants.startCarriedOut(name.substringBefore('/'))
-                    start(Task(name, attempt).also { tasks[key] = it })
+                    startTask(Task(name, attempt).also { tasks[key] = it })
                 }
-            "halt" -> tasks[key]?.let { halt(it, order.getValue("letgo_s").jsonPrimitive.double) }
+            "halt" ->
+                tasks[key]?.let { haltTask(it, command.getValue("letgo_s").jsonPrimitive.double) }
             "forget" -> if (tasks[key]?.status == "ended") tasks.remove(key)
         }
-        changed = true
+        hasUnreportedChange = true
     }
 
-    private fun start(task: Task) {
+    private fun startTask(task: Task) {
         val spec = specOf(task.job)
-        val others = tasks.values.filter { it !== task && it.status != "ended" }
-        val used = others.sumOf { specOf(it.job)?.cpus ?: 0.0 }
+        val otherTasks = tasks.values.filter { it !== task && it.status != "ended" }
+        val usedCpus = otherTasks.sumOf { specOf(it.job)?.cpus ?: 0.0 }
         when {
-            spec == null || task.index >= spec.tasks -> refuse(task, "unknown")
-            others.any { it.name == task.name } -> refuse(task, "busy")
-            used + spec.cpus > CPUS + 1e-6 -> refuse(task, "full")
-            else -> clock.after(clock.between(50.milliseconds, 3.seconds)) { run(task, spec) }
+            spec == null || task.index >= spec.tasks -> rejectTask(task, "unknown")
+            otherTasks.any { it.name == task.name } -> rejectTask(task, "busy")
+            usedCpus + spec.cpus > CPUS + 1e-6 -> rejectTask(task, "full")
+            else ->
+                clock.after(clock.randomBetween(50.milliseconds, 3.seconds)) { runTask(task, spec) }
         }
     }
 
-    private fun refuse(task: Task, cause: String) {
+    private fun rejectTask(task: Task, cause: String) {
         task.status = "ended"
         task.cause = cause
     }
 
-    private fun present(task: Task) = alive && tasks[task.name to task.attempt] === task
+    private fun isPresent(task: Task) = alive && tasks[task.name to task.attempt] === task
 
-    private fun run(task: Task, spec: JobSpec) {
-        if (!present(task) || task.status != "fetching") return
-        if (hanging) return clock.after(1.seconds) { run(task, spec) }
-        if (task.name in results || gangs.isDone(task.job)) {
+    private fun runTask(task: Task, spec: JobSpec) {
+        if (!isPresent(task) || task.status != "fetching") return
+        if (unresponsive) return clock.after(1.seconds) { runTask(task, spec) }
+        if (task.name in storedResults || gangs.isDone(task.job)) {
             invariants.startsOfDone++
-            return end(task, "done", false)
+            return endTask(task, "done", false)
         }
         task.status = "running"
-        changed = true
+        hasUnreportedChange = true
         invariants.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
         if (spec.kind == JobKind.GANG) {
             task.status = "gathering"
-            return gangs.join(Seat(task).also { task.seat = it }, spec)
+            return gangs.join(GangMember(task).also { task.gangTask = it }, spec)
         }
-        starts++
+        startedTasks++
         invariants.losses.runs(clock.now, task.name, spec.team)
-        if (sick) return clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
+        if (failsEveryTask)
+            return clock.after(1.seconds) { if (isPresent(task)) endTask(task, "error", false) }
         if (spec.estimateS > 0) {
-            clock.after(clock.between(1.seconds, (spec.estimateS * 1.5).seconds)) { finish(task) }
+            clock.after(clock.randomBetween(1.seconds, (spec.estimateS * 1.5).seconds)) {
+                finishTask(task)
+            }
         }
     }
 
     /** All of its gang have their images. */
-    private fun begins(task: Task) {
+    private fun beginGangTask(task: Task) {
         task.status = "running"
-        changed = true
-        starts++
+        hasUnreportedChange = true
+        startedTasks++
         specOf(task.job)?.let { invariants.losses.runs(clock.now, task.name, it.team) }
-        if (sick) clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
+        if (failsEveryTask)
+            clock.after(1.seconds) { if (isPresent(task)) endTask(task, "error", false) }
     }
 
-    private fun finish(task: Task) {
-        if (!present(task) || task.status != "running") return
-        if (hanging) return clock.after(1.seconds) { finish(task) }
-        results.add(task.name)
-        end(task, "done", true)
+    private fun finishTask(task: Task) {
+        if (!isPresent(task) || task.status != "running") return
+        if (unresponsive) return clock.after(1.seconds) { finishTask(task) }
+        storedResults.add(task.name)
+        endTask(task, "done", true)
     }
 
-    private fun causeOfStop() = if (recallS == null) LossCause.STOPPED else LossCause.RECALLED
+    private fun stopCause() = if (recallS == null) LossCause.STOPPED else LossCause.RECALLED
 
-    private fun end(task: Task, cause: String, done: Boolean) {
+    private fun endTask(task: Task, cause: String, done: Boolean) {
         if (task.status == "ended") return
-        leave(task, done)
+        removeFromMachine(task, done)
         if (done) invariants.losses.done(task.name)
         else {
-            val lossCause = if (cause == "stopped") causeOfStop() else LossCause.CRASHED
+            val lossCause = if (cause == "stopped") stopCause() else LossCause.CRASHED
             invariants.losses.lost(clock.now, task.name, lossCause)
         }
         task.status = "ended"
         task.cause = cause
-        changed = true
+        hasUnreportedChange = true
     }
 
-    private fun halt(task: Task, within: Double) {
+    private fun haltTask(task: Task, withinS: Double) {
         val spec = specOf(task.job) ?: return
-        val seat = task.seat
+        val gangTask = task.gangTask
         when {
             task.status == "ended" -> return
-            seat != null -> gangs.halt(seat, within)
-            task.status == "running" && spec.isCheckpointable && within >= spec.saveS -> {
+            gangTask != null -> gangs.halt(gangTask, withinS)
+            task.status == "running" && spec.isCheckpointable && withinS >= spec.saveS -> {
                 task.status = "saving"
-                invariants.losses.lost(clock.now, task.name, causeOfStop())
+                invariants.losses.lost(clock.now, task.name, stopCause())
                 clock.after(spec.saveS.seconds) {
                     task.kept = true
-                    if (present(task)) end(task, "stopped", false)
+                    if (isPresent(task)) endTask(task, "stopped", false)
                 }
             }
-            task.status == "saving" && within > 0 -> return
-            else -> end(task, "stopped", false)
+            task.status == "saving" && withinS > 0 -> return
+            else -> endTask(task, "stopped", false)
         }
-        changed = true
+        hasUnreportedChange = true
     }
 
     companion object {
         const val CPUS = 16.0
 
         /** States in which a task is on its machine. */
-        private val onMachine = setOf("gathering", "running", "saving")
+        private val statusesOnMachine = setOf("gathering", "running", "saving")
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -29,9 +29,9 @@
         // There are three machines at first.
         val gang = scenario.gang(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
         when (phase) {
-            Phase.WAITING -> simulation.cloud.down = true
+            Phase.WAITING -> simulation.cloud.unavailable = true
             Phase.STARTING ->
-                for (i in 0..20) simulation.delayedCommands["i-%06d".format(i)] = 3.seconds
+                for (i in 0..20) simulation.commandDelays["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
                 scenario.once({ scenario.allRun(gang) }) {
                     scenario.clock.after(6.seconds) {
@@ -42,7 +42,7 @@
                 scenario.once({ scenario.allRun(gang) }) {
                     simulation.cloud.rent("a", spot = false)
                     scenario.clock.after(6.seconds) {
-                        simulation.cloud.kill(scenario.holding(gang).first())
+                        simulation.cloud.crash(scenario.holding(gang).first())
                     }
                 }
             Phase.DONE -> simulation.gangs.lengths[gang.id] = 6.seconds
@@ -54,7 +54,7 @@
     /** The action is carried out when the gang has come to the phase. */
     private fun inPhase(scenario: GangScenario, phase: Phase, gang: JobSpec, action: () -> Unit) {
         val simulation = scenario.simulation
-        val page = { simulation.state.value("t/${gang.id}/0") }
+        val page = { simulation.store.value("t/${gang.id}/0") }
         val begun = { scenario.invariants.gangsBegun > 0 }
         when (phase) {
             Phase.WAITING ->
@@ -64,10 +64,10 @@
                         action()
                     }
                 }
-            Phase.UNRECORDED -> simulation.state.late = { _, transaction ->
+            Phase.UNRECORDED -> simulation.store.isDelayed = { _, transaction ->
                     val own = "\"t/${gang.id}/0\"" in transaction["then"].toString()
                     if (own && page() == null) {
-                        simulation.state.late = { _, _ -> false }
+                        simulation.store.isDelayed = { _, _ -> false }
                         action()
                     }
                     own
@@ -103,11 +103,11 @@
                 if (seed > 2) scenario.changeLeader(latest = 3.seconds)
                 // Room for all of it comes afterwards.
                 scenario.clock.after(2.seconds) {
-                    simulation.cloud.down = false
+                    simulation.cloud.unavailable = false
                     simulation.cloud.rent("b", spot = false)
                     simulation.cloud.rent("c", spot = false)
                 }
-                scenario.clock.after(20.seconds) { simulation.delayedCommands.clear() }
+                scenario.clock.after(20.seconds) { simulation.commandDelays.clear() }
             }
         }
         simulation.submit(gang)
@@ -133,7 +133,7 @@
         assertTrue(final == "cancelled" || (final == "done" && phase == Phase.DONE), "is $final")
         assertEquals(final, scenario.recordOf(gang).name.lowercase())
         for (prefix in listOf("q", "c")) assertEquals(null, scenario.stored(prefix, gang), prefix)
-        assertEquals(null, simulation.state.value("t/${gang.id}/0"))
+        assertEquals(null, simulation.store.value("t/${gang.id}/0"))
     }
 
     companion object {
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -26,19 +26,22 @@
         scenario.submit(MANY, cpus = 0.1, estimateS = 10.0)
         var writes = 0
         var partly = false
-        scenario.simulation.state.late = { from, transaction ->
+        scenario.simulation.store.isDelayed = { from, transaction ->
             val pages = scenario.pagesIn(transaction)
             if (pages > 0) writes++
             val end = {
                 partly = scenario.recorded().size in 1 until MANY
-                scenario.simulation.crash(from, scenario.clock.between(1.seconds, 8.seconds))
+                scenario.simulation.crash(from, scenario.clock.randomBetween(1.seconds, 8.seconds))
             }
             val ends = pages > 0 && writes == if (seed % 3 == 1L) 2 else 1
             if (ends && seed % 3 == 1L) end()
             // Carried out before this, and the answer is on its way, or the next write is not.
             if (ends && seed % 3 == 0L) scenario.clock.after(Micros(1)) { end() }
             if (ends && seed % 3 == 2L)
-                scenario.clock.after(scenario.clock.between(9.milliseconds, 200.milliseconds), end)
+                scenario.clock.after(
+                    scenario.clock.randomBetween(9.milliseconds, 200.milliseconds),
+                    end,
+                )
             ends && seed % 3 == 1L
         }
         scenario.isDone(160.seconds)
@@ -52,11 +55,14 @@
         val scenario = SingleGangScenario(seed)
         scenario.submit(MANY, cpus = 0.1, estimateS = 10.0)
         var writes = 0
-        scenario.simulation.state.late = { from, transaction ->
+        scenario.simulation.store.isDelayed = { from, transaction ->
             val ends = scenario.pagesIn(transaction) == 3 && ++writes == 1
             if (ends) {
                 scenario.clock.after(Micros(1)) {
-                    scenario.simulation.crash(from, scenario.clock.between(1.seconds, 8.seconds))
+                    scenario.simulation.crash(
+                        from,
+                        scenario.clock.randomBetween(1.seconds, 8.seconds),
+                    )
                 }
             }
             ends && seed % 2 == 0L
@@ -83,7 +89,7 @@
             if (target == null) {
                 target = machine
                 // Nothing that is sent later arrives before it.
-                simulation.delayedCommands[machine] = late
+                simulation.commandDelays[machine] = late
                 scenario.clock.after(12.milliseconds) {
                     if (seed % 2 == 0L) scenario.deaf(machine, 60.seconds)
                     else scenario.mute(machine, 60.seconds)
@@ -135,17 +141,15 @@
     private fun haltedInPart(seed: Long, heldUp: Micros): SingleGangScenario {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 3, cpus = 9.0, estimateS = LONG)
-        scenario.onceItRuns(after = scenario.clock.between(6.seconds, 14.seconds)) {
+        scenario.onceItRuns(after = scenario.clock.randomBetween(6.seconds, 14.seconds)) {
             val (taken, other) = scenario.machines()
             taken.recallS = 25.0
-            scenario.clock.after(25.seconds) { scenario.simulation.cloud.takeBack(taken) }
+            scenario.clock.after(25.seconds) { scenario.simulation.cloud.reclaimSpot(taken) }
             if (seed % 2 == 0L) scenario.hang(other, heldUp)
             else {
-                scenario.simulation.delayedCommands[other.id] = heldUp
+                scenario.simulation.commandDelays[other.id] = heldUp
                 scenario.mute(other.id, heldUp)
-                scenario.clock.after(heldUp) {
-                    scenario.simulation.delayedCommands.remove(other.id)
-                }
+                scenario.clock.after(heldUp) { scenario.simulation.commandDelays.remove(other.id) }
             }
         }
         scenario.beginsAgain(120.seconds)
@@ -183,17 +187,17 @@
     fun `a gang's zone is cut off while its next attempt is due`(seed: Long) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        scenario.onceItRuns(after = scenario.clock.between(3.seconds, 9.seconds)) {
+        scenario.onceItRuns(after = scenario.clock.randomBetween(3.seconds, 9.seconds)) {
             val zone = scenario.machines().first().zone
-            val length = scenario.clock.between(20.seconds, 60.seconds)
+            val length = scenario.clock.randomBetween(20.seconds, 60.seconds)
             if (seed % 2 == 0L) scenario.keepMachines(40.seconds)
             scenario.clock.after(6.seconds) { scenario.roomOutside(zone) }
             for (worker in scenario.simulation.cloud.workers()) {
                 if (worker.zone == zone) scenario.cutOff(worker.id, length)
             }
             if (seed % 4 < 2) {
-                scenario.clock.after(scenario.clock.between(6.seconds, 12.seconds)) {
-                    scenario.machines().firstOrNull()?.let(scenario.simulation.cloud::kill)
+                scenario.clock.after(scenario.clock.randomBetween(6.seconds, 12.seconds)) {
+                    scenario.machines().firstOrNull()?.let(scenario.simulation.cloud::crash)
                 }
             }
         }
@@ -207,15 +211,15 @@
     fun `remains in one zone hold the next attempt back, with room in the others`(seed: Long) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        scenario.onceItRuns(after = scenario.clock.between(3.seconds, 9.seconds)) {
+        scenario.onceItRuns(after = scenario.clock.randomBetween(3.seconds, 9.seconds)) {
             val (lost, hanging) = scenario.machines()
             val zone = lost.zone
-            scenario.hang(hanging, scenario.clock.between(11.seconds, 13.seconds))
+            scenario.hang(hanging, scenario.clock.randomBetween(11.seconds, 13.seconds))
             if (seed % 2 == 0L) scenario.keepMachines(30.seconds)
-            scenario.simulation.cloud.kill(lost)
+            scenario.simulation.cloud.crash(lost)
             for (worker in scenario.simulation.cloud.workers()) {
                 if (worker !== hanging && worker.zone == zone)
-                    scenario.simulation.cloud.kill(worker)
+                    scenario.simulation.cloud.crash(worker)
             }
             scenario.clock.after(5.seconds) { scenario.roomOutside(zone) }
         }
@@ -228,21 +232,21 @@
     @Test
     fun `a task without a record holds back the next attempt until it is gone`() {
         val harness = ControllerHarness()
-        harness.accept(plainJob(tasks = 2, oneZone = true).copy(kind = JobKind.GANG))
+        harness.writeAcceptedJob(plainJob(tasks = 2, oneZone = true).copy(kind = JobKind.GANG))
         harness.run(2.seconds)
-        val token = ManualWorker(harness, "i-000099").token()
+        val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
         val machines =
             listOf("a", "b").mapIndexed { i, zone -> ManualWorker(harness, "i-00000$i", zone) }
         val remains = """{"piece":"job-000001/0","try":3,"status":"running"}"""
         repeat(4) {
-            assertTrue(""""halt"""" in machines[0].handleHeartbeat(token, remains))
-            assertTrue(""""start"""" !in machines[1].handleHeartbeat(token))
+            assertTrue(""""halt"""" in machines[0].heartbeatResponse(token, remains))
+            assertTrue(""""start"""" !in machines[1].heartbeatResponse(token))
             harness.run(2.seconds)
-            assertEquals(null, harness.stored("t/job-000001/0"))
+            assertEquals(null, harness.storedValue("t/job-000001/0"))
         }
-        machines[0].handleHeartbeat(token)
+        machines[0].heartbeatResponse(token)
         harness.run(1.seconds)
-        val answers = machines.map { it.handleHeartbeat(token) }
+        val answers = machines.map { it.heartbeatResponse(token) }
         assertEquals(1, answers.count { """"start"""" in it }, "$answers")
     }
 
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -57,16 +57,16 @@
             val taken = scenario.workers().filter { it.spot }
             val at = scenario.clock.now
             // All of the gang were told within the time of a report and a direct command.
-            val hit = taken.any { it.statesOf(late.id).isNotEmpty() }
+            val hit = taken.any { it.taskStatusesOf(late.id).isNotEmpty() }
             scenario.at(at + 3.seconds) {
-                val there = taken.flatMap { it.statesOf(late.id).values }
+                val there = taken.flatMap { it.taskStatusesOf(late.id).values }
                 assertFalse("gathering" in there, "it waits on for a machine that goes")
                 val ends = scenario.simulation.gangs.endsOf(late.id)
                 assertTrue(!hit || (ends.isNotEmpty() && ends.all { it == "stopped" }), "$ends")
             }
             for (worker in taken) worker.recallS = 8.0
             scenario.at(at + 7.seconds) {
-                assertEquals(emptyList(), taken.filter { it.tasksThere > 0 }.map { it.id })
+                assertEquals(emptyList(), taken.filter { it.activeTasks > 0 }.map { it.id })
                 for (job in running) {
                     assertEquals(
                         List(3) { "kept" },
@@ -77,7 +77,7 @@
                 }
             }
             scenario.at(at + 8.seconds) {
-                for (worker in taken) scenario.simulation.cloud.takeBack(worker)
+                for (worker in taken) scenario.simulation.cloud.reclaimSpot(worker)
             }
         }
 
@@ -88,7 +88,7 @@
             val all = running + late
             // One of each gang at least, and not those of all.
             val taken = all.map { scenario.holding(it).random(scenario.clock.random) }.toSet()
-            for (worker in taken) scenario.simulation.cloud.takeBack(worker)
+            for (worker in taken) scenario.simulation.cloud.reclaimSpot(worker)
             val left = all.filter { scenario.holding(it).isNotEmpty() }
             assertTrue(left.isNotEmpty(), "nothing is left of any gang")
             scenario.clock.after(7.seconds) {
@@ -119,7 +119,7 @@
                 doneAt = scenario.clock.now
                 val rest = scenario.holding(gang).shuffled(scenario.clock.random).drop(1)
                 // Before any of them can tell of its end.
-                for (worker in rest) worker.hanging = true
+                for (worker in rest) worker.unresponsive = true
                 scenario.clock.after(Micros.ZERO) {
                     rest.forEach { lose(scenario, it, seed.toInt()) }
                 }
@@ -137,7 +137,7 @@
         simulation.run(200.seconds)
         assertEquals(1, scenario.invariants.gangsBegun)
         assertEquals(0, scenario.invariants.startsOfDone, "run again")
-        assertEquals(null, simulation.state.value("t/${gang.id}/0"))
+        assertEquals(null, simulation.store.value("t/${gang.id}/0"))
         scenario.done(listOf(gang, next))
     }
 
@@ -147,11 +147,11 @@
         val nodes = scenario.simulation.nodes
         if (how % 4 != 1)
             scenario.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) {
-                worker.hanging = false
+                worker.unresponsive = false
             }
         when (how % 4) {
-            0 -> scenario.simulation.cloud.kill(worker)
-            3 -> for (node in nodes) network.part(node, worker.id)
+            0 -> scenario.simulation.cloud.crash(worker)
+            3 -> for (node in nodes) network.blockPath(node, worker.id)
             1,
             2 -> Unit
         }
@@ -162,15 +162,15 @@
     @ValueSource(ints = [4])
     fun `the rest of a done gang keeps its room until it is proven gone`(count: Int) {
         val harness = ControllerHarness()
-        harness.accept(plainJob(2, "job-000001").copy(kind = JobKind.GANG, cpus = 16.0))
+        harness.writeAcceptedJob(plainJob(2, "job-000001").copy(kind = JobKind.GANG, cpus = 16.0))
         harness.run(2.seconds)
         val machines = List(count) { ManualWorker(harness, "i-00000$it") }
-        val token = machines.map { it.token() }.last()
+        val token = machines.map { it.fetchLeaderToken() }.last()
         val held = List(count) { LinkedHashSet<String>() }
         fun reports(rounds: Int) =
             repeat(rounds) {
                 for ((i, machine) in machines.withIndex()) {
-                    val answer = machine.handleHeartbeat(token, held[i].joinToString { "{$it}" })
+                    val answer = machine.heartbeatResponse(token, held[i].joinToString { "{$it}" })
                     for (start in STARTED.findAll(answer)) {
                         held[i].add(start.groupValues[1] + ""","status":"running"""")
                     }
@@ -186,13 +186,13 @@
         reports(3)
         val (first, rest) = on("job-000001")
         val others = plainJob(4, "job-000002").copy(cpus = 10.0)
-        harness.accept(others)
+        harness.writeAcceptedJob(others)
         reports(3)
         assertEquals(2, on(others.id).size)
         done(first)
         // It goes on reporting what it had.
         reports(5)
-        assertEquals(JobState.DONE, JobRecord.decode(harness.stored("j/job-000001")!!)!!.state)
+        assertEquals(JobState.DONE, JobRecord.decode(harness.storedValue("j/job-000001")!!)!!.state)
         assertEquals(3, on(others.id).size, "${held}")
         assertFalse(rest in on(others.id))
         done(rest)
--- a/src/test/kotlin/wardmux/sim/GangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/GangScenario.kt
@@ -16,8 +16,8 @@
         ClusterSimulation(
             seed,
             operators = forwardingSettings(seed % 2 != 0L),
-            rented = rented,
-            capacity = capacity,
+            startWithMachines = rented,
+            capacityPerZone = capacity,
         )
     val clock = simulation.clock
     val invariants = simulation.invariants
@@ -47,25 +47,25 @@
 
     fun workers() = simulation.cloud.workers()
 
-    fun holding(job: JobSpec) = workers().filter { it.statesOf(job.id).isNotEmpty() }
+    fun holding(job: JobSpec) = workers().filter { it.taskStatusesOf(job.id).isNotEmpty() }
 
     /** How the tasks of [job] are that are on machines, or on their way there. */
-    fun states(job: JobSpec) = workers().flatMap { it.statesOf(job.id).values }
+    fun states(job: JobSpec) = workers().flatMap { it.taskStatusesOf(job.id).values }
 
     fun allRun(job: JobSpec) = states(job) == List(job.tasks) { "running" }
 
-    fun stored(prefix: String, job: JobSpec) = simulation.state.value("$prefix/${job.id}")
+    fun stored(prefix: String, job: JobSpec) = simulation.store.value("$prefix/${job.id}")
 
     fun recordOf(job: JobSpec) = JobRecord.decode(stored("j", job)!!)!!.state
 
     /** The controller that leads ends, and is back soon. */
     fun changeLeader(latest: Micros) {
-        clock.after(clock.between(Micros.ZERO, latest)) {
+        clock.after(clock.randomBetween(Micros.ZERO, latest)) {
             simulation.leader()?.let { simulation.crash(it, 2.seconds) }
         }
     }
 
-    fun holds() = assertEquals(emptyList(), simulation.problems().distinct().take(4))
+    fun holds() = assertEquals(emptyList(), simulation.violations().distinct().take(4))
 
     fun done(jobs: List<JobSpec>) {
         holds()
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -48,7 +48,9 @@
             if (gang) gangs.add(spec.id)
             simulation.submit(spec)
             if (spec.kind == JobKind.SERVICE || clock.chance(0.1)) {
-                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(spec.id) }
+                clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
+                    simulation.cancel(spec.id)
+                }
             }
         }
 
@@ -62,7 +64,7 @@
         }
 
         fun play(troubled: Boolean) {
-            simulation.cloud.stillborn = if (troubled) 0.1 else 0.0
+            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
             for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
             if (troubled) for (at in 10..170 step 9) clock.after(at.seconds) { trouble() }
             simulation.run(END)
@@ -75,7 +77,7 @@
     private fun troubled(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
     }
 
@@ -93,7 +95,7 @@
     fun `in a quiet scenario every gang comes to its end`(seed: Long) {
         val scenario = Scenario(seed)
         scenario.play(troubled = false)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertEquals(emptyList(), scenario.open())
         assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
     }
@@ -111,7 +113,7 @@
 
     private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
         simulation.run(within)
-        assertEquals(emptyList(), simulation.problems())
+        assertEquals(emptyList(), simulation.violations())
         val open = jobs.filter { simulation.invariants.finalOf(it.id) != "done" }.map { it.id }
         assertEquals(emptyList(), open, "ends: ${simulation.gangs.causes}")
     }
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangsTest.kt
@@ -51,7 +51,7 @@
     private fun order(worker: Int, order: String) {
         assertEquals(
             200,
-            workers[worker].direct("""{"baton":1,"shift":1,"orders":[$order]}""")?.first,
+            workers[worker].executeDirect("""{"baton":1,"shift":1,"orders":[$order]}""")?.first,
         )
     }
 
@@ -63,7 +63,7 @@
 
     /** Status, cause and whether it was kept of the last task on the machine. */
     private fun stateOf(worker: Int): String {
-        val report = Json.parseToJsonElement(workers[worker].reportBody()).jsonObject
+        val report = Json.parseToJsonElement(workers[worker].heartbeatBody()).jsonObject
         val task = report.getValue("pieces").jsonArray.last().jsonObject
         return listOf("status", "cause", "kept")
             .mapNotNull { task[it]?.jsonPrimitive?.content }
@@ -113,7 +113,7 @@
         start(0)
         start(1)
         wait(5.0)
-        workers[1].die()
+        workers[1].crash()
         wait(10.0)
         start(2)
         wait(5.0)
@@ -136,7 +136,7 @@
     fun `a running gang notices that one is gone, and falls back to its last checkpoint`() {
         runAll()
         wait(47.0)
-        workers[1].die()
+        workers[1].crash()
         assertEquals(List(2) { "running" }, states(0, 2))
         wait(6.0)
         assertEquals(List(2) { "ended peers" }, states(0, 2))
@@ -146,13 +146,13 @@
     @Test
     fun `one that hangs is taken for gone, and exits when it goes on`() {
         runAll()
-        workers[1].hanging = true
+        workers[1].unresponsive = true
         wait(5.0)
         assertEquals(List(2) { "running" }, states(0, 2))
         wait(1.3)
         assertEquals(List(2) { "ended peers" }, states(0, 2))
         assertEquals("running", stateOf(1))
-        workers[1].hanging = false
+        workers[1].unresponsive = false
         wait(0.2)
         assertEquals("ended peers", stateOf(1))
     }
@@ -160,9 +160,9 @@
     @Test
     fun `a short hang only holds all of them up`() {
         runAll()
-        workers[1].hanging = true
+        workers[1].unresponsive = true
         wait(4.0)
-        workers[1].hanging = false
+        workers[1].unresponsive = false
         wait(10.0)
         assertEquals(List(3) { "running" }, states(0, 1, 2))
     }
@@ -182,7 +182,7 @@
         // Safe from now, whatever becomes of the others.
         val kept = gangs.savedOf(job)
         assertTrue(kept > 29.seconds && kept < 33.seconds, "$kept")
-        workers[2].die()
+        workers[2].crash()
         wait(2.0)
         assertEquals(listOf("ended stopped true", "ended stopped true"), states(0, 1))
         assertEquals(kept, gangs.savedOf(job))
@@ -205,7 +205,7 @@
         wait(30.0)
         for (worker in 0..2) halt(worker, 2.0)
         wait(1.0)
-        workers[2].die()
+        workers[2].crash()
         wait(6.0)
         assertEquals(List(2) { "ended peers" }, states(0, 1))
         assertEquals(20.seconds, gangs.savedOf(job))
@@ -249,7 +249,7 @@
 
     @Test
     fun `one that fails takes the others with it`() {
-        workers[2].sick = true
+        workers[2].failsEveryTask = true
         runAll()
         wait(8.0)
         assertEquals(listOf("ended peers", "ended peers", "ended error"), states(0, 1, 2))
--- a/src/test/kotlin/wardmux/sim/InvariantsTest.kt
+++ b/src/test/kotlin/wardmux/sim/InvariantsTest.kt
@@ -187,9 +187,9 @@
         clock.run(5.seconds) {}
         invariants.told(clock.now, job, "abort", 200, "cancelled")
         clock.run(10.seconds) {}
-        worker.hanging = true
+        worker.unresponsive = true
         clock.run(24.seconds) {}
-        worker.hanging = false
+        worker.unresponsive = false
         clock.run(41.seconds) { invariants.check(clock.now) }
         assertEquals(emptyList(), invariants.broken)
         clock.run(43.seconds) { invariants.check(clock.now) }
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -15,10 +15,10 @@
             ClusterSimulation(
                 seed = 7,
                 operators = operators,
-                rented = false,
-                capacity = MACHINES / KINDS,
+                startWithMachines = false,
+                capacityPerZone = MACHINES / KINDS,
                 fdLimit = fdLimit,
-                teamCpus = 64.0 * MACHINES,
+                teamCpuLimit = 64.0 * MACHINES,
             )
         repeat(MACHINES) {
             simulation.cloud.rent(ZONES[it % ZONES.size], spot = it % KINDS < ZONES.size)
@@ -28,9 +28,9 @@
         simulation.run(50.seconds)
         val before = simulation.cloud.workers().map { it.id }
         assertEquals(MACHINES, before.size)
-        simulation.crash(simulation.leader()!!, back = 700.milliseconds)
+        simulation.crash(simulation.leader()!!, downtime = 700.milliseconds)
         simulation.run(110.seconds)
-        assertEquals(emptyList(), simulation.problems())
+        assertEquals(emptyList(), simulation.violations())
         assertEquals(before, simulation.cloud.workers().map { it.id }, "some were given up")
         val sessions = simulation.cloud.workers().count { it.sessions > 1 }
         assertEquals(0, sessions, "leases ended")
