--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -35,7 +35,7 @@
         leader()?.let { crash(it, back) }
     }
 
-    private fun ClusterSimulation.assertWell() = assertEquals(emptyList(), problems())
+    private fun ClusterSimulation.assertWell() = assertEquals(emptyList(), violations())
 
     // Transactions that are carried out late.
 
@@ -43,7 +43,7 @@
     private fun dayOfLateWrites(seed: Long, share: Double): ClusterSimulation {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
-        simulation.state.late = { _, transaction ->
+        simulation.store.isDelayed = { _, transaction ->
             clock.now < TROUBLED && "then" in transaction && clock.chance(share)
         }
         val jobs = ArrayList<JobSpec>()
@@ -53,13 +53,15 @@
                 jobs.add(job)
                 simulation.submit(job)
                 if (second % 8 == 0) {
-                    clock.after(clock.between(1.seconds, 9.seconds)) { simulation.cancel(job.id) }
+                    clock.after(clock.randomBetween(1.seconds, 9.seconds)) {
+                        simulation.cancel(job.id)
+                    }
                 }
             }
         }
         clock.after(24.seconds) { simulation.crashLeader(2.seconds) }
         clock.after(32.seconds) {
-            simulation.cloud.workers().firstOrNull()?.let { simulation.cloud.kill(it) }
+            simulation.cloud.workers().firstOrNull()?.let { simulation.cloud.crash(it) }
         }
         clock.after(44.seconds) { simulation.crashLeader(300.milliseconds) }
         simulation.run(TROUBLED + 160.seconds)
@@ -77,11 +79,11 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a late write of a leader changes nothing after its newer ones`(seed: Long) {
-        val late = dayOfLateWrites(seed, 0.17).state.carriedOutLate
-        val leaders = late.filter { it.changes(FairQueue.KEY) }
-        val overtaken = leaders.filter { it.overtakenBy(FairQueue.KEY) }
+        val late = dayOfLateWrites(seed, 0.17).store.delayedTransactions
+        val leaders = late.filter { it.changesKeyUnder(FairQueue.KEY) }
+        val overtaken = leaders.filter { it.overtakenByChangeUnder(FairQueue.KEY) }
         assertTrue(overtaken.isNotEmpty(), "the meeting did not come about")
-        assertEquals(0, overtaken.count { it.carriedOut })
+        assertEquals(0, overtaken.count { it.committed })
     }
 
     @ParameterizedTest
@@ -90,7 +92,7 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         val taking = "\"put\":\"${LeaderElection.KEY}\""
-        simulation.state.late = { _, transaction ->
+        simulation.store.isDelayed = { _, transaction ->
             clock.now < TROUBLED && taking in transaction.toString() && clock.chance(0.6)
         }
         val job = simulation.job(12, 6.0)
@@ -99,9 +101,10 @@
             simulation.crashLeader(400.milliseconds)
         }
         simulation.run(TROUBLED + 100.seconds)
-        val late = simulation.state.carriedOutLate.filter { it.changes(LeaderElection.KEY) }
+        val late =
+            simulation.store.delayedTransactions.filter { it.changesKeyUnder(LeaderElection.KEY) }
         assertTrue(late.isNotEmpty(), "the meeting did not come about")
-        assertEquals(0, late.count { it.replaced(LeaderElection.KEY) })
+        assertEquals(0, late.count { it.replacedExisting(LeaderElection.KEY) })
         simulation.assertWell()
         assertEquals("done", simulation.invariants.finalOf(job.id))
     }
@@ -124,8 +127,8 @@
                 seen++
                 changes++
                 // Before or after the end is reported, written or forgotten.
-                clock.after(clock.between(Micros.ZERO, 6.seconds)) {
-                    simulation.crashLeader(clock.between(300.milliseconds, 9.seconds))
+                clock.after(clock.randomBetween(Micros.ZERO, 6.seconds)) {
+                    simulation.crashLeader(clock.randomBetween(300.milliseconds, 9.seconds))
                 }
             }
         }
@@ -145,7 +148,7 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         // As it is at times: so the end is recorded between a cancellation's read and its write.
-        simulation.network.slow["state"] = 150.milliseconds
+        simulation.network.extraLatency["state"] = 150.milliseconds
         val jobs = List(24) { simulation.job(1 + it % 2, 4.0, team = it % 3) }
         val ended = HashSet<String>()
         for ((i, job) in jobs.withIndex()) {
@@ -156,7 +159,7 @@
                 if (simulation.invariants.completedOf(job.id) < job.tasks || !ended.add(job.id))
                     continue
                 val within = { action: () -> Unit ->
-                    clock.after(clock.between(Micros.ZERO, 800.milliseconds), action)
+                    clock.after(clock.randomBetween(Micros.ZERO, 800.milliseconds), action)
                 }
                 within { simulation.cancel(job.id) }
                 within { simulation.poll(job.id) }
@@ -186,15 +189,15 @@
         clock.after(20.seconds) { simulation.submit(waiting) }
         var cut = emptyList<FakeWorker>()
         val spell = {
-            cut = simulation.cloud.workers().filter { running.id in it.reportBody() }.take(2)
+            cut = simulation.cloud.workers().filter { running.id in it.heartbeatBody() }.take(2)
             assertEquals(2, cut.size)
-            for (worker in cut) simulation.network.cut(worker.id)
+            for (worker in cut) simulation.network.isolate(worker.id)
             simulation.crashLeader(3.seconds)
-            clock.after(clock.between(100.milliseconds, 6.seconds)) {
+            clock.after(clock.randomBetween(100.milliseconds, 6.seconds)) {
                 simulation.cancel(running.id)
             }
-            clock.after(clock.between(8.seconds, 34.seconds)) {
-                for (worker in cut) simulation.network.mend(worker.id)
+            clock.after(clock.randomBetween(8.seconds, 34.seconds)) {
+                for (worker in cut) simulation.network.reconnect(worker.id)
             }
         }
         clock.every(1.seconds) {
@@ -256,20 +259,20 @@
         val others = List(2) { ManualWorker(this, "i-00005$it") }
         val answers = StringBuilder()
         repeat(6) {
-            for (other in others) answers.append(other.handleHeartbeat(token))
+            for (other in others) answers.append(other.heartbeatResponse(token))
             run(0.5.seconds)
         }
-        return direct.joinToString() + answers
+        return directCommands.joinToString() + answers
     }
 
     @Test
     fun `a report held until a new leader acts frees nothing there, whatever it lacks or says`() {
         for (held in listOf("", piece("ended", cause = "error"), piece("ended", cause = "full"))) {
             val harness = ControllerHarness()
-            harness.accept(plainJob(1))
+            harness.writeAcceptedJob(plainJob(1))
             placed(harness, "i-000001")
             harness.run(2.seconds)
-            val token = ManualWorker(harness, "i-000099").token()
+            val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
             harness.report("i-000001", 1, 5, token - 1, held)
             assertFalse("job-000001/0" in harness.startsElsewhere(token), "freed by [$held]")
             // The machine itself, under the new token, still has it.
@@ -280,13 +283,13 @@
 
     @Test
     fun `a held report of a task that is done counts, also at a new leader`() {
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         placed(harness, "i-000001")
         harness.run(2.seconds)
-        val token = ManualWorker(harness, "i-000099").token()
+        val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
         harness.report("i-000001", 1, 5, token - 1, piece("ended", cause = "done"))
         harness.run(2.seconds)
-        assertContains(harness.stored(JobRecord.key(plainJob(1).jobId)).toString(), "done")
+        assertContains(harness.storedValue(JobRecord.key(plainJob(1).jobId)).toString(), "done")
     }
 
     @Test
@@ -304,10 +307,10 @@
             )
         for ((incarnation, tick, tasks) in olds) {
             val harness = ControllerHarness()
-            harness.accept(plainJob(1))
+            harness.writeAcceptedJob(plainJob(1))
             placed(harness, "i-000001", attempt = 2, incarnation = 2)
             harness.run(2.seconds)
-            val token = ManualWorker(harness, "i-000099").token()
+            val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
             harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
             harness.report("i-000001", incarnation, tick, token, tasks)
             assertFalse(
@@ -323,10 +326,10 @@
     fun `a report older than the last frees nothing when it comes through a forwarder`() {
         for ((incarnation, tick) in listOf(2 to 3L, 1 to 90L)) {
             val harness = ControllerHarness(listOf("n1"))
-            harness.accept(plainJob(1))
+            harness.writeAcceptedJob(plainJob(1))
             placed(harness, "i-000001", attempt = 2, incarnation = 2)
             harness.run(2.seconds)
-            val token = ManualWorker(harness, "i-000099").token()
+            val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
             harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
             val old = FullHeartbeat(1, body("i-000001", incarnation, tick.toInt(), token))
             // Whole, and then as a sign of life that is older still than the last.
@@ -346,17 +349,17 @@
 
     @Test
     fun `a machine that a new leader hears of by an old report alone gets no work`() {
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         harness.run(2.seconds)
-        val token = ManualWorker(harness, "i-000099").token()
-        harness.direct.clear()
+        val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
+        harness.directCommands.clear()
         // It is gone; this was on its way since before the change of leader.
         repeat(4) {
             val answer = harness.report("i-000007", 1, 5 + it, token - 1)
             assertFalse("start" in answer)
             harness.run(0.5.seconds)
         }
-        assertEquals(emptyList(), harness.direct.filter { "job-000001/0" in it })
+        assertEquals(emptyList(), harness.directCommands.filter { "job-000001/0" in it })
         assertContains(harness.startsElsewhere(token), "job-000001/0")
     }
 
--- a/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
@@ -16,13 +16,16 @@
     /** From now for [length]; then all is well again. */
     fun begin(length: Micros) {
         over = false
-        for (worker in simulation.cloud.workers()) worker.wanders = clock.chance(WANDERING)
+        for (worker in simulation.cloud.workers()) worker.rotatesControllers =
+            clock.chance(WANDERING)
         holdUpCommands()
         changeLeaders()
         repeatedly(2.seconds, 7.seconds) { cutOffSome() }
-        repeatedly(4.seconds, 15.seconds) { refuse(null, clock.between(1.seconds, 8.seconds)) }
+        repeatedly(4.seconds, 15.seconds) {
+            refuse(null, clock.randomBetween(1.seconds, 8.seconds))
+        }
         repeatedly(3.seconds, 10.seconds) {
-            refuse(someNode(), clock.between(2.seconds, 10.seconds))
+            refuse(someNode(), clock.randomBetween(2.seconds, 10.seconds))
         }
         repeatedly(3.seconds, 12.seconds) { simulation.crash(someNode(), shortly()) }
         clock.after(length) { end() }
@@ -30,12 +33,12 @@
 
     private fun end() {
         over = true
-        simulation.delayedCommands.clear()
-        for (worker in simulation.cloud.workers()) worker.wanders = false
+        simulation.commandDelays.clear()
+        for (worker in simulation.cloud.workers()) worker.rotatesControllers = false
     }
 
     private fun repeatedly(least: Micros, most: Micros, action: () -> Unit) {
-        clock.after(clock.between(least, most)) {
+        clock.after(clock.randomBetween(least, most)) {
             if (over) return@after
             action()
             repeatedly(least, most, action)
@@ -47,7 +50,7 @@
             if (clock.chance(ALL_END)) {
                 for (node in simulation.nodes) simulation.crash(
                     node,
-                    clock.between(1.seconds, 4.seconds),
+                    clock.randomBetween(1.seconds, 4.seconds),
                 )
             } else {
                 simulation.leader()?.let { simulation.crash(it, shortly()) }
@@ -58,7 +61,7 @@
     private fun holdUpCommands() {
         for (worker in simulation.cloud.workers()) {
             if (clock.chance(LATE)) {
-                simulation.delayedCommands[worker.id] = clock.between(2.seconds, 16.seconds)
+                simulation.commandDelays[worker.id] = clock.randomBetween(2.seconds, 16.seconds)
             }
         }
     }
@@ -67,7 +70,7 @@
     private fun cutOffSome() {
         for (worker in simulation.cloud.workers()) {
             if (!clock.chance(CUT_OFF)) continue
-            val length = clock.between(2.seconds, 14.seconds)
+            val length = clock.randomBetween(2.seconds, 14.seconds)
             when (clock.random.nextInt(3)) {
                 0 -> hold(worker.id, length)
                 1 -> for (node in simulation.nodes) part(node, worker.id, length)
@@ -81,23 +84,23 @@
     }
 
     private fun hold(host: String, length: Micros) {
-        simulation.network.cut(host)
-        clock.after(length) { simulation.network.mend(host) }
+        simulation.network.isolate(host)
+        clock.after(length) { simulation.network.reconnect(host) }
     }
 
     private fun part(from: String, to: String, length: Micros) {
-        simulation.network.part(from, to)
-        clock.after(length) { simulation.network.join(from, to) }
+        simulation.network.blockPath(from, to)
+        clock.after(length) { simulation.network.unblockPath(from, to) }
     }
 
     private fun refuse(member: String?, length: Micros) {
-        simulation.state.outage(member)
-        clock.after(length) { simulation.state.back(member) }
+        simulation.store.startOutage(member)
+        clock.after(length) { simulation.store.endOutage(member) }
     }
 
     private fun someNode() = simulation.nodes.random(clock.random)
 
-    private fun shortly() = clock.between(100.milliseconds, 3.seconds)
+    private fun shortly() = clock.randomBetween(100.milliseconds, 3.seconds)
 
     private companion object {
         const val WANDERING = 0.5
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -21,7 +21,7 @@
         told: AnnouncedStoreLimits?,
         operators: OperatorSettings = OperatorSettings(),
     ) {
-        val simulation = ClusterSimulation(seed, operators = operators, told = told)
+        val simulation = ClusterSimulation(seed, operators = operators, announcedLimits = told)
         val clock = simulation.clock
         val jobs = ArrayList<String>()
 
@@ -42,14 +42,16 @@
                         zone = null,
                         oneZone = false,
                         spread = false,
-                        estimateS = clock.between(4.seconds, 25.seconds).inSeconds,
+                        estimateS = clock.randomBetween(4.seconds, 25.seconds).inSeconds,
                         priority = PriorityClass.PROD,
                     )
             jobs.add(job.id)
             simulation.submit(job)
             val daemon = spec.kind == JobKind.SERVICE
             if (daemon || clock.chance(0.2)) {
-                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(job.id) }
+                clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
+                    simulation.cancel(job.id)
+                }
             }
         }
 
@@ -58,11 +60,11 @@
                 clock.after(from + (9 * i).seconds) {
                     if (clock.chance(0.5)) {
                         simulation.leader()?.let {
-                            simulation.crash(it, clock.between(200.milliseconds, 5.seconds))
+                            simulation.crash(it, clock.randomBetween(200.milliseconds, 5.seconds))
                         }
                     } else {
                         simulation.cloud.workers().randomOrNull(clock.random)?.let {
-                            simulation.cloud.kill(it)
+                            simulation.cloud.crash(it)
                         }
                     }
                 }
@@ -71,8 +73,8 @@
 
         fun end() {
             simulation.run(330.seconds)
-            assertEquals(emptyList(), simulation.problems())
-            assertEquals(emptyList(), simulation.state.beyond)
+            assertEquals(emptyList(), simulation.violations())
+            assertEquals(emptyList(), simulation.store.rejectedForSize)
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
             assertEquals(emptyList(), jobs.filter { simulation.invariants.finalOf(it) == null })
         }
@@ -83,7 +85,7 @@
     fun `who is told of them beforehand never goes beyond`(seed: Long) {
         val scenario = Scenario(seed, LOWER)
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
-        scenario.clock.after(40.seconds) { scenario.simulation.state.lower(LOWER) }
+        scenario.clock.after(40.seconds) { scenario.simulation.store.lowerLimits(LOWER) }
         scenario.crashes(20.seconds)
         scenario.end()
     }
@@ -100,11 +102,11 @@
         var fallen = false
         scenario.clock.every(100.milliseconds) {
             // All come back told, while a page is large, and the limits fall at once.
-            if (!fallen && simulation.state.largest("t/") > 1024) {
+            if (!fallen && simulation.store.largestValueLength("t/") > 1024) {
                 fallen = true
-                simulation.told = LOWER
+                simulation.announcedLimits = LOWER
                 for (node in simulation.nodes) simulation.crash(node, 500.milliseconds)
-                scenario.clock.after(400.milliseconds) { simulation.state.lower(LOWER) }
+                scenario.clock.after(400.milliseconds) { simulation.store.lowerLimits(LOWER) }
             }
         }
         scenario.crashes(35.seconds)
@@ -118,24 +120,24 @@
         val scenario = Scenario(seed, LOWER, forwardingSettings())
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
-        simulation.state.lower(LOWER)
+        simulation.store.lowerLimits(LOWER)
         scenario.clock.after(20.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
-                simulation.network.part(a, b)
+                simulation.network.blockPath(a, b)
         }
         scenario.clock.after(70.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
-                simulation.network.join(a, b)
+                simulation.network.unblockPath(a, b)
         }
         scenario.end()
-        assertTrue(simulation.state.largest("r/") > 0, "no batch went round")
+        assertTrue(simulation.store.largestValueLength("r/") > 0, "no batch went round")
     }
 
     /** On few machines a page of 1 KiB holds some 100 tasks, on many some 20. */
     @Test
     fun `gangs that a page holds run, and one that none holds stands in nobody's way`() {
-        val simulation = ClusterSimulation(31, told = LOWER)
-        simulation.state.lower(LOWER)
+        val simulation = ClusterSimulation(31, announcedLimits = LOWER)
+        simulation.store.lowerLimits(LOWER)
         simulation.run(5.seconds)
         val never = wideGang(simulation, tasks = 200, cpus = 0.1)
         simulation.submit(never)
@@ -164,8 +166,8 @@
         }
         simulation.run(270.seconds)
         assertEquals(listOf("cancelled", "cancelled"), listOf(never, service).map(ended))
-        assertEquals(emptyList(), simulation.problems())
-        assertEquals(emptyList(), simulation.state.beyond)
+        assertEquals(emptyList(), simulation.violations())
+        assertEquals(emptyList(), simulation.store.rejectedForSize)
     }
 
     private fun wideGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -38,25 +38,25 @@
 
         fun workers() = simulation.cloud.workers()
 
-        fun busy() = workers().filter { it.tasksThere > 0 }
+        fun busy() = workers().filter { it.activeTasks > 0 }
 
         fun part(a: String, b: String, length: Micros) {
-            simulation.network.part(a, b)
-            clock.after(length) { simulation.network.join(a, b) }
+            simulation.network.blockPath(a, b)
+            clock.after(length) { simulation.network.unblockPath(a, b) }
         }
 
         fun hang(worker: FakeWorker, length: Micros) {
-            worker.hanging = true
-            clock.after(length) { worker.hanging = false }
+            worker.unresponsive = true
+            clock.after(length) { worker.unresponsive = false }
         }
 
         fun mute(worker: FakeWorker, length: Micros) {
-            simulation.network.mute.add(worker.id)
-            clock.after(length) { simulation.network.mute.remove(worker.id) }
+            simulation.network.outboundBlocked.add(worker.id)
+            clock.after(length) { simulation.network.outboundBlocked.remove(worker.id) }
         }
 
         fun holds() {
-            assertEquals(emptyList(), simulation.problems().distinct().take(4))
+            assertEquals(emptyList(), simulation.violations().distinct().take(4))
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
         }
 
@@ -78,19 +78,19 @@
         val jobs = List(3) { scenario.large(it, 3) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.between(12.seconds, 70.seconds)
+            val length = scenario.clock.randomBetween(12.seconds, 70.seconds)
             for (worker in scenario.busy()) {
                 if (!scenario.clock.chance(0.8)) continue
                 scenario.mute(worker, length)
                 // Nothing new goes where no lease is renewed.
                 scenario.clock.after(11.seconds) {
-                    val before = worker.starts
+                    val before = worker.startedTasks
                     scenario.clock.after(length - 11.seconds) {
-                        assertEquals(before, worker.starts, "started on a mute machine")
+                        assertEquals(before, worker.startedTasks, "started on a mute machine")
                     }
                 }
             }
-            scenario.clock.after(scenario.clock.between(0.seconds, 20.seconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(0.seconds, 20.seconds)) {
                 scenario.simulation.cancel(jobs[0].id)
             }
         }
@@ -115,7 +115,7 @@
             assertTrue(busy.size >= 6, "only ${busy.size} are busy")
             for (worker in busy.drop((seed % 3).toInt() * 3)) scenario.hang(worker, 90.seconds)
             for (job in jobs) scenario.simulation.cancel(job.id)
-            scenario.clock.after(scenario.clock.between(1.seconds, 25.seconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(1.seconds, 25.seconds)) {
                 scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
             }
         }
@@ -139,15 +139,15 @@
         scenario.at(20.seconds) {
             val there = scenario.workers().shuffled(scenario.clock.random)
             for (worker in there.take(there.size / 2)) {
-                if (scenario.clock.chance(0.5)) scenario.simulation.cloud.kill(worker)
-                else scenario.hang(worker, scenario.clock.between(3.seconds, 30.seconds))
+                if (scenario.clock.chance(0.5)) scenario.simulation.cloud.crash(worker)
+                else scenario.hang(worker, scenario.clock.randomBetween(3.seconds, 30.seconds))
             }
-            scenario.clock.after(scenario.clock.between(0.seconds, 6.seconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(0.seconds, 6.seconds)) {
                 scenario.simulation.leader()?.let { scenario.simulation.crash(it, 2.seconds) }
             }
         }
         scenario.at(45.seconds) {
-            scenario.busy().take(2).forEach { scenario.simulation.cloud.kill(it) }
+            scenario.busy().take(2).forEach { scenario.simulation.cloud.crash(it) }
         }
         scenario.simulation.run(220.seconds)
         scenario.done(pinned, together, far)
@@ -163,7 +163,7 @@
         val jobs = List(3) { scenario.large(it, 3).copy(cpus = 5.0) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.between(5.seconds, 60.seconds)
+            val length = scenario.clock.randomBetween(5.seconds, 60.seconds)
             for (worker in scenario.busy()) {
                 when (scenario.clock.random.nextInt(4)) {
                     0 ->
@@ -173,15 +173,17 @@
                             length,
                         )
                     1 -> {
-                        scenario.simulation.network.cut(worker.id)
-                        scenario.clock.after(length) { scenario.simulation.network.mend(worker.id) }
+                        scenario.simulation.network.isolate(worker.id)
+                        scenario.clock.after(length) {
+                            scenario.simulation.network.reconnect(worker.id)
+                        }
                     }
                 }
             }
             scenario.simulation.leader()?.let {
-                scenario.simulation.crash(it, scenario.clock.between(1.seconds, 9.seconds))
+                scenario.simulation.crash(it, scenario.clock.randomBetween(1.seconds, 9.seconds))
             }
-            scenario.clock.after(scenario.clock.between(0.seconds, 12.seconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(0.seconds, 12.seconds)) {
                 scenario.simulation.cancel(jobs[1].id)
             }
         }
@@ -200,7 +202,7 @@
         val jobs = List(3) { scenario.large(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.between(17.seconds, 60.seconds)
+            val length = scenario.clock.randomBetween(17.seconds, 60.seconds)
             val leader = scenario.simulation.leader()
             // The leader is inside, or one of the others.
             val node = scenario.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
@@ -213,7 +215,7 @@
                 scenario.part(a, b, length)
                 scenario.part(b, a, length)
             }
-            scenario.clock.after(scenario.clock.between(0.seconds, 9.seconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(0.seconds, 9.seconds)) {
                 scenario.simulation.cancel(jobs[2].id)
             }
         }
@@ -236,9 +238,9 @@
         scenario.at(25.seconds) {
             for (job in kept + cancelled) scenario.simulation.submit(job)
             // While these starts go out.
-            scenario.clock.after(scenario.clock.between(20.milliseconds, 200.milliseconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(20.milliseconds, 200.milliseconds)) {
                 for (worker in scenario.workers()) {
-                    val length = scenario.clock.between(1.seconds, 15.seconds)
+                    val length = scenario.clock.randomBetween(1.seconds, 15.seconds)
                     if (scenario.clock.chance(0.5)) scenario.hang(worker, length)
                     else if (scenario.clock.chance(0.5)) {
                         // The order arrives, its answer comes too late.
@@ -250,7 +252,7 @@
                     }
                 }
             }
-            scenario.clock.after(scenario.clock.between(0.seconds, 6.seconds)) {
+            scenario.clock.after(scenario.clock.randomBetween(0.seconds, 6.seconds)) {
                 for (job in cancelled) scenario.simulation.cancel(job.id)
             }
         }
@@ -277,16 +279,16 @@
             simulation.submit(job)
         }
         scenario.at(10.seconds) {
-            for (host in hosts) simulation.network.slow[host] =
-                scenario.clock.between(50.milliseconds, 400.milliseconds)
+            for (host in hosts) simulation.network.extraLatency[host] =
+                scenario.clock.randomBetween(50.milliseconds, 400.milliseconds)
             for (w in scenario.workers()) {
-                simulation.network.slow[w.id] =
-                    scenario.clock.between(50.milliseconds, 900.milliseconds)
+                simulation.network.extraLatency[w.id] =
+                    scenario.clock.randomBetween(50.milliseconds, 900.milliseconds)
             }
         }
-        scenario.at(70.seconds) { simulation.network.slow.clear() }
+        scenario.at(70.seconds) { simulation.network.extraLatency.clear() }
         simulation.run(330.seconds)
-        simulation.checkAtEnd(calm = 70.seconds)
+        simulation.checkAtEnd(faultsEndedAt = 70.seconds)
         scenario.done(*jobs.toTypedArray())
     }
 }
--- a/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
+++ b/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
@@ -15,7 +15,7 @@
 class ManyLostMachinesTest {
     private val harness =
         ControllerHarness(
-            given =
+            platform =
                 ControllerHarness.SETTINGS.copy(
                     deployment =
                         ControllerHarness.SETTINGS.deployment.copy(
@@ -27,28 +27,29 @@
     private val workers = List(MACHINES) { ManualWorker(harness, "i-%06d".format(it)) }
 
     private fun recorded(lost: Int) =
-        (0 until lost).count { harness.stored("m/i-%06d".format(it)) != null }
+        (0 until lost).count { harness.storedValue("m/i-%06d".format(it)) != null }
 
     @Test
     fun `the records of many lost machines do not wait behind all that can be placed`() {
         harness.run(2.seconds)
-        val token = workers.first().token()
-        for (worker in workers) worker.report(token)
+        val token = workers.first().fetchLeaderToken()
+        for (worker in workers) worker.sendHeartbeat(token)
         // All but the first of them go on reporting; then there is more to place than can be
         // written.
         var at = 0
         while (recorded(LOST) == 0) {
             assertTrue(++at < MOST_ROUNDS, "no machine was given up")
-            if (at == JOBS_AT) repeat(JOBS) { harness.accept(plainJob(1, "job-%06d".format(it))) }
-            for (worker in workers.drop(LOST)) worker.report(token)
+            if (at == JOBS_AT)
+                repeat(JOBS) { harness.writeAcceptedJob(plainJob(1, "job-%06d".format(it))) }
+            for (worker in workers.drop(LOST)) worker.sendHeartbeat(token)
             harness.run(0.5.seconds)
         }
         repeat(ROUNDS_TO_RECORD) {
-            for (worker in workers.drop(LOST)) worker.report(token)
+            for (worker in workers.drop(LOST)) worker.sendHeartbeat(token)
             harness.run(0.5.seconds)
         }
         assertEquals(LOST, recorded(LOST))
-        val placed = (0 until JOBS).count { harness.stored("t/job-%06d/0".format(it)) != null }
+        val placed = (0 until JOBS).count { harness.storedValue("t/job-%06d/0".format(it)) != null }
         assertTrue(placed in 1 until JOBS, "$placed jobs placed")
     }
 
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -25,7 +25,7 @@
         /** Tasks that go on until they are cancelled. */
         fun submit(count: Int) =
             repeat(count) {
-                val spec = simulation.plainService("team-${jobs.size % 3}", TASKS)
+                val spec = simulation.unconstrainedService("team-${jobs.size % 3}", TASKS)
                 jobs.add(spec.id)
                 simulation.submit(spec)
             }
@@ -38,7 +38,7 @@
                 1.seconds
             )
             // Nothing of what was done to get there is under way any more.
-            runFor(clock.between(5.seconds, 6.seconds))
+            runFor(clock.randomBetween(5.seconds, 6.seconds))
             for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
         }
 
@@ -48,14 +48,14 @@
 
         fun apart(a: String, b: String, length: Micros) {
             for ((from, to) in listOf(a to b, b to a)) {
-                simulation.network.part(from, to)
-                clock.after(length) { simulation.network.join(from, to) }
+                simulation.network.blockPath(from, to)
+                clock.after(length) { simulation.network.unblockPath(from, to) }
             }
         }
 
         fun outage(member: String?, length: Micros) {
-            simulation.state.outage(member, endsWatches = true)
-            clock.after(length) { simulation.state.back(member) }
+            simulation.store.startOutage(member, endWatches = true)
+            clock.after(length) { simulation.store.endOutage(member) }
         }
 
         fun runFor(length: Micros) = simulation.run(clock.now + length)
@@ -65,7 +65,7 @@
         /** What nobody cancelled runs again, all of it, and no rule was broken on the way. */
         fun end(calm: Micros) {
             simulation.checkAtEnd(calm)
-            assertEquals(emptyList(), simulation.problems())
+            assertEquals(emptyList(), simulation.violations())
             for (job in jobs) {
                 if (invariants.finalOf(job) == "cancelled")
                     assertEquals(0, invariants.placesOf(job).size)
@@ -86,7 +86,7 @@
             outage(leader, 14.seconds)
             val cancelled = jobs.takeLast(count)
             more(cancelled)
-            runFor(clock.between(5.milliseconds, 400.milliseconds))
+            runFor(clock.randomBetween(5.milliseconds, 400.milliseconds))
             for (job in cancelled) cancel(job, by = other)
             runFor(GAP)
             for (job in cancelled) assertEquals(
@@ -141,8 +141,10 @@
                 // Some go on just before their lease is over, some just after it.
                 val hosts = cancelled.flatMap { invariants.placesOf(it).values }.toSet()
                 for (worker in simulation.cloud.workers().filter { it.id in hosts }) {
-                    worker.hanging = true
-                    clock.after(clock.between(8.seconds, 20.seconds)) { worker.hanging = false }
+                    worker.unresponsive = true
+                    clock.after(clock.randomBetween(8.seconds, 20.seconds)) {
+                        worker.unresponsive = false
+                    }
                 }
             }
         }
@@ -153,7 +155,7 @@
         Meeting(way).run {
             begin()
             for (worker in simulation.cloud.workers()) {
-                simulation.delayedCommands[worker.id] = clock.between(4.seconds, 13.seconds)
+                simulation.commandDelays[worker.id] = clock.randomBetween(4.seconds, 13.seconds)
             }
             submit(1)
             // Decided on, written and sent, but not there; some go out with a report's answer.
@@ -174,7 +176,7 @@
             begin()
             val former = leader()
             simulation.crash(former, 90.seconds)
-            runFor(clock.between(100.milliseconds, 2.seconds))
+            runFor(clock.randomBetween(100.milliseconds, 2.seconds))
             val cancelled = jobs.takeLast(3)
             for (job in cancelled) cancel(
                 job,
@@ -215,9 +217,10 @@
         Meeting(way).run {
             begin()
             val leader = leader()
-            simulation.network.slow["state"] = clock.between(300.milliseconds, 1500.milliseconds)
+            simulation.network.extraLatency["state"] =
+                clock.randomBetween(300.milliseconds, 1500.milliseconds)
             for (job in jobs.take(4)) {
-                clock.after(clock.between(1.seconds, 7500.milliseconds)) { cancel(job) }
+                clock.after(clock.randomBetween(1.seconds, 7500.milliseconds)) { cancel(job) }
             }
             runFor(5.seconds)
             if (way.lone) for (node in simulation.nodes - leader) apart(leader, node, OUTAGE)
@@ -225,7 +228,7 @@
             runFor(GAP)
             outage(null, OUTAGE)
             runFor(OUTAGE)
-            simulation.network.slow.remove("state")
+            simulation.network.extraLatency.remove("state")
             runFor(70.seconds)
             assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
@@ -246,7 +249,7 @@
             assertNotEquals(former, next)
             val some = jobs.shuffled(clock.random)
             cancel(some[0], by = next)
-            clock.after(clock.between(1.seconds, 10.seconds)) { cancel(some[1], by = next) }
+            clock.after(clock.randomBetween(1.seconds, 10.seconds)) { cancel(some[1], by = next) }
             // Asked of the lone one, which can't know and must not say that it was done.
             cancel(some[2], by = former)
             runFor(60.seconds)
@@ -263,19 +266,19 @@
             begin()
             val tokens = HashSet<Long>()
             clock.every(50.milliseconds) {
-                simulation.state.version("leader")?.let { tokens.add(it) }
+                simulation.store.version("leader")?.let { tokens.add(it) }
             }
             val begun = clock.now
             clock.after(40.seconds) { outage(null, 20.seconds) }
-            for (job in jobs.take(4)) clock.after(clock.between(1.seconds, 110.seconds)) {
+            for (job in jobs.take(4)) clock.after(clock.randomBetween(1.seconds, 110.seconds)) {
                 cancel(job)
             }
             while (clock.now < begun + 120.seconds) {
                 // In the outage the key stays, while whoever would lead next comes and goes.
                 simulation.leader()?.let {
-                    simulation.crash(it, clock.between(200.milliseconds, 5.seconds))
+                    simulation.crash(it, clock.randomBetween(200.milliseconds, 5.seconds))
                 }
-                runFor(clock.between(5.seconds, 7.seconds))
+                runFor(clock.randomBetween(5.seconds, 7.seconds))
             }
             assertTrue(tokens.size > 10, "${tokens.size} leaders")
             runFor(80.seconds)
@@ -289,11 +292,11 @@
         Meeting(way).run {
             begin()
             for (job in jobs.take(2)) cancel(job)
-            runFor(clock.between(20.milliseconds, 400.milliseconds))
-            val away = clock.between(15.seconds, 30.seconds)
+            runFor(clock.randomBetween(20.milliseconds, 400.milliseconds))
+            val away = clock.randomBetween(15.seconds, 30.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
-                away + clock.between(1.seconds, 3.seconds),
+                away + clock.randomBetween(1.seconds, 3.seconds),
             )
             runFor(away + 80.seconds)
             assertEquals(2, jobs.count { invariants.finalOf(it) == "cancelled" })
@@ -309,15 +312,15 @@
             val quick = way.seed % 2 == 0L
             cancel(jobs[0])
             simulation.crash(first, 300.milliseconds)
-            runFor(clock.between(1.seconds, 6.seconds))
+            runFor(clock.randomBetween(1.seconds, 6.seconds))
             cancel(jobs[1])
             simulation.leader()?.let { simulation.crash(it, 300.milliseconds) }
-            runFor(clock.between(1.seconds, 6.seconds))
+            runFor(clock.randomBetween(1.seconds, 6.seconds))
             cancel(jobs[2])
-            runFor(clock.between(5.milliseconds, 300.milliseconds))
+            runFor(clock.randomBetween(5.milliseconds, 300.milliseconds))
             val back =
-                if (quick) clock.between(20.milliseconds, 900.milliseconds)
-                else clock.between(1.seconds, 12.seconds)
+                if (quick) clock.randomBetween(20.milliseconds, 900.milliseconds)
+                else clock.randomBetween(1.seconds, 12.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
                 if (node == first) back else 40.seconds,
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -34,12 +34,14 @@
             simulation.submit(spec)
             val daemon = spec.estimateS == 0.0
             if (daemon || clock.chance(0.15)) {
-                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(spec.id) }
+                clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
+                    simulation.cancel(spec.id)
+                }
             }
         }
 
         fun play(troubled: Boolean) {
-            simulation.cloud.stillborn = if (troubled) 0.1 else 0.0
+            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
             simulation.poll("job-999999")
             for (at in 2..150 step 7) clock.after(at.seconds) { submit() }
             if (troubled) {
@@ -48,8 +50,8 @@
                 }
             }
             if (hunted) {
-                simulation.state.refusedWatchesWait = true
-                clock.after(CALM) { simulation.watchWaiting() }
+                simulation.store.holdsRefusedWatches = true
+                clock.after(CALM) { simulation.startWorkConservationChecks() }
             }
             simulation.run(if (grown) 420.seconds else 320.seconds)
             if (grown) simulation.checkAtEnd(CALM)
@@ -87,7 +89,7 @@
     fun `no rule is broken whatever fails`(seed: Long) {
         val scenario = Scenario(seed)
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
@@ -96,7 +98,7 @@
     fun `nor with one-way networks, late copies, lone controllers and quick returns`(seed: Long) {
         val scenario = Scenario(seed, grown = true)
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
@@ -105,7 +107,7 @@
     fun `nor where all controllers take heartbeats`(seed: Long) {
         val scenario = Scenario(seed, grown = true, operators = forwardingSettings())
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
@@ -115,7 +117,7 @@
         val forwarding = forwardingSettings()
         val scenario = Scenario(seed, grown = true, fleet = true, operators = forwarding)
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
@@ -132,7 +134,7 @@
     private fun hunted(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
 
@@ -140,7 +142,7 @@
     fun `in a quiet scenario every job comes to its end`() {
         val scenario = Scenario(100)
         scenario.play(troubled = false)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         val open = scenario.jobs.filter { scenario.simulation.invariants.finalOf(it) == null }
         assertEquals(emptyList(), open)
     }
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -43,50 +43,50 @@
     private val specs = HashMap<String, JobSpec>()
 
     /** Jobs that their users have begun to ask about. */
-    private val asked = HashSet<String>()
+    private val polledJobs = HashSet<String>()
     private var lastJob = 0
 
     /** Submissions that were accepted, repeated ones among them. */
-    var accepted = 0
+    var acceptedSubmissions = 0
         private set
 
     /** What was submitted as [job], or null. */
     fun specOf(job: String): JobSpec? = specs[job]
 
-    private fun ask(
+    private fun request(
         method: String,
         path: String,
         body: ByteArray,
-        by: String? = null,
-        then: (status: Int?, text: String) -> Unit,
-    ) = ask(ListenerKind.API, method, path, body, by, then)
+        controller: String? = null,
+        onResponse: (status: Int?, text: String) -> Unit,
+    ) = request(ListenerKind.API, method, path, body, controller, onResponse)
 
     /** Asks the controller [by], or any; [then] gets no status if it never answers. */
-    fun ask(
+    fun request(
         port: ListenerKind,
         method: String,
         path: String,
         body: ByteArray,
-        by: String?,
-        then: (status: Int?, text: String) -> Unit,
+        controller: String?,
+        onResponse: (status: Int?, text: String) -> Unit,
     ) {
-        var over = false
+        var completed = false
         clock.after(5.seconds) {
-            if (!over) then(null, "")
-            over = true
+            if (!completed) onResponse(null, "")
+            completed = true
         }
-        val node = by ?: nodes[clock.random.nextInt(nodes.size)]
+        val node = controller ?: nodes[clock.random.nextInt(nodes.size)]
         network.send("user", node) {
             controllers.call(node, port, method, path, body) { status, text ->
                 network.send(node, "user") {
-                    if (!over) then(status, text.decodeToString())
-                    over = true
+                    if (!completed) onResponse(status, text.decodeToString())
+                    completed = true
                 }
             }
         }
     }
 
-    private fun stateIn(text: String): String? =
+    private fun statusIn(text: String): String? =
         if (text.startsWith("{"))
             Json.parseToJsonElement(text).jsonObject["status"]?.jsonPrimitive?.content
         else null
@@ -95,51 +95,53 @@
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
         invariants.submitted(spec)
-        submitAgain(spec, clock.now + 60.seconds)
+        submitUntilAccepted(spec, clock.now + 60.seconds)
     }
 
-    private fun submitAgain(spec: JobSpec, until: Micros) {
+    private fun submitUntilAccepted(spec: JobSpec, until: Micros) {
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
-        val askedAt = clock.now
-        ask("POST", "/submissions", body) { status, text ->
+        val requestedAt = clock.now
+        request("POST", "/submissions", body) { status, text ->
             if (status != null)
-                invariants.told(clock.now, spec.id, "POST", status, stateIn(text), askedAt)
+                invariants.told(clock.now, spec.id, "POST", status, statusIn(text), requestedAt)
             if (status == 200 || status == 201) {
-                accepted++
+                acceptedSubmissions++
                 // Some repeat a request that was carried out.
                 if (clock.chance(0.2))
-                    clock.after(clock.between(1.seconds, 40.seconds)) {
-                        submitAgain(spec, clock.now)
+                    clock.after(clock.randomBetween(1.seconds, 40.seconds)) {
+                        submitUntilAccepted(spec, clock.now)
                     }
-                asked.add(spec.id)
+                polledJobs.add(spec.id)
                 poll(spec.id)
             } else if (clock.now < until) {
-                clock.after(clock.between(1.seconds, 2.seconds)) { submitAgain(spec, until) }
+                clock.after(clock.randomBetween(1.seconds, 2.seconds)) {
+                    submitUntilAccepted(spec, until)
+                }
             }
         }
     }
 
     /** Asks for the status of [job] every few seconds from now. */
     fun poll(job: String) {
-        val askedAt = clock.now
-        ask("GET", "/submissions/$job", ByteArray(0)) { status, text ->
+        val requestedAt = clock.now
+        request("GET", "/submissions/$job", ByteArray(0)) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "GET", status, stateIn(text), askedAt)
+                invariants.told(clock.now, job, "GET", status, statusIn(text), requestedAt)
             invariants.answered(clock.now, job, status == 200)
-            clock.after(clock.between(3.seconds, 6.seconds)) { poll(job) }
+            clock.after(clock.randomBetween(3.seconds, 6.seconds)) { poll(job) }
         }
     }
 
     /** Cancels [job] through the controller [by], or any, and again until it is confirmed. */
-    fun cancel(job: String, by: String? = null) {
+    fun cancel(job: String, controller: String? = null) {
         invariants.askedToCancel(job)
-        val askedAt = clock.now
-        ask("POST", "/submissions/$job/abort", ByteArray(0), by) { status, text ->
+        val requestedAt = clock.now
+        request("POST", "/submissions/$job/abort", ByteArray(0), controller) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "abort", status, stateIn(text), askedAt)
-            if (status != 200) clock.after(1.seconds) { cancel(job, by) }
+                invariants.told(clock.now, job, "abort", status, statusIn(text), requestedAt)
+            if (status != 200) clock.after(1.seconds) { cancel(job, controller) }
             // Its submission was never answered, so this is the first that its user hears of it.
-            else if (asked.add(job)) poll(job)
+            else if (polledJobs.add(job)) poll(job)
         }
     }
 
@@ -148,95 +150,103 @@
     /**
      * Up to [count] jobs that run and have long to go are called off within a fifth of a second.
      */
-    fun cancelNow(count: Int, hang: Micros) {
+    fun cancelRunningJobs(count: Int, unresponsiveFor: Micros) {
         val running =
             invariants.runningUncancelled().map(specs::getValue).sortedByDescending {
                 if (it.estimateS == 0.0) Double.MAX_VALUE else it.estimateS
             }
-        val chosen = running.take(count).map { it.id }
-        for (job in chosen) clock.after(clock.between(Micros.ZERO, 200.milliseconds)) {
+        val jobsToCancel = running.take(count).map { it.id }
+        for (job in jobsToCancel) clock.after(clock.randomBetween(Micros.ZERO, 200.milliseconds)) {
             cancel(job)
         }
-        if (hang == Micros.ZERO) return
-        for (machine in chosen.flatMap(invariants::machinesOf).distinct().take(MOST_HANGING)) {
+        if (unresponsiveFor == Micros.ZERO) return
+        for (machine in
+            jobsToCancel
+                .flatMap(invariants::machinesOf)
+                .distinct()
+                .take(MAX_UNRESPONSIVE_MACHINES)) {
             val worker = workerOf(machine) ?: continue
-            worker.hanging = true
-            clock.after(hang) { worker.hanging = false }
+            worker.unresponsive = true
+            clock.after(unresponsiveFor) { worker.unresponsive = false }
         }
     }
 
     /** Part of the jobs whose last task ends that are called off at that moment. */
-    var cancelAtEnd = 0.0
+    var cancelAtEndProbability = 0.0
 
     /** The last task of [job] has ended. */
-    fun jobEnded(job: String) {
-        if (cancelAtEnd > 0 && clock.chance(cancelAtEnd)) {
+    fun onJobEnded(job: String) {
+        if (cancelAtEndProbability > 0 && clock.chance(cancelAtEndProbability)) {
             // From before the report of the end to after the record of it.
-            clock.after(clock.between(Micros.ZERO, 1_200.milliseconds)) { cancel(job) }
+            clock.after(clock.randomBetween(Micros.ZERO, 1_200.milliseconds)) { cancel(job) }
         }
     }
 
     /** One of the requests that users seldom make; the answers to all of them are checked. */
-    fun oddRequest() {
+    fun sendUnusualRequest() {
         when (clock.random.nextInt(5)) {
-            0 -> invariants.open().randomOrNull(clock.random)?.let(::repeat)
-            1 -> invariants.over().randomOrNull(clock.random)?.let(::repeat)
+            0 -> invariants.open().randomOrNull(clock.random)?.let(::resubmit)
+            1 -> invariants.over().randomOrNull(clock.random)?.let(::resubmit)
             2 ->
                 invariants
                     .over()
                     .filter { invariants.finalOf(it) == "done" }
                     .randomOrNull(clock.random)
-                    ?.let { cancelDone(it) }
-            3 -> submitBad(422, encode(unfit()))
-            else -> submitBad(400, lacking())
+                    ?.let { cancelCompletedJob(it) }
+            3 -> submitInvalid(422, encode(unsatisfiableJob()))
+            else -> submitInvalid(400, submissionLackingField())
         }
     }
 
     private fun encode(spec: JobSpec) =
         lenientJson.encodeToJsonElement(JobSpec.serializer(), spec).jsonObject
 
-    private fun repeat(job: String) {
-        val askedAt = clock.now
+    private fun resubmit(job: String) {
+        val requestedAt = clock.now
         val body = encode(specs.getValue(job)).toString().encodeToByteArray()
-        ask("POST", "/submissions", body) { status, text ->
-            if (status != null) invariants.repeated(clock.now, job, status, stateIn(text), askedAt)
+        request("POST", "/submissions", body) { status, text ->
+            if (status != null)
+                invariants.repeated(clock.now, job, status, statusIn(text), requestedAt)
         }
     }
 
-    private fun cancelDone(job: String) {
-        val askedAt = clock.now
-        ask("POST", "/submissions/$job/abort", ByteArray(0)) { status, text ->
+    private fun cancelCompletedJob(job: String) {
+        val requestedAt = clock.now
+        request("POST", "/submissions/$job/abort", ByteArray(0)) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "abort", status, stateIn(text), askedAt)
+                invariants.told(clock.now, job, "abort", status, statusIn(text), requestedAt)
         }
     }
 
-    private fun plain() = randomJob().copy(kind = JobKind.ARRAY, zone = null)
+    private fun randomArrayJob() = randomJob().copy(kind = JobKind.ARRAY, zone = null)
 
-    private fun unfit(): JobSpec =
+    private fun unsatisfiableJob(): JobSpec =
         when (clock.random.nextInt(6)) {
-            0 -> plain().copy(cpus = FakeWorker.CPUS + 1)
-            1 -> plain().copy(team = "team-9")
-            2 -> plain().copy(types = listOf("none"))
-            3 -> plain().copy(gpus = 1.0)
-            4 -> plain().copy(zone = "z")
+            0 -> randomArrayJob().copy(cpus = FakeWorker.CPUS + 1)
+            1 -> randomArrayJob().copy(team = "team-9")
+            2 -> randomArrayJob().copy(types = listOf("none"))
+            3 -> randomArrayJob().copy(gpus = 1.0)
+            4 -> randomArrayJob().copy(zone = "z")
             // More than the team's limit, all tasks together.
-            else -> plain().copy(kind = JobKind.SERVICE, tasks = 6, cpus = 8.0, estimateS = 0.0)
+            else ->
+                randomArrayJob()
+                    .copy(kind = JobKind.SERVICE, tasks = 6, cpus = 8.0, estimateS = 0.0)
         }
 
-    private fun lacking(): JsonObject {
-        val full = encode(plain())
-        val needed = full.keys - setOf("name_id", "boxkinds", "ward", "due_s")
-        return JsonObject(full - needed.random(clock.random))
+    private fun submissionLackingField(): JsonObject {
+        val allFields = encode(randomArrayJob())
+        val requiredFields = allFields.keys - setOf("name_id", "boxkinds", "ward", "due_s")
+        return JsonObject(allFields - requiredFields.random(clock.random))
     }
 
-    private fun submitBad(expected: Int, body: JsonObject) {
+    private fun submitInvalid(expected: Int, body: JsonObject) {
         val job = body.getValue("name_id").jsonPrimitive.content
-        ask("POST", "/submissions", body.toString().encodeToByteArray()) { status, _ ->
+        request("POST", "/submissions", body.toString().encodeToByteArray()) { status, _ ->
             if (status != null) invariants.answeredBad(job, expected, status, body.toString())
             // Nor is it known afterwards.
-            ask("GET", "/submissions/$job", ByteArray(0)) { later, text ->
-                if (later != null) invariants.told(clock.now, job, "GET", later, stateIn(text))
+            request("GET", "/submissions/$job", ByteArray(0)) { laterStatus, text ->
+                if (laterStatus != null)
+                    invariants.told(clock.now, job, "GET", laterStatus, statusIn(text))
             }
         }
     }
@@ -245,9 +255,10 @@
     fun randomJob(): JobSpec {
         val random = clock.random
         val urgent = random.nextBoolean()
-        val draw = random.nextDouble()
+        val kindDraw = random.nextDouble()
         val kind =
-            if (draw < 0.1) JobKind.SERVICE else if (draw < 0.15) JobKind.GANG else JobKind.ARRAY
+            if (kindDraw < 0.1) JobKind.SERVICE
+            else if (kindDraw < 0.15) JobKind.GANG else JobKind.ARRAY
         val tasks = if (kind != JobKind.ARRAY) 2 else 1 + random.nextInt(if (urgent) 90 else 12)
         val job =
             JobSpec(
@@ -273,11 +284,11 @@
                 deadlineS = 60.0,
             )
         // Tasks that need each other and may not all be in the one zone can never run.
-        val never = kind != JobKind.ARRAY && job.zone != null
-        return if (never) job.copy(spread = false) else job
+        val unplaceable = kind != JobKind.ARRAY && job.zone != null
+        return if (unplaceable) job.copy(spread = false) else job
     }
 
     private companion object {
-        const val MOST_HANGING = 8
+        const val MAX_UNRESPONSIVE_MACHINES = 8
     }
 }
--- a/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
@@ -52,7 +52,7 @@
                     oneZone = oneZone,
                     checkpointS = CHECKPOINT_S,
                 )
-        simulation.onStartSent = ::checkStart
+        simulation.onStartDecided = ::checkStart
         clock.after(at) { simulation.submit(gang) }
         clock.every(20.milliseconds) {
             val attempts = simulation.invariants.attemptsOf(gang.id)
@@ -77,7 +77,7 @@
     /** What is stored of the gang's tasks that may be on machines. */
     fun recorded(): Map<Int, Placement> {
         val pages = 0..(gang.tasks - 1) / PAGE_SIZE
-        val stamps = pages.map { simulation.state.version(TaskPageCodec.key(gang.jobId, it)) }
+        val stamps = pages.map { simulation.store.version(TaskPageCodec.key(gang.jobId, it)) }
         if (stamps != read.first) read = stamps to readPages(pages)
         return read.second
     }
@@ -85,7 +85,7 @@
     private fun readPages(pages: IntRange): Map<Int, Placement> {
         val job = Job(gang, KeyVersion(0), Micros.ZERO, PAGE_SIZE)
         return pages
-            .mapNotNull { simulation.state.value(TaskPageCodec.key(gang.jobId, it)) }
+            .mapNotNull { simulation.store.value(TaskPageCodec.key(gang.jobId, it)) }
             .flatMap {
                 val page = lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), it)
                 page.placementsOf(job).orEmpty()
@@ -119,14 +119,14 @@
 
     /** Its heartbeats do not arrive; commands reach it. */
     fun mute(worker: String, length: Micros) {
-        simulation.network.mute.add(worker)
-        clock.after(length) { simulation.network.mute.remove(worker) }
+        simulation.network.outboundBlocked.add(worker)
+        clock.after(length) { simulation.network.outboundBlocked.remove(worker) }
     }
 
     /** No machine can be deleted for [length]. */
     fun keepMachines(length: Micros) {
-        simulation.cloud.keepsMachines = true
-        clock.after(length) { simulation.cloud.keepsMachines = false }
+        simulation.cloud.refusesDeletions = true
+        clock.after(length) { simulation.cloud.refusesDeletions = false }
     }
 
     /** Two more machines come up in each zone but [zone]. */
@@ -142,18 +142,18 @@
     }
 
     fun hang(worker: FakeWorker, length: Micros) {
-        worker.hanging = true
-        clock.after(length) { worker.hanging = false }
+        worker.unresponsive = true
+        clock.after(length) { worker.unresponsive = false }
     }
 
     private fun part(a: String, b: String, length: Micros) {
-        simulation.network.part(a, b)
-        clock.after(length) { simulation.network.join(a, b) }
+        simulation.network.blockPath(a, b)
+        clock.after(length) { simulation.network.unblockPath(a, b) }
     }
 
     fun holds(until: Micros) {
         simulation.run(until)
-        assertEquals(emptyList(), (simulation.problems() + broken).distinct().take(4))
+        assertEquals(emptyList(), (simulation.violations() + broken).distinct().take(4))
         assertTrue(
             simulation.invariants.gangsBegun > 0,
             "the gang never ran: ${simulation.gangs.causes}",
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -9,7 +9,7 @@
 /** Work too small or too particular for the sums that hiring goes by still gets its machine. */
 class SmallWorkTest {
     private fun finalOf(spot: Boolean, zone: String?): String? {
-        val simulation = ClusterSimulation(5, rented = false)
+        val simulation = ClusterSimulation(5, startWithMachines = false)
         val spec =
             simulation
                 .randomJob()
@@ -26,7 +26,7 @@
         simulation.run(5.seconds)
         simulation.submit(spec)
         simulation.run(120.seconds)
-        assertEquals(emptyList(), simulation.problems())
+        assertEquals(emptyList(), simulation.violations())
         return simulation.invariants.finalOf(spec.id)
     }
 
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -45,7 +45,7 @@
         private var seenBeyond = 0
 
         init {
-            simulation.toldTo = { member -> LOWER.takeIf { member in newSince } }
+            simulation.announcedLimitsOf = { member -> LOWER.takeIf { member in newSince } }
             clock.every(50.milliseconds) { watch() }
         }
 
@@ -53,18 +53,18 @@
             get() = newSince.size == simulation.nodes.size
 
         private fun watch() {
-            val token = simulation.state.version("leader")
+            val token = simulation.store.version("leader")
             val leader = simulation.leader()
             if (leader != null && token != lastToken) {
                 lastToken = token
                 leaders.add(leader in newSince)
             }
-            for (what in simulation.state.beyond.drop(seenBeyond)) {
+            for (what in simulation.store.rejectedForSize.drop(seenBeyond)) {
                 // What the old process sent may arrive long after its end.
                 val since = newSince[what.substringAfterLast(' ')] ?: continue
                 if (clock.now - since > LAST_MESSAGES) newBeyond.add(what)
             }
-            seenBeyond = simulation.state.beyond.size
+            seenBeyond = simulation.store.rejectedForSize.size
         }
 
         /** Killed, and back with the new version. */
@@ -101,7 +101,9 @@
             jobs.add(job)
             simulation.submit(job)
             if (job.kind == JobKind.SERVICE || clock.chance(0.2)) {
-                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(job.id) }
+                clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
+                    simulation.cancel(job.id)
+                }
             }
         }
 
@@ -129,7 +131,7 @@
                 zone = null,
                 oneZone = false,
                 spread = false,
-                estimateS = clock.between(4.seconds, 25.seconds).inSeconds,
+                estimateS = clock.randomBetween(4.seconds, 25.seconds).inSeconds,
             )
 
         private fun someNode() = simulation.nodes.random(clock.random)
@@ -137,24 +139,33 @@
         /** What meets the roll, one of each at least once over the seeds. */
         private val troubles: List<() -> Unit> =
             listOf(
-                { crash(someNode(), clock.between(200.milliseconds, 6.seconds)) },
+                { crash(someNode(), clock.randomBetween(200.milliseconds, 6.seconds)) },
+                {
+                    simulation.leader()?.let {
+                        crash(it, clock.randomBetween(200.milliseconds, 3.seconds))
+                    }
+                },
+                {
+                    for (node in simulation.nodes) crash(
+                        node,
+                        clock.randomBetween(1.seconds, 4.seconds),
+                    )
+                },
+                { outage(null, clock.randomBetween(2.seconds, 20.seconds)) },
                 {
                     simulation.leader()?.let {
-                        crash(it, clock.between(200.milliseconds, 3.seconds))
+                        outage(it, clock.randomBetween(4.seconds, 30.seconds))
                     }
                 },
-                { for (node in simulation.nodes) crash(node, clock.between(1.seconds, 4.seconds)) },
-                { outage(null, clock.between(2.seconds, 20.seconds)) },
-                { simulation.leader()?.let { outage(it, clock.between(4.seconds, 30.seconds)) } },
-                { outage(someNode(), clock.between(4.seconds, 30.seconds)) },
-                { cutZone(clock.between(5.seconds, 30.seconds)) },
+                { outage(someNode(), clock.randomBetween(4.seconds, 30.seconds)) },
+                { cutZone(clock.randomBetween(5.seconds, 30.seconds)) },
                 { slowState(60.milliseconds, 20.seconds) },
                 { lead(someNode()) },
             )
 
         private fun outage(member: String?, length: Micros) {
-            simulation.state.outage(member)
-            clock.after(length) { simulation.state.back(member) }
+            simulation.store.startOutage(member)
+            clock.after(length) { simulation.store.endOutage(member) }
         }
 
         /** A zone with a controller in it, without all others. */
@@ -171,13 +182,13 @@
         }
 
         private fun part(from: String, to: String, length: Micros) {
-            simulation.network.part(from, to)
-            clock.after(length) { simulation.network.join(from, to) }
+            simulation.network.blockPath(from, to)
+            clock.after(length) { simulation.network.unblockPath(from, to) }
         }
 
         private fun slowState(by: Micros, length: Micros) {
-            simulation.network.slow["state"] = by
-            clock.after(length) { simulation.network.slow.remove("state") }
+            simulation.network.extraLatency["state"] = by
+            clock.after(length) { simulation.network.extraLatency.remove("state") }
         }
 
         /** Every third of them, so that three seeds in a row meet each once. */
@@ -189,22 +200,22 @@
         }
 
         fun lateMessages(until: Micros) {
-            simulation.network.late = 0.02
-            simulation.network.copies = 0.1
-            simulation.network.lateReports = 0.1
-            simulation.state.lateWrites = 0.02
+            simulation.network.longDelayProbability = 0.02
+            simulation.network.duplicateProbability = 0.1
+            simulation.network.duplicateHeartbeatProbability = 0.1
+            simulation.store.delayProbability = 0.02
             clock.after(until) {
-                simulation.network.late = 0.0
-                simulation.network.copies = 0.0
-                simulation.network.lateReports = 0.0
-                simulation.state.lateWrites = 0.0
+                simulation.network.longDelayProbability = 0.0
+                simulation.network.duplicateProbability = 0.0
+                simulation.network.duplicateHeartbeatProbability = 0.0
+                simulation.store.delayProbability = 0.0
             }
         }
 
         fun end() {
             simulation.run(END)
             simulation.checkAtEnd(CALM)
-            assertEquals(emptyList(), simulation.problems())
+            assertEquals(emptyList(), simulation.violations())
             assertEquals(emptyList(), newBeyond)
             assertTrue(allNew, "some are still old")
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
@@ -220,11 +231,11 @@
         val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
         val at =
             when (fall) {
-                LimitsFall.BEFORE_THE_ROLL -> scenario.clock.between(10.seconds, 20.seconds)
-                LimitsFall.DURING_THE_ROLL -> scenario.clock.between(35.seconds, 60.seconds)
-                LimitsFall.AFTER_THE_ROLL -> scenario.clock.between(90.seconds, 110.seconds)
+                LimitsFall.BEFORE_THE_ROLL -> scenario.clock.randomBetween(10.seconds, 20.seconds)
+                LimitsFall.DURING_THE_ROLL -> scenario.clock.randomBetween(35.seconds, 60.seconds)
+                LimitsFall.AFTER_THE_ROLL -> scenario.clock.randomBetween(90.seconds, 110.seconds)
             }
-        scenario.clock.after(at) { scenario.simulation.state.lower(LOWER) }
+        scenario.clock.after(at) { scenario.simulation.store.lowerLimits(LOWER) }
         for (second in 2..130 step 7) scenario.clock.after(second.seconds) { scenario.submit() }
         scenario.lateMessages(until = 130.seconds)
         scenario.roll(from = 25.seconds, apart = 25.seconds)
@@ -241,7 +252,7 @@
         scenario.lateMessages(until = 120.seconds)
         clock.after(15.seconds) { scenario.renew(second) }
         clock.after(25.seconds) { scenario.lead(second) }
-        clock.after(32.seconds) { scenario.simulation.state.lower(LOWER) }
+        clock.after(32.seconds) { scenario.simulation.store.lowerLimits(LOWER) }
         clock.after(50.seconds) { scenario.lead(first) }
         clock.after(75.seconds) { scenario.lead(second) }
         clock.after(95.seconds) { scenario.renew(first) }
@@ -251,7 +262,7 @@
             scenario.leaders.filterIndexed { i, new -> i == 0 || scenario.leaders[i - 1] != new }
         assertEquals(listOf(false, true, false, true), turns)
         assertTrue(
-            scenario.simulation.state.beyond.isNotEmpty(),
+            scenario.simulation.store.rejectedForSize.isNotEmpty(),
             "the old leader was refused nothing",
         )
     }
