--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -323,9 +323,7 @@
     }
 
     private fun createWorker(id: String, type: String, zone: String, spot: Boolean): FakeWorker {
-        val send: SimulatedHeartbeat = { node, body, answer ->
-            sendHeartbeat(id, node, body, answer)
-        }
+        val send: HeartbeatSender = { node, body, answer -> sendHeartbeat(id, node, body, answer) }
         val worker =
             FakeWorker(
                 id,
