--- a/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/ForwardingCoordinatorTest.kt
@@ -33,14 +33,14 @@
 
     init {
         harness.run(2.seconds)
-        token = directMachines.first().token()
+        token = directMachines.first().fetchLeaderToken()
     }
 
     private fun send(batch: HeartbeatBatch): HeartbeatBatchResponse? {
         val status =
             harness.call("POST", "/relay", ForwardingCodec.encode(batch), ListenerKind.PEER)?.first
         if (status != 200) return null
-        return ForwardingCodec.decodeResponse(harness.bytesOf(harness.lastCall))
+        return ForwardingCodec.decodeResponse(harness.responseBodyOf(harness.lastRequestId))
     }
 
     private fun sendBatch(
@@ -77,7 +77,7 @@
         return FullHeartbeat(++lastNumber, body.encodeToByteArray())
     }
 
-    private fun sendDirectHeartbeats() = directMachines.forEach { it.report(token) }
+    private fun sendDirectHeartbeats() = directMachines.forEach { it.sendHeartbeat(token) }
 
     private fun sendPeerHeartbeat() =
         harness.call(
@@ -88,12 +88,12 @@
         )
 
     private fun countStartCommands(task: String) =
-        harness.direct.count { "\"start\"" in it && task in it }
+        harness.directCommands.count { "\"start\"" in it && task in it }
 
     @Test
     fun `start commands for a forwarded machine are sent once, and only directly`() {
-        harness.accept(plainJob(1))
-        harness.directOutcome = Outcome.NoResponse
+        harness.writeAcceptedJob(plainJob(1))
+        harness.directCommandOutcome = Outcome.NoResponse
         val undelivered = ArrayList<UndeliveredCommands>()
         undelivered += sendBatch(listOf(fullHeartbeat()))!!.undelivered
         repeat(6) {
@@ -108,7 +108,7 @@
 
     @Test
     fun `a recorded ended task gets a forget command even if the heartbeat is unchanged`() {
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         sendBatch(listOf(fullHeartbeat()))
         harness.run(1.seconds)
         val endedTask = """{"piece":"job-000001/0","try":1,"status":"ended","cause":"done"}"""
@@ -146,7 +146,7 @@
     private fun runTaskOnForwardedMachine(): String {
         val idleHeartbeats = forwardedMachines.map { fullHeartbeat(machine = it) }
         sendBatch(idleHeartbeats)
-        harness.accept(plainJob(1))
+        harness.writeAcceptedJob(plainJob(1))
         harness.run(1.seconds)
         val machine = forwardedMachines.first { isTaskAssignedTo(it) }
         val runningTask = """{"piece":"job-000001/0","try":1,"status":"running"}"""
@@ -157,7 +157,7 @@
     }
 
     private fun isTaskAssignedTo(machine: String) =
-        machine in harness.stored("t/job-000001/0").toString()
+        machine in harness.storedValue("t/job-000001/0").toString()
 
     /**
      * Advances to [until] while the forwarded machines send no heartbeat. If [forwarderReports] is
@@ -217,20 +217,20 @@
 
     @Test
     fun `a leader that gets forwarded heartbeats but can't reach the machines abdicates`() {
-        harness.directOutcome = Outcome.NoResponse
+        harness.directCommandOutcome = Outcome.NoResponse
         sendBatch(forwardedMachines.map { fullHeartbeat(machine = it) })
-        harness.accept(plainJob(6).copy(cpus = 10.0))
+        harness.writeAcceptedJob(plainJob(6).copy(cpus = 10.0))
         repeat(5) {
             sendPeerHeartbeat()
             harness.run(1.seconds)
         }
         assertTrue(
-            harness.stored("leader") != null,
+            harness.storedValue("leader") != null,
             "the leader abdicated because of machines that may have failed themselves",
         )
         sendBatch(forwardedMachines.map { fullHeartbeat(machine = it) })
         harness.run(1.seconds)
-        assertEquals(null, harness.stored("leader"))
+        assertEquals(null, harness.storedValue("leader"))
     }
 
     @Test
@@ -241,7 +241,7 @@
         harness.write("r/n1", JsonPrimitive(ForwardingCodec.pack(batch)))
         harness.run(2.seconds)
         val answer =
-            ForwardingCodec.decodeStoredResponses(harness.stored("a/relays")!!)!!
+            ForwardingCodec.decodeStoredResponses(harness.storedValue("a/relays")!!)!!
                 .byMember
                 .getValue("n1")
         assertEquals(9, answer.number)
@@ -259,8 +259,8 @@
             numbers.add(lastNumber)
         }
         harness.run(1.seconds)
-        harness.stateCalls.clear()
-        harness.direct.clear()
+        harness.storeRequests.clear()
+        harness.directCommands.clear()
         repeat(5) {
             val response = sendBatch(unchanged = numbers.flatMap { n -> listOf(n, ++lastTick) })!!
             assertTrue(response.unknownNumbers.isEmpty() && response.undelivered.isEmpty())
@@ -268,8 +268,8 @@
             sendPeerHeartbeat()
             harness.run(1.seconds)
         }
-        assertEquals(emptyList(), harness.direct)
-        return harness.stateCalls.size
+        assertEquals(emptyList(), harness.directCommands)
+        return harness.storeRequests.size
     }
 
     @Test
@@ -311,7 +311,7 @@
             sendPeerHeartbeat()
             harness.run(0.5.seconds)
         }
-        val deletions = harness.cloud.filter { it.startsWith("/machines/delete") }
+        val deletions = harness.cloudRequests.filter { it.startsWith("/machines/delete") }
         assertContains(deletions.joinToString(), "i-000001")
     }
 }
