--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -73,17 +73,17 @@
     @EnumSource(LeaderFault::class)
     fun `the next leader continues after any write of a step`(fault: LeaderFault) {
         for (write in 1..8) {
-            val scenario = DrainScenario(20L + write).begin().start()
+            val scenario = DrainScenario(20L + write).startJobs().startDrain()
             scenario.atDrainWrite(write) { scenario.inject(fault) }
             scenario.runUntilDone()
-            scenario.check()
+            scenario.assertDrained()
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `delayed commands of the first leader do not exceed the budget`(seed: Long) {
-        val scenario = DrainScenario(seed).begin().start()
+        val scenario = DrainScenario(seed).startJobs().startDrain()
         for (worker in scenario.workers()) scenario.simulation.delayedCommands[worker.id] =
             4.seconds
         for (write in listOf(3, 6)) {
@@ -92,17 +92,17 @@
         }
         scenario.simulation.delayedCommands.clear()
         scenario.runUntilDone()
-        scenario.check(noticedAfter = 20.seconds)
+        scenario.assertDrained(detectionDelay = 20.seconds)
     }
 
     /** Two machines with a replica each, drained side by side, of which one may be down. */
     private fun sideBySide(seed: Long): Pair<DrainScenario, List<String>> {
         val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
         val scenario = DrainScenario(seed, DrainSettings(budget = budget))
-        scenario.begin(scenario.service(0, 3, cpus = 10.0))
+        scenario.startJobs(scenario.service(0, 3, cpus = 10.0))
         val machines = scenario.workers().filter { it.tasksThere > 0 }.map { it.id }.take(2)
         for ((number, machine) in machines.withIndex()) {
-            scenario.start(
+            scenario.startDrain(
                 DrainRequest("d${number + 1}", DrainSelector(machines = listOf(machine)))
             )
         }
@@ -112,7 +112,7 @@
     private fun DrainScenario.runUntilBothDone() {
         runUntilDone(id = "d1")
         runUntilDone(id = "d2")
-        checkBudgets()
+        assertBudgetsKept()
     }
 
     @ParameterizedTest
@@ -121,7 +121,7 @@
         seed: Long
     ) {
         val (scenario, machines) = sideBySide(seed)
-        scenario.runUntil(200.seconds, "a stop") { scenario.losses.stops.isNotEmpty() }
+        scenario.runUntil(200.seconds, "a stop") { scenario.disruptions.stops.isNotEmpty() }
         // The next leader does not hear of the stop: that machine reaches no controller.
         val stopped =
             scenario
@@ -165,13 +165,13 @@
     @Test
     fun `a drain yields to urgent work that waits for capacity, and reports it`() {
         val scenario = DrainScenario(5, capacity = 1)
-        scenario.begin(scenario.service(0, 2, cpus = 6.0), scenario.service(1, 2, cpus = 6.0))
+        scenario.startJobs(scenario.service(0, 2, cpus = 6.0), scenario.service(1, 2, cpus = 6.0))
         val urgent = scenario.array(2, 8, 20.0, cpus = 14.0).copy(priority = PriorityClass.HIGH)
         scenario.submit(urgent)
         scenario.simulation.run(scenario.clock.now + 5.seconds)
-        scenario.start()
+        scenario.startDrain()
         var said = false
-        while (scenario.simulation.invariants.finalOf(urgent.id) == null) {
+        while (scenario.simulation.invariants.finalStateOf(urgent.id) == null) {
             if ("goes first" in scenario.status().waitsFor) said = true
             scenario.simulation.run(scenario.clock.now + 5.seconds)
             assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
@@ -179,7 +179,7 @@
         assertTrue(said, "it did not say that it yields")
         assertEquals(0, scenario.stored()?.returned)
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @ParameterizedTest
@@ -187,21 +187,26 @@
     fun `no task is evicted before a replacement is up and healthy`(sick: Boolean) {
         val scenario = DrainScenario(7)
         // Fuller than half, so that nothing fits beside what is there.
-        scenario.begin(scenario.service(0, 3, cpus = 10.0))
+        scenario.startJobs(scenario.service(0, 3, cpus = 10.0))
         if (sick) scenario.simulation.cloud.bornSick = true
         else scenario.simulation.cloud.stillborn = 1.0
-        val before = scenario.losses.stops.size
-        scenario.start()
+        val before = scenario.disruptions.stops.size
+        scenario.startDrain()
         scenario.simulation.run(scenario.clock.now + 60.seconds)
         if (!sick) {
-            assertEquals(before, scenario.losses.stops.size, "moved to a machine that is not up")
+            assertEquals(
+                before,
+                scenario.disruptions.stops.size,
+                "moved to a machine that is not up",
+            )
             assertEquals(StepPhase.PREPARING, scenario.stored()?.step?.phase)
         }
         scenario.simulation.cloud.bornSick = false
         scenario.simulation.cloud.stillborn = 0.0
-        for (worker in scenario.workers()) if (worker !in scenario.drained) worker.sick = false
+        for (worker in scenario.workers()) if (worker !in scenario.drainedMachines)
+            worker.sick = false
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @ParameterizedTest
@@ -209,23 +214,23 @@
     fun `the loss of a zone during a step pauses the drain until its work runs again`(
         zone: String
     ) {
-        val scenario = DrainScenario(9).begin().start()
+        val scenario = DrainScenario(9).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         for (worker in scenario.workers().filter { it.zone == zone }) scenario.simulation.cloud
             .kill(worker)
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @Test
     fun `a task lost otherwise pauses the step, and its restart resumes it`() {
         val scenario = DrainScenario(10)
         // Once one of two replicas is moved, its machine has no room for what is lost elsewhere.
-        scenario.begin(scenario.service(0, 2, cpus = 7.0), scenario.service(0, 1, cpus = 14.0))
+        scenario.startJobs(scenario.service(0, 2, cpus = 7.0), scenario.service(0, 1, cpus = 14.0))
         val first = scenario.workers().first { it.tasksThere == 2 }
         val second = scenario.workers().first { it.tasksThere == 1 }
-        scenario.start(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
-        scenario.runUntil(60.seconds, "a stop") { scenario.losses.stops.isNotEmpty() }
+        scenario.startDrain(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
+        scenario.runUntil(60.seconds, "a stop") { scenario.disruptions.stops.isNotEmpty() }
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
         scenario.simulation.run(scenario.clock.now + 20.seconds)
         assertTrue(first.tasksThere > 0, "nothing is left to be moved")
@@ -238,94 +243,98 @@
         assertTrue("workers are disrupted" in scenario.stored()?.note.orEmpty())
         scenario.simulation.cloud.stillborn = 0.0
         scenario.runUntilDone()
-        scenario.checkBudgets()
+        scenario.assertBudgetsKept()
     }
 
     @Test
     fun `a wave of spot preemptions during a drain of spot machines`() {
         val scenario = DrainScenario(11)
-        scenario.begin(
+        scenario.startJobs(
             scenario.array(0, 8, 90.0),
             scenario.array(1, 8, 90.0),
             scenario.service(2, 2),
         )
-        scenario.start(DrainRequest("d1", DrainSelector(spot = true), graceS = 5.0))
+        scenario.startDrain(DrainRequest("d1", DrainSelector(spot = true), graceS = 5.0))
         scenario.runUntilStep(StepPhase.EMPTYING)
         for (worker in scenario.workers().filter { it.spot }.drop(1)) {
             worker.recallS = 10.0
             scenario.clock.after(10.seconds) { scenario.simulation.cloud.takeBack(worker) }
         }
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @Test
     fun `an outage of the key-value store for longer than a lease`() {
-        val scenario = DrainScenario(13).begin().start()
+        val scenario = DrainScenario(13).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         scenario.simulation.state.outage(null)
         scenario.simulation.run(scenario.clock.now + 40.seconds)
-        assertEquals(503, scenario.askOnce("GET", "${DrainPaths.DRAINS}/d1")?.first, "at once")
+        assertEquals(
+            503,
+            scenario.sendRequestOnce("GET", "${DrainPaths.DRAINS}/d1")?.first,
+            "at once",
+        )
         scenario.simulation.state.back(null)
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @ParameterizedTest
     @ValueSource(ints = [5, 12, 40])
     fun `a machine that hangs while it is drained and comes back`(inSeconds: Int) {
-        val scenario = DrainScenario(15).begin().start()
+        val scenario = DrainScenario(15).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val names = scenario.stored()?.step?.machines.orEmpty()
         val hung = scenario.workers().filter { it.id in names }
         for (worker in hung) worker.hanging = true
         scenario.clock.after(inSeconds.seconds) { for (worker in hung) worker.hanging = false }
         scenario.runUntilDone()
-        scenario.check(noticedAfter = 20.seconds)
+        scenario.assertDrained(detectionDelay = 20.seconds)
     }
 
     @Test
     fun `a machine that crashes while it is drained`() {
-        val scenario = DrainScenario(17).begin().start()
+        val scenario = DrainScenario(17).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val names = scenario.stored()?.step?.machines.orEmpty()
         for (worker in scenario.workers().filter { it.id in names }) scenario.simulation.cloud.kill(
             worker
         )
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @ParameterizedTest
     @EnumSource(StepPhase::class)
     fun `all controllers are restarted at once`(phase: StepPhase) {
-        val scenario = DrainScenario(19).begin().start()
+        val scenario = DrainScenario(19).startJobs().startDrain()
         scenario.runUntilStep(phase)
         scenario.crashAll()
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @Test
     fun `a budget lowered below what is disrupted allows no eviction until it is kept again`() {
         val budget = BudgetSettings(maxDisrupted = 3, stepPauseS = 1.0)
         val scenario = DrainScenario(21, DrainSettings(budget = budget))
-        scenario.begin(scenario.service(0, 6), scenario.service(1, 6))
-        scenario.start()
+        scenario.startJobs(scenario.service(0, 6), scenario.service(1, 6))
+        scenario.startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val lower = DrainSettings(budget = budget.copy(maxDisrupted = 1))
         scenario.simulation.operatorsOf = { scenario.operators.copy(drain = lower) }
         val until = scenario.clock.now + 5.seconds
         scenario.crashAll()
         scenario.simulation.run(until)
-        val before = scenario.losses.stops.size
+        val before = scenario.disruptions.stops.size
         scenario.runUntilDone()
-        scenario.check()
-        val later = scenario.losses.stops.drop(before)
-        val beyond = later.filter { it.lost.size > 1 }
+        scenario.assertDrained()
+        val later = scenario.disruptions.stops.drop(before)
+        val beyond = later.filter { it.disrupted.size > 1 }
         assertEquals(
             emptyList(),
-            beyond.map { "${it.team} at ${it.at.inSeconds}: ${it.lost.keys}" },
+            beyond.map { "${it.team} at ${it.at.inSeconds}: ${it.disrupted.keys}" },
         )
     }
 
@@ -333,16 +342,16 @@
     fun `a budget of zero is reported as the reason, and a raised one resumes the drain`() {
         val none = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
         val scenario = DrainScenario(23, DrainSettings(budget = none))
-        scenario.begin(scenario.service(0, 3)).start()
+        scenario.startJobs(scenario.service(0, 3)).startDrain()
         scenario.runUntil(120.seconds, "paused") { scenario.stored()?.reason == PauseReason.BUDGET }
         assertTrue("its budget is 0" in scenario.stored()?.note.orEmpty(), "${scenario.stored()}")
         scenario.simulation.run(scenario.clock.now + 60.seconds)
-        assertEquals(emptyList(), scenario.losses.stops.map { it.team })
+        assertEquals(emptyList(), scenario.disruptions.stops.map { it.team })
         val raised = DrainSettings(budget = none.copy(maxDisrupted = 1))
         scenario.simulation.operatorsOf = { scenario.operators.copy(drain = raised) }
         scenario.crashAll()
         scenario.runUntilDone()
-        assertEquals(emptyList(), scenario.losses.beyond({ 1 }, 9.seconds))
+        assertEquals(emptyList(), scenario.disruptions.stopsOverLimit({ 1 }, 9.seconds))
         assertEquals(emptyList(), scenario.simulation.problems())
     }
 
@@ -351,32 +360,35 @@
         val budget = BudgetSettings(maxDisrupted = 3, minReplicas = 3, stepPauseS = 1.0)
         val scenario = DrainScenario(25, DrainSettings(budget = budget))
         val large = scenario.service(0, 4)
-        scenario.begin(large).start()
+        scenario.startJobs(large).startDrain()
         scenario.runUntilDone()
-        scenario.check()
-        assertTrue(scenario.losses.peakOf("team-0") <= 1, "${scenario.losses.peakOf("team-0")}")
+        scenario.assertDrained()
+        assertTrue(
+            scenario.disruptions.peakOf("team-0") <= 1,
+            "${scenario.disruptions.peakOf("team-0")}",
+        )
 
         val tooMany = DrainScenario(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
-        tooMany.begin(tooMany.service(0, 4)).start()
+        tooMany.startJobs(tooMany.service(0, 4)).startDrain()
         tooMany.runUntil(120.seconds, "paused") { tooMany.stored()?.reason == PauseReason.BUDGET }
         assertTrue("must stay up" in tooMany.stored()?.note.orEmpty())
-        assertEquals(0, tooMany.losses.stops.size)
+        assertEquals(0, tooMany.disruptions.stops.size)
     }
 
     @Test
     fun `a version without drains that leads for a while leaves the records alone`() {
-        val scenario = DrainScenario(29).begin().start()
+        val scenario = DrainScenario(29).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val before = scenario.stored()
         scenario.simulation.operatorsOf = { OperatorSettings() }
         scenario.crashAll()
         scenario.simulation.run(scenario.clock.now + 60.seconds)
         assertEquals(before, scenario.stored())
-        assertEquals(404, scenario.askOnce("GET", "${DrainPaths.DRAINS}/d1")?.first)
+        assertEquals(404, scenario.sendRequestOnce("GET", "${DrainPaths.DRAINS}/d1")?.first)
         scenario.simulation.operatorsOf = { scenario.operators }
         scenario.crashAll()
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @Test
@@ -386,7 +398,7 @@
             if (it == "n1") OperatorSettings() else scenario.operators
         }
         for (node in scenario.simulation.nodes) scenario.simulation.crash(node, 1.seconds)
-        scenario.begin()
+        scenario.startJobs()
         scenario.runUntil(60.seconds, "a leader") { scenario.simulation.leader() != null }
         while (scenario.simulation.leader() == "n1") {
             scenario.crashLeader()
@@ -395,15 +407,15 @@
         val other =
             scenario.simulation.nodes.first { it != "n1" && it != scenario.simulation.leader() }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), REQUEST)
-        assertEquals(201, scenario.ask("POST", DrainPaths.DRAINS, body, by = other).first)
+        assertEquals(201, scenario.sendRequest("POST", DrainPaths.DRAINS, body, by = other).first)
         scenario.runUntilDone()
         assertNotEquals(0, scenario.stored()?.returned)
-        scenario.checkBudgets()
+        scenario.assertBudgetsKept()
     }
 
     @Test
     fun `each write of a drain is conditional on the leader's key and the drain's own`() {
-        val scenario = DrainScenario(30).begin()
+        val scenario = DrainScenario(30).startJobs()
         var writes = 0
         scenario.simulation.state.late = { _, transaction ->
             val keys =
@@ -420,7 +432,7 @@
             }
             false
         }
-        scenario.start()
+        scenario.startDrain()
         scenario.runUntilDone()
         assertTrue(writes > 5)
     }
@@ -428,12 +440,12 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `writes without an answer that are carried out late`(seed: Long) {
-        val scenario = DrainScenario(seed).begin().start()
+        val scenario = DrainScenario(seed).startJobs().startDrain()
         scenario.simulation.state.lateWrites = 0.3
         scenario.simulation.run(scenario.clock.now + 90.seconds)
         scenario.simulation.state.lateWrites = 0.0
         scenario.runUntilDone()
-        scenario.check(noticedAfter = 20.seconds)
+        scenario.assertDrained(detectionDelay = 20.seconds)
     }
 
     private companion object {
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -31,20 +31,22 @@
         val service =
             DrainScenario(3).let { scenario ->
                 val service = scenario.service(0, 4)
-                scenario.begin(service, scenario.service(1, 3), scenario.array(2, 3, 60.0)).start()
+                scenario
+                    .startJobs(service, scenario.service(1, 3), scenario.array(2, 3, 60.0))
+                    .startDrain()
                 scenario.runUntilStep(phase)
                 assertEquals(200, scenario.control(DrainPaths.CANCEL))
                 scenario.simulation.run(scenario.clock.now + 20.seconds)
-                val before = scenario.losses.stops.size
+                val before = scenario.disruptions.stops.size
                 scenario.simulation.run(scenario.clock.now + 60.seconds)
-                assertEquals(before, scenario.losses.stops.size, "it goes on")
+                assertEquals(before, scenario.disruptions.stops.size, "it goes on")
                 assertEquals(DrainState.CANCELLED, scenario.state())
                 assertEquals(200, scenario.control(DrainPaths.CANCEL), "a repeat")
                 assertEquals(409, scenario.control(DrainPaths.RESUME))
-                assertTrue(scenario.runs(service))
-                scenario.checkBudgets()
+                assertTrue(scenario.allReplicasRun(service))
+                scenario.assertBudgetsKept()
                 // Machines that stay take tasks: a new drain finds them as any others.
-                scenario.start(DrainRequest("d2", DrainSelector(spot = false), graceS = 10.0))
+                scenario.startDrain(DrainRequest("d2", DrainSelector(spot = false), graceS = 10.0))
                 scenario.runUntilDone(id = "d2")
                 service
             }
@@ -54,9 +56,9 @@
     @Test
     fun `machines of a cancelled drain take tasks again`() {
         val scenario = DrainScenario(7, capacity = 1)
-        scenario.begin(scenario.service(0, 2, cpus = 4.0), scenario.service(1, 2, cpus = 4.0))
+        scenario.startJobs(scenario.service(0, 2, cpus = 4.0), scenario.service(1, 2, cpus = 4.0))
         val busy = scenario.workers().first { it.tasksThere > 1 }.id
-        scenario.start(DrainRequest("d1", DrainSelector(machines = listOf(busy))))
+        scenario.startDrain(DrainRequest("d1", DrainSelector(machines = listOf(busy))))
         scenario.runUntilStep(StepPhase.EMPTYING)
         val machines = scenario.stored()?.step?.machines.orEmpty()
         assertEquals(200, scenario.control(DrainPaths.CANCEL))
@@ -72,20 +74,20 @@
         val closed = WindowSettings("FREQ=YEARLY", "03:00", 3600.0, "1971-01-01")
         val budget = BudgetSettings(stepPauseS = 1.0)
         val planned = DrainScenario(4, DrainSettings(budget = budget, windows = listOf(closed)))
-        planned.begin().start()
+        planned.startJobs().startDrain()
         planned.simulation.run(planned.clock.now + 30.seconds)
         assertEquals(DrainState.PLANNED, planned.state())
         assertTrue("1971-01-01T03:00:00Z" in planned.status().waitsFor, planned.status().waitsFor)
         assertEquals(200, planned.control(DrainPaths.CANCEL))
         assertEquals(DrainState.CANCELLED, planned.state())
 
-        val paused = DrainScenario(5).begin().start()
+        val paused = DrainScenario(5).startJobs().startDrain()
         paused.runUntilStep(StepPhase.EMPTYING)
         assertEquals(200, paused.control(DrainPaths.PAUSE))
         assertEquals(200, paused.control(DrainPaths.CANCEL))
         assertEquals(DrainState.CANCELLED, paused.state())
 
-        val done = DrainScenario(6).begin().start()
+        val done = DrainScenario(6).startJobs().startDrain()
         done.runUntilDone()
         assertEquals(409, done.control(DrainPaths.CANCEL))
         assertEquals(409, done.control(DrainPaths.PAUSE))
@@ -94,33 +96,33 @@
 
     @Test
     fun `a paused drain evicts nothing until it is resumed, also under the next leader`() {
-        val scenario = DrainScenario(8).begin().start()
+        val scenario = DrainScenario(8).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
         scenario.simulation.run(scenario.clock.now + 20.seconds)
-        val before = scenario.losses.stops.size
+        val before = scenario.disruptions.stops.size
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 60.seconds)
-        assertEquals(before, scenario.losses.stops.size)
+        assertEquals(before, scenario.disruptions.stops.size)
         assertEquals(PauseReason.OPERATOR, scenario.status().record.reason)
         assertEquals(200, scenario.control(DrainPaths.RESUME))
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @ParameterizedTest
     @EnumSource(DeadlineAction::class)
     fun `at its deadline a drain pauses or continues, as requested`(action: DeadlineAction) {
-        val scenario = DrainScenario(9).begin()
+        val scenario = DrainScenario(9).startJobs()
         val request = ordinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
-        scenario.start(request)
+        scenario.startDrain(request)
         scenario.simulation.run(300.seconds)
         if (action == DeadlineAction.PAUSE) {
             assertEquals(PauseReason.DEADLINE, scenario.status().record.reason)
             assertEquals(200, scenario.control(DrainPaths.RESUME))
         }
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @Test
@@ -138,23 +140,25 @@
         val record = lenientJson.decodeFromString(DrainRecord.serializer(), stored)
         assertEquals(stored, record.toJson().toString())
 
-        val scenario = DrainScenario(11).begin()
+        val scenario = DrainScenario(11).startJobs()
         val unknown = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
         scenario.simulation.state.write(DrainRecord.key("d1"), unknown)
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 40.seconds)
-        assertEquals(409, scenario.ask("GET", "${DrainPaths.DRAINS}/d1").first)
-        assertEquals(409, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
-        assertTrue("\"unreadable\":[\"d1\"]" in scenario.ask("GET", DrainPaths.DRAINS).second)
+        assertEquals(409, scenario.sendRequest("GET", "${DrainPaths.DRAINS}/d1").first)
+        assertEquals(409, scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertTrue(
+            "\"unreadable\":[\"d1\"]" in scenario.sendRequest("GET", DrainPaths.DRAINS).second
+        )
         assertEquals(unknown, scenario.simulation.state.value(DrainRecord.key("d1")))
     }
 
     @Test
     fun `a repeated start is idempotent, and a late one too`() {
-        val scenario = DrainScenario(10).begin().start()
-        assertEquals(200, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        val scenario = DrainScenario(10).startJobs().startDrain()
+        assertEquals(200, scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinary)).first)
         scenario.runUntilDone()
-        assertEquals(200, scenario.ask("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertEquals(200, scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinary)).first)
         assertEquals(DrainState.DONE, scenario.state())
         assertEquals(1, scenario.stored()?.let { 1 })
     }
@@ -162,15 +166,19 @@
     @Test
     fun `several drains share the budgets, also if they select the same machines`() {
         val scenario = DrainScenario(12)
-        scenario.begin(scenario.service(0, 6), scenario.service(1, 4)).start()
+        scenario.startJobs(scenario.service(0, 6), scenario.service(1, 4)).startDrain()
         val zones = DrainRequest("d2", DrainSelector(zones = listOf("a", "b", "c"), spot = false))
-        assertEquals(201, scenario.ask("POST", DrainPaths.DRAINS, body(zones)).first)
+        assertEquals(201, scenario.sendRequest("POST", DrainPaths.DRAINS, body(zones)).first)
         scenario.runUntilDone(id = "d1")
         scenario.runUntilDone(id = "d2")
-        scenario.check()
+        scenario.assertDrained()
         val returned =
             (scenario.stored("d1")?.returned ?: 0) + (scenario.stored("d2")?.returned ?: 0)
-        assertEquals(scenario.drained.size, returned, "each machine is returned by one of them")
+        assertEquals(
+            scenario.drainedMachines.size,
+            returned,
+            "each machine is returned by one of them",
+        )
     }
 
     @Test
@@ -180,33 +188,41 @@
         val scenario = DrainScenario(14, DrainSettings(budget = budget))
         val small = scenario.array(0, 3, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
         val large = scenario.array(1, 4, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
-        scenario.simulation.gangs.lengths[small.id] = 300.seconds
-        scenario.simulation.gangs.lengths[large.id] = 300.seconds
-        scenario.begin(small, large).start(ordinary.copy(graceS = 0.0))
+        scenario.simulation.gangs.runTimes[small.id] = 300.seconds
+        scenario.simulation.gangs.runTimes[large.id] = 300.seconds
+        scenario.startJobs(small, large).startDrain(ordinary.copy(graceS = 0.0))
         scenario.runUntilDone(1500.seconds)
-        scenario.check()
-        assertTrue(scenario.losses.stops.any { it.team == "team-0" }, "the small one was not moved")
-        assertTrue(scenario.losses.stops.none { it.team == "team-1" }, "the large one was stopped")
+        scenario.assertDrained()
+        assertTrue(
+            scenario.disruptions.stops.any { it.team == "team-0" },
+            "the small one was not moved",
+        )
+        assertTrue(
+            scenario.disruptions.stops.none { it.team == "team-1" },
+            "the large one was stopped",
+        )
     }
 
     @Test
     fun `where a zone has no capacity, the machines that can be replaced go first`() {
         val scenario = DrainScenario(16, capacity = 1)
         val bound = scenario.service(0, 1, cpus = 12.0).copy(zone = "b")
-        scenario.begin(bound, scenario.service(1, 2, cpus = 4.0)).start(ordinary.copy(stepSize = 1))
+        scenario
+            .startJobs(bound, scenario.service(1, 2, cpus = 4.0))
+            .startDrain(ordinary.copy(stepSize = 1))
         scenario.runUntil(600.seconds, "a machine is returned") {
             (scenario.stored()?.returned ?: 0) > 0
         }
-        assertTrue(scenario.runs(bound), "its only machine was taken")
-        scenario.checkBudgets()
+        assertTrue(scenario.allReplicasRun(bound), "its only machine was taken")
+        scenario.assertBudgetsKept()
     }
 
     @Test
     fun `a dry run shows steps, budgets and the first obstacle, and starts nothing`() {
         val scenario = DrainScenario(18)
-        scenario.begin(scenario.service(0, 4)).ask("GET", DrainPaths.DRAINS)
+        scenario.startJobs(scenario.service(0, 4)).sendRequest("GET", DrainPaths.DRAINS)
         val (status, text) =
-            scenario.ask("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary))
+            scenario.sendRequest("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary))
         assertEquals(200, status, text)
         val check = operatorJson.decodeFromString(DrainCheck.serializer(), text)
         assertEquals(check.machines, check.steps.sumOf { it.size })
@@ -216,9 +232,11 @@
 
         val none = DrainSettings(budget = BudgetSettings(maxDisrupted = 0))
         val never = DrainScenario(18, none)
-        never.begin(never.service(0, 4))
+        never.startJobs(never.service(0, 4))
         val said =
-            never.ask("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary)).second
+            never
+                .sendRequest("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary))
+                .second
         assertTrue("its budget is 0" in said, said)
     }
 
@@ -255,7 +273,7 @@
         val extra =
             if ('.' in field || field in listOf("id", "select")) "" else ""","$field":$own"""
         val request = """{"id":"$id","select":$select$extra}"""
-        val (status, text) = WRONG.ask("POST", DrainPaths.DRAINS, request)
+        val (status, text) = WRONG.sendRequest("POST", DrainPaths.DRAINS, request)
         assertEquals(400, status, text)
         val named = field.substringAfterLast('.')
         assertTrue(named in text, "$text does not name $named")
@@ -265,16 +283,16 @@
     @Test
     fun `an empty selection, an unknown drain and an unknown path`() {
         val empty = DrainRequest("d9", DrainSelector(olderThan = "1970-01-01T00:00:00Z"))
-        assertEquals(400, WRONG.ask("POST", DrainPaths.DRAINS, body(empty)).first)
-        assertEquals(404, WRONG.ask("GET", "${DrainPaths.DRAINS}/d7").first)
-        assertEquals(404, WRONG.ask("POST", "${DrainPaths.DRAINS}/d7/cancel").first)
-        assertEquals(404, WRONG.ask("GET", "/nowhere").first)
-        assertEquals(405, WRONG.ask("DELETE", "${DrainPaths.DRAINS}/d7").first)
+        assertEquals(400, WRONG.sendRequest("POST", DrainPaths.DRAINS, body(empty)).first)
+        assertEquals(404, WRONG.sendRequest("GET", "${DrainPaths.DRAINS}/d7").first)
+        assertEquals(404, WRONG.sendRequest("POST", "${DrainPaths.DRAINS}/d7/cancel").first)
+        assertEquals(404, WRONG.sendRequest("GET", "/nowhere").first)
+        assertEquals(405, WRONG.sendRequest("DELETE", "${DrainPaths.DRAINS}/d7").first)
     }
 
     @Test
     fun `during a failover reads are answered from the store with their age`() {
-        val scenario = DrainScenario(20).begin().start()
+        val scenario = DrainScenario(20).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val leader = checkNotNull(scenario.simulation.leader())
         val other = scenario.simulation.nodes.first { it != leader }
@@ -290,7 +308,7 @@
         assertEquals(scenario.stored()?.startedAt, told.record.startedAt)
         assertEquals(503, refused)
         scenario.runUntilDone()
-        scenario.check()
+        scenario.assertDrained()
     }
 
     @Test
@@ -316,6 +334,6 @@
     private companion object {
         /** A scenario in which nothing is drained, for requests that are wrong. */
         val WRONG =
-            DrainScenario(22).begin().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
+            DrainScenario(22).startJobs().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainScenario.kt
+++ b/src/test/kotlin/wardmux/drain/DrainScenario.kt
@@ -32,7 +32,7 @@
         )
     val simulation = ClusterSimulation(seed, operators = operators, capacity = capacity)
     val clock = simulation.clock
-    val losses = simulation.invariants.losses
+    val disruptions = simulation.invariants.disruptions
 
     fun workers(): List<FakeWorker> = simulation.cloud.workers()
 
@@ -71,7 +71,7 @@
     fun submit(spec: JobSpec): JobSpec = spec.also { simulation.submit(it) }
 
     /** Submits [specs], or three usual jobs, and runs until they have started. */
-    fun begin(vararg specs: JobSpec): DrainScenario {
+    fun startJobs(vararg specs: JobSpec): DrainScenario {
         val jobs = specs.ifEmpty { arrayOf(service(0, 4), service(1, 3), array(2, 3, 60.0)) }
         simulation.run(8.seconds)
         for (spec in jobs) simulation.submit(spec)
@@ -80,54 +80,55 @@
     }
 
     /** The machines that the last drain selected when it started. */
-    var drained: List<FakeWorker> = emptyList()
+    var drainedMachines: List<FakeWorker> = emptyList()
         private set
 
     fun ordinary() = DrainSelector(spot = false)
 
-    fun start(
+    fun startDrain(
         request: DrainRequest = DrainRequest("d1", ordinary(), graceS = 10.0),
         expected: Int = 201,
     ): DrainScenario {
-        drained = workers().filter { request.select.spot == null || it.spot == request.select.spot }
+        drainedMachines =
+            workers().filter { request.select.spot == null || it.spot == request.select.spot }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), request)
-        assertEquals(expected, ask("POST", DrainPaths.DRAINS, body).first)
+        assertEquals(expected, sendRequest("POST", DrainPaths.DRAINS, body).first)
         return this
     }
 
     /** Repeats a request as the command line does, until there is a final answer. */
-    fun ask(
+    fun sendRequest(
         method: String,
         path: String,
         body: String = "",
         by: String? = null,
     ): Pair<Int, String> {
         repeat(60) {
-            val answer = askOnce(method, path, body, by)
+            val answer = sendRequestOnce(method, path, body, by)
             if (answer != null && answer.first != 503) return answer
             simulation.run(clock.now + 1.seconds)
         }
         error("no answer to $method $path")
     }
 
-    fun askOnce(
+    fun sendRequestOnce(
         method: String,
         path: String,
         body: String = "",
         by: String? = null,
     ): Pair<Int, String>? {
         var answer: Pair<Int, String>? = null
-        var over = false
+        var isAnswered = false
         simulation.operate(method, path, body, by) { status, text ->
             answer = status?.let { it to text }
-            over = true
+            isAnswered = true
         }
-        while (!over) simulation.run(clock.now + 1.seconds)
+        while (!isAnswered) simulation.run(clock.now + 1.seconds)
         return answer
     }
 
     fun status(id: String = "d1", by: String? = null): DrainStatus {
-        val (status, text) = ask("GET", "${DrainPaths.DRAINS}/$id", by = by)
+        val (status, text) = sendRequest("GET", "${DrainPaths.DRAINS}/$id", by = by)
         assertEquals(200, status, text)
         return operatorJson.decodeFromString(DrainStatus.serializer(), text)
     }
@@ -135,7 +136,7 @@
     fun state(id: String = "d1"): DrainState = status(id).record.state
 
     fun control(verb: String, id: String = "d1"): Int =
-        ask("POST", "${DrainPaths.DRAINS}/$id/$verb").first
+        sendRequest("POST", "${DrainPaths.DRAINS}/$id/$verb").first
 
     /** The stored record of the drain, whichever controller leads. */
     fun stored(id: String = "d1"): DrainRecord? =
@@ -143,36 +144,36 @@
             operatorJson.decodeFromJsonElement(DrainRecord.serializer(), it)
         }
 
-    /** Runs until [reached], for at most [most]. */
-    fun runUntil(most: Micros, what: String, reached: () -> Boolean) {
-        val until = clock.now + most
-        while (!reached()) {
-            assertTrue(clock.now < until, "not within $most: $what; ${stored()}")
+    /** Runs until [isReached], for at most [timeout]. */
+    fun runUntil(timeout: Micros, what: String, isReached: () -> Boolean) {
+        val until = clock.now + timeout
+        while (!isReached()) {
+            assertTrue(clock.now < until, "not within $timeout: $what; ${stored()}")
             simulation.run(clock.now + 50.milliseconds)
         }
     }
 
-    fun runUntilStep(phase: StepPhase, most: Micros = 300.seconds) =
-        runUntil(most, "$phase") { stored()?.step?.phase == phase }
+    fun runUntilStep(phase: StepPhase, timeout: Micros = 300.seconds) =
+        runUntil(timeout, "$phase") { stored()?.step?.phase == phase }
 
-    fun runUntilDone(most: Micros = 900.seconds, id: String = "d1") =
-        runUntil(most, "done") { stored(id)?.state == DrainState.DONE }
+    fun runUntilDone(timeout: Micros = 900.seconds, id: String = "d1") =
+        runUntil(timeout, "done") { stored(id)?.state == DrainState.DONE }
 
     /** All drained machines are deleted, every budget was kept, and no invariant is broken. */
-    fun check(noticedAfter: Micros = 9.seconds) {
+    fun assertDrained(detectionDelay: Micros = 9.seconds) {
         assertNotNull(stored())
-        assertEquals(emptyList(), drained.filter { it.alive }.map { it.id }, "${stored()}")
-        checkBudgets(noticedAfter)
+        assertEquals(emptyList(), drainedMachines.filter { it.alive }.map { it.id }, "${stored()}")
+        assertBudgetsKept(detectionDelay)
     }
 
-    fun checkBudgets(noticedAfter: Micros = 9.seconds) {
+    fun assertBudgetsKept(detectionDelay: Micros = 9.seconds) {
         val limit = { team: String -> settings.budgetOf(team).maxDisrupted }
-        assertEquals(emptyList(), losses.beyond(limit, noticedAfter, duringDrains()))
+        assertEquals(emptyList(), disruptions.stopsOverLimit(limit, detectionDelay, drainPeriod()))
         assertEquals(emptyList(), simulation.problems())
     }
 
     /** From the first start to the end of the last drain, by the leaders' clocks. */
-    private fun duringDrains(): ClosedRange<Micros> {
+    private fun drainPeriod(): ClosedRange<Micros> {
         val records = listOfNotNull(stored("d1"), stored("d2"))
         val isOver = records.all { it.state.isFinal }
         val end = if (isOver) Micros(records.maxOf { it.changedAt }) else Micros.NEVER
@@ -180,5 +181,6 @@
     }
 
     /** True if all replicas run. */
-    fun runs(spec: JobSpec): Boolean = simulation.invariants.machinesOf(spec.id).size == spec.tasks
+    fun allReplicasRun(spec: JobSpec): Boolean =
+        simulation.invariants.machinesOf(spec.id).size == spec.tasks
 }
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -18,22 +18,22 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `all machines are replaced within the budgets`(seed: Long) {
-        val scenario = DrainScenario(seed).begin().start()
-        assertTrue(scenario.drained.isNotEmpty())
+        val scenario = DrainScenario(seed).startJobs().startDrain()
+        assertTrue(scenario.drainedMachines.isNotEmpty())
         scenario.runUntilDone()
-        scenario.check()
-        assertTrue(scenario.losses.stops.isNotEmpty(), "nothing was moved")
-        assertEquals(scenario.drained.size, scenario.stored()?.returned)
+        scenario.assertDrained()
+        assertTrue(scenario.disruptions.stops.isNotEmpty(), "nothing was moved")
+        assertEquals(scenario.drainedMachines.size, scenario.stored()?.returned)
     }
 
     @Test
     fun `a drain that exceeds a budget is detected by the workers' records`() {
         val scenario = DrainScenario(4, DrainSettings(budget = BudgetSettings(3, stepPauseS = 1.0)))
-        scenario.begin(scenario.service(0, 6)).start()
+        scenario.startJobs(scenario.service(0, 6)).startDrain()
         scenario.runUntilDone()
-        scenario.check()
-        assertEquals(3, scenario.losses.peakOf("team-0"))
-        assertTrue(scenario.losses.beyond({ 2 }, 9.seconds).isNotEmpty())
+        scenario.assertDrained()
+        assertEquals(3, scenario.disruptions.peakOf("team-0"))
+        assertTrue(scenario.disruptions.stopsOverLimit({ 2 }, 9.seconds).isNotEmpty())
     }
 
     @ParameterizedTest
@@ -43,8 +43,8 @@
         val scenario =
             DrainScenario(seed, DrainSettings(budget = budget), forwarding = seed % 2 == 0L)
         val services = listOf(scenario.service(0, 4), scenario.service(1, 5))
-        scenario.begin(*services.toTypedArray(), scenario.array(2, 6, 30.0))
-        scenario.start()
+        scenario.startJobs(*services.toTypedArray(), scenario.array(2, 6, 30.0))
+        scenario.startDrain()
         scenario.simulation.lostPlans = 0.3
         val clock = scenario.clock
         val faults = FaultInjector(scenario.simulation) { scenario.submit(calmJob(scenario)) }
@@ -58,7 +58,7 @@
         for (worker in scenario.workers()) worker.sick = false
         scenario.runUntilDone(1500.seconds)
         // Commands may be 40 s on their way: what was lost meanwhile could not be known.
-        scenario.check(noticedAfter = 45.seconds)
+        scenario.assertDrained(detectionDelay = 45.seconds)
     }
 
     /** Of a priority class that preempts nothing: only the drain evicts work. */
--- a/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -50,7 +50,8 @@
     private val storeLimits =
         StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
     private val state = FakeKeyValueStore(clock, storeLimits)
-    private val invariants = Invariants(teams, workerTiming.cancelS.seconds + Invariants.SLACK)
+    private val invariants =
+        Invariants(teams, workerTiming.cancelS.seconds + Invariants.CANCELLATION_SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
     private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
@@ -71,7 +72,7 @@
         loop.scheduleWithFixedDelay(
             {
                 clock.run(Micros((System.nanoTime() - start) / NANOS_PER_MICRO)) {}
-                invariants.check(clock.now)
+                invariants.checkCancelledJobs(clock.now)
             },
             0,
             PUMP_MILLIS,
@@ -194,7 +195,7 @@
     fun submit(spec: JobSpec) {
         onLoop {
             specs[spec.id] = spec
-            invariants.submitted(spec)
+            invariants.recordSubmission(spec)
         }
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
         repeat(MAX_TRIES) {
@@ -233,15 +234,15 @@
 
     /** Invariants that the controllers broke, by the records of the fakes. */
     fun problems(limit: Int, noticedAfter: Micros): List<String> = onLoop {
-        invariants.broken +
+        invariants.violations +
             state.problems +
             cloud.problems +
-            invariants.losses.beyond({ limit }, noticedAfter)
+            invariants.disruptions.stopsOverLimit({ limit }, noticedAfter)
     }
 
     /** The most tasks of each team that were disrupted at once. */
     fun peaks(): Map<String, Int> = onLoop {
-        teams.associate { it.name to invariants.losses.peakOf(it.name) }
+        teams.associate { it.name to invariants.disruptions.peakOf(it.name) }
     }
 
     /** Time since the cluster was started. */
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -46,17 +46,17 @@
         fun begin(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
-            while (jobs.any { invariants.placesOf(it).size < TASKS } && clock.now < START) runFor(
-                1.seconds
-            )
-            for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
+            while (
+                jobs.any { invariants.machineByTask(it).size < TASKS } && clock.now < START
+            ) runFor(1.seconds)
+            for (job in jobs) assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs")
             // To the letter, without the slack of the rules.
             clock.every(100.milliseconds) { late += jobs.filter(::outlastsItsCancellation) }
         }
 
         private fun outlastsItsCancellation(job: String): Boolean {
-            val at = invariants.cancelledAt(job) ?: return false
-            return clock.now - at > CANCEL && invariants.placesOf(job).isNotEmpty()
+            val at = invariants.cancellationReportedAt(job) ?: return false
+            return clock.now - at > CANCEL && invariants.machineByTask(job).isNotEmpty()
         }
 
         fun cutOff(machine: String) {
@@ -90,14 +90,14 @@
         fun end() {
             assertEquals(emptySet(), late, "on a machine after their time")
             assertEquals(emptyList(), simulation.problems())
-            for (job in invariants.over()) assertEquals(
+            for (job in invariants.finishedJobs()) assertEquals(
                 0,
-                invariants.placesOf(job).size,
+                invariants.machineByTask(job).size,
                 "$job is cancelled",
             )
-            for (job in invariants.open()) assertEquals(
+            for (job in invariants.openJobs()) assertEquals(
                 TASKS,
-                invariants.placesOf(job).size,
+                invariants.machineByTask(job).size,
                 "$job runs",
             )
         }
@@ -114,9 +114,11 @@
             cutOff(machine)
             simulation.cancel(job)
             runFor(500.milliseconds)
-            assertEquals("cancelled", invariants.finalOf(job))
+            assertEquals("cancelled", invariants.finalStateOf(job))
             var renewals = 0
-            while (invariants.cancelledAt(job)?.let { clock.now - it > CANCEL } == false) {
+            while (
+                invariants.cancellationReportedAt(job)?.let { clock.now - it > CANCEL } == false
+            ) {
                 changeLeader()
                 val session = worker.sessions
                 val forwarder = simulation.nodes.first { it != simulation.leader() }
@@ -143,7 +145,7 @@
         Churn(seed).run {
             begin(count = 8)
             val churn = LeaderChangeFaults(simulation)
-            churn.begin(CHURN)
+            churn.injectFor(CHURN)
             for (job in jobs.shuffled(clock.random).take(4)) {
                 clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancel(job) }
             }
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -72,7 +72,8 @@
             limits = ProcessLimits(fdLimit = fdLimit),
         )
     val state = FakeKeyValueStore(clock, deployment.state)
-    val invariants = Invariants(teams, deployment.workers.cancelS.seconds + Invariants.SLACK)
+    val invariants =
+        Invariants(teams, deployment.workers.cancelS.seconds + Invariants.CANCELLATION_SLACK)
     val gangs = FakeGangs(clock, invariants, gangWaitS, gangPeerS)
     val cloud = FakeCloud(clock, zones, capacity, ::worker)
     private val workers = HashMap<String, FakeWorker>()
@@ -99,7 +100,7 @@
         /** Decisions to start are held against what users were told when they were made. */
         private fun noteOrders(effects: List<Effect>) {
             onStartSent?.let { heard -> for (effect in effects) tellStarts(effect, heard) }
-            if (!invariants.knowsCancelled) return
+            if (!invariants.hasReportedCancellation) return
             for (effect in effects) {
                 val body =
                     when {
@@ -108,7 +109,7 @@
                         else -> continue
                     }.decodeToString()
                 for (start in startOrder.findAll(body)) {
-                    invariants.ordered(clock.now, start.groupValues[1], start.value)
+                    invariants.recordStartCommand(clock.now, start.groupValues[1], start.value)
                 }
             }
         }
@@ -325,7 +326,7 @@
     }
 
     init {
-        invariants.whenAllDone = users::jobEnded
+        invariants.onAllTasksDone = users::jobEnded
         for (node in nodes) boot(node)
         if (rented) for (zone in zones) cloud.rent(zone, spot = false)
     }
@@ -383,21 +384,25 @@
     fun plainService(team: String, tasks: Int): JobSpec =
         unconstrainedJob(JobKind.SERVICE, team, tasks, cpus = 2.0, estimateS = 0.0)
 
-    fun run(until: Micros) = clock.run(until) { invariants.check(clock.now) }
+    fun run(until: Micros) = clock.run(until) { invariants.checkCancelledJobs(clock.now) }
 
     /** From now, which is calm, no job may wait beside a machine that has room for it. */
     fun watchWaiting() = watchWaitingAgain()
 
     private fun watchWaitingAgain() {
         val healthy = cloud.workers().filter { !it.hanging && !it.sick && it.recallS == null }
-        invariants.rooms(clock.now, healthy.map { it.view() }, cloud.workers().map { it.view() })
+        invariants.checkWaitingJobs(
+            clock.now,
+            healthy.map { it.view() },
+            cloud.workers().map { it.view() },
+        )
         clock.after(1.seconds) { watchWaitingAgain() }
     }
 
     /** The checks at the end of a scenario whose troubles were over at [calm]. */
     fun checkAtEnd(calm: Micros) = invariants.checkAtEnd(clock.now, calm)
 
-    fun problems(): List<String> = invariants.broken + state.problems + cloud.problems
+    fun problems(): List<String> = invariants.violations + state.problems + cloud.problems
 
     private companion object {
         val startedTask = Regex("""\{"verb":"start","piece":"(job-\d+/\d+)","try":(\d+)""")
--- a/src/test/kotlin/wardmux/sim/DisruptionCounter.kt
+++ b/src/test/kotlin/wardmux/sim/DisruptionCounter.kt
@@ -3,12 +3,12 @@
 import wardmux.model.Micros
 
 /** Why a worker's task no longer runs. */
-enum class LossCause {
+enum class DisruptionCause {
     /** A controller told it to stop. */
     STOPPED,
 
     /** It was told to stop on a machine that the cloud is about to take. */
-    RECALLED,
+    PREEMPTED,
 
     /** It failed, or its machine or incarnation ended. */
     CRASHED,
@@ -20,63 +20,63 @@
  */
 class DisruptionCounter {
     /** A task that was told to stop, and which of its team's tasks were lost with it then. */
-    class Stop(val at: Micros, val team: String, val lost: Map<String, Loss>)
+    class Stop(val at: Micros, val team: String, val disrupted: Map<String, Disruption>)
 
-    class Loss(val at: Micros, val cause: LossCause)
+    class Disruption(val at: Micros, val cause: DisruptionCause)
 
     private val teamOf = HashMap<String, String>()
-    private val lost = HashMap<String, LinkedHashMap<String, Loss>>()
-    private val peaks = HashMap<String, Int>()
+    private val disruptedByTeam = HashMap<String, LinkedHashMap<String, Disruption>>()
+    private val peakByTeam = HashMap<String, Int>()
 
     /** Each stop of a task that ran, in order. */
     val stops = ArrayList<Stop>()
 
     /** The most that the team had lost at once. */
-    fun peakOf(team: String): Int = peaks[team] ?: 0
+    fun peakOf(team: String): Int = peakByTeam[team] ?: 0
 
     /** What the team has lost now. */
-    fun lostNow(team: String): Set<String> = lost[team]?.keys.orEmpty()
+    fun disruptedTasks(team: String): Set<String> = disruptedByTeam[team]?.keys.orEmpty()
 
-    fun runs(now: Micros, task: String, team: String) {
+    fun recordRunning(now: Micros, task: String, team: String) {
         check(now >= Micros.ZERO)
         teamOf[task] = team
-        lost[team]?.remove(task)
+        disruptedByTeam[team]?.remove(task)
     }
 
-    fun lost(now: Micros, task: String, cause: LossCause) {
+    fun recordDisruption(now: Micros, task: String, cause: DisruptionCause) {
         val team = teamOf[task] ?: return
-        val own = lost.getOrPut(team) { LinkedHashMap() }
-        if (task in own) return
-        own[task] = Loss(now, cause)
-        peaks.merge(team, own.size, ::maxOf)
-        if (cause == LossCause.STOPPED) stops.add(Stop(now, team, HashMap(own)))
+        val disrupted = disruptedByTeam.getOrPut(team) { LinkedHashMap() }
+        if (task in disrupted) return
+        disrupted[task] = Disruption(now, cause)
+        peakByTeam.merge(team, disrupted.size, ::maxOf)
+        if (cause == DisruptionCause.STOPPED) stops.add(Stop(now, team, HashMap(disrupted)))
     }
 
-    fun done(task: String) {
-        teamOf.remove(task)?.let { lost[it]?.remove(task) }
+    fun recordDone(task: String) {
+        teamOf.remove(task)?.let { disruptedByTeam[it]?.remove(task) }
     }
 
-    fun cancelled(job: String) {
-        for (task in teamOf.keys.filter { it.substringBefore('/') == job }) done(task)
+    fun recordCancellation(job: String) {
+        for (task in teamOf.keys.filter { it.substringBefore('/') == job }) recordDone(task)
     }
 
     /**
-     * Stops that took a team beyond [limit]. What was lost otherwise less than [noticedAfter]
+     * Stops that took a team beyond [limit]. What was lost otherwise less than [detectionDelay]
      * before could not be known yet, and does not count. Budgets bind drains, so only what is
      * stopped [during] one is held against them: without one, the scheduler moves replicas off
      * machines that it returns.
      */
-    fun beyond(
+    fun stopsOverLimit(
         limit: (team: String) -> Int,
-        noticedAfter: Micros,
+        detectionDelay: Micros,
         during: ClosedRange<Micros> = Micros.ZERO..Micros.NEVER,
     ): List<String> =
         stops
             .filter { it.at in during }
             .mapNotNull { stop ->
                 val known =
-                    stop.lost.filterValues {
-                        it.cause == LossCause.STOPPED || stop.at - it.at > noticedAfter
+                    stop.disrupted.filterValues {
+                        it.cause == DisruptionCause.STOPPED || stop.at - it.at > detectionDelay
                     }
                 if (known.size <= limit(stop.team)) null
                 else "${stop.team} has lost ${known.keys} at ${stop.at.inSeconds} s"
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -12,54 +12,54 @@
     val attempt: Int
 
     /** Its machine executes nothing. */
-    val hanging: Boolean
+    val isUnresponsive: Boolean
 
-    fun begin()
+    fun startRunning()
 
-    fun exit(cause: String, kept: Boolean)
+    fun exit(cause: String, progressSaved: Boolean)
 }
 
 /** How the tasks of gangs find each other across all machines, run, and end together. */
 class FakeGangs(
     private val clock: SimulatedClock,
     private val invariants: Invariants,
-    waitS: Double = 35.0,
-    peerS: Double = 6.0,
+    gangWaitS: Double = 35.0,
+    gangPeerS: Double = 6.0,
 ) {
-    private val longestWait = waitS.seconds
-    private val peerTime = peerS.seconds
+    private val gatherTimeout = gangWaitS.seconds
+    private val peerTimeout = gangPeerS.seconds
     private val attempts = LinkedHashMap<Pair<String, Int>, Attempt>()
 
     /** How long each gang runs in all; drawn when its first task joins, unless it is set before. */
-    val lengths = HashMap<String, Micros>()
-    private val saved = HashMap<String, Micros>()
-    private val done = HashSet<String>()
+    val runTimes = HashMap<String, Micros>()
+    private val savedProgress = HashMap<String, Micros>()
+    private val doneJobs = HashSet<String>()
 
     /** Ends of tasks by their cause. */
-    val causes = sortedMapOf<String, Int>()
-    private val ends = HashMap<String, ArrayList<String>>()
+    val endCounts = sortedMapOf<String, Int>()
+    private val endsByJob = HashMap<String, ArrayList<String>>()
 
     /**
      * How the tasks of [job] that had their image ended by themselves or were stopped, in order.
      */
-    fun endsOf(job: String): List<String> = ends[job].orEmpty()
+    fun endsOf(job: String): List<String> = endsByJob[job].orEmpty()
 
     /** An attempt of [job] was told to save and has not lost its save. */
     fun isSaving(job: String) = attempts.any { it.key.first == job && it.value.isSaving }
 
     init {
-        clock.every(TICK) { for (attempt in attempts.values.toList()) attempt.tick() }
+        clock.every(TICK_PERIOD) { for (attempt in attempts.values.toList()) attempt.tick() }
     }
 
-    fun isDone(job: String) = job in done
+    fun isDone(job: String) = job in doneJobs
 
     /** Progress that the next attempt continues from. */
-    fun savedOf(job: String): Micros = saved[job] ?: Micros.ZERO
+    fun savedProgressOf(job: String): Micros = savedProgress[job] ?: Micros.ZERO
 
     /** The task has its image. */
-    fun join(task: GangTask, spec: JobSpec) {
-        if (spec.id !in lengths) {
-            lengths[spec.id] =
+    fun addTask(task: GangTask, spec: JobSpec) {
+        if (spec.id !in runTimes) {
+            runTimes[spec.id] =
                 clock.between(1.seconds, maxOf(1.seconds, (spec.estimateS * 1.5).seconds))
         }
         attempts
@@ -68,26 +68,26 @@
             .add(Member(task, clock.now))
     }
 
-    fun halt(task: GangTask, within: Double) {
+    fun halt(task: GangTask, graceS: Double) {
         val attempt = attempts[task.job to task.attempt] ?: return
-        attempt.members.find { it.task === task }?.let { attempt.halt(it, within) }
+        attempt.members.find { it.task === task }?.let { attempt.halt(it, graceS) }
     }
 
     /** The task is no longer on its machine, whatever the cause. */
-    fun gone(task: GangTask) {
+    fun removeTask(task: GangTask) {
         val attempt = attempts[task.job to task.attempt] ?: return
         val member = attempt.members.find { it.task === task } ?: return
         attempt.members.remove(member)
-        attempt.left(member)
+        attempt.memberRemoved(member)
         if (attempt.members.isEmpty()) attempts.remove(task.job to task.attempt)
     }
 
-    private class Member(val task: GangTask, val since: Micros) {
-        var running = false
-        var hungSince: Micros? = null
-        var toldAt: Micros? = null
+    private class Member(val task: GangTask, val joinedAt: Micros) {
+        var isRunning = false
+        var unresponsiveSince: Micros? = null
+        var haltedAt: Micros? = null
         var exitAt = Micros.ZERO
-        var cause = "peers"
+        var exitCause = "peers"
     }
 
     private inner class Attempt(private val spec: JobSpec, private val number: Int) {
@@ -96,143 +96,147 @@
         private var firstHaltAt: Micros? = null
 
         /** It has lost a task, or its save has failed. */
-        private var broken = false
+        private var hasFailed = false
 
         /** All were told in time. */
-        private var allTold = false
-        private var safe = false
-        private var complete = false
+        private var allHaltedInTime = false
+        private var isProgressSaved = false
+        private var isComplete = false
 
         val isSaving: Boolean
-            get() = firstHaltAt != null && !broken
+            get() = firstHaltAt != null && !hasFailed
 
-        private fun running() = members.filter { it.running }
+        private fun runningMembers() = members.filter { it.isRunning }
 
         fun tick() {
             gather()
-            val running = running()
-            if (running.isNotEmpty()) run(running)
+            val running = runningMembers()
+            if (running.isNotEmpty()) advanceGang(running)
         }
 
         private fun gather() {
-            val gathering = members.filter { !it.running && !it.task.hanging }
-            val (late, waiting) = gathering.partition { clock.now - it.since >= longestWait }
+            val gathering = members.filter { !it.isRunning && !it.task.isUnresponsive }
+            val (timedOut, waiting) =
+                gathering.partition { clock.now - it.joinedAt >= gatherTimeout }
             // Those that were started while their gang runs, or is ending, wait for nothing.
-            val here = waiting.distinctBy { it.task.index }
-            if (here.size == spec.tasks && running().isEmpty()) return begin(here)
-            for (member in late) exit(member, "alone")
+            val gathered = waiting.distinctBy { it.task.index }
+            if (gathered.size == spec.tasks && runningMembers().isEmpty())
+                return startGang(gathered)
+            for (member in timedOut) exit(member, "alone")
         }
 
-        private fun begin(all: List<Member>) {
-            progress = savedOf(spec.id)
+        private fun startGang(gathered: List<Member>) {
+            progress = savedProgressOf(spec.id)
             firstHaltAt = null
-            broken = false
-            allTold = false
-            safe = false
-            invariants.gangBegins(spec.id, number, all.map { it.task.index }.toSet())
-            for (member in all) member.running = true
-            for (member in all) member.task.begin()
+            hasFailed = false
+            allHaltedInTime = false
+            isProgressSaved = false
+            invariants.recordGangStart(spec.id, number, gathered.map { it.task.index }.toSet())
+            for (member in gathered) member.isRunning = true
+            for (member in gathered) member.task.startRunning()
         }
 
-        private fun run(running: List<Member>) {
-            for (member in running) noteHang(member)
-            val halted = firstHaltAt
+        private fun advanceGang(running: List<Member>) {
+            for (member in running) trackUnresponsiveness(member)
+            val haltedAt = firstHaltAt
             when {
-                broken -> leave(running)
-                halted != null -> save(running, halted)
-                running.none { it.task.hanging } -> advance(running)
+                hasFailed -> exitDueMembers(running)
+                haltedAt != null -> saveProgress(running, haltedAt)
+                running.none { it.task.isUnresponsive } -> advanceProgress(running)
             }
         }
 
-        private fun noteHang(member: Member) {
-            if (!member.task.hanging) {
-                member.hungSince = null
+        private fun trackUnresponsiveness(member: Member) {
+            if (!member.task.isUnresponsive) {
+                member.unresponsiveSince = null
                 return
             }
-            val since = member.hungSince ?: clock.now.also { member.hungSince = it }
+            val since = member.unresponsiveSince ?: clock.now.also { member.unresponsiveSince = it }
             // The others take it for gone, and have noticed by now.
-            if (clock.now - since >= peerTime) lose { clock.now }
+            if (clock.now - since >= peerTimeout) failAttempt { clock.now }
         }
 
-        private fun advance(running: List<Member>) {
-            progress += TICK
-            if (progress < lengths.getValue(spec.id)) return
-            complete = true
-            done.add(spec.id)
+        private fun advanceProgress(running: List<Member>) {
+            progress += TICK_PERIOD
+            if (progress < runTimes.getValue(spec.id)) return
+            isComplete = true
+            doneJobs.add(spec.id)
             for (member in running) exit(member, "done")
         }
 
-        private fun leave(running: List<Member>) {
+        private fun exitDueMembers(running: List<Member>) {
             for (member in running) {
-                if (!member.task.hanging && clock.now >= member.exitAt) exit(member, member.cause)
+                if (!member.task.isUnresponsive && clock.now >= member.exitAt)
+                    exit(member, member.exitCause)
             }
         }
 
-        private fun save(running: List<Member>, halted: Micros) {
-            val limit = halted + peerTime
-            if (running.all { (it.toldAt ?: Micros.NEVER) <= limit }) allTold = true
-            if (!allTold) {
-                if (clock.now >= limit) failSave(running)
+        private fun saveProgress(running: List<Member>, haltedAt: Micros) {
+            val deadline = haltedAt + peerTimeout
+            if (running.all { (it.haltedAt ?: Micros.NEVER) <= deadline }) allHaltedInTime = true
+            if (!allHaltedInTime) {
+                if (clock.now >= deadline) abandonSave(running)
                 return
             }
             for (member in running) {
-                if (member.task.hanging || clock.now < savedAt(member)) continue
-                if (!safe) saved[spec.id] = progress
-                safe = true
-                exit(member, "stopped", kept = true)
+                if (member.task.isUnresponsive || clock.now < saveEndsAt(member)) continue
+                if (!isProgressSaved) savedProgress[spec.id] = progress
+                isProgressSaved = true
+                exit(member, "stopped", progressSaved = true)
             }
         }
 
-        private fun savedAt(member: Member) = (member.toldAt ?: clock.now) + spec.saveS.seconds
+        private fun saveEndsAt(member: Member) = (member.haltedAt ?: clock.now) + spec.saveS.seconds
 
-        private fun failSave(running: List<Member>) {
-            lose { clock.now }
+        private fun abandonSave(running: List<Member>) {
+            failAttempt { clock.now }
             for (member in running) {
-                if (member.toldAt == null) continue
-                member.cause = "stopped"
-                member.exitAt = maxOf(clock.now, savedAt(member))
+                if (member.haltedAt == null) continue
+                member.exitCause = "stopped"
+                member.exitAt = maxOf(clock.now, saveEndsAt(member))
             }
-            leave(running)
+            exitDueMembers(running)
         }
 
         /** Back to the last checkpoint; the tasks that are left exit, each at its time. */
-        private fun lose(exitAt: () -> Micros) {
-            if (broken || safe || complete) return
-            broken = true
+        private fun failAttempt(exitAt: () -> Micros) {
+            if (hasFailed || isProgressSaved || isComplete) return
+            hasFailed = true
             if (spec.isCheckpointable) {
                 val step = spec.checkpointS.seconds.value
                 val checkpoint = Micros(progress.value / step * step)
-                saved[spec.id] = maxOf(savedOf(spec.id), checkpoint)
+                savedProgress[spec.id] = maxOf(savedProgressOf(spec.id), checkpoint)
             }
-            for (member in running()) member.exitAt = exitAt()
+            for (member in runningMembers()) member.exitAt = exitAt()
         }
 
-        fun left(member: Member) {
-            if (member.running) lose { clock.now + clock.between(TICK, peerTime - TICK) }
+        fun memberRemoved(member: Member) {
+            if (member.isRunning)
+                failAttempt { clock.now + clock.between(TICK_PERIOD, peerTimeout - TICK_PERIOD) }
         }
 
-        fun halt(member: Member, within: Double) {
-            val saving = member.toldAt != null
+        fun halt(member: Member, graceS: Double) {
+            val isHalted = member.haltedAt != null
             when {
-                !member.running || broken -> exit(member, "stopped")
-                saving && within > 0 -> return
-                !saving && spec.isCheckpointable && within >= spec.saveS -> {
-                    member.toldAt = clock.now
+                !member.isRunning || hasFailed -> exit(member, "stopped")
+                isHalted && graceS > 0 -> return
+                !isHalted && spec.isCheckpointable && graceS >= spec.saveS -> {
+                    member.haltedAt = clock.now
                     if (firstHaltAt == null) firstHaltAt = clock.now
                 }
                 else -> exit(member, "stopped")
             }
         }
 
-        private fun exit(member: Member, cause: String, kept: Boolean = false) {
-            val how = if (kept) "kept" else cause
-            causes.merge(how, 1, Int::plus)
-            ends.getOrPut(spec.id) { ArrayList() }.add(how)
-            member.task.exit(cause, kept)
+        private fun exit(member: Member, cause: String, progressSaved: Boolean = false) {
+            val end = if (progressSaved) "kept" else cause
+            endCounts.merge(end, 1, Int::plus)
+            endsByJob.getOrPut(spec.id) { ArrayList() }.add(end)
+            member.task.exit(cause, progressSaved)
         }
     }
 
     private companion object {
-        val TICK = 100.milliseconds
+        val TICK_PERIOD = 100.milliseconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -54,13 +54,13 @@
         override val job = task.job
         override val index = task.index
         override val attempt = task.attempt
-        override val hanging
+        override val isUnresponsive
             get() = this@FakeWorker.hanging
 
-        override fun begin() = begins(task)
+        override fun startRunning() = begins(task)
 
-        override fun exit(cause: String, kept: Boolean) {
-            task.kept = kept
+        override fun exit(cause: String, progressSaved: Boolean) {
+            task.kept = progressSaved
             end(task, cause, done = cause == "done")
         }
     }
@@ -143,12 +143,13 @@
     /** It ends with its machine or its incarnation. */
     private fun lose(task: Task) {
         leave(task, done = false)
-        if (task.status != "ended") invariants.losses.lost(clock.now, task.name, LossCause.CRASHED)
+        if (task.status != "ended")
+            invariants.disruptions.recordDisruption(clock.now, task.name, DisruptionCause.CRASHED)
     }
 
     private fun leave(task: Task, done: Boolean) {
-        if (task.status in onMachine) invariants.ended(task.job, task.index, id, done)
-        task.seat?.let(gangs::gone)
+        if (task.status in onMachine) invariants.recordTaskEnd(task.job, task.index, id, done)
+        task.seat?.let(gangs::removeTask)
     }
 
     private fun step() {
@@ -281,7 +282,7 @@
         when (order.getValue("verb").jsonPrimitive.content) {
             "start" ->
                 if (key !in tasks) {
-                    invariants.startCarriedOut(name.substringBefore('/'))
+                    invariants.recordStartCarriedOut(name.substringBefore('/'))
                     start(Task(name, attempt).also { tasks[key] = it })
                 }
             "halt" -> tasks[key]?.let { halt(it, order.getValue("letgo_s").jsonPrimitive.double) }
@@ -313,18 +314,27 @@
         if (!present(task) || task.status != "fetching") return
         if (hanging) return clock.after(1.seconds) { run(task, spec) }
         if (task.name in results || gangs.isDone(task.job)) {
-            invariants.startsOfDone++
+            invariants.startsOfDoneTasks++
             return end(task, "done", false)
         }
         task.status = "running"
         changed = true
-        invariants.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
+        invariants.recordTaskStart(
+            clock.now,
+            task.job,
+            task.index,
+            id,
+            type,
+            zone,
+            spot,
+            task.attempt,
+        )
         if (spec.kind == JobKind.GANG) {
             task.status = "gathering"
-            return gangs.join(Seat(task).also { task.seat = it }, spec)
+            return gangs.addTask(Seat(task).also { task.seat = it }, spec)
         }
         starts++
-        invariants.losses.runs(clock.now, task.name, spec.team)
+        invariants.disruptions.recordRunning(clock.now, task.name, spec.team)
         if (sick) return clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
         if (spec.estimateS > 0) {
             clock.after(clock.between(1.seconds, (spec.estimateS * 1.5).seconds)) { finish(task) }
@@ -336,7 +346,9 @@
         task.status = "running"
         changed = true
         starts++
-        specOf(task.job)?.let { invariants.losses.runs(clock.now, task.name, it.team) }
+        specOf(task.job)?.let {
+            invariants.disruptions.recordRunning(clock.now, task.name, it.team)
+        }
         if (sick) clock.after(1.seconds) { if (present(task)) end(task, "error", false) }
     }
 
@@ -347,15 +359,16 @@
         end(task, "done", true)
     }
 
-    private fun causeOfStop() = if (recallS == null) LossCause.STOPPED else LossCause.RECALLED
+    private fun causeOfStop() =
+        if (recallS == null) DisruptionCause.STOPPED else DisruptionCause.PREEMPTED
 
     private fun end(task: Task, cause: String, done: Boolean) {
         if (task.status == "ended") return
         leave(task, done)
-        if (done) invariants.losses.done(task.name)
+        if (done) invariants.disruptions.recordDone(task.name)
         else {
-            val lossCause = if (cause == "stopped") causeOfStop() else LossCause.CRASHED
-            invariants.losses.lost(clock.now, task.name, lossCause)
+            val disruptionCause = if (cause == "stopped") causeOfStop() else DisruptionCause.CRASHED
+            invariants.disruptions.recordDisruption(clock.now, task.name, disruptionCause)
         }
         task.status = "ended"
         task.cause = cause
@@ -370,7 +383,7 @@
             seat != null -> gangs.halt(seat, within)
             task.status == "running" && spec.isCheckpointable && within >= spec.saveS -> {
                 task.status = "saving"
-                invariants.losses.lost(clock.now, task.name, causeOfStop())
+                invariants.disruptions.recordDisruption(clock.now, task.name, causeOfStop())
                 clock.after(spec.saveS.seconds) {
                     task.kept = true
                     if (present(task)) end(task, "stopped", false)
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -27,25 +27,25 @@
     private fun arrange(scenario: GangScenario, phase: Phase): JobSpec {
         val simulation = scenario.simulation
         // There are three machines at first.
-        val gang = scenario.gang(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
+        val gang = scenario.gangSpec(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
         when (phase) {
             Phase.WAITING -> simulation.cloud.down = true
             Phase.STARTING ->
                 for (i in 0..20) simulation.delayedCommands["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
-                scenario.once({ scenario.allRun(gang) }) {
+                scenario.runWhen({ scenario.isFullyRunning(gang) }) {
                     scenario.clock.after(6.seconds) {
-                        scenario.holding(gang).first().recallS = 30.0
+                        scenario.workersHolding(gang).first().recallS = 30.0
                     }
                 }
             Phase.BETWEEN ->
-                scenario.once({ scenario.allRun(gang) }) {
+                scenario.runWhen({ scenario.isFullyRunning(gang) }) {
                     simulation.cloud.rent("a", spot = false)
                     scenario.clock.after(6.seconds) {
-                        simulation.cloud.kill(scenario.holding(gang).first())
+                        simulation.cloud.kill(scenario.workersHolding(gang).first())
                     }
                 }
-            Phase.DONE -> simulation.gangs.lengths[gang.id] = 6.seconds
+            Phase.DONE -> simulation.gangs.runTimes[gang.id] = 6.seconds
             else -> Unit
         }
         return gang
@@ -55,10 +55,10 @@
     private fun inPhase(scenario: GangScenario, phase: Phase, gang: JobSpec, action: () -> Unit) {
         val simulation = scenario.simulation
         val page = { simulation.state.value("t/${gang.id}/0") }
-        val begun = { scenario.invariants.gangsBegun > 0 }
+        val begun = { scenario.invariants.gangStarts > 0 }
         when (phase) {
             Phase.WAITING ->
-                scenario.once({ scenario.stored("q", gang) != null }) {
+                scenario.runWhen({ scenario.storedValue("q", gang) != null }) {
                     scenario.clock.after(6.seconds) {
                         assertEquals(null, page())
                         action()
@@ -73,15 +73,19 @@
                     own
                 }
             Phase.STARTING ->
-                scenario.once({ page() != null && scenario.states(gang).isEmpty() }, action)
+                scenario.runWhen({ page() != null && scenario.taskStates(gang).isEmpty() }, action)
             Phase.FETCHING ->
-                scenario.once({ scenario.states(gang) == List(3) { "fetching" } }, action)
-            Phase.GATHERING -> scenario.once({ "gathering" in scenario.states(gang) }, action)
+                scenario.runWhen({ scenario.taskStates(gang) == List(3) { "fetching" } }, action)
+            Phase.GATHERING ->
+                scenario.runWhen({ "gathering" in scenario.taskStates(gang) }, action)
             Phase.RUNNING ->
-                scenario.once({ scenario.allRun(gang) }) { scenario.clock.after(6.seconds, action) }
-            Phase.SAVING -> scenario.once({ simulation.gangs.isSaving(gang.id) }, action)
-            Phase.BETWEEN -> scenario.once({ begun() && scenario.holding(gang).isEmpty() }, action)
-            Phase.DONE -> scenario.invariants.whenAllDone = { action() }
+                scenario.runWhen({ scenario.isFullyRunning(gang) }) {
+                    scenario.clock.after(6.seconds, action)
+                }
+            Phase.SAVING -> scenario.runWhen({ simulation.gangs.isSaving(gang.id) }, action)
+            Phase.BETWEEN ->
+                scenario.runWhen({ begun() && scenario.workersHolding(gang).isEmpty() }, action)
+            Phase.DONE -> scenario.invariants.onAllTasksDone = { action() }
         }
     }
 
@@ -100,7 +104,7 @@
             if (cancelledAt == null) {
                 cancelledAt = scenario.clock.now
                 simulation.cancel(gang.id)
-                if (seed > 2) scenario.changeLeader(latest = 3.seconds)
+                if (seed > 2) scenario.crashLeader(maxDelay = 3.seconds)
                 // Room for all of it comes afterwards.
                 scenario.clock.after(2.seconds) {
                     simulation.cloud.down = false
@@ -114,25 +118,29 @@
         simulation.run(60.seconds)
         val asked = checkNotNull(cancelledAt) { "$phase was not reached" }
         // Whoever was under way has arrived by then.
-        val told = scenario.invariants.cancelledAt(gang.id) ?: asked
+        val told = scenario.invariants.cancellationReportedAt(gang.id) ?: asked
         assertTrue(told - asked < 10.seconds, "told after ${told - asked}")
         val settled = told + UNDER_WAY
         simulation.run(maxOf(scenario.clock.now, settled))
         val starts = scenario.invariants.starts
-        val begun = scenario.invariants.gangsBegun
+        val begun = scenario.invariants.gangStarts
         simulation.run(told + CANCEL_TIME)
-        assertEquals(emptyList(), scenario.states(gang), "still on machines")
+        assertEquals(emptyList(), scenario.taskStates(gang), "still on machines")
         simulation.run(told + 120.seconds)
-        scenario.holds()
+        scenario.assertNoViolations()
         assertEquals(
             starts to begun,
-            scenario.invariants.starts to scenario.invariants.gangsBegun,
+            scenario.invariants.starts to scenario.invariants.gangStarts,
             "started later",
         )
-        val final = scenario.invariants.finalOf(gang.id)
+        val final = scenario.invariants.finalStateOf(gang.id)
         assertTrue(final == "cancelled" || (final == "done" && phase == Phase.DONE), "is $final")
-        assertEquals(final, scenario.recordOf(gang).name.lowercase())
-        for (prefix in listOf("q", "c")) assertEquals(null, scenario.stored(prefix, gang), prefix)
+        assertEquals(final, scenario.storedJobState(gang).name.lowercase())
+        for (prefix in listOf("q", "c")) assertEquals(
+            null,
+            scenario.storedValue(prefix, gang),
+            prefix,
+        )
         assertEquals(null, simulation.state.value("t/${gang.id}/0"))
     }
 
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -27,10 +27,10 @@
         var writes = 0
         var partly = false
         scenario.simulation.state.late = { from, transaction ->
-            val pages = scenario.pagesIn(transaction)
+            val pages = scenario.pagesWrittenBy(transaction)
             if (pages > 0) writes++
             val end = {
-                partly = scenario.recorded().size in 1 until MANY
+                partly = scenario.recordedPlacements().size in 1 until MANY
                 scenario.simulation.crash(from, scenario.clock.between(1.seconds, 8.seconds))
             }
             val ends = pages > 0 && writes == if (seed % 3 == 1L) 2 else 1
@@ -41,7 +41,7 @@
                 scenario.clock.after(scenario.clock.between(9.milliseconds, 200.milliseconds), end)
             ends && seed % 3 == 1L
         }
-        scenario.isDone(160.seconds)
+        scenario.assertDoneBy(160.seconds)
         assertTrue(partly, "the leader did not end between the writes")
     }
 
@@ -53,7 +53,7 @@
         scenario.submit(MANY, cpus = 0.1, estimateS = 10.0)
         var writes = 0
         scenario.simulation.state.late = { from, transaction ->
-            val ends = scenario.pagesIn(transaction) == 3 && ++writes == 1
+            val ends = scenario.pagesWrittenBy(transaction) == 3 && ++writes == 1
             if (ends) {
                 scenario.clock.after(Micros(1)) {
                     scenario.simulation.crash(from, scenario.clock.between(1.seconds, 8.seconds))
@@ -61,7 +61,7 @@
             }
             ends && seed % 2 == 0L
         }
-        scenario.isDone(160.seconds)
+        scenario.assertDoneBy(160.seconds)
         assertTrue(writes > 0, "the pages were never written together")
     }
 
@@ -79,25 +79,25 @@
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = 20.0, oneZone)
         val simulation = scenario.simulation
         var target: String? = null
-        scenario.whenStarted = { _, machine ->
+        scenario.onDirectStart = { _, machine ->
             if (target == null) {
                 target = machine
                 // Nothing that is sent later arrives before it.
                 simulation.delayedCommands[machine] = late
                 scenario.clock.after(12.milliseconds) {
-                    if (seed % 2 == 0L) scenario.deaf(machine, 60.seconds)
-                    else scenario.mute(machine, 60.seconds)
+                    if (seed % 2 == 0L) scenario.dropMessagesTo(machine, 60.seconds)
+                    else scenario.dropHeartbeatsFrom(machine, 60.seconds)
                 }
-                scenario.clock.after(3.seconds) { scenario.roomOutside("") }
-                if (undeleted) scenario.keepMachines(late + 4.seconds)
+                scenario.clock.after(3.seconds) { scenario.addMachinesOutside("") }
+                if (undeleted) scenario.refuseDeletions(late + 4.seconds)
             }
         }
-        scenario.isDone(240.seconds)
+        scenario.assertDoneBy(240.seconds)
         return scenario
     }
 
     private fun assertReplaced(scenario: SingleGangScenario) =
-        assertTrue(scenario.recordedOn.values.any { it.size > 1 }, "nothing was replaced")
+        assertTrue(scenario.recordedMachines.values.any { it.size > 1 }, "nothing was replaced")
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
@@ -135,20 +135,20 @@
     private fun haltedInPart(seed: Long, heldUp: Micros): SingleGangScenario {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 3, cpus = 9.0, estimateS = LONG)
-        scenario.onceItRuns(after = scenario.clock.between(6.seconds, 14.seconds)) {
-            val (taken, other) = scenario.machines()
+        scenario.runAfterGangStart(after = scenario.clock.between(6.seconds, 14.seconds)) {
+            val (taken, other) = scenario.gangMachines()
             taken.recallS = 25.0
             scenario.clock.after(25.seconds) { scenario.simulation.cloud.takeBack(taken) }
-            if (seed % 2 == 0L) scenario.hang(other, heldUp)
+            if (seed % 2 == 0L) scenario.makeUnresponsive(other, heldUp)
             else {
                 scenario.simulation.delayedCommands[other.id] = heldUp
-                scenario.mute(other.id, heldUp)
+                scenario.dropHeartbeatsFrom(other.id, heldUp)
                 scenario.clock.after(heldUp) {
                     scenario.simulation.delayedCommands.remove(other.id)
                 }
             }
         }
-        scenario.beginsAgain(120.seconds)
+        scenario.assertRestartedBy(120.seconds)
         return scenario
     }
 
@@ -156,13 +156,13 @@
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `a halt that is held up for longer than the others wait loses the save`(seed: Long) {
         val scenario = haltedInPart(seed, heldUp = (8.0 + seed).seconds)
-        assertEquals(null, scenario.simulation.gangs.causes["kept"])
+        assertEquals(null, scenario.simulation.gangs.endCounts["kept"])
         assertTrue(
-            (scenario.simulation.gangs.causes["peers"] ?: 0) > 0,
-            "${scenario.simulation.gangs.causes}",
+            (scenario.simulation.gangs.endCounts["peers"] ?: 0) > 0,
+            "${scenario.simulation.gangs.endCounts}",
         )
-        val saved = scenario.simulation.gangs.savedOf(scenario.gang.id)
-        val step = SingleGangScenario.CHECKPOINT_S.seconds
+        val saved = scenario.simulation.gangs.savedProgressOf(scenario.gang.id)
+        val step = SingleGangScenario.CHECKPOINT_PERIOD_S.seconds
         assertTrue(saved >= step, "no progress is kept: $saved")
         assertEquals(0, saved.value % step.value, "it did not fall back: $saved")
     }
@@ -172,7 +172,7 @@
     fun `a halt that is held up for less is in time for the save`(seed: Long) {
         val scenario = haltedInPart(seed, heldUp = 2.seconds)
         // Once one has saved, the rest is stopped at once.
-        val causes = scenario.simulation.gangs.causes
+        val causes = scenario.simulation.gangs.endCounts
         assertTrue((causes["kept"] ?: 0) > 0 && "peers" !in causes, "$causes")
     }
 
@@ -183,21 +183,21 @@
     fun `a gang's zone is cut off while its next attempt is due`(seed: Long) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        scenario.onceItRuns(after = scenario.clock.between(3.seconds, 9.seconds)) {
-            val zone = scenario.machines().first().zone
+        scenario.runAfterGangStart(after = scenario.clock.between(3.seconds, 9.seconds)) {
+            val zone = scenario.gangMachines().first().zone
             val length = scenario.clock.between(20.seconds, 60.seconds)
-            if (seed % 2 == 0L) scenario.keepMachines(40.seconds)
-            scenario.clock.after(6.seconds) { scenario.roomOutside(zone) }
+            if (seed % 2 == 0L) scenario.refuseDeletions(40.seconds)
+            scenario.clock.after(6.seconds) { scenario.addMachinesOutside(zone) }
             for (worker in scenario.simulation.cloud.workers()) {
-                if (worker.zone == zone) scenario.cutOff(worker.id, length)
+                if (worker.zone == zone) scenario.partition(worker.id, length)
             }
             if (seed % 4 < 2) {
                 scenario.clock.after(scenario.clock.between(6.seconds, 12.seconds)) {
-                    scenario.machines().firstOrNull()?.let(scenario.simulation.cloud::kill)
+                    scenario.gangMachines().firstOrNull()?.let(scenario.simulation.cloud::kill)
                 }
             }
         }
-        scenario.beginsAgain(200.seconds)
+        scenario.assertRestartedBy(200.seconds)
     }
 
     // Remains in another zone.
@@ -207,19 +207,19 @@
     fun `remains in one zone hold the next attempt back, with room in the others`(seed: Long) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG, oneZone = true)
-        scenario.onceItRuns(after = scenario.clock.between(3.seconds, 9.seconds)) {
-            val (lost, hanging) = scenario.machines()
+        scenario.runAfterGangStart(after = scenario.clock.between(3.seconds, 9.seconds)) {
+            val (lost, hanging) = scenario.gangMachines()
             val zone = lost.zone
-            scenario.hang(hanging, scenario.clock.between(11.seconds, 13.seconds))
-            if (seed % 2 == 0L) scenario.keepMachines(30.seconds)
+            scenario.makeUnresponsive(hanging, scenario.clock.between(11.seconds, 13.seconds))
+            if (seed % 2 == 0L) scenario.refuseDeletions(30.seconds)
             scenario.simulation.cloud.kill(lost)
             for (worker in scenario.simulation.cloud.workers()) {
                 if (worker !== hanging && worker.zone == zone)
                     scenario.simulation.cloud.kill(worker)
             }
-            scenario.clock.after(5.seconds) { scenario.roomOutside(zone) }
+            scenario.clock.after(5.seconds) { scenario.addMachinesOutside(zone) }
         }
-        scenario.beginsAgain(120.seconds)
+        scenario.assertRestartedBy(120.seconds)
     }
 
     // Remains that no record tells of.
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -27,14 +27,14 @@
             scenario.simulation.cloud.rent(zone, spot = true)
         }
         val running =
-            List(3) { scenario.gang(tasks = 3, cpus = 7.0, team = it, length = 60.seconds) }
-        val late = scenario.gang(tasks = 3, cpus = 6.0, team = 2, length = 30.seconds)
+            List(3) { scenario.gangSpec(tasks = 3, cpus = 7.0, team = it, runTime = 60.seconds) }
+        val late = scenario.gangSpec(tasks = 3, cpus = 6.0, team = 2, runTime = 30.seconds)
         running.forEach { scenario.simulation.submit(it) }
         var struck = false
-        scenario.once({ running.all { scenario.allRun(it) } }) {
+        scenario.runWhen({ running.all { scenario.isFullyRunning(it) } }) {
             scenario.clock.after(12.seconds) { scenario.simulation.submit(late) }
-            scenario.once({ "gathering" in scenario.states(late) }) {
-                assertTrue(running.all { scenario.allRun(it) })
+            scenario.runWhen({ "gathering" in scenario.taskStates(late) }) {
+                assertTrue(running.all { scenario.isFullyRunning(it) })
                 struck = true
                 wave(scenario, running, late)
             }
@@ -42,10 +42,10 @@
         scenario.simulation.run(300.seconds)
         assertTrue(struck, "no gang gathered while the others ran")
         assertFalse(
-            "alone" in scenario.simulation.gangs.causes,
-            "${scenario.simulation.gangs.causes}",
+            "alone" in scenario.simulation.gangs.endCounts,
+            "${scenario.simulation.gangs.endCounts}",
         )
-        scenario.done(running + late)
+        scenario.assertAllDone(running + late)
     }
 
     @ParameterizedTest
@@ -73,7 +73,7 @@
                         scenario.simulation.gangs.endsOf(job.id).take(3),
                         job.id,
                     )
-                    assertTrue(scenario.simulation.gangs.savedOf(job.id) > 11.seconds)
+                    assertTrue(scenario.simulation.gangs.savedProgressOf(job.id) > 11.seconds)
                 }
             }
             scenario.at(at + 8.seconds) {
@@ -87,9 +87,10 @@
         overGangs(seed) { scenario, running, late ->
             val all = running + late
             // One of each gang at least, and not those of all.
-            val taken = all.map { scenario.holding(it).random(scenario.clock.random) }.toSet()
+            val taken =
+                all.map { scenario.workersHolding(it).random(scenario.clock.random) }.toSet()
             for (worker in taken) scenario.simulation.cloud.takeBack(worker)
-            val left = all.filter { scenario.holding(it).isNotEmpty() }
+            val left = all.filter { scenario.workersHolding(it).isNotEmpty() }
             assertTrue(left.isNotEmpty(), "nothing is left of any gang")
             scenario.clock.after(7.seconds) {
                 for (job in left - late) {
@@ -99,7 +100,7 @@
                     )
                 }
                 for (job in running) assertTrue(
-                    scenario.simulation.gangs.savedOf(job.id) >= 10.seconds,
+                    scenario.simulation.gangs.savedProgressOf(job.id) >= 10.seconds,
                     job.id,
                 )
             }
@@ -112,33 +113,33 @@
     fun `one task done is the whole gang, though nothing is heard of the rest`(seed: Long) {
         val scenario = GangScenario(seed)
         val simulation = scenario.simulation
-        val gang = scenario.gang(tasks = 4, cpus = 9.0, length = 10.seconds)
+        val gang = scenario.gangSpec(tasks = 4, cpus = 9.0, runTime = 10.seconds)
         var doneAt: Micros? = null
-        scenario.invariants.whenAllDone = {
+        scenario.invariants.onAllTasksDone = {
             if (doneAt == null) {
                 doneAt = scenario.clock.now
-                val rest = scenario.holding(gang).shuffled(scenario.clock.random).drop(1)
+                val rest = scenario.workersHolding(gang).shuffled(scenario.clock.random).drop(1)
                 // Before any of them can tell of its end.
                 for (worker in rest) worker.hanging = true
                 scenario.clock.after(Micros.ZERO) {
                     rest.forEach { lose(scenario, it, seed.toInt()) }
                 }
-                if (seed > 4) scenario.changeLeader(latest = 2.seconds)
+                if (seed > 4) scenario.crashLeader(maxDelay = 2.seconds)
             }
         }
         simulation.submit(gang)
         // Needs nearly all of the team's limit.
-        val next = scenario.small(team = 0, tasks = 4, cpus = 9.0, estimate = 10.0)
+        val next = scenario.smallArraySpec(team = 0, tasks = 4, cpus = 9.0, estimateS = 10.0)
         scenario.at(20.seconds) { simulation.submit(next) }
         simulation.run(30.seconds)
         simulation.run(checkNotNull(doneAt) { "it did not end" } + 20.seconds)
-        assertEquals(JobState.DONE, scenario.recordOf(gang))
-        assertEquals("done", scenario.invariants.finalOf(gang.id))
+        assertEquals(JobState.DONE, scenario.storedJobState(gang))
+        assertEquals("done", scenario.invariants.finalStateOf(gang.id))
         simulation.run(200.seconds)
-        assertEquals(1, scenario.invariants.gangsBegun)
-        assertEquals(0, scenario.invariants.startsOfDone, "run again")
+        assertEquals(1, scenario.invariants.gangStarts)
+        assertEquals(0, scenario.invariants.startsOfDoneTasks, "run again")
         assertEquals(null, simulation.state.value("t/${gang.id}/0"))
-        scenario.done(listOf(gang, next))
+        scenario.assertAllDone(listOf(gang, next))
     }
 
     /** For good, or for longer than a lease. */
@@ -237,30 +238,32 @@
             scenario.simulation.submit(job)
         }
         for (second in 2..80) scenario.at(second.seconds) {
-            submit(scenario.small(team = 1, tasks = 6).copy(priority = priority))
-            submit(scenario.small(team = 2, tasks = 12))
+            submit(scenario.smallArraySpec(team = 1, tasks = 6).copy(priority = priority))
+            submit(scenario.smallArraySpec(team = 2, tasks = 12))
         }
         // One zone has two machines: room for one of these gangs.
         for (second in listOf(12, 16, 20)) scenario.at(second.seconds) {
             submit(
                 scenario
-                    .gang(tasks = 12, cpus = 2.0, team = 0, length = 10.seconds)
+                    .gangSpec(tasks = 12, cpus = 2.0, team = 0, runTime = 10.seconds)
                     .copy(zone = "b")
             )
             submit(
-                scenario.gang(tasks = 8, cpus = 3.0, team = 1, length = 10.seconds).copy(zone = "b")
+                scenario
+                    .gangSpec(tasks = 8, cpus = 3.0, team = 1, runTime = 10.seconds)
+                    .copy(zone = "b")
             )
         }
-        if (seed > 3) scenario.at(25.seconds) { scenario.changeLeader(latest = 10.seconds) }
+        if (seed > 3) scenario.at(25.seconds) { scenario.crashLeader(maxDelay = 10.seconds) }
         val took = HashMap<JobSpec, Micros>()
         scenario.clock.every(1.seconds) {
             for ((job, at) in since) {
-                if (scenario.invariants.finalOf(job.id) == "done")
+                if (scenario.invariants.finalStateOf(job.id) == "done")
                     took.putIfAbsent(job, scenario.clock.now - at)
             }
         }
         scenario.simulation.run(300.seconds)
-        scenario.done(since.keys.toList())
+        scenario.assertAllDone(since.keys.toList())
         return took
     }
 
--- a/src/test/kotlin/wardmux/sim/GangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/GangScenario.kt
@@ -25,51 +25,56 @@
     fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
 
     /** The first time that the condition holds, looked at often. */
-    fun once(condition: () -> Boolean, action: () -> Unit) {
-        if (condition()) action() else clock.after(20.milliseconds) { once(condition, action) }
+    fun runWhen(condition: () -> Boolean, action: () -> Unit) {
+        if (condition()) action() else clock.after(20.milliseconds) { runWhen(condition, action) }
     }
 
-    fun gang(tasks: Int, cpus: Double, team: Int = 0, length: Micros = 400.seconds): JobSpec =
-        simulation.unconstrainedGang("team-$team", tasks, cpus, length.inSeconds).also {
-            simulation.gangs.lengths[it.id] = length
+    fun gangSpec(tasks: Int, cpus: Double, team: Int = 0, runTime: Micros = 400.seconds): JobSpec =
+        simulation.unconstrainedGang("team-$team", tasks, cpus, runTime.inSeconds).also {
+            simulation.gangs.runTimes[it.id] = runTime
         }
 
-    fun small(team: Int, tasks: Int, cpus: Double = 1.0, estimate: Double = 4.0): JobSpec =
-        gang(tasks, cpus, team)
+    fun smallArraySpec(
+        team: Int,
+        tasks: Int,
+        cpus: Double = 1.0,
+        estimateS: Double = 4.0,
+    ): JobSpec =
+        gangSpec(tasks, cpus, team)
             .copy(
                 jobClass = "small",
                 kind = JobKind.ARRAY,
                 priority = PriorityClass.HIGH,
-                estimateS = estimate,
+                estimateS = estimateS,
                 checkpointS = 0.0,
                 saveS = 0.0,
             )
 
     fun workers() = simulation.cloud.workers()
 
-    fun holding(job: JobSpec) = workers().filter { it.statesOf(job.id).isNotEmpty() }
+    fun workersHolding(job: JobSpec) = workers().filter { it.statesOf(job.id).isNotEmpty() }
 
     /** How the tasks of [job] are that are on machines, or on their way there. */
-    fun states(job: JobSpec) = workers().flatMap { it.statesOf(job.id).values }
+    fun taskStates(job: JobSpec) = workers().flatMap { it.statesOf(job.id).values }
 
-    fun allRun(job: JobSpec) = states(job) == List(job.tasks) { "running" }
+    fun isFullyRunning(job: JobSpec) = taskStates(job) == List(job.tasks) { "running" }
 
-    fun stored(prefix: String, job: JobSpec) = simulation.state.value("$prefix/${job.id}")
+    fun storedValue(prefix: String, job: JobSpec) = simulation.state.value("$prefix/${job.id}")
 
-    fun recordOf(job: JobSpec) = JobRecord.decode(stored("j", job)!!)!!.state
+    fun storedJobState(job: JobSpec) = JobRecord.decode(storedValue("j", job)!!)!!.state
 
     /** The controller that leads ends, and is back soon. */
-    fun changeLeader(latest: Micros) {
-        clock.after(clock.between(Micros.ZERO, latest)) {
+    fun crashLeader(maxDelay: Micros) {
+        clock.after(clock.between(Micros.ZERO, maxDelay)) {
             simulation.leader()?.let { simulation.crash(it, 2.seconds) }
         }
     }
 
-    fun holds() = assertEquals(emptyList(), simulation.problems().distinct().take(4))
+    fun assertNoViolations() = assertEquals(emptyList(), simulation.problems().distinct().take(4))
 
-    fun done(jobs: List<JobSpec>) {
-        holds()
-        val open = jobs.map { it.id }.filter { invariants.finalOf(it) != "done" }
-        assertEquals(emptyList(), open, "ends of gangs: ${simulation.gangs.causes}")
+    fun assertAllDone(jobs: List<JobSpec>) {
+        assertNoViolations()
+        val open = jobs.map { it.id }.filter { invariants.finalStateOf(it) != "done" }
+        assertEquals(emptyList(), open, "ends of gangs: ${simulation.gangs.endCounts}")
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -69,14 +69,14 @@
             if (troubled) simulation.checkAtEnd(CALM)
         }
 
-        fun open() = gangs.filter { simulation.invariants.finalOf(it) == null }
+        fun open() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
     }
 
     private fun troubled(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
         scenario.play(troubled = true)
         assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
+        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
     }
 
     @ParameterizedTest
@@ -95,7 +95,7 @@
         scenario.play(troubled = false)
         assertEquals(emptyList(), scenario.simulation.problems())
         assertEquals(emptyList(), scenario.open())
-        assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
+        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
     }
 
     private fun gang(
@@ -112,8 +112,8 @@
     private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
         simulation.run(within)
         assertEquals(emptyList(), simulation.problems())
-        val open = jobs.filter { simulation.invariants.finalOf(it.id) != "done" }.map { it.id }
-        assertEquals(emptyList(), open, "ends: ${simulation.gangs.causes}")
+        val open = jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
+        assertEquals(emptyList(), open, "ends: ${simulation.gangs.endCounts}")
     }
 
     @Test
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangsTest.kt
@@ -43,7 +43,7 @@
         }
 
     init {
-        invariants.submitted(spec)
+        invariants.recordSubmission(spec)
         // Each has its leader's token.
         clock.run(4.seconds) {}
     }
@@ -86,13 +86,13 @@
         start(1)
         wait(10.0)
         assertEquals(List(2) { "gathering" }, states(0, 1))
-        assertEquals(mapOf(0 to "m0", 1 to "m1"), invariants.placesOf(job))
-        assertEquals(0, invariants.gangsBegun)
+        assertEquals(mapOf(0 to "m0", 1 to "m1"), invariants.machineByTask(job))
+        assertEquals(0, invariants.gangStarts)
         start(2)
         wait(3.2)
         assertEquals(List(3) { "running" }, states(0, 1, 2))
-        assertEquals(1, invariants.gangsBegun)
-        assertEquals(emptyList(), invariants.broken)
+        assertEquals(1, invariants.gangStarts)
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
@@ -104,8 +104,8 @@
         assertEquals(List(3) { "gathering" }, states(0, 1, 2))
         wait(5.0)
         assertEquals(List(3) { "ended alone" }, states(0, 1, 2))
-        assertEquals(emptyMap(), invariants.placesOf(job))
-        assertEquals(0, invariants.gangsBegun)
+        assertEquals(emptyMap(), invariants.machineByTask(job))
+        assertEquals(0, invariants.gangStarts)
     }
 
     @Test
@@ -140,7 +140,7 @@
         assertEquals(List(2) { "running" }, states(0, 2))
         wait(6.0)
         assertEquals(List(2) { "ended peers" }, states(0, 2))
-        assertEquals(40.seconds, gangs.savedOf(job))
+        assertEquals(40.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
@@ -180,12 +180,12 @@
         wait(0.2)
         assertEquals(listOf("ended stopped true", "running", "running"), states(0, 1, 2))
         // Safe from now, whatever becomes of the others.
-        val kept = gangs.savedOf(job)
+        val kept = gangs.savedProgressOf(job)
         assertTrue(kept > 29.seconds && kept < 33.seconds, "$kept")
         workers[2].die()
         wait(2.0)
         assertEquals(listOf("ended stopped true", "ended stopped true"), states(0, 1))
-        assertEquals(kept, gangs.savedOf(job))
+        assertEquals(kept, gangs.savedProgressOf(job))
     }
 
     @Test
@@ -196,7 +196,7 @@
         halt(1, 2.0)
         wait(6.1)
         assertEquals(listOf("ended stopped", "ended stopped", "ended peers"), states(0, 1, 2))
-        assertEquals(20.seconds, gangs.savedOf(job))
+        assertEquals(20.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
@@ -208,7 +208,7 @@
         workers[2].die()
         wait(6.0)
         assertEquals(List(2) { "ended peers" }, states(0, 1))
-        assertEquals(20.seconds, gangs.savedOf(job))
+        assertEquals(20.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
@@ -220,7 +220,7 @@
         assertEquals("ended stopped", stateOf(1))
         wait(6.0)
         assertEquals(listOf("ended peers", "ended peers"), states(0, 2))
-        assertEquals(20.seconds, gangs.savedOf(job))
+        assertEquals(20.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
@@ -239,12 +239,12 @@
         }
         assertEquals(List(3) { "ended done" }, states(0, 1, 2))
         assertTrue(attempt > 2, "in $attempt attempts")
-        assertEquals(3, invariants.completedOf(job))
+        assertEquals(3, invariants.completedTaskCount(job))
         // The result is kept.
         start(3, task = 1, attempt = 99)
         wait(3.2)
         assertEquals("ended done", stateOf(3))
-        assertEquals(emptyList(), invariants.broken)
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
--- a/src/test/kotlin/wardmux/sim/Invariants.kt
+++ b/src/test/kotlin/wardmux/sim/Invariants.kt
@@ -6,7 +6,6 @@
 import wardmux.model.JobSpec
 import wardmux.model.Micros
 import wardmux.model.seconds
-import wardmux.peers.CancellationUpdate
 
 /** A machine as it is: what is free on it, and the tasks (job and number) that it holds. */
 class MachineView(
@@ -20,29 +19,29 @@
 
 /** The rules at the end of PROTOCOL, as they look from outside the controllers. */
 class Invariants(teams: List<TeamQuota>, private val cancelTime: Micros) {
-    private class On(val machine: String, val zone: String, val attempt: Int)
+    private class TaskLocation(val machine: String, val zone: String, val attempt: Int)
 
-    private class CancellationUpdate {
-        var final: String? = null
+    private class ReportedJob {
+        var finalState: String? = null
         var finalAt = Micros.ZERO
         var acceptedAt: Micros? = null
-        var answeredAt = Micros.ZERO
+        var lastAnsweredAt = Micros.ZERO
 
         /** Spells without an answer that were too long, if no trouble excuses them. */
-        val silent = ArrayList<Pair<Micros, Micros>>()
+        val unansweredPeriods = ArrayList<Pair<Micros, Micros>>()
     }
 
     private val teams = teams.associateBy { it.name }
     private val specs = HashMap<String, JobSpec>()
-    private val on = HashMap<String, HashMap<Int, On>>()
-    private val completed = HashMap<String, HashSet<Int>>()
-    private val told = HashMap<String, CancellationUpdate>()
-    private val toldCancelledAt = HashMap<String, Micros>()
-    private val askedToCancel = HashSet<String>()
-    val broken = ArrayList<String>()
+    private val locations = HashMap<String, HashMap<Int, TaskLocation>>()
+    private val completedTasks = HashMap<String, HashSet<Int>>()
+    private val reportedJobs = HashMap<String, ReportedJob>()
+    private val cancellationReports = HashMap<String, Micros>()
+    private val cancelRequests = HashSet<String>()
+    val violations = ArrayList<String>()
 
     /** What each team lost, by the workers' own records. */
-    val losses = DisruptionCounter()
+    val disruptions = DisruptionCounter()
     var starts = 0
         private set
 
@@ -55,31 +54,31 @@
         private set
 
     /** A machine carries out the command to start a task of [job]. */
-    fun startCarriedOut(job: String) {
-        if (job in toldCancelledAt) startsCarriedOutAfterCancel++
+    fun recordStartCarriedOut(job: String) {
+        if (job in cancellationReports) startsCarriedOutAfterCancel++
     }
 
     /** Called when the last task of a job that nobody called off has ended. */
-    var whenAllDone: (String) -> Unit = {}
+    var onAllTasksDone: (String) -> Unit = {}
 
     /** Of tasks whose machine has their result already: what was done had been lost track of. */
-    var startsOfDone = 0
+    var startsOfDoneTasks = 0
 
-    fun submitted(spec: JobSpec) {
+    fun recordSubmission(spec: JobSpec) {
         specs[spec.id] = spec
     }
 
-    fun askedToCancel(job: String) {
-        askedToCancel.add(job)
-        losses.cancelled(job)
+    fun recordCancelRequest(job: String) {
+        cancelRequests.add(job)
+        disruptions.recordCancellation(job)
     }
 
-    private fun breaks(rule: String, what: String) {
-        broken.add("$rule: $what")
+    private fun reportViolation(rule: String, what: String) {
+        violations.add("$rule: $what")
     }
 
     /** A task has its image and is on its machine from now. */
-    fun started(
+    fun recordTaskStart(
         now: Micros,
         job: String,
         task: Int,
@@ -90,152 +89,168 @@
         attempt: Int = 1,
     ) {
         starts++
-        roomSince.keys.removeIf { it.first == job }
+        roomAvailableSince.keys.removeIf { it.first == job }
         val spec =
-            specs[job] ?: return breaks("invented", "$job/$task runs and nobody submitted it")
-        val own = on.getOrPut(job) { HashMap() }
-        if (spec.kind == JobKind.GANG) checkRemains(spec, task, zone, attempt, own)
-        else begun.add(job)
-        own[task]?.let { breaks("ran_twice", "$job/$task on ${it.machine} and $machine") }
-        if (spec.types != null && type !in spec.types) breaks("wrong_place", "$job on $type")
-        if (spec.zone != null && zone != spec.zone) breaks("wrong_place", "$job in $zone")
-        if (spot && !spec.spot) breaks("wrong_place", "$job on a spot machine")
+            specs[job]
+                ?: return reportViolation("invented", "$job/$task runs and nobody submitted it")
+        val own = locations.getOrPut(job) { HashMap() }
+        if (spec.kind == JobKind.GANG) checkEarlierAttempts(spec, task, zone, attempt, own)
+        else startedJobs.add(job)
+        own[task]?.let { reportViolation("ran_twice", "$job/$task on ${it.machine} and $machine") }
+        if (spec.types != null && type !in spec.types)
+            reportViolation("wrong_place", "$job on $type")
+        if (spec.zone != null && zone != spec.zone) reportViolation("wrong_place", "$job in $zone")
+        if (spot && !spec.spot) reportViolation("wrong_place", "$job on a spot machine")
         if (spec.oneZone && own.values.any { it.zone != zone }) {
-            breaks("wrong_place", "$job in two zones")
+            reportViolation("wrong_place", "$job in two zones")
         }
         if (spec.spread && own.values.count { it.zone == zone } >= spec.zoneLimit) {
-            breaks("wrong_place", "too much of $job in $zone")
+            reportViolation("wrong_place", "too much of $job in $zone")
         }
-        val cancelled = toldCancelledAt[job]
+        val cancelled = cancellationReports[job]
         if (cancelled != null) startsAfterCancel++
         if (cancelled != null && now - cancelled > cancelTime)
-            breaks("ran_cancelled", "$job starts")
-        own[task] = On(machine, zone, attempt)
+            reportViolation("ran_cancelled", "$job starts")
+        own[task] = TaskLocation(machine, zone, attempt)
         checkQuota(spec.team)
     }
 
     /** What is left of another attempt keeps its task, and its zone where all must be in one. */
-    private fun checkRemains(
+    private fun checkEarlierAttempts(
         spec: JobSpec,
         task: Int,
         zone: String,
         attempt: Int,
-        own: Map<Int, On>,
+        own: Map<Int, TaskLocation>,
     ) {
         for ((other, place) in own) {
             if (place.attempt == attempt) continue
             if (other == task || (spec.oneZone && place.zone != zone)) {
                 val old = "/$other try ${place.attempt} on ${place.machine} in ${place.zone}"
-                breaks("gang_over_remains", "${spec.id}/$task try $attempt in $zone over $old")
+                reportViolation(
+                    "gang_over_remains",
+                    "${spec.id}/$task try $attempt in $zone over $old",
+                )
             }
         }
     }
 
     /** Times that a gang began to run. */
-    var gangsBegun = 0
+    var gangStarts = 0
         private set
 
     /** All of a gang run from now: these are its tasks. */
-    fun gangBegins(job: String, attempt: Int, tasks: Set<Int>) {
-        gangsBegun++
-        begun.add(job)
+    fun recordGangStart(job: String, attempt: Int, tasks: Set<Int>) {
+        gangStarts++
+        startedJobs.add(job)
         val spec = specs[job] ?: return
-        val there = on[job].orEmpty().filterValues { it.attempt == attempt }.keys
+        val there = locations[job].orEmpty().filterValues { it.attempt == attempt }.keys
         if (tasks.size < spec.tasks || !there.containsAll(tasks))
-            breaks("gang_part", "$job try $attempt begins with $tasks, on machines are $there")
+            reportViolation(
+                "gang_part",
+                "$job try $attempt begins with $tasks, on machines are $there",
+            )
     }
 
     private fun checkQuota(team: String) {
         val used =
-            on.entries.sumOf { (job, tasks) ->
+            locations.entries.sumOf { (job, tasks) ->
                 val spec = specs.getValue(job)
                 if (spec.team == team) spec.cpus * tasks.size else 0.0
             }
         val limit = teams[team]?.cpusMax ?: 0.0
         if (used > limit && abs(used - limit) > 1e-6)
-            breaks("quota", "$team uses $used of $limit: ${holdings(team)}")
+            reportViolation("quota", "$team uses $used of $limit: ${locationsOfTeam(team)}")
     }
 
-    private fun holdings(team: String) =
-        on.filterKeys { specs.getValue(it).team == team }
+    private fun locationsOfTeam(team: String) =
+        locations
+            .filterKeys { specs.getValue(it).team == team }
             .map { (job, own) -> job + own.map { "/${it.key}@${it.value.machine}" } }
 
-    fun ended(job: String, task: Int, machine: String, done: Boolean) {
+    fun recordTaskEnd(job: String, task: Int, machine: String, done: Boolean) {
         val before = job in specs && allDone(job)
-        val first = done && completed.getOrPut(job) { HashSet() }.add(task) && !before
-        on[job]?.let { if (it[task]?.machine == machine) it.remove(task) }
-        if (first && isAccepted(job) && job !in askedToCancel && allDone(job)) whenAllDone(job)
+        val first = done && completedTasks.getOrPut(job) { HashSet() }.add(task) && !before
+        locations[job]?.let { if (it[task]?.machine == machine) it.remove(task) }
+        if (first && isAccepted(job) && job !in cancelRequests && allDone(job)) onAllTasksDone(job)
     }
 
-    val knowsCancelled: Boolean
-        get() = toldCancelledAt.isNotEmpty()
+    val hasReportedCancellation: Boolean
+        get() = cancellationReports.isNotEmpty()
 
     /** Commands to start that were decided after their user was told of the cancellation. */
-    var commandsAfterCancel = 0
+    var startCommandsAfterCancel = 0
         private set
 
     /**
      * A controller decides to send an command to start. None may be sent once the user was told
      * cancelled, but for what a leader did not know yet when it placed the task: it hears of it, or
      * is none any more, within its lease. What was decided before is on its way, and its time is
-     * that of [started].
+     * that of [recordTaskStart].
      */
-    fun ordered(now: Micros, job: String, order: String) {
-        val cancelled = toldCancelledAt[job] ?: return
-        commandsAfterCancel++
-        if (now - cancelled > HEARD_WITHIN) {
-            breaks(
+    fun recordStartCommand(now: Micros, job: String, command: String) {
+        val cancelled = cancellationReports[job] ?: return
+        startCommandsAfterCancel++
+        if (now - cancelled > CANCELLATION_PROPAGATION_TIME) {
+            reportViolation(
                 "started_cancelled",
-                "$order, ${(now - cancelled).inSeconds} s after it was told",
+                "$command, ${(now - cancelled).inSeconds} s after it was told",
             )
         }
     }
 
     /** What a job gets that can't run or lacks a field; anything but 2xx and 4xx may be retried. */
-    fun answeredBad(job: String, expected: Int, status: Int, body: String) {
-        if (status in 200..299) breaks("accepted_bad", "$job, $status for $body")
+    fun recordInvalidJobAnswer(job: String, expected: Int, status: Int, body: String) {
+        if (status in 200..299) reportViolation("accepted_bad", "$job, $status for $body")
         else if (status != expected && status in 400..499 && status != 429)
-            breaks("wrong_answer", "$job, $status for $body")
+            reportViolation("wrong_answer", "$job, $status for $body")
     }
 
     /** The answer to a submission again: 200 with the state now, if its user was told before. */
-    fun repeated(now: Micros, job: String, status: Int, state: String?, askedAt: Micros) {
-        val known = told[job]?.acceptedAt?.let { it <= askedAt } == true
-        told(now, job, "POST", status, state, askedAt)
-        if (known && status == 201) breaks("wrong_answer", "$job is accepted once more")
-        if (status == 200 && state !in states) breaks("wrong_answer", "$job is $state")
+    fun recordRepeatedSubmission(
+        now: Micros,
+        job: String,
+        status: Int,
+        state: String?,
+        askedAt: Micros,
+    ) {
+        val known = reportedJobs[job]?.acceptedAt?.let { it <= askedAt } == true
+        recordAnswer(now, job, "POST", status, state, askedAt)
+        if (known && status == 201) reportViolation("wrong_answer", "$job is accepted once more")
+        if (status == 200 && state !in jobStates) reportViolation("wrong_answer", "$job is $state")
     }
 
     /** Its user was told so; one who was not does not ask about it either. */
-    private fun isAccepted(job: String) = told[job]?.acceptedAt != null
+    private fun isAccepted(job: String) = reportedJobs[job]?.acceptedAt != null
 
-    fun runningUncancelled(): List<String> =
-        on.filter { it.value.isNotEmpty() && it.key !in askedToCancel && isAccepted(it.key) }
+    fun runningJobsNotCancelled(): List<String> =
+        locations
+            .filter { it.value.isNotEmpty() && it.key !in cancelRequests && isAccepted(it.key) }
             .keys
             .sorted()
 
     fun machinesOf(job: String): List<String> =
-        on[job].orEmpty().toSortedMap().values.map { it.machine }
+        locations[job].orEmpty().toSortedMap().values.map { it.machine }
 
-    private fun accepted(over: Boolean) =
-        told
-            .filter { it.value.acceptedAt != null && (it.value.final != null) == over }
+    private fun acceptedJobs(isFinished: Boolean) =
+        reportedJobs
+            .filter { it.value.acceptedAt != null && (it.value.finalState != null) == isFinished }
             .keys
             .filter { it in specs }
             .sorted()
 
-    fun open(): List<String> = accepted(over = false)
+    fun openJobs(): List<String> = acceptedJobs(isFinished = false)
 
-    fun over(): List<String> = accepted(over = true)
+    fun finishedJobs(): List<String> = acceptedJobs(isFinished = true)
 
     /** Since when a machine has had room for a waiting job, with no task of it started. */
-    private val roomSince = HashMap<Pair<String, String>, Micros>()
+    private val roomAvailableSince = HashMap<Pair<String, String>, Micros>()
 
     /**
      * Called about once a second while there are no troubles, with the machines that are well and
      * with all there are.
      */
-    fun rooms(now: Micros, well: List<MachineView>, all: List<MachineView>) {
+    fun checkWaitingJobs(now: Micros, healthy: List<MachineView>, all: List<MachineView>) {
         val used = HashMap<String, Double>()
         val held = HashMap<String, MutableList<Pair<Int, String>>>()
         for (machine in all) for ((job, task) in machine.tasks) {
@@ -243,28 +258,28 @@
             used.merge(spec.team, spec.cpus, Double::plus)
             held.getOrPut(job) { ArrayList() }.add(task to machine.zone)
         }
-        val open = HashSet<Pair<String, String>>()
-        for (job in open()) {
-            if (job in askedToCancel) continue
+        val jobsWithRoom = HashSet<Pair<String, String>>()
+        for (job in openJobs()) {
+            if (job in cancelRequests) continue
             val spec = specs.getValue(job)
             val own = held[job].orEmpty()
             val waiting =
-                (0 until spec.tasks) - own.map { it.first }.toSet() - completed[job].orEmpty()
+                (0 until spec.tasks) - own.map { it.first }.toSet() - completedTasks[job].orEmpty()
             if (waiting.isEmpty()) continue
             // A group and a service need room for all that waits of them.
-            val together = if (spec.kind == JobKind.ARRAY) 1 else waiting.size
-            val need = spec.cpus * together
+            val tasksTogether = if (spec.kind == JobKind.ARRAY) 1 else waiting.size
+            val need = spec.cpus * tasksTogether
             val limit = teams[spec.team]?.cpusMax ?: 0.0
             if ((used[spec.team] ?: 0.0) + need > limit + 1e-6) continue
-            for (machine in well) if (fits(spec, machine, own, together))
-                open.add(job to machine.id)
+            for (machine in healthy) if (fits(spec, machine, own, tasksTogether))
+                jobsWithRoom.add(job to machine.id)
         }
-        roomSince.keys.retainAll(open)
-        for (pair in open) {
-            val since = roomSince.getOrPut(pair) { now }
-            if (now - since <= LONGEST_BESIDE_ROOM) continue
-            breaks("left_waiting", "${pair.first} beside ${pair.second} since $since")
-            roomSince[pair] = now
+        roomAvailableSince.keys.retainAll(jobsWithRoom)
+        for (pair in jobsWithRoom) {
+            val since = roomAvailableSince.getOrPut(pair) { now }
+            if (now - since <= LONGEST_WAIT_WITH_ROOM) continue
+            reportViolation("left_waiting", "${pair.first} beside ${pair.second} since $since")
+            roomAvailableSince[pair] = now
         }
     }
 
@@ -272,20 +287,21 @@
         spec: JobSpec,
         machine: MachineView,
         own: List<Pair<Int, String>>,
-        together: Int,
+        tasksTogether: Int,
     ): Boolean =
-        machine.freeCpus + 1e-6 >= spec.cpus * together &&
+        machine.freeCpus + 1e-6 >= spec.cpus * tasksTogether &&
             (spec.types == null || machine.type in spec.types) &&
             (spec.zone == null || machine.zone == spec.zone) &&
             (spec.spot || !machine.spot) &&
             (!spec.oneZone || own.all { it.second == machine.zone }) &&
-            (!spec.spread || own.count { it.second == machine.zone } + together <= spec.zoneLimit)
+            (!spec.spread ||
+                own.count { it.second == machine.zone } + tasksTogether <= spec.zoneLimit)
 
     /** Between events: what has been on a machine for too long. */
-    fun check(now: Micros) {
-        for ((job, at) in toldCancelledAt) {
-            if (now - at > cancelTime && on[job]?.isNotEmpty() == true) {
-                breaks("ran_cancelled", "$job is still on a machine")
+    fun checkCancelledJobs(now: Micros) {
+        for ((job, at) in cancellationReports) {
+            if (now - at > cancelTime && locations[job]?.isNotEmpty() == true) {
+                reportViolation("ran_cancelled", "$job is still on a machine")
             }
         }
     }
@@ -294,7 +310,7 @@
      * A user got an answer about a job, to what it asked at [askedAt]. Answers may overtake each
      * other on their way, so one is held against what was known when its question was sent.
      */
-    fun told(
+    fun recordAnswer(
         now: Micros,
         job: String,
         call: String,
@@ -302,106 +318,119 @@
         state: String?,
         askedAt: Micros = now,
     ) {
-        val known = told.getOrPut(job) { CancellationUpdate() }
+        val known = reportedJobs.getOrPut(job) { ReportedJob() }
         if (status == 200 || status == 201) {
-            if (job !in specs) return breaks("invented", "$call of $job is answered $status")
+            if (job !in specs)
+                return reportViolation("invented", "$call of $job is answered $status")
             if (known.acceptedAt == null) known.acceptedAt = now
         }
         val accepted = known.acceptedAt?.let { it <= askedAt } == true
         if (accepted && (status == 400 || status == 404 || status == 422)) {
-            breaks("forgotten", "$call of $job is answered $status")
+            reportViolation("forgotten", "$call of $job is answered $status")
         }
         if (status != 200 && status != 201) return
-        val before = known.final
-        val knew = known.finalAt <= askedAt || state == "cancelled" || state == "done"
-        if (before != null && state != before && knew)
-            breaks("went_back", "$job was $before, now is $state")
+        val before = known.finalState
+        val isCertain = known.finalAt <= askedAt || state == "cancelled" || state == "done"
+        if (before != null && state != before && isCertain)
+            reportViolation("went_back", "$job was $before, now is $state")
         if (before == null && (state == "cancelled" || state == "done")) {
-            known.final = state
+            known.finalState = state
             known.finalAt = now
         }
         if (state == "cancelled") {
-            if (job !in askedToCancel) breaks("went_back", "$job is cancelled by nobody")
-            toldCancelledAt.putIfAbsent(job, now)
+            if (job !in cancelRequests) reportViolation("went_back", "$job is cancelled by nobody")
+            cancellationReports.putIfAbsent(job, now)
         }
-        if (state == "done" && !allDone(job)) breaks("not_done", job)
+        if (state == "done" && !allDone(job)) reportViolation("not_done", job)
     }
 
-    fun answered(now: Micros, job: String, well: Boolean) {
-        if (!well) return
-        val known = told.getOrPut(job) { CancellationUpdate() }
-        if (now - known.answeredAt > UNANSWERED) known.silent.add(known.answeredAt to now)
-        known.answeredAt = now
+    fun recordPoll(now: Micros, job: String, succeeded: Boolean) {
+        if (!succeeded) return
+        val known = reportedJobs.getOrPut(job) { ReportedJob() }
+        if (now - known.lastAnsweredAt > LONGEST_TIME_UNANSWERED)
+            known.unansweredPeriods.add(known.lastAnsweredAt to now)
+        known.lastAnsweredAt = now
     }
 
     /**
-     * With all troubles over since [calm]: every accepted job is still known, whatever becomes of
-     * the others, and of those that nobody cancelled at least half of each class, of each team and
-     * of the largest of each class was served; the largest began within four minutes.
+     * With all troubles over since [faultsEndedAt]: every accepted job is still known, whatever
+     * becomes of the others, and of those that nobody cancelled at least half of each class, of
+     * each team and of the largest of each class was served; the largest began within four minutes.
      */
-    fun checkAtEnd(now: Micros, calm: Micros) {
-        val accepted = told.filter { it.value.acceptedAt != null && it.key in specs }
+    fun checkAtEnd(now: Micros, faultsEndedAt: Micros) {
+        val accepted = reportedJobs.filter { it.value.acceptedAt != null && it.key in specs }
         for ((job, known) in accepted) {
-            val since = maxOf(known.answeredAt, calm, known.acceptedAt ?: calm)
-            val spells = known.silent.map { it.second - maxOf(it.first, since(known, calm)) }
-            if (now - since > UNANSWERED || spells.any { it > UNANSWERED })
-                breaks("forgotten", "no question about $job is answered")
+            val since =
+                maxOf(known.lastAnsweredAt, faultsEndedAt, known.acceptedAt ?: faultsEndedAt)
+            val unanswered =
+                known.unansweredPeriods.map {
+                    it.second - maxOf(it.first, unansweredFrom(known, faultsEndedAt))
+                }
+            if (
+                now - since > LONGEST_TIME_UNANSWERED ||
+                    unanswered.any { it > LONGEST_TIME_UNANSWERED }
+            )
+                reportViolation("forgotten", "no question about $job is answered")
         }
-        val old =
+        val longAccepted =
             accepted
                 .filter { (job, known) ->
-                    job !in askedToCancel && now - (known.acceptedAt ?: now) > LONGEST_WAIT
+                    job !in cancelRequests && now - (known.acceptedAt ?: now) > LONGEST_START_DELAY
                 }
                 .keys
                 .map { specs.getValue(it) }
-        val byClass = old.groupBy { it.jobClass }
-        for ((name, jobs) in byClass) half("class $name", jobs)
-        for ((name, jobs) in old.groupBy { it.team }) half("team $name", jobs)
+        val byClass = longAccepted.groupBy { it.jobClass }
+        for ((name, jobs) in byClass) checkHalfStarted("class $name", jobs)
+        for ((name, jobs) in longAccepted.groupBy { it.team }) checkHalfStarted("team $name", jobs)
         for ((name, jobs) in byClass) {
             val largest = jobs.sortedByDescending { it.tasks }.take((jobs.size + 4) / 5)
-            half("largest of $name", largest)
+            checkHalfStarted("largest of $name", largest)
             for (job in largest) {
-                if (job.id !in begun) breaks("late", "${job.id} of ${job.tasks} has not begun")
+                if (job.id !in startedJobs)
+                    reportViolation("late", "${job.id} of ${job.tasks} has not begun")
             }
         }
     }
 
-    private fun since(known: CancellationUpdate, calm: Micros) =
-        maxOf(calm, known.acceptedAt ?: calm)
+    private fun unansweredFrom(known: ReportedJob, faultsEndedAt: Micros) =
+        maxOf(faultsEndedAt, known.acceptedAt ?: faultsEndedAt)
 
-    private fun half(what: String, jobs: List<JobSpec>) {
-        val served = jobs.count { it.id in begun }
-        if (served * 2 < jobs.size) breaks("served", "$served of ${jobs.size} of $what")
+    private fun checkHalfStarted(what: String, jobs: List<JobSpec>) {
+        val startedCount = jobs.count { it.id in startedJobs }
+        if (startedCount * 2 < jobs.size)
+            reportViolation("served", "$startedCount of ${jobs.size} of $what")
     }
 
-    private val begun = HashSet<String>()
+    private val startedJobs = HashSet<String>()
 
-    fun completedOf(job: String): Int = completed[job]?.size ?: 0
+    fun completedTaskCount(job: String): Int = completedTasks[job]?.size ?: 0
 
     /** One task of a gang that is done means that all are. */
     fun allDone(job: String): Boolean {
         val spec = specs.getValue(job)
-        return completedOf(job) >= if (spec.kind == JobKind.GANG) 1 else spec.tasks
+        return completedTaskCount(job) >= if (spec.kind == JobKind.GANG) 1 else spec.tasks
     }
 
     /** Which machine each task of [job] is on. */
-    fun placesOf(job: String): Map<Int, String> = on[job].orEmpty().mapValues { it.value.machine }
+    fun machineByTask(job: String): Map<Int, String> =
+        locations[job].orEmpty().mapValues { it.value.machine }
 
     /** The attempts of which tasks of [job] are on machines. */
-    fun attemptsOf(job: String): Set<Int> = on[job].orEmpty().values.map { it.attempt }.toSet()
+    fun attemptsOnMachines(job: String): Set<Int> =
+        locations[job].orEmpty().values.map { it.attempt }.toSet()
 
     /** When a user was first told that [job] is cancelled. */
-    fun cancelledAt(job: String): Micros? = toldCancelledAt[job]
+    fun cancellationReportedAt(job: String): Micros? = cancellationReports[job]
 
-    fun finalOf(job: String): String? = told[job]?.final
+    fun finalStateOf(job: String): String? = reportedJobs[job]?.finalState
 
     companion object {
         /** Tasks may go on for as long as PROTOCOL gives them after a cancellation. */
-        val SLACK = 1.seconds
-        private val UNANSWERED = 75.seconds
-        private val LONGEST_WAIT = 240.seconds
-        private val HEARD_WITHIN = 4.seconds
-        private val LONGEST_BESIDE_ROOM = 90.seconds
-        private val states = setOf("queued", "running", "done", "cancelled")
+        val CANCELLATION_SLACK = 1.seconds
+        private val LONGEST_TIME_UNANSWERED = 75.seconds
+        private val LONGEST_START_DELAY = 240.seconds
+        private val CANCELLATION_PROPAGATION_TIME = 4.seconds
+        private val LONGEST_WAIT_WITH_ROOM = 90.seconds
+        private val jobStates = setOf("queued", "running", "done", "cancelled")
     }
 }
--- a/src/test/kotlin/wardmux/sim/InvariantsTest.kt
+++ b/src/test/kotlin/wardmux/sim/InvariantsTest.kt
@@ -28,7 +28,7 @@
                 estimateS = 5.0,
             )
 
-    private fun start(
+    private fun startTask(
         task: Int,
         machine: String = "m1",
         type: String = "mid",
@@ -36,130 +36,130 @@
         spot: Boolean = false,
         at: Micros = Micros.ZERO,
         attempt: Int = 1,
-    ) = invariants.started(at, job, task, machine, type, zone, spot, attempt)
+    ) = invariants.recordTaskStart(at, job, task, machine, type, zone, spot, attempt)
 
-    private fun told(call: String, status: Int, state: String?) =
-        invariants.told(1.seconds, job, call, status, state)
+    private fun answer(call: String, status: Int, state: String?) =
+        invariants.recordAnswer(1.seconds, job, call, status, state)
 
-    private fun assertBroken(rule: String) =
+    private fun assertViolated(rule: String) =
         assertTrue(
-            invariants.broken.any { it.startsWith("$rule:") },
-            "$rule in ${invariants.broken}",
+            invariants.violations.any { it.startsWith("$rule:") },
+            "$rule in ${invariants.violations}",
         )
 
     @Test
     fun `a scenario in order breaks nothing`() {
-        invariants.submitted(spec(1))
-        told("POST", 201, "queued")
-        start(0)
-        told("GET", 200, "running")
-        invariants.ended(job, 0, "m1", done = true)
-        told("GET", 200, "done")
-        told("POST", 200, "done")
-        invariants.check(99.seconds)
-        assertEquals(emptyList(), invariants.broken)
+        invariants.recordSubmission(spec(1))
+        answer("POST", 201, "queued")
+        startTask(0)
+        answer("GET", 200, "running")
+        invariants.recordTaskEnd(job, 0, "m1", done = true)
+        answer("GET", 200, "done")
+        answer("POST", 200, "done")
+        invariants.checkCancelledJobs(99.seconds)
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `ran_twice`() {
-        invariants.submitted(spec())
-        start(0, "m1")
-        start(0, "m2")
-        assertBroken("ran_twice")
+        invariants.recordSubmission(spec())
+        startTask(0, "m1")
+        startTask(0, "m2")
+        assertViolated("ran_twice")
     }
 
     @Test
     fun `quota`() {
-        invariants.submitted(spec())
-        for (task in 0..2) start(task, "m$task")
-        assertBroken("quota")
+        invariants.recordSubmission(spec())
+        for (task in 0..2) startTask(task, "m$task")
+        assertViolated("quota")
     }
 
     @Test
     fun `wrong_place by type, kind and zone`() {
-        invariants.submitted(spec().copy(zone = "b"))
-        start(0, type = "big", zone = "b")
-        start(1, zone = "b", spot = true)
-        start(2, zone = "a")
-        assertEquals(3, invariants.broken.count { it.startsWith("wrong_place:") })
+        invariants.recordSubmission(spec().copy(zone = "b"))
+        startTask(0, type = "big", zone = "b")
+        startTask(1, zone = "b", spot = true)
+        startTask(2, zone = "a")
+        assertEquals(3, invariants.violations.count { it.startsWith("wrong_place:") })
     }
 
     @Test
     fun `wrong_place by the job's other tasks`() {
-        invariants.submitted(spec().copy(oneZone = true, cpus = 1.0))
-        start(0, zone = "a")
-        start(1, zone = "b")
-        assertBroken("wrong_place")
-        invariants.broken.clear()
-        invariants.submitted(spec(2).copy(id = "job-000002", spread = true, cpus = 1.0))
-        invariants.started(Micros.ZERO, "job-000002", 0, "m1", "mid", "a", false)
-        invariants.started(Micros.ZERO, "job-000002", 1, "m2", "mid", "a", false)
-        assertBroken("wrong_place")
+        invariants.recordSubmission(spec().copy(oneZone = true, cpus = 1.0))
+        startTask(0, zone = "a")
+        startTask(1, zone = "b")
+        assertViolated("wrong_place")
+        invariants.violations.clear()
+        invariants.recordSubmission(spec(2).copy(id = "job-000002", spread = true, cpus = 1.0))
+        invariants.recordTaskStart(Micros.ZERO, "job-000002", 0, "m1", "mid", "a", false)
+        invariants.recordTaskStart(Micros.ZERO, "job-000002", 1, "m2", "mid", "a", false)
+        assertViolated("wrong_place")
     }
 
     @Test
     fun `ran_cancelled by staying and by starting`() {
-        invariants.submitted(spec())
-        invariants.askedToCancel(job)
-        start(0)
-        told("abort", 200, "cancelled")
-        invariants.check(36.seconds)
-        assertEquals(emptyList(), invariants.broken)
-        invariants.check(38.seconds)
-        assertBroken("ran_cancelled")
-        invariants.broken.clear()
-        start(1, at = 40.seconds)
-        assertBroken("ran_cancelled")
+        invariants.recordSubmission(spec())
+        invariants.recordCancelRequest(job)
+        startTask(0)
+        answer("abort", 200, "cancelled")
+        invariants.checkCancelledJobs(36.seconds)
+        assertEquals(emptyList(), invariants.violations)
+        invariants.checkCancelledJobs(38.seconds)
+        assertViolated("ran_cancelled")
+        invariants.violations.clear()
+        startTask(1, at = 40.seconds)
+        assertViolated("ran_cancelled")
     }
 
     @Test
     fun `forgotten, invented, not_done and went_back`() {
-        invariants.submitted(spec())
-        told("POST", 201, "queued")
-        told("GET", 404, null)
-        assertBroken("forgotten")
-        invariants.told(1.seconds, "job-9", "GET", 200, "queued")
-        assertBroken("invented")
-        told("GET", 200, "done")
-        assertBroken("not_done")
-        invariants.broken.clear()
-        told("GET", 200, "running")
-        assertBroken("went_back")
-        invariants.broken.clear()
-        invariants.submitted(spec().copy(id = "job-000003"))
-        invariants.told(1.seconds, "job-000003", "GET", 200, "cancelled")
-        assertBroken("went_back")
+        invariants.recordSubmission(spec())
+        answer("POST", 201, "queued")
+        answer("GET", 404, null)
+        assertViolated("forgotten")
+        invariants.recordAnswer(1.seconds, "job-9", "GET", 200, "queued")
+        assertViolated("invented")
+        answer("GET", 200, "done")
+        assertViolated("not_done")
+        invariants.violations.clear()
+        answer("GET", 200, "running")
+        assertViolated("went_back")
+        invariants.violations.clear()
+        invariants.recordSubmission(spec().copy(id = "job-000003"))
+        invariants.recordAnswer(1.seconds, "job-000003", "GET", 200, "cancelled")
+        assertViolated("went_back")
     }
 
     @Test
     fun `started_cancelled by an order that its sender must not give any more`() {
-        invariants.submitted(spec())
-        invariants.askedToCancel(job)
-        assertFalse(invariants.knowsCancelled)
-        invariants.ordered(Micros.ZERO, job, "start")
-        told("abort", 200, "cancelled")
-        assertTrue(invariants.knowsCancelled)
-        invariants.ordered(4.seconds, job, "start")
-        assertEquals(emptyList(), invariants.broken)
-        assertEquals(1, invariants.commandsAfterCancel)
-        invariants.ordered(6.seconds, job, "start")
-        assertBroken("started_cancelled")
+        invariants.recordSubmission(spec())
+        invariants.recordCancelRequest(job)
+        assertFalse(invariants.hasReportedCancellation)
+        invariants.recordStartCommand(Micros.ZERO, job, "start")
+        answer("abort", 200, "cancelled")
+        assertTrue(invariants.hasReportedCancellation)
+        invariants.recordStartCommand(4.seconds, job, "start")
+        assertEquals(emptyList(), invariants.violations)
+        assertEquals(1, invariants.startCommandsAfterCancel)
+        invariants.recordStartCommand(6.seconds, job, "start")
+        assertViolated("started_cancelled")
     }
 
     @Test
     fun `a start on its way is counted, and breaks a rule after cancel_s`() {
-        invariants.submitted(spec())
-        invariants.askedToCancel(job)
-        start(0)
-        told("abort", 200, "cancelled")
-        start(1, at = 36.seconds)
+        invariants.recordSubmission(spec())
+        invariants.recordCancelRequest(job)
+        startTask(0)
+        answer("abort", 200, "cancelled")
+        startTask(1, at = 36.seconds)
         assertEquals(1, invariants.startsAfterCancel)
-        assertEquals(emptyList(), invariants.broken)
-        invariants.submitted(spec().copy(id = "job-000002"))
-        invariants.askedToCancel("job-000002")
-        invariants.told(1.seconds, "job-000002", "abort", 200, "cancelled")
-        invariants.started(38.seconds, "job-000002", 0, "m3", "mid", "a", false)
-        assertBroken("ran_cancelled")
+        assertEquals(emptyList(), invariants.violations)
+        invariants.recordSubmission(spec().copy(id = "job-000002"))
+        invariants.recordCancelRequest("job-000002")
+        invariants.recordAnswer(1.seconds, "job-000002", "abort", 200, "cancelled")
+        invariants.recordTaskStart(38.seconds, "job-000002", 0, "m3", "mid", "a", false)
+        assertViolated("ran_cancelled")
     }
 
     /** A leader that does not know of the cancellation goes on renewing the machine's lease. */
@@ -167,7 +167,7 @@
     fun `ran_cancelled by a machine that hung and goes on`() {
         val clock = SimulatedClock(1)
         val deployment = WorkerTiming(heartbeatPeriodS = 2.5, leaseS = 16.0, cancelS = 36.0)
-        val order = """{"verb":"start","piece":"$job/0","try":1}"""
+        val command = """{"verb":"start","piece":"$job/0","try":1}"""
         val worker =
             FakeWorker(
                 "m1",
@@ -180,201 +180,211 @@
                 invariants,
                 { spec(1).copy(estimateS = 100_000.0) },
             ) { _, _, answer ->
-                answer(200, """{"baton":1,"orders":[$order]}""")
+                answer(200, """{"baton":1,"orders":[$command]}""")
             }
-        invariants.submitted(spec(1))
-        invariants.askedToCancel(job)
+        invariants.recordSubmission(spec(1))
+        invariants.recordCancelRequest(job)
         clock.run(5.seconds) {}
-        invariants.told(clock.now, job, "abort", 200, "cancelled")
+        invariants.recordAnswer(clock.now, job, "abort", 200, "cancelled")
         clock.run(10.seconds) {}
         worker.hanging = true
         clock.run(24.seconds) {}
         worker.hanging = false
-        clock.run(41.seconds) { invariants.check(clock.now) }
-        assertEquals(emptyList(), invariants.broken)
-        clock.run(43.seconds) { invariants.check(clock.now) }
-        assertBroken("ran_cancelled")
+        clock.run(41.seconds) { invariants.checkCancelledJobs(clock.now) }
+        assertEquals(emptyList(), invariants.violations)
+        clock.run(43.seconds) { invariants.checkCancelledJobs(clock.now) }
+        assertViolated("ran_cancelled")
     }
 
     @Test
     fun `forgotten by no answer for long, also if one comes at last`() {
-        invariants.submitted(spec())
-        told("POST", 201, "queued")
-        start(0)
-        for (at in 10..100 step 10) invariants.answered(at.seconds, job, well = true)
-        invariants.answered(150.seconds, job, well = false)
-        invariants.answered(190.seconds, job, well = true)
+        invariants.recordSubmission(spec())
+        answer("POST", 201, "queued")
+        startTask(0)
+        for (at in 10..100 step 10) invariants.recordPoll(at.seconds, job, succeeded = true)
+        invariants.recordPoll(150.seconds, job, succeeded = false)
+        invariants.recordPoll(190.seconds, job, succeeded = true)
         // Troubles until 120 s excuse it.
-        invariants.checkAtEnd(200.seconds, calm = 120.seconds)
-        assertEquals(emptyList(), invariants.broken)
-        invariants.checkAtEnd(200.seconds, calm = 110.seconds)
-        assertBroken("forgotten")
-        invariants.broken.clear()
-        invariants.checkAtEnd(270.seconds, calm = 120.seconds)
-        assertBroken("forgotten")
+        invariants.checkAtEnd(200.seconds, faultsEndedAt = 120.seconds)
+        assertEquals(emptyList(), invariants.violations)
+        invariants.checkAtEnd(200.seconds, faultsEndedAt = 110.seconds)
+        assertViolated("forgotten")
+        invariants.violations.clear()
+        invariants.checkAtEnd(270.seconds, faultsEndedAt = 120.seconds)
+        assertViolated("forgotten")
     }
 
-    private fun accepted(number: Int, tasks: Int, team: String = "t", jobClass: String = "c") {
+    private fun acceptJob(number: Int, tasks: Int, team: String = "t", jobClass: String = "c") {
         val id = "job-%06d".format(number)
-        invariants.submitted(
+        invariants.recordSubmission(
             spec(tasks).copy(id = id, team = team, jobClass = jobClass, cpus = 0.1)
         )
-        invariants.told(Micros.ZERO, id, "POST", 201, "queued")
-        invariants.answered(400.seconds, id, well = true)
+        invariants.recordAnswer(Micros.ZERO, id, "POST", 201, "queued")
+        invariants.recordPoll(400.seconds, id, succeeded = true)
     }
 
-    private fun begin(number: Int) =
-        invariants.started(1.seconds, "job-%06d".format(number), 0, "m1", "mid", "a", false)
+    private fun startJob(number: Int) =
+        invariants.recordTaskStart(1.seconds, "job-%06d".format(number), 0, "m1", "mid", "a", false)
 
-    private fun checkAtEnd(at: Micros = 400.seconds) = invariants.checkAtEnd(at, calm = 390.seconds)
+    private fun checkAtEnd(at: Micros = 400.seconds) =
+        invariants.checkAtEnd(at, faultsEndedAt = 390.seconds)
 
     @Test
     fun `less than half of a class and of a team is served`() {
-        for (number in 1..5) accepted(number, if (number == 1) 2 else 1)
-        for (number in 1..3) begin(number)
+        for (number in 1..5) acceptJob(number, if (number == 1) 2 else 1)
+        for (number in 1..3) startJob(number)
         checkAtEnd()
-        assertEquals(emptyList(), invariants.broken)
-        accepted(6, 1)
-        accepted(7, 1)
+        assertEquals(emptyList(), invariants.violations)
+        acceptJob(6, 1)
+        acceptJob(7, 1)
         checkAtEnd()
-        assertTrue(invariants.broken.any { "class c" in it }, "${invariants.broken}")
-        assertTrue(invariants.broken.any { "team t" in it }, "${invariants.broken}")
+        assertTrue(invariants.violations.any { "class c" in it }, "${invariants.violations}")
+        assertTrue(invariants.violations.any { "team t" in it }, "${invariants.violations}")
     }
 
     @Test
     fun `one that its user called off, or that came late, need not be served`() {
-        accepted(1, 1)
-        invariants.askedToCancel("job-000001")
-        invariants.submitted(spec().copy(id = "job-000002"))
-        invariants.told(200.seconds, "job-000002", "POST", 201, "queued")
-        invariants.answered(400.seconds, "job-000002", well = true)
+        acceptJob(1, 1)
+        invariants.recordCancelRequest("job-000001")
+        invariants.recordSubmission(spec().copy(id = "job-000002"))
+        invariants.recordAnswer(200.seconds, "job-000002", "POST", 201, "queued")
+        invariants.recordPoll(400.seconds, "job-000002", succeeded = true)
         checkAtEnd()
-        assertEquals(emptyList(), invariants.broken)
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `the largest of a class are served, and begin within four minutes`() {
-        for (number in 1..10) accepted(number, number)
-        for (number in 1..9) begin(number)
+        for (number in 1..10) acceptJob(number, number)
+        for (number in 1..9) startJob(number)
         checkAtEnd()
         // One of the two largest is half of them, yet the other has not begun.
-        assertEquals(listOf("late: job-000010 of 10 has not begun"), invariants.broken)
-        accepted(11, 11)
-        accepted(12, 12)
-        invariants.broken.clear()
+        assertEquals(listOf("late: job-000010 of 10 has not begun"), invariants.violations)
+        acceptJob(11, 11)
+        acceptJob(12, 12)
+        invariants.violations.clear()
         checkAtEnd()
-        assertTrue(invariants.broken.any { "largest of c" in it }, "${invariants.broken}")
+        assertTrue(invariants.violations.any { "largest of c" in it }, "${invariants.violations}")
     }
 
-    private fun room(free: Double = 16.0, vararg tasks: Pair<String, Int>) =
-        MachineView("m1", "mid", "a", false, free, tasks.toList())
+    private fun machine(freeCpus: Double = 16.0, vararg tasks: Pair<String, Int>) =
+        MachineView("m1", "mid", "a", false, freeCpus, tasks.toList())
 
-    private fun watchRooms(spec: JobSpec, vararg machines: MachineView): List<String> {
-        invariants.submitted(spec)
-        invariants.told(Micros.ZERO, spec.id, "POST", 201, "queued")
-        for (at in 0..95) invariants.rooms(at.seconds, machines.toList(), machines.toList())
-        return invariants.broken.filter { it.startsWith("left_waiting:") }
+    private fun waitingViolations(spec: JobSpec, vararg machines: MachineView): List<String> {
+        invariants.recordSubmission(spec)
+        invariants.recordAnswer(Micros.ZERO, spec.id, "POST", 201, "queued")
+        for (at in 0..95) invariants.checkWaitingJobs(
+            at.seconds,
+            machines.toList(),
+            machines.toList(),
+        )
+        return invariants.violations.filter { it.startsWith("left_waiting:") }
     }
 
     @Test
     fun `left_waiting beside a machine with room`() =
-        assertEquals(1, watchRooms(spec(1), room()).size)
+        assertEquals(1, waitingViolations(spec(1), machine()).size)
 
     @Test
     fun `left_waiting with a task that is not placed, also if another one is`() =
-        assertEquals(1, watchRooms(spec(2), room(8.0, job to 0)).size)
+        assertEquals(1, waitingViolations(spec(2), machine(8.0, job to 0)).size)
 
     @Test
     fun `none is left_waiting where no machine fits`() {
-        assertEquals(emptyList(), watchRooms(spec(1), room(free = 7.0)))
-        assertEquals(emptyList(), watchRooms(spec(1).copy(zone = "b"), room()))
-        assertEquals(emptyList(), watchRooms(spec(1).copy(types = listOf("big")), room()))
+        assertEquals(emptyList(), waitingViolations(spec(1), machine(freeCpus = 7.0)))
+        assertEquals(emptyList(), waitingViolations(spec(1).copy(zone = "b"), machine()))
+        assertEquals(emptyList(), waitingViolations(spec(1).copy(types = listOf("big")), machine()))
         val spot = MachineView("m1", "mid", "a", true, 16.0, emptyList())
-        assertEquals(emptyList(), watchRooms(spec(1), spot))
+        assertEquals(emptyList(), waitingViolations(spec(1), spot))
         val elsewhere = MachineView("m2", "mid", "b", false, 0.0, listOf(job to 0))
         val bound = spec(2).copy(oneZone = true)
-        assertEquals(emptyList(), watchRooms(bound, room(), elsewhere))
-        val half = room(8.0, job to 0)
-        assertEquals(emptyList(), watchRooms(spec(2).copy(spread = true), half))
+        assertEquals(emptyList(), waitingViolations(bound, machine(), elsewhere))
+        val half = machine(8.0, job to 0)
+        assertEquals(emptyList(), waitingViolations(spec(2).copy(spread = true), half))
         val replicas = spec(2).copy(spread = true, kind = JobKind.SERVICE)
-        assertEquals(emptyList(), watchRooms(replicas, room()))
+        assertEquals(emptyList(), waitingViolations(replicas, machine()))
     }
 
     @Test
     fun `none is left_waiting while its team is at its limit`() =
-        assertEquals(emptyList(), watchRooms(spec(3), room(16.0, job to 0, job to 1)))
+        assertEquals(emptyList(), waitingViolations(spec(3), machine(16.0, job to 0, job to 1)))
 
     @Test
     fun `none is left_waiting while its tasks go on starting`() {
-        invariants.submitted(spec())
-        told("POST", 201, "queued")
+        invariants.recordSubmission(spec())
+        answer("POST", 201, "queued")
         for (at in 0..95) {
-            if (at == 50) start(0)
-            invariants.rooms(at.seconds, listOf(room()), listOf(room()))
+            if (at == 50) startTask(0)
+            invariants.checkWaitingJobs(at.seconds, listOf(machine()), listOf(machine()))
         }
-        assertEquals(emptyList(), invariants.broken)
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `a job that can't run or lacks a field is accepted, or refused for the wrong reason`() {
-        for (fine in listOf(422, 429, 503)) invariants.answeredBad(job, 422, fine, "")
-        invariants.answeredBad(job, 400, 400, "")
-        assertEquals(emptyList(), invariants.broken)
-        invariants.answeredBad(job, 422, 201, "")
-        invariants.answeredBad(job, 400, 200, "")
-        assertEquals(2, invariants.broken.count { it.startsWith("accepted_bad:") })
-        invariants.answeredBad(job, 422, 400, "")
-        invariants.answeredBad(job, 400, 422, "")
-        assertEquals(2, invariants.broken.count { it.startsWith("wrong_answer:") })
+        for (status in listOf(422, 429, 503)) invariants.recordInvalidJobAnswer(
+            job,
+            422,
+            status,
+            "",
+        )
+        invariants.recordInvalidJobAnswer(job, 400, 400, "")
+        assertEquals(emptyList(), invariants.violations)
+        invariants.recordInvalidJobAnswer(job, 422, 201, "")
+        invariants.recordInvalidJobAnswer(job, 400, 200, "")
+        assertEquals(2, invariants.violations.count { it.startsWith("accepted_bad:") })
+        invariants.recordInvalidJobAnswer(job, 422, 400, "")
+        invariants.recordInvalidJobAnswer(job, 400, 422, "")
+        assertEquals(2, invariants.violations.count { it.startsWith("wrong_answer:") })
         // Nor may it be known afterwards.
-        invariants.told(1.seconds, job, "GET", 200, "queued")
-        assertBroken("invented")
+        invariants.recordAnswer(1.seconds, job, "GET", 200, "queued")
+        assertViolated("invented")
     }
 
     @Test
     fun `a repeat is answered with 200 and the state now`() {
-        invariants.submitted(spec())
-        told("POST", 201, "queued")
-        invariants.repeated(3.seconds, job, 200, "running", askedAt = 2.seconds)
-        assertEquals(emptyList(), invariants.broken)
-        invariants.repeated(3.seconds, job, 201, "queued", askedAt = 2.seconds)
-        invariants.repeated(3.seconds, job, 200, null, askedAt = 2.seconds)
-        assertEquals(2, invariants.broken.count { it.startsWith("wrong_answer:") })
-        invariants.repeated(3.seconds, job, 422, null, askedAt = 2.seconds)
-        assertBroken("forgotten")
+        invariants.recordSubmission(spec())
+        answer("POST", 201, "queued")
+        invariants.recordRepeatedSubmission(3.seconds, job, 200, "running", askedAt = 2.seconds)
+        assertEquals(emptyList(), invariants.violations)
+        invariants.recordRepeatedSubmission(3.seconds, job, 201, "queued", askedAt = 2.seconds)
+        invariants.recordRepeatedSubmission(3.seconds, job, 200, null, askedAt = 2.seconds)
+        assertEquals(2, invariants.violations.count { it.startsWith("wrong_answer:") })
+        invariants.recordRepeatedSubmission(3.seconds, job, 422, null, askedAt = 2.seconds)
+        assertViolated("forgotten")
     }
 
     @Test
     fun `a job that is done stays so for repeats and cancellations`() {
-        invariants.submitted(spec(1))
-        told("POST", 201, "queued")
-        start(0)
-        invariants.ended(job, 0, "m1", done = true)
-        told("GET", 200, "done")
-        invariants.repeated(3.seconds, job, 200, "done", askedAt = 2.seconds)
-        invariants.told(3.seconds, job, "abort", 200, "done", askedAt = 2.seconds)
-        assertEquals(emptyList(), invariants.broken)
-        invariants.repeated(3.seconds, job, 200, "queued", askedAt = 2.seconds)
-        assertBroken("went_back")
-        invariants.broken.clear()
-        invariants.told(3.seconds, job, "abort", 200, "cancelled", askedAt = 2.seconds)
-        assertBroken("went_back")
+        invariants.recordSubmission(spec(1))
+        answer("POST", 201, "queued")
+        startTask(0)
+        invariants.recordTaskEnd(job, 0, "m1", done = true)
+        answer("GET", 200, "done")
+        invariants.recordRepeatedSubmission(3.seconds, job, 200, "done", askedAt = 2.seconds)
+        invariants.recordAnswer(3.seconds, job, "abort", 200, "done", askedAt = 2.seconds)
+        assertEquals(emptyList(), invariants.violations)
+        invariants.recordRepeatedSubmission(3.seconds, job, 200, "queued", askedAt = 2.seconds)
+        assertViolated("went_back")
+        invariants.violations.clear()
+        invariants.recordAnswer(3.seconds, job, "abort", 200, "cancelled", askedAt = 2.seconds)
+        assertViolated("went_back")
     }
 
     @Test
     fun `the end of a job is told once, and not of one that was called off`() {
         val ended = ArrayList<String>()
-        invariants.whenAllDone = { ended.add(it) }
-        invariants.submitted(spec(2))
-        invariants.submitted(spec(1).copy(id = "job-000002"))
-        told("POST", 201, "queued")
-        invariants.told(1.seconds, "job-000002", "POST", 201, "queued")
-        invariants.askedToCancel("job-000002")
-        invariants.ended(job, 0, "m1", done = true)
-        invariants.ended("job-000002", 0, "m1", done = true)
+        invariants.onAllTasksDone = { ended.add(it) }
+        invariants.recordSubmission(spec(2))
+        invariants.recordSubmission(spec(1).copy(id = "job-000002"))
+        answer("POST", 201, "queued")
+        invariants.recordAnswer(1.seconds, "job-000002", "POST", 201, "queued")
+        invariants.recordCancelRequest("job-000002")
+        invariants.recordTaskEnd(job, 0, "m1", done = true)
+        invariants.recordTaskEnd("job-000002", 0, "m1", done = true)
         assertEquals(emptyList(), ended)
-        invariants.ended(job, 1, "m1", done = true)
-        invariants.ended(job, 1, "m1", done = true)
+        invariants.recordTaskEnd(job, 1, "m1", done = true)
+        invariants.recordTaskEnd(job, 1, "m1", done = true)
         assertEquals(listOf(job), ended)
     }
 
@@ -382,76 +392,76 @@
 
     @Test
     fun `a gang started over the remains of its last attempt, by its task`() {
-        invariants.submitted(gang())
-        for (task in 0..2) start(task, "m$task")
-        invariants.ended(job, 0, "m0", done = false)
+        invariants.recordSubmission(gang())
+        for (task in 0..2) startTask(task, "m$task")
+        invariants.recordTaskEnd(job, 0, "m0", done = false)
         // Another machine may take what has left, while others of the old attempt still exit.
-        start(0, "m9", attempt = 2)
-        assertEquals(emptyList(), invariants.broken)
-        start(1, "m8", attempt = 2)
-        assertBroken("gang_over_remains")
-        assertBroken("ran_twice")
+        startTask(0, "m9", attempt = 2)
+        assertEquals(emptyList(), invariants.violations)
+        startTask(1, "m8", attempt = 2)
+        assertViolated("gang_over_remains")
+        assertViolated("ran_twice")
     }
 
     @Test
     fun `a gang started over the remains of its last attempt, by their zone`() {
-        invariants.submitted(gang().copy(oneZone = true))
-        for (task in 0..2) start(task, "m$task")
-        invariants.ended(job, 0, "m0", done = false)
-        start(0, "m9", attempt = 2)
-        assertEquals(emptyList(), invariants.broken)
-        invariants.ended(job, 0, "m9", done = false)
-        start(0, "m8", zone = "b", attempt = 3)
-        assertBroken("gang_over_remains")
-        assertBroken("wrong_place")
+        invariants.recordSubmission(gang().copy(oneZone = true))
+        for (task in 0..2) startTask(task, "m$task")
+        invariants.recordTaskEnd(job, 0, "m0", done = false)
+        startTask(0, "m9", attempt = 2)
+        assertEquals(emptyList(), invariants.violations)
+        invariants.recordTaskEnd(job, 0, "m9", done = false)
+        startTask(0, "m8", zone = "b", attempt = 3)
+        assertViolated("gang_over_remains")
+        assertViolated("wrong_place")
     }
 
     @Test
     fun `a gang without same_place may go to another zone beside remains of its other tasks`() {
-        invariants.submitted(gang())
-        for (task in 0..2) start(task, "m$task")
-        invariants.ended(job, 0, "m0", done = false)
-        start(0, "m9", zone = "b", attempt = 2)
-        assertEquals(emptyList(), invariants.broken)
+        invariants.recordSubmission(gang())
+        for (task in 0..2) startTask(task, "m$task")
+        invariants.recordTaskEnd(job, 0, "m0", done = false)
+        startTask(0, "m9", zone = "b", attempt = 2)
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `a gang is called done with no task done, and one is enough`() {
-        invariants.submitted(gang())
-        for (task in 0..2) start(task, "m$task")
-        told("GET", 200, "done")
-        assertBroken("not_done")
-        invariants.broken.clear()
-        invariants.submitted(gang().copy(id = "job-000002"))
-        invariants.ended("job-000002", 1, "m1", done = true)
-        invariants.told(1.seconds, "job-000002", "GET", 200, "done")
-        assertEquals(emptyList(), invariants.broken)
+        invariants.recordSubmission(gang())
+        for (task in 0..2) startTask(task, "m$task")
+        answer("GET", 200, "done")
+        assertViolated("not_done")
+        invariants.violations.clear()
+        invariants.recordSubmission(gang().copy(id = "job-000002"))
+        invariants.recordTaskEnd("job-000002", 1, "m1", done = true)
+        invariants.recordAnswer(1.seconds, "job-000002", "GET", 200, "done")
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `a gang begins with a part, or with a task that is on no machine`() {
-        invariants.submitted(gang())
-        for (task in 0..1) start(task, "m$task")
-        invariants.gangBegins(job, 1, setOf(0, 1))
-        assertBroken("gang_part")
-        invariants.broken.clear()
-        start(2, "m2", attempt = 2)
-        invariants.gangBegins(job, 1, setOf(0, 1, 2))
-        assertBroken("gang_part")
-        invariants.broken.clear()
-        invariants.ended(job, 2, "m2", done = false)
-        start(2, "m2")
-        invariants.gangBegins(job, 1, setOf(0, 1, 2))
-        assertEquals(emptyList(), invariants.broken)
+        invariants.recordSubmission(gang())
+        for (task in 0..1) startTask(task, "m$task")
+        invariants.recordGangStart(job, 1, setOf(0, 1))
+        assertViolated("gang_part")
+        invariants.violations.clear()
+        startTask(2, "m2", attempt = 2)
+        invariants.recordGangStart(job, 1, setOf(0, 1, 2))
+        assertViolated("gang_part")
+        invariants.violations.clear()
+        invariants.recordTaskEnd(job, 2, "m2", done = false)
+        startTask(2, "m2")
+        invariants.recordGangStart(job, 1, setOf(0, 1, 2))
+        assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `the end of a gang is told once`() {
         val ended = ArrayList<String>()
-        invariants.whenAllDone = { ended.add(it) }
-        invariants.submitted(gang())
-        told("POST", 201, "queued")
-        for (task in 0..2) invariants.ended(job, task, "m$task", done = true)
+        invariants.onAllTasksDone = { ended.add(it) }
+        invariants.recordSubmission(gang())
+        answer("POST", 201, "queued")
+        for (task in 0..2) invariants.recordTaskEnd(job, task, "m$task", done = true)
         assertEquals(listOf(job), ended)
     }
 }
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -67,7 +67,7 @@
         for (job in jobs) {
             assertContains(
                 listOf("done", "cancelled"),
-                simulation.invariants.finalOf(job.id),
+                simulation.invariants.finalStateOf(job.id),
                 job.id,
             )
         }
@@ -103,7 +103,7 @@
         assertTrue(late.isNotEmpty(), "the meeting did not come about")
         assertEquals(0, late.count { it.replaced(LeaderElection.KEY) })
         simulation.assertWell()
-        assertEquals("done", simulation.invariants.finalOf(job.id))
+        assertEquals("done", simulation.invariants.finalStateOf(job.id))
     }
 
     // Tasks that end far apart.
@@ -120,7 +120,7 @@
         var seen = 0
         var changes = 0
         clock.every(50.milliseconds) {
-            if (simulation.invariants.completedOf(job.id) > seen && seen + 1 < job.tasks) {
+            if (simulation.invariants.completedTaskCount(job.id) > seen && seen + 1 < job.tasks) {
                 seen++
                 changes++
                 // Before or after the end is reported, written or forgotten.
@@ -132,9 +132,9 @@
         simulation.run(160.seconds)
         assertTrue(changes > 0)
         simulation.assertWell()
-        assertEquals("done", simulation.invariants.finalOf(job.id))
+        assertEquals("done", simulation.invariants.finalStateOf(job.id))
         assertEquals(job.tasks, simulation.invariants.starts, "something ran again")
-        assertEquals(0, simulation.invariants.startsOfDone, "something done was started again")
+        assertEquals(0, simulation.invariants.startsOfDoneTasks, "something done was started again")
     }
 
     // The end of a job's last task, with no other trouble.
@@ -153,7 +153,10 @@
         }
         clock.every(20.milliseconds) {
             for (job in jobs) {
-                if (simulation.invariants.completedOf(job.id) < job.tasks || !ended.add(job.id))
+                if (
+                    simulation.invariants.completedTaskCount(job.id) < job.tasks ||
+                        !ended.add(job.id)
+                )
                     continue
                 val within = { action: () -> Unit ->
                     clock.after(clock.between(Micros.ZERO, 800.milliseconds), action)
@@ -165,7 +168,7 @@
         }
         simulation.run(90.seconds)
         simulation.assertWell()
-        val finals = jobs.map { simulation.invariants.finalOf(it.id) }
+        val finals = jobs.map { simulation.invariants.finalStateOf(it.id) }
         // On both sides of the end's record.
         assertEquals(setOf<String?>("done", "cancelled"), finals.toSet())
     }
@@ -204,8 +207,8 @@
         simulation.run(200.seconds)
         assertEquals(2, cut.size, "the meeting did not come about")
         simulation.assertWell()
-        assertEquals("cancelled", simulation.invariants.finalOf(running.id))
-        assertEquals("done", simulation.invariants.finalOf(waiting.id))
+        assertEquals("cancelled", simulation.invariants.finalStateOf(running.id))
+        assertEquals("done", simulation.invariants.finalStateOf(waiting.id))
     }
 
     // Heartbeats that arrive late.
--- a/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
@@ -11,100 +11,103 @@
  */
 class LeaderChangeFaults(private val simulation: ClusterSimulation) {
     private val clock = simulation.clock
-    private var over = false
+    private var hasEnded = false
 
-    /** From now for [length]; then all is well again. */
-    fun begin(length: Micros) {
-        over = false
-        for (worker in simulation.cloud.workers()) worker.wanders = clock.chance(WANDERING)
-        holdUpCommands()
-        changeLeaders()
-        repeatedly(2.seconds, 7.seconds) { cutOffSome() }
-        repeatedly(4.seconds, 15.seconds) { refuse(null, clock.between(1.seconds, 8.seconds)) }
+    /** From now for [duration]; then all is well again. */
+    fun injectFor(duration: Micros) {
+        hasEnded = false
+        for (worker in simulation.cloud.workers()) worker.wanders =
+            clock.chance(CONTROLLER_SWITCHING_CHANCE)
+        delayCommands()
+        crashLeaders()
+        repeatedly(2.seconds, 7.seconds) { partitionSomeWorkers() }
+        repeatedly(4.seconds, 15.seconds) {
+            makeStoreUnavailable(null, clock.between(1.seconds, 8.seconds))
+        }
         repeatedly(3.seconds, 10.seconds) {
-            refuse(someNode(), clock.between(2.seconds, 10.seconds))
+            makeStoreUnavailable(randomNode(), clock.between(2.seconds, 10.seconds))
         }
-        repeatedly(3.seconds, 12.seconds) { simulation.crash(someNode(), shortly()) }
-        clock.after(length) { end() }
+        repeatedly(3.seconds, 12.seconds) { simulation.crash(randomNode(), shortDelay()) }
+        clock.after(duration) { endFaults() }
     }
 
-    private fun end() {
-        over = true
+    private fun endFaults() {
+        hasEnded = true
         simulation.delayedCommands.clear()
         for (worker in simulation.cloud.workers()) worker.wanders = false
     }
 
-    private fun repeatedly(least: Micros, most: Micros, action: () -> Unit) {
-        clock.after(clock.between(least, most)) {
-            if (over) return@after
+    private fun repeatedly(shortestPause: Micros, longestPause: Micros, action: () -> Unit) {
+        clock.after(clock.between(shortestPause, longestPause)) {
+            if (hasEnded) return@after
             action()
-            repeatedly(least, most, action)
+            repeatedly(shortestPause, longestPause, action)
         }
     }
 
-    private fun changeLeaders() =
+    private fun crashLeaders() =
         repeatedly(3.seconds, 8.seconds) {
-            if (clock.chance(ALL_END)) {
+            if (clock.chance(ALL_CONTROLLERS_CRASH_CHANCE)) {
                 for (node in simulation.nodes) simulation.crash(
                     node,
                     clock.between(1.seconds, 4.seconds),
                 )
             } else {
-                simulation.leader()?.let { simulation.crash(it, shortly()) }
+                simulation.leader()?.let { simulation.crash(it, shortDelay()) }
             }
         }
 
     /** Most machines carry out direct commands late, or never in the time of the leader. */
-    private fun holdUpCommands() {
+    private fun delayCommands() {
         for (worker in simulation.cloud.workers()) {
-            if (clock.chance(LATE)) {
+            if (clock.chance(DELAYED_COMMANDS_CHANCE)) {
                 simulation.delayedCommands[worker.id] = clock.between(2.seconds, 16.seconds)
             }
         }
     }
 
     /** One way or both; what was sent to the machine meanwhile may come when it is back. */
-    private fun cutOffSome() {
+    private fun partitionSomeWorkers() {
         for (worker in simulation.cloud.workers()) {
-            if (!clock.chance(CUT_OFF)) continue
-            val length = clock.between(2.seconds, 14.seconds)
+            if (!clock.chance(PARTITION_CHANCE)) continue
+            val duration = clock.between(2.seconds, 14.seconds)
             when (clock.random.nextInt(3)) {
-                0 -> hold(worker.id, length)
-                1 -> for (node in simulation.nodes) part(node, worker.id, length)
+                0 -> holdMessages(worker.id, duration)
+                1 -> for (node in simulation.nodes) dropMessages(node, worker.id, duration)
                 else ->
                     for (node in simulation.nodes) {
-                        part(node, worker.id, length)
-                        part(worker.id, node, length)
+                        dropMessages(node, worker.id, duration)
+                        dropMessages(worker.id, node, duration)
                     }
             }
         }
     }
 
-    private fun hold(host: String, length: Micros) {
+    private fun holdMessages(host: String, duration: Micros) {
         simulation.network.cut(host)
-        clock.after(length) { simulation.network.mend(host) }
+        clock.after(duration) { simulation.network.mend(host) }
     }
 
-    private fun part(from: String, to: String, length: Micros) {
+    private fun dropMessages(from: String, to: String, duration: Micros) {
         simulation.network.part(from, to)
-        clock.after(length) { simulation.network.join(from, to) }
+        clock.after(duration) { simulation.network.join(from, to) }
     }
 
-    private fun refuse(member: String?, length: Micros) {
+    private fun makeStoreUnavailable(member: String?, duration: Micros) {
         simulation.state.outage(member)
-        clock.after(length) { simulation.state.back(member) }
+        clock.after(duration) { simulation.state.back(member) }
     }
 
-    private fun someNode() = simulation.nodes.random(clock.random)
+    private fun randomNode() = simulation.nodes.random(clock.random)
 
-    private fun shortly() = clock.between(100.milliseconds, 3.seconds)
+    private fun shortDelay() = clock.between(100.milliseconds, 3.seconds)
 
     private companion object {
-        const val WANDERING = 0.5
-        const val LATE = 0.8
-        const val CUT_OFF = 0.25
+        const val CONTROLLER_SWITCHING_CHANCE = 0.5
+        const val DELAYED_COMMANDS_CHANCE = 0.8
+        const val PARTITION_CHANCE = 0.25
 
         /** Rather than the leader alone. */
-        const val ALL_END = 0.25
+        const val ALL_CONTROLLERS_CRASH_CHANCE = 0.25
     }
 }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -74,7 +74,10 @@
             assertEquals(emptyList(), simulation.problems())
             assertEquals(emptyList(), simulation.state.beyond)
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
-            assertEquals(emptyList(), jobs.filter { simulation.invariants.finalOf(it) == null })
+            assertEquals(
+                emptyList(),
+                jobs.filter { simulation.invariants.finalStateOf(it) == null },
+            )
         }
     }
 
@@ -154,7 +157,7 @@
             }
         }
         simulation.run(200.seconds)
-        val ended = { job: JobSpec -> simulation.invariants.finalOf(job.id) }
+        val ended = { job: JobSpec -> simulation.invariants.finalStateOf(job.id) }
         assertEquals(emptyList(), (others + gang).filter { ended(it) != "done" }.map { it.tasks })
         assertEquals(0, simulation.invariants.machinesOf(never.id).size)
         assertTrue(simulation.invariants.machinesOf(service.id).isNotEmpty())
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -64,7 +64,7 @@
             holds()
             assertEquals(
                 emptyList(),
-                jobs.map { it.id }.filter { simulation.invariants.finalOf(it) != "done" },
+                jobs.map { it.id }.filter { simulation.invariants.finalStateOf(it) != "done" },
             )
         }
     }
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -34,12 +34,12 @@
         fun begin() {
             clock.after(4.seconds) { submit(6) }
             simulation.run(30.seconds)
-            while (jobs.any { invariants.placesOf(it).size < TASKS } && clock.now < START) runFor(
-                1.seconds
-            )
+            while (
+                jobs.any { invariants.machineByTask(it).size < TASKS } && clock.now < START
+            ) runFor(1.seconds)
             // Nothing of what was done to get there is under way any more.
             runFor(clock.between(5.seconds, 6.seconds))
-            for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
+            for (job in jobs) assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs")
         }
 
         fun leader() = simulation.leader() ?: error("nobody leads")
@@ -67,9 +67,9 @@
             simulation.checkAtEnd(calm)
             assertEquals(emptyList(), simulation.problems())
             for (job in jobs) {
-                if (invariants.finalOf(job) == "cancelled")
-                    assertEquals(0, invariants.placesOf(job).size)
-                else assertEquals(TASKS, invariants.placesOf(job).size, "$job runs again")
+                if (invariants.finalStateOf(job) == "cancelled")
+                    assertEquals(0, invariants.machineByTask(job).size)
+                else assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs again")
             }
         }
 
@@ -91,7 +91,7 @@
             runFor(GAP)
             for (job in cancelled) assertEquals(
                 "cancelled",
-                invariants.finalOf(job),
+                invariants.finalStateOf(job),
                 "$job is confirmed",
             )
             assertEquals(leader, simulation.leader(), "it still has its lease")
@@ -112,10 +112,10 @@
             clock.every(100.milliseconds) {
                 late +=
                     jobs.filter { job ->
-                        val at = invariants.cancelledAt(job)
+                        val at = invariants.cancellationReportedAt(job)
                         at != null &&
                             clock.now - at > CANCEL &&
-                            invariants.placesOf(job).isNotEmpty()
+                            invariants.machineByTask(job).isNotEmpty()
                     }
             }
             return late
@@ -139,7 +139,7 @@
             begin()
             gap(way) { cancelled ->
                 // Some go on just before their lease is over, some just after it.
-                val hosts = cancelled.flatMap { invariants.placesOf(it).values }.toSet()
+                val hosts = cancelled.flatMap { invariants.machineByTask(it).values }.toSet()
                 for (worker in simulation.cloud.workers().filter { it.id in hosts }) {
                     worker.hanging = true
                     clock.after(clock.between(8.seconds, 20.seconds)) { worker.hanging = false }
@@ -158,7 +158,7 @@
             submit(1)
             // Decided on, written and sent, but not there; some go out with a report's answer.
             runFor(1500.milliseconds)
-            assertTrue(invariants.placesOf(jobs.last()).size < TASKS)
+            assertTrue(invariants.machineByTask(jobs.last()).size < TASKS)
             gap(way, count = 1)
             // Halted while it still waits for its image, it never comes to run.
             val late = invariants.startsAfterCancel + invariants.startsCarriedOutAfterCancel
@@ -188,7 +188,7 @@
             assertNotEquals(former, leader)
             if (way.lone) for (node in others()) apart(leader, node, OUTAGE)
             outage(null, OUTAGE)
-            for (job in cancelled) assertEquals("cancelled", invariants.finalOf(job))
+            for (job in cancelled) assertEquals("cancelled", invariants.finalStateOf(job))
             runFor(OUTAGE + 90.seconds)
             end(calm = clock.now - 90.seconds)
         }
@@ -201,10 +201,10 @@
             begin()
             cancel(jobs.removeLast())
             runFor(6.seconds)
-            val before = jobs.associateWith { invariants.placesOf(it) }
+            val before = jobs.associateWith { invariants.machineByTask(it) }
             outage(null, OUTAGE)
             runFor(OUTAGE)
-            assertEquals(before, jobs.associateWith { invariants.placesOf(it) })
+            assertEquals(before, jobs.associateWith { invariants.machineByTask(it) })
             runFor(CALM)
             end(calm = clock.now - CALM)
         }
@@ -227,7 +227,7 @@
             runFor(OUTAGE)
             simulation.network.slow.remove("state")
             runFor(70.seconds)
-            assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(4, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
         }
 
@@ -250,8 +250,8 @@
             // Asked of the lone one, which can't know and must not say that it was done.
             cancel(some[2], by = former)
             runFor(60.seconds)
-            for (job in some.take(2)) assertEquals("cancelled", invariants.finalOf(job))
-            assertEquals(null, invariants.finalOf(some[2]))
+            for (job in some.take(2)) assertEquals("cancelled", invariants.finalStateOf(job))
+            assertEquals(null, invariants.finalStateOf(some[2]))
             runFor(80.seconds)
             end(calm = clock.now - 60.seconds)
         }
@@ -279,7 +279,7 @@
             }
             assertTrue(tokens.size > 10, "${tokens.size} leaders")
             runFor(80.seconds)
-            assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(4, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
         }
 
@@ -296,7 +296,7 @@
                 away + clock.between(1.seconds, 3.seconds),
             )
             runFor(away + 80.seconds)
-            assertEquals(2, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(2, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 76.seconds)
         }
 
@@ -325,7 +325,7 @@
             runFor(30.seconds)
             assertEquals(first, simulation.leader(), "it leads by itself")
             runFor(100.seconds)
-            assertEquals(3, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(3, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 85.seconds)
         }
 
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -141,7 +141,7 @@
         val scenario = Scenario(100)
         scenario.play(troubled = false)
         assertEquals(emptyList(), scenario.simulation.problems())
-        val open = scenario.jobs.filter { scenario.simulation.invariants.finalOf(it) == null }
+        val open = scenario.jobs.filter { scenario.simulation.invariants.finalStateOf(it) == null }
         assertEquals(emptyList(), open)
     }
 
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -94,7 +94,7 @@
     /** Submits [spec], and again until it is accepted; then asks for its status now and again. */
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
-        invariants.submitted(spec)
+        invariants.recordSubmission(spec)
         submitAgain(spec, clock.now + 60.seconds)
     }
 
@@ -103,7 +103,7 @@
         val askedAt = clock.now
         ask("POST", "/submissions", body) { status, text ->
             if (status != null)
-                invariants.told(clock.now, spec.id, "POST", status, stateIn(text), askedAt)
+                invariants.recordAnswer(clock.now, spec.id, "POST", status, stateIn(text), askedAt)
             if (status == 200 || status == 201) {
                 accepted++
                 // Some repeat a request that was carried out.
@@ -124,19 +124,19 @@
         val askedAt = clock.now
         ask("GET", "/submissions/$job", ByteArray(0)) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "GET", status, stateIn(text), askedAt)
-            invariants.answered(clock.now, job, status == 200)
+                invariants.recordAnswer(clock.now, job, "GET", status, stateIn(text), askedAt)
+            invariants.recordPoll(clock.now, job, status == 200)
             clock.after(clock.between(3.seconds, 6.seconds)) { poll(job) }
         }
     }
 
     /** Cancels [job] through the controller [by], or any, and again until it is confirmed. */
     fun cancel(job: String, by: String? = null) {
-        invariants.askedToCancel(job)
+        invariants.recordCancelRequest(job)
         val askedAt = clock.now
         ask("POST", "/submissions/$job/abort", ByteArray(0), by) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "abort", status, stateIn(text), askedAt)
+                invariants.recordAnswer(clock.now, job, "abort", status, stateIn(text), askedAt)
             if (status != 200) clock.after(1.seconds) { cancel(job, by) }
             // Its submission was never answered, so this is the first that its user hears of it.
             else if (asked.add(job)) poll(job)
@@ -150,7 +150,7 @@
      */
     fun cancelNow(count: Int, hang: Micros) {
         val running =
-            invariants.runningUncancelled().map(specs::getValue).sortedByDescending {
+            invariants.runningJobsNotCancelled().map(specs::getValue).sortedByDescending {
                 if (it.estimateS == 0.0) Double.MAX_VALUE else it.estimateS
             }
         val chosen = running.take(count).map { it.id }
@@ -179,12 +179,12 @@
     /** One of the requests that users seldom make; the answers to all of them are checked. */
     fun oddRequest() {
         when (clock.random.nextInt(5)) {
-            0 -> invariants.open().randomOrNull(clock.random)?.let(::repeat)
-            1 -> invariants.over().randomOrNull(clock.random)?.let(::repeat)
+            0 -> invariants.openJobs().randomOrNull(clock.random)?.let(::repeat)
+            1 -> invariants.finishedJobs().randomOrNull(clock.random)?.let(::repeat)
             2 ->
                 invariants
-                    .over()
-                    .filter { invariants.finalOf(it) == "done" }
+                    .finishedJobs()
+                    .filter { invariants.finalStateOf(it) == "done" }
                     .randomOrNull(clock.random)
                     ?.let { cancelDone(it) }
             3 -> submitBad(422, encode(unfit()))
@@ -199,7 +199,8 @@
         val askedAt = clock.now
         val body = encode(specs.getValue(job)).toString().encodeToByteArray()
         ask("POST", "/submissions", body) { status, text ->
-            if (status != null) invariants.repeated(clock.now, job, status, stateIn(text), askedAt)
+            if (status != null)
+                invariants.recordRepeatedSubmission(clock.now, job, status, stateIn(text), askedAt)
         }
     }
 
@@ -207,7 +208,7 @@
         val askedAt = clock.now
         ask("POST", "/submissions/$job/abort", ByteArray(0)) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "abort", status, stateIn(text), askedAt)
+                invariants.recordAnswer(clock.now, job, "abort", status, stateIn(text), askedAt)
         }
     }
 
@@ -233,10 +234,12 @@
     private fun submitBad(expected: Int, body: JsonObject) {
         val job = body.getValue("name_id").jsonPrimitive.content
         ask("POST", "/submissions", body.toString().encodeToByteArray()) { status, _ ->
-            if (status != null) invariants.answeredBad(job, expected, status, body.toString())
+            if (status != null)
+                invariants.recordInvalidJobAnswer(job, expected, status, body.toString())
             // Nor is it known afterwards.
             ask("GET", "/submissions/$job", ByteArray(0)) { later, text ->
-                if (later != null) invariants.told(clock.now, job, "GET", later, stateIn(text))
+                if (later != null)
+                    invariants.recordAnswer(clock.now, job, "GET", later, stateIn(text))
             }
         }
     }
