--- a/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
@@ -28,20 +28,20 @@
     val simulation = ClusterSimulation(seed, txnOps, gangWaitS = gangWaitS)
     val clock = simulation.clock
     lateinit var gang: JobSpec
-    private val broken = ArrayList<String>()
+    private val violations = ArrayList<String>()
 
     /** The machines that each attempt of each task was recorded on before it was started. */
-    val recordedOn = HashMap<Pair<Int, Int>, HashSet<String>>()
+    val recordedMachines = HashMap<Pair<Int, Int>, HashSet<String>>()
 
     /** Called with the controller and the machine of each direct command to start. */
-    var whenStarted: (by: String, machine: String) -> Unit = { _, _ -> }
+    var onDirectStart: (by: String, machine: String) -> Unit = { _, _ -> }
 
     fun submit(
         tasks: Int,
         cpus: Double,
         estimateS: Double,
         oneZone: Boolean = false,
-        at: Micros = SUBMITTED,
+        at: Micros = SUBMISSION_TIME,
     ) {
         gang =
             simulation
@@ -50,40 +50,41 @@
                     priority = PriorityClass.HIGH,
                     memoryGb = 0.1,
                     oneZone = oneZone,
-                    checkpointS = CHECKPOINT_S,
+                    checkpointS = CHECKPOINT_PERIOD_S,
                 )
         simulation.onStartSent = ::checkStart
         clock.after(at) { simulation.submit(gang) }
         clock.every(20.milliseconds) {
-            val attempts = simulation.invariants.attemptsOf(gang.id)
-            if (attempts.size > 1) broken.add("attempts $attempts at once at ${clock.now}")
+            val attempts = simulation.invariants.attemptsOnMachines(gang.id)
+            if (attempts.size > 1) violations.add("attempts $attempts at once at ${clock.now}")
         }
     }
 
     private fun checkStart(by: String, machine: String?, task: String, attempt: Int) {
         val id = TaskId.parse(task) ?: return
         if (id.job != gang.jobId) return
-        val all = recorded()
-        val missing = (0 until gang.tasks).filter { all[it]?.attempt != attempt }
-        if (missing.isNotEmpty()) broken.add("$task try $attempt starts without $missing")
-        val place = all[id.index]?.machine?.value ?: return
-        if (machine != null && machine != place) broken.add("$task starts off its record")
-        recordedOn.getOrPut(id.index to attempt) { HashSet() }.add(place)
-        if (machine != null) whenStarted(by, machine)
+        val placements = recordedPlacements()
+        val missing = (0 until gang.tasks).filter { placements[it]?.attempt != attempt }
+        if (missing.isNotEmpty()) violations.add("$task try $attempt starts without $missing")
+        val place = placements[id.index]?.machine?.value ?: return
+        if (machine != null && machine != place) violations.add("$task starts off its record")
+        recordedMachines.getOrPut(id.index to attempt) { HashSet() }.add(place)
+        if (machine != null) onDirectStart(by, machine)
     }
 
-    private var read: Pair<List<Long?>, Map<Int, Placement>> = emptyList<Long?>() to emptyMap()
+    private var cachedPlacements: Pair<List<Long?>, Map<Int, Placement>> =
+        emptyList<Long?>() to emptyMap()
 
     /** What is stored of the gang's tasks that may be on machines. */
-    fun recorded(): Map<Int, Placement> {
-        val pages = 0..(gang.tasks - 1) / PAGE_SIZE
-        val stamps = pages.map { simulation.state.version(TaskPageCodec.key(gang.jobId, it)) }
-        if (stamps != read.first) read = stamps to readPages(pages)
-        return read.second
+    fun recordedPlacements(): Map<Int, Placement> {
+        val pages = 0..(gang.tasks - 1) / TASKS_PER_PAGE
+        val versions = pages.map { simulation.state.version(TaskPageCodec.key(gang.jobId, it)) }
+        if (versions != cachedPlacements.first) cachedPlacements = versions to readPages(pages)
+        return cachedPlacements.second
     }
 
     private fun readPages(pages: IntRange): Map<Int, Placement> {
-        val job = Job(gang, KeyVersion(0), Micros.ZERO, PAGE_SIZE)
+        val job = Job(gang, KeyVersion(0), Micros.ZERO, TASKS_PER_PAGE)
         return pages
             .mapNotNull { simulation.state.value(TaskPageCodec.key(gang.jobId, it)) }
             .flatMap {
@@ -94,97 +95,97 @@
     }
 
     /** How many pages of the gang a transaction puts. */
-    fun pagesIn(transaction: JsonObject): Int =
+    fun pagesWrittenBy(transaction: JsonObject): Int =
         transaction["then"]?.jsonArray.orEmpty().count { change ->
             val key = change.jsonObject["put"]?.jsonPrimitive?.content.orEmpty()
             key.startsWith(TaskPageCodec.KEY_PREFIX + gang.id)
         }
 
     /** Once, [after] the gang began to run. */
-    fun onceItRuns(after: Micros, action: () -> Unit) {
-        if (simulation.invariants.gangsBegun > 0) clock.after(after, action)
-        else clock.after(20.milliseconds) { onceItRuns(after, action) }
+    fun runAfterGangStart(after: Micros, action: () -> Unit) {
+        if (simulation.invariants.gangStarts > 0) clock.after(after, action)
+        else clock.after(20.milliseconds) { runAfterGangStart(after, action) }
     }
 
     /** The machines that hold tasks of the gang, in the order of these tasks. */
-    fun machines(): List<FakeWorker> {
-        val places = simulation.invariants.placesOf(gang.id).toSortedMap().values.distinct()
-        return places.mapNotNull { id -> simulation.cloud.workers().find { it.id == id } }
+    fun gangMachines(): List<FakeWorker> {
+        val machines = simulation.invariants.machineByTask(gang.id).toSortedMap().values.distinct()
+        return machines.mapNotNull { id -> simulation.cloud.workers().find { it.id == id } }
     }
 
     /** Heartbeats arrive, but neither answers nor commands reach it. */
-    fun deaf(worker: String, length: Micros) {
-        for (node in simulation.nodes) part(node, worker, length)
+    fun dropMessagesTo(worker: String, duration: Micros) {
+        for (node in simulation.nodes) dropMessages(node, worker, duration)
     }
 
     /** Its heartbeats do not arrive; commands reach it. */
-    fun mute(worker: String, length: Micros) {
+    fun dropHeartbeatsFrom(worker: String, duration: Micros) {
         simulation.network.mute.add(worker)
-        clock.after(length) { simulation.network.mute.remove(worker) }
+        clock.after(duration) { simulation.network.mute.remove(worker) }
     }
 
-    /** No machine can be deleted for [length]. */
-    fun keepMachines(length: Micros) {
+    /** No machine can be deleted for [duration]. */
+    fun refuseDeletions(duration: Micros) {
         simulation.cloud.keepsMachines = true
-        clock.after(length) { simulation.cloud.keepsMachines = false }
+        clock.after(duration) { simulation.cloud.keepsMachines = false }
     }
 
     /** Two more machines come up in each zone but [zone]. */
-    fun roomOutside(zone: String) {
+    fun addMachinesOutside(zone: String) {
         for (other in listOf("a", "b", "c") - zone) repeat(2) {
             simulation.cloud.rent(other, false)
         }
     }
 
-    fun cutOff(worker: String, length: Micros) {
-        deaf(worker, length)
-        for (node in simulation.nodes) part(worker, node, length)
+    fun partition(worker: String, duration: Micros) {
+        dropMessagesTo(worker, duration)
+        for (node in simulation.nodes) dropMessages(worker, node, duration)
     }
 
-    fun hang(worker: FakeWorker, length: Micros) {
+    fun makeUnresponsive(worker: FakeWorker, duration: Micros) {
         worker.hanging = true
-        clock.after(length) { worker.hanging = false }
+        clock.after(duration) { worker.hanging = false }
     }
 
-    private fun part(a: String, b: String, length: Micros) {
-        simulation.network.part(a, b)
-        clock.after(length) { simulation.network.join(a, b) }
+    private fun dropMessages(from: String, to: String, duration: Micros) {
+        simulation.network.part(from, to)
+        clock.after(duration) { simulation.network.join(from, to) }
     }
 
-    fun holds(until: Micros) {
+    fun assertNoViolationsUntil(until: Micros) {
         simulation.run(until)
-        assertEquals(emptyList(), (simulation.problems() + broken).distinct().take(4))
+        assertEquals(emptyList(), (simulation.problems() + violations).distinct().take(4))
         assertTrue(
-            simulation.invariants.gangsBegun > 0,
-            "the gang never ran: ${simulation.gangs.causes}",
+            simulation.invariants.gangStarts > 0,
+            "the gang never ran: ${simulation.gangs.endCounts}",
         )
     }
 
-    fun isDone(until: Micros) {
-        holds(until)
+    fun assertDoneBy(until: Micros) {
+        assertNoViolationsUntil(until)
         assertEquals(
             "done",
-            simulation.invariants.finalOf(gang.id),
-            "ends: ${simulation.gangs.causes}",
+            simulation.invariants.finalStateOf(gang.id),
+            "ends: ${simulation.gangs.endCounts}",
         )
     }
 
     /** An attempt after the first ran too. */
-    fun beginsAgain(until: Micros) {
-        holds(until)
+    fun assertRestartedBy(until: Micros) {
+        assertNoViolationsUntil(until)
         assertTrue(
-            simulation.invariants.gangsBegun > 1,
-            "it never began again: ${simulation.gangs.causes}",
+            simulation.invariants.gangStarts > 1,
+            "it never began again: ${simulation.gangs.endCounts}",
         )
     }
 
     companion object {
-        const val CHECKPOINT_S = 5.0
+        const val CHECKPOINT_PERIOD_S = 5.0
 
         /** Machines that stand idle are returned, so not long after they came up. */
-        val SUBMITTED = 7.seconds
+        val SUBMISSION_TIME = 7.seconds
 
         /** Tasks that a page holds with values of up to 8 KiB. */
-        private val PAGE_SIZE = TaskPageCodec.tasksPerPage(8 * 1024)
+        private val TASKS_PER_PAGE = TaskPageCodec.tasksPerPage(8 * 1024)
     }
 }
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -27,7 +27,7 @@
         simulation.submit(spec)
         simulation.run(120.seconds)
         assertEquals(emptyList(), simulation.problems())
-        return simulation.invariants.finalOf(spec.id)
+        return simulation.invariants.finalStateOf(spec.id)
     }
 
     @Test fun `one small task with no machine at all`() = assertEquals("done", finalOf(true, null))
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -208,7 +208,7 @@
             assertEquals(emptyList(), newBeyond)
             assertTrue(allNew, "some are still old")
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
-            val open = jobs.filter { simulation.invariants.finalOf(it.id) == null }
+            val open = jobs.filter { simulation.invariants.finalStateOf(it.id) == null }
             assertEquals(emptyList(), open.map { "${it.id} ${it.kind}" })
         }
     }
