--- a/src/test/kotlin/wardmux/sim/DisruptionCounter.kt
+++ b/src/test/kotlin/wardmux/sim/DisruptionCounter.kt
@@ -4,22 +4,23 @@
 
 /** Why a worker's task no longer runs. */
 enum class DisruptionCause {
-    /** A controller told it to stop. */
+    /** A controller commanded the worker to stop it. */
     STOPPED,
 
-    /** It was told to stop on a machine that the cloud is about to take. */
+    /** It was stopped on a spot machine that the cloud is about to preempt. */
     PREEMPTED,
 
-    /** It failed, or its machine or incarnation ended. */
+    /** It failed, or its machine or the worker's incarnation ended. */
     CRASHED,
 }
 
 /**
- * Which tasks each team has lost, by the workers' own records alone: from the moment a task that
- * ran is told to stop, fails or loses its machine, until it runs again or is over.
+ * Counts the disrupted tasks of each team from the workers' own records alone. A task is disrupted
+ * from the moment it is stopped, fails or loses its machine until it runs again, is done or is
+ * cancelled.
  */
 class DisruptionCounter {
-    /** A task that was told to stop, and which of its team's tasks were lost with it then. */
+    /** The stop of a running task, and the tasks of its [team] that were [disrupted] just then. */
     class Stop(val at: Micros, val team: String, val disrupted: Map<String, Disruption>)
 
     class Disruption(val at: Micros, val cause: DisruptionCause)
@@ -28,21 +29,23 @@
     private val disruptedByTeam = HashMap<String, LinkedHashMap<String, Disruption>>()
     private val peakByTeam = HashMap<String, Int>()
 
-    /** Each stop of a task that ran, in order. */
+    /** Each stop of a running task by a controller, in order. */
     val stops = ArrayList<Stop>()
 
-    /** The most that the team had lost at once. */
+    /** The most tasks of [team] that were disrupted at once. */
     fun peakOf(team: String): Int = peakByTeam[team] ?: 0
 
-    /** What the team has lost now. */
+    /** The tasks of [team] that are disrupted now. */
     fun disruptedTasks(team: String): Set<String> = disruptedByTeam[team]?.keys.orEmpty()
 
+    /** [task] runs from [now] on and is not disrupted any more. */
     fun recordRunning(now: Micros, task: String, team: String) {
         check(now >= Micros.ZERO)
         teamOf[task] = team
         disruptedByTeam[team]?.remove(task)
     }
 
+    /** [task] no longer runs. Ignored for a task that never ran or is disrupted already. */
     fun recordDisruption(now: Micros, task: String, cause: DisruptionCause) {
         val team = teamOf[task] ?: return
         val disrupted = disruptedByTeam.getOrPut(team) { LinkedHashMap() }
@@ -52,19 +55,23 @@
         if (cause == DisruptionCause.STOPPED) stops.add(Stop(now, team, HashMap(disrupted)))
     }
 
+    /** [task] is done and does not count as disrupted. */
     fun recordDone(task: String) {
         teamOf.remove(task)?.let { disruptedByTeam[it]?.remove(task) }
     }
 
+    /** The user cancels [job], so its tasks do not count as disrupted. */
     fun recordCancellation(job: String) {
         for (task in teamOf.keys.filter { it.substringBefore('/') == job }) recordDone(task)
     }
 
     /**
-     * Stops that took a team beyond [limit]. What was lost otherwise less than [detectionDelay]
-     * before could not be known yet, and does not count. Budgets bind drains, so only what is
-     * stopped [during] one is held against them: without one, the scheduler moves replicas off
-     * machines that it returns.
+     * Describes each stop after which a team had more than [limit] disrupted tasks.
+     *
+     * @param detectionDelay disruptions other than stops do not count for this time, because the
+     *   leader cannot know of them yet
+     * @param during the time in which stops are checked. Budgets apply to drains only: without a
+     *   drain, the scheduler moves replicas off the machines that it returns to the cloud.
      */
     fun stopsOverLimit(
         limit: (team: String) -> Int,
@@ -79,6 +86,6 @@
                         it.cause == DisruptionCause.STOPPED || stop.at - it.at > detectionDelay
                     }
                 if (known.size <= limit(stop.team)) null
-                else "${stop.team} has lost ${known.keys} at ${stop.at.inSeconds} s"
+                else "${stop.team} has disrupted tasks ${known.keys} at ${stop.at.inSeconds} s"
             }
 }
--- a/src/test/kotlin/wardmux/sim/DisruptionCounterTest.kt
+++ b/src/test/kotlin/wardmux/sim/DisruptionCounterTest.kt
@@ -4,7 +4,10 @@
 import kotlin.test.assertEquals
 import wardmux.model.seconds
 
-/** The checker of budgets catches what goes beyond them, and counts from the workers alone. */
+/**
+ * Guards against a [DisruptionCounter] that misses stops over a disruption budget, or counts tasks
+ * that are not disrupted: drain tests rely on it to detect broken budgets.
+ */
 class DisruptionCounterTest {
     private val disruptions = DisruptionCounter()
 
@@ -14,7 +17,7 @@
     private fun stopsOverLimit(limit: Int) = disruptions.stopsOverLimit({ limit }, 8.seconds).size
 
     @Test
-    fun `a stop beyond the limit is caught, and only that one`() {
+    fun `only a stop that exceeds the limit is reported`() {
         startTasks("0", "1", "2")
         disruptions.recordDisruption(1.seconds, "job-1/0", DisruptionCause.STOPPED)
         disruptions.recordDisruption(2.seconds, "job-1/1", DisruptionCause.STOPPED)
@@ -24,7 +27,7 @@
     }
 
     @Test
-    fun `what runs again, is done or cancelled is not lost`() {
+    fun `a task that runs again, is done or is cancelled is not disrupted`() {
         startTasks("0", "1", "2")
         disruptions.recordDisruption(1.seconds, "job-1/0", DisruptionCause.STOPPED)
         disruptions.recordRunning(2.seconds, "job-1/0", "team-0")
@@ -37,7 +40,7 @@
     }
 
     @Test
-    fun `a crash counts against a later stop once it can be known`() {
+    fun `a crash counts for a later stop only after the detection delay`() {
         startTasks("0", "1", "2")
         disruptions.recordDisruption(1.seconds, "job-1/0", DisruptionCause.CRASHED)
         disruptions.recordDisruption(5.seconds, "job-1/1", DisruptionCause.STOPPED)
--- a/src/test/kotlin/wardmux/sim/FakeGangs.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangs.kt
@@ -5,21 +5,35 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** A task of a gang as it is on its machine, from its image on. */
+/** A task of a gang on a machine that has fetched its image. */
 interface GangTask {
     val job: String
     val index: Int
     val attempt: Int
 
-    /** Its machine executes nothing. */
+    /** The machine executes nothing for now. */
     val isUnresponsive: Boolean
 
+    /** All tasks of the gang have their images: the task changes from gathering to running. */
     fun startRunning()
 
+    /**
+     * The task ends and leaves the machine.
+     *
+     * @param cause the cause that the worker reports
+     * @param progressSaved whether the progress of the gang was saved before
+     */
     fun exit(cause: String, progressSaved: Boolean)
 }
 
-/** How the tasks of gangs find each other across all machines, run, and end together. */
+/**
+ * Simulates the tasks of all gangs across all machines, as PROTOCOL describes them: they wait for
+ * each other, run together and end together.
+ *
+ * @param gangWaitS how long a task waits for the rest of its gang, in seconds
+ * @param gangPeerS after how many seconds the other tasks notice that one is gone or unresponsive,
+ *   and how long a halted task waits until all others are halted too
+ */
 class FakeGangs(
     private val clock: SimulatedClock,
     private val invariants: Invariants,
@@ -30,33 +44,41 @@
     private val peerTimeout = gangPeerS.seconds
     private val attempts = LinkedHashMap<Pair<String, Int>, Attempt>()
 
-    /** How long each gang runs in all; drawn when its first task joins, unless it is set before. */
+    /**
+     * By job: how long the gang runs in all its attempts together. Drawn at random when the first
+     * task is added, unless it is set before.
+     */
     val runTimes = HashMap<String, Micros>()
+    /** By job: the progress from which the next attempt continues. */
     private val savedProgress = HashMap<String, Micros>()
     private val doneJobs = HashSet<String>()
 
-    /** Ends of tasks by their cause. */
+    /**
+     * How many tasks ended by each cause; "kept" stands for an end after the progress was saved.
+     */
     val endCounts = sortedMapOf<String, Int>()
     private val endsByJob = HashMap<String, ArrayList<String>>()
 
     /**
-     * How the tasks of [job] that had their image ended by themselves or were stopped, in order.
+     * How the tasks of [job] ended that had their image, in order: the cause, or "kept" after the
+     * progress was saved. Tasks that were lost with their machine are not included.
      */
     fun endsOf(job: String): List<String> = endsByJob[job].orEmpty()
 
-    /** An attempt of [job] was told to save and has not lost its save. */
+    /** Whether an attempt of [job] was halted and still can save, or has saved, its progress. */
     fun isSaving(job: String) = attempts.any { it.key.first == job && it.value.isSaving }
 
     init {
         clock.every(TICK_PERIOD) { for (attempt in attempts.values.toList()) attempt.tick() }
     }
 
+    /** Whether the gang [job] completed its work. */
     fun isDone(job: String) = job in doneJobs
 
-    /** Progress that the next attempt continues from. */
+    /** The progress from which the next attempt of [job] continues. */
     fun savedProgressOf(job: String): Micros = savedProgress[job] ?: Micros.ZERO
 
-    /** The task has its image. */
+    /** Adds a task that has fetched its image; it gathers until its gang is complete. */
     fun addTask(task: GangTask, spec: JobSpec) {
         if (spec.id !in runTimes) {
             runTimes[spec.id] =
@@ -68,12 +90,13 @@
             .add(Member(task, clock.now))
     }
 
+    /** Stops the task; it may take [graceS] seconds to save its progress with its gang. */
     fun halt(task: GangTask, graceS: Double) {
         val attempt = attempts[task.job to task.attempt] ?: return
         attempt.members.find { it.task === task }?.let { attempt.halt(it, graceS) }
     }
 
-    /** The task is no longer on its machine, whatever the cause. */
+    /** The task is no longer on its machine, for whatever reason. */
     fun removeTask(task: GangTask) {
         val attempt = attempts[task.job to task.attempt] ?: return
         val member = attempt.members.find { it.task === task } ?: return
@@ -82,23 +105,27 @@
         if (attempt.members.isEmpty()) attempts.remove(task.job to task.attempt)
     }
 
+    /** A task of an attempt. */
     private class Member(val task: GangTask, val joinedAt: Micros) {
         var isRunning = false
         var unresponsiveSince: Micros? = null
         var haltedAt: Micros? = null
+
+        /** When it exits after the attempt has failed, and with which cause. */
         var exitAt = Micros.ZERO
         var exitCause = "peers"
     }
 
+    /** The tasks on machines that were started with the same attempt [number]. */
     private inner class Attempt(private val spec: JobSpec, private val number: Int) {
         val members = ArrayList<Member>()
         private var progress = Micros.ZERO
         private var firstHaltAt: Micros? = null
 
-        /** It has lost a task, or its save has failed. */
+        /** The attempt lost a task before its progress was saved, or could not save in time. */
         private var hasFailed = false
 
-        /** All were told in time. */
+        /** All tasks were halted before the first one gave up waiting for the others. */
         private var allHaltedInTime = false
         private var isProgressSaved = false
         private var isComplete = false
@@ -114,11 +141,12 @@
             if (running.isNotEmpty()) advanceGang(running)
         }
 
+        /** Starts the gang once all its tasks gather; tasks that waited too long exit. */
         private fun gather() {
             val gathering = members.filter { !it.isRunning && !it.task.isUnresponsive }
             val (timedOut, waiting) =
                 gathering.partition { clock.now - it.joinedAt >= gatherTimeout }
-            // Those that were started while their gang runs, or is ending, wait for nothing.
+            // Tasks started while their gang runs or ends never become part of it and time out.
             val gathered = waiting.distinctBy { it.task.index }
             if (gathered.size == spec.tasks && runningMembers().isEmpty())
                 return startGang(gathered)
@@ -146,13 +174,14 @@
             }
         }
 
+        /** Fails the attempt if the task has been unresponsive for the peer timeout. */
         private fun trackUnresponsiveness(member: Member) {
             if (!member.task.isUnresponsive) {
                 member.unresponsiveSince = null
                 return
             }
             val since = member.unresponsiveSince ?: clock.now.also { member.unresponsiveSince = it }
-            // The others take it for gone, and have noticed by now.
+            // The other tasks treat an unresponsive one as gone after this time.
             if (clock.now - since >= peerTimeout) failAttempt { clock.now }
         }
 
@@ -171,6 +200,7 @@
             }
         }
 
+        /** The halted tasks save and exit once all are halted, or give up after the timeout. */
         private fun saveProgress(running: List<Member>, haltedAt: Micros) {
             val deadline = haltedAt + peerTimeout
             if (running.all { (it.haltedAt ?: Micros.NEVER) <= deadline }) allHaltedInTime = true
@@ -188,6 +218,7 @@
 
         private fun saveEndsAt(member: Member) = (member.haltedAt ?: clock.now) + spec.saveS.seconds
 
+        /** Not all tasks were halted in time, so nothing is saved beyond the last checkpoint. */
         private fun abandonSave(running: List<Member>) {
             failAttempt { clock.now }
             for (member in running) {
@@ -198,7 +229,7 @@
             exitDueMembers(running)
         }
 
-        /** Back to the last checkpoint; the tasks that are left exit, each at its time. */
+        /** Falls back to the last checkpoint; the remaining tasks exit, each at its [exitAt]. */
         private fun failAttempt(exitAt: () -> Micros) {
             if (hasFailed || isProgressSaved || isComplete) return
             hasFailed = true
@@ -210,6 +241,7 @@
             for (member in runningMembers()) member.exitAt = exitAt()
         }
 
+        /** A task left its machine; if it was running, the attempt fails. */
         fun memberRemoved(member: Member) {
             if (member.isRunning)
                 failAttempt { clock.now + clock.between(TICK_PERIOD, peerTimeout - TICK_PERIOD) }
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -5,12 +5,14 @@
 import wardmux.model.seconds
 
 /**
- * All that may happen to a [simulation], for scenarios of every kind; [submitJob] brings one more
- * job.
+ * The faults that tests of all kinds inject into a [simulation]. Calling a list entry injects one
+ * fault. Faults that last end by themselves, except that a machine on which tasks fail stays so.
+ * Some entries submit or cancel jobs; [submitJob] submits one more job.
  */
 class FaultInjector(private val simulation: ClusterSimulation, private val submitJob: () -> Unit) {
     private val clock = simulation.clock
 
+    /** One to [maxCount] random workers. */
     private fun randomWorkers(maxCount: Int) =
         simulation.cloud.workers().shuffled(clock.random).take(1 + clock.random.nextInt(maxCount))
 
@@ -18,6 +20,10 @@
 
     private fun shuffledNodes(): List<String> = simulation.nodes.shuffled(clock.random)
 
+    /**
+     * Crashes of controllers and machines, outages of the key-value store and the cloud,
+     * preemptions, unresponsive machines, delayed and lost messages, and bursts of jobs.
+     */
     val basicFaults: List<() -> Unit> =
         listOf(
             { simulation.crash(randomNode(), clock.between(100.milliseconds, 8.seconds)) },
@@ -59,7 +65,7 @@
             {
                 for (worker in randomWorkers(2)) {
                     worker.hanging = true
-                    // Some go on just inside their lease, some just outside it.
+                    // Some resume just before their lease ends, some just after.
                     clock.after(clock.between(2.seconds, 30.seconds)) { worker.hanging = false }
                 }
             },
@@ -83,7 +89,8 @@
         )
 
     /**
-     * Deaf machines, copies and delays. A list of its own, so that earlier seeds keep their
+     * Asymmetric message loss, duplicated messages, partitions between controllers, and delays.
+     * Separate from [basicFaults] so that the seeds of tests that use only those keep their
      * scenarios.
      */
     val networkFaults: List<() -> Unit> =
@@ -96,14 +103,14 @@
             },
             {
                 for (worker in randomWorkers(2)) for (node in
-                    simulation.nodes) dropMessagesRandomly(node, worker.id)
+                    simulation.nodes) dropMessagesForRandomTime(node, worker.id)
             },
             {
                 simulation.network.copies = 0.2
                 clock.after(40.seconds) { simulation.network.copies = 0.0 }
             },
             {
-                // What was sent before a machine's end arrives after its deletion.
+                // Messages sent before the end of a machine arrive again after its deletion.
                 simulation.network.copies = 0.5
                 randomWorkers(2).forEach { simulation.cloud.kill(it) }
                 clock.after(15.seconds) { simulation.network.copies = 0.0 }
@@ -125,7 +132,7 @@
                 }
             },
             {
-                // In the middle of the election that the first crash begins.
+                // The second crash falls into the election that the first one starts.
                 simulation.leader()?.let {
                     simulation.crash(it, clock.between(20.milliseconds, 300.milliseconds))
                 }
@@ -142,7 +149,7 @@
             { delayMessagesTo(randomNode(), 500.milliseconds) },
         )
 
-    /** Frozen controllers and zones that are cut off. */
+    /** Frozen controllers, and a zone that is partitioned from the others. */
     val partitionFaults: List<() -> Unit> =
         listOf(
             { simulation.freeze(randomNode(), clock.between(1.seconds, 30.seconds)) },
@@ -152,7 +159,8 @@
                 }
             },
             {
-                // A zone cut off with a controller in it.
+                // Partitions zone a, with one controller in it, from the other controllers, the
+                // key-value store, the cloud and the users.
                 val duration = clock.between(5.seconds, 47.seconds)
                 val inside = simulation.cloud.workers().filter { it.zone == "a" }.map { it.id }
                 for (host in inside + simulation.nodes.first()) {
@@ -164,7 +172,7 @@
             },
         )
 
-    /** Cancellations and old messages that meet the other faults. */
+    /** Cancellations and delayed messages, alone and combined with other faults. */
     val cancellationFaults: List<() -> Unit> =
         listOf(
             {
@@ -198,7 +206,7 @@
                 }
             },
             {
-                // The leader is cut off, and jobs are cancelled through the next one.
+                // The leader is partitioned, and jobs are cancelled through the next one.
                 simulation.leader()?.let {
                     partitionFromStoreAndPeers(it, clock.between(8.seconds, 50.seconds))
                 }
@@ -209,7 +217,7 @@
             { storeOutageWithCancellations(clock.between(5.seconds, 40.seconds)) },
             { storeOutageWithCancellations(clock.between(40.seconds, 70.seconds)) },
             {
-                // A leader ends while it does not hear some of its machines.
+                // A leader crashes while the heartbeats of some machines do not arrive.
                 for (worker in randomWorkers(4)) dropHeartbeatsFrom(
                     worker.id,
                     clock.between(5.seconds, 40.seconds),
@@ -220,7 +228,10 @@
             },
         )
 
-    /** The key-value store refuses the leader alone, jobs are cancelled, then it refuses all. */
+    /**
+     * The key-value store refuses the leader alone, jobs are cancelled meanwhile, and then it
+     * refuses all controllers for [duration].
+     */
     private fun storeOutageWithCancellations(duration: Micros) {
         val leaderOutage = clock.between(1.seconds, 14.seconds)
         simulation.leader()?.let { makeStoreUnavailable(it, leaderOutage + 3.seconds) }
@@ -230,11 +241,13 @@
         clock.after(leaderOutage) { makeStoreUnavailable(null, duration) }
     }
 
+    /** Drops the heartbeats of [worker]; direct commands still reach it. */
     private fun dropHeartbeatsFrom(worker: String, duration: Micros) {
         simulation.network.mute.add(worker)
         clock.after(duration) { simulation.network.mute.remove(worker) }
     }
 
+    /** Drops responses and commands to all workers of a random zone. */
     private fun dropMessagesToRandomZone(duration: Micros) {
         val zone = listOf("a", "b", "c").random(clock.random)
         for (worker in simulation.cloud.workers().filter { it.zone == zone }) dropMessagesTo(
@@ -243,23 +256,27 @@
         )
     }
 
+    /** Drops the messages sent from [from] to [to]; the reverse direction works. */
     private fun dropMessages(from: String, to: String, duration: Micros) {
         simulation.network.part(from, to)
         clock.after(duration) { simulation.network.join(from, to) }
     }
 
-    private fun dropMessagesRandomly(from: String, to: String) {
+    /** Drops messages for a random time, in half of the cases in both directions. */
+    private fun dropMessagesForRandomTime(from: String, to: String) {
         val duration = clock.between(3.seconds, 40.seconds)
         dropMessages(from, to, duration)
         if (clock.chance(0.5)) dropMessages(to, from, duration)
     }
 
-    /** Its heartbeats arrive; responses and commands do not reach it. */
+    /** Drops responses and commands to [worker]; its heartbeats still arrive. */
     private fun dropMessagesTo(worker: String, duration: Micros) {
         for (node in simulation.nodes) dropMessages(node, worker, duration)
     }
 
-    /** A controller without key-value store and peers, but with its workers. */
+    /**
+     * Partitions a controller from the key-value store and its peers; it still reaches its workers.
+     */
     private fun partitionFromStoreAndPeers(member: String, duration: Micros) {
         for (other in simulation.nodes - member + "state") {
             dropMessages(member, other, duration)
@@ -267,7 +284,7 @@
         }
     }
 
-    /** A controller that its workers do not reach, nor it them. */
+    /** Partitions a controller from all workers, in both directions. */
     private fun partitionFromWorkers(member: String, duration: Micros) {
         for (worker in simulation.cloud.workers()) {
             dropMessages(member, worker.id, duration)
@@ -275,16 +292,19 @@
         }
     }
 
+    /** Delays all messages to [host] by [delay] for 30 s. */
     private fun delayMessagesTo(host: String, delay: Micros) {
         simulation.network.slow[host] = delay
         clock.after(30.seconds) { simulation.network.slow.remove(host) }
     }
 
+    /** The key-value store refuses the controller [member], or all if it is null. */
     private fun makeStoreUnavailable(member: String?, duration: Micros) {
         simulation.state.outage(member)
         clock.after(duration) { simulation.state.back(member) }
     }
 
+    /** Holds all messages to and from [host] and delivers them after [duration]. */
     private fun holdMessages(host: String, duration: Micros) {
         simulation.network.cut(host)
         clock.after(duration) { simulation.network.mend(host) }
--- a/src/test/kotlin/wardmux/sim/InvariantsTest.kt
+++ b/src/test/kotlin/wardmux/sim/InvariantsTest.kt
@@ -11,7 +11,10 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Each rule is broken on purpose: a checker that cannot fail checks nothing. */
+/**
+ * Breaks each rule of [Invariants] on purpose. Guards against a checker that accepts a violation:
+ * simulations that use it would then pass whatever the controllers do.
+ */
 class InvariantsTest {
     private val invariants = Invariants(listOf(TeamQuota("t", 8.0, 16.0)), 36.seconds)
     private val job = "job-000001"
@@ -38,30 +41,30 @@
         attempt: Int = 1,
     ) = invariants.recordTaskStart(at, job, task, machine, type, zone, spot, attempt)
 
-    private fun answer(call: String, status: Int, state: String?) =
+    private fun recordAnswer(call: String, status: Int, state: String?) =
         invariants.recordAnswer(1.seconds, job, call, status, state)
 
     private fun assertViolated(rule: String) =
         assertTrue(
             invariants.violations.any { it.startsWith("$rule:") },
-            "$rule in ${invariants.violations}",
+            "expected a violation of $rule, got ${invariants.violations}",
         )
 
     @Test
-    fun `a scenario in order breaks nothing`() {
+    fun `a scenario without faults violates no rule`() {
         invariants.recordSubmission(spec(1))
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         startTask(0)
-        answer("GET", 200, "running")
+        recordAnswer("GET", 200, "running")
         invariants.recordTaskEnd(job, 0, "m1", done = true)
-        answer("GET", 200, "done")
-        answer("POST", 200, "done")
+        recordAnswer("GET", 200, "done")
+        recordAnswer("POST", 200, "done")
         invariants.checkCancelledJobs(99.seconds)
         assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
-    fun `ran_twice`() {
+    fun `ran_twice when a task starts while it is on another machine`() {
         invariants.recordSubmission(spec())
         startTask(0, "m1")
         startTask(0, "m2")
@@ -69,14 +72,14 @@
     }
 
     @Test
-    fun `quota`() {
+    fun `quota when a team uses more CPUs than its limit`() {
         invariants.recordSubmission(spec())
         for (task in 0..2) startTask(task, "m$task")
         assertViolated("quota")
     }
 
     @Test
-    fun `wrong_place by type, kind and zone`() {
+    fun `wrong_place by machine type, spot and zone`() {
         invariants.recordSubmission(spec().copy(zone = "b"))
         startTask(0, type = "big", zone = "b")
         startTask(1, zone = "b", spot = true)
@@ -85,7 +88,7 @@
     }
 
     @Test
-    fun `wrong_place by the job's other tasks`() {
+    fun `wrong_place by the zones of the job's other tasks`() {
         invariants.recordSubmission(spec().copy(oneZone = true, cpus = 1.0))
         startTask(0, zone = "a")
         startTask(1, zone = "b")
@@ -98,11 +101,11 @@
     }
 
     @Test
-    fun `ran_cancelled by staying and by starting`() {
+    fun `ran_cancelled when a task of a cancelled job stays or starts too late`() {
         invariants.recordSubmission(spec())
         invariants.recordCancelRequest(job)
         startTask(0)
-        answer("abort", 200, "cancelled")
+        recordAnswer("abort", 200, "cancelled")
         invariants.checkCancelledJobs(36.seconds)
         assertEquals(emptyList(), invariants.violations)
         invariants.checkCancelledJobs(38.seconds)
@@ -115,15 +118,15 @@
     @Test
     fun `forgotten, invented, not_done and went_back`() {
         invariants.recordSubmission(spec())
-        answer("POST", 201, "queued")
-        answer("GET", 404, null)
+        recordAnswer("POST", 201, "queued")
+        recordAnswer("GET", 404, null)
         assertViolated("forgotten")
         invariants.recordAnswer(1.seconds, "job-9", "GET", 200, "queued")
         assertViolated("invented")
-        answer("GET", 200, "done")
+        recordAnswer("GET", 200, "done")
         assertViolated("not_done")
         invariants.violations.clear()
-        answer("GET", 200, "running")
+        recordAnswer("GET", 200, "running")
         assertViolated("went_back")
         invariants.violations.clear()
         invariants.recordSubmission(spec().copy(id = "job-000003"))
@@ -132,12 +135,12 @@
     }
 
     @Test
-    fun `started_cancelled by an order that its sender must not give any more`() {
+    fun `started_cancelled when a start is sent too long after the cancellation`() {
         invariants.recordSubmission(spec())
         invariants.recordCancelRequest(job)
         assertFalse(invariants.hasReportedCancellation)
         invariants.recordStartCommand(Micros.ZERO, job, "start")
-        answer("abort", 200, "cancelled")
+        recordAnswer("abort", 200, "cancelled")
         assertTrue(invariants.hasReportedCancellation)
         invariants.recordStartCommand(4.seconds, job, "start")
         assertEquals(emptyList(), invariants.violations)
@@ -147,11 +150,11 @@
     }
 
     @Test
-    fun `a start on its way is counted, and breaks a rule after cancel_s`() {
+    fun `a start in flight at the cancellation is counted, and is ran_cancelled after cancel_s`() {
         invariants.recordSubmission(spec())
         invariants.recordCancelRequest(job)
         startTask(0)
-        answer("abort", 200, "cancelled")
+        recordAnswer("abort", 200, "cancelled")
         startTask(1, at = 36.seconds)
         assertEquals(1, invariants.startsAfterCancel)
         assertEquals(emptyList(), invariants.violations)
@@ -162,9 +165,12 @@
         assertViolated("ran_cancelled")
     }
 
-    /** A leader that does not know of the cancellation goes on renewing the machine's lease. */
+    /**
+     * A leader that does not know of the cancellation keeps renewing the lease of a machine that
+     * was unresponsive, so its task stays longer than cancel_s.
+     */
     @Test
-    fun `ran_cancelled by a machine that hung and goes on`() {
+    fun `ran_cancelled by a machine that was unresponsive and resumes`() {
         val clock = SimulatedClock(1)
         val deployment = WorkerTiming(heartbeatPeriodS = 2.5, leaseS = 16.0, cancelS = 36.0)
         val command = """{"verb":"start","piece":"$job/0","try":1}"""
@@ -197,14 +203,14 @@
     }
 
     @Test
-    fun `forgotten by no answer for long, also if one comes at last`() {
+    fun `forgotten when polls are unanswered for too long, even if one succeeds later`() {
         invariants.recordSubmission(spec())
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         startTask(0)
         for (at in 10..100 step 10) invariants.recordPoll(at.seconds, job, succeeded = true)
         invariants.recordPoll(150.seconds, job, succeeded = false)
         invariants.recordPoll(190.seconds, job, succeeded = true)
-        // Troubles until 120 s excuse it.
+        // Faults until 120 s explain the period without an answer.
         invariants.checkAtEnd(200.seconds, faultsEndedAt = 120.seconds)
         assertEquals(emptyList(), invariants.violations)
         invariants.checkAtEnd(200.seconds, faultsEndedAt = 110.seconds)
@@ -214,7 +220,12 @@
         assertViolated("forgotten")
     }
 
-    private fun acceptJob(number: Int, tasks: Int, team: String = "t", jobClass: String = "c") {
+    private fun submitAcceptedJob(
+        number: Int,
+        tasks: Int,
+        team: String = "t",
+        jobClass: String = "c",
+    ) {
         val id = "job-%06d".format(number)
         invariants.recordSubmission(
             spec(tasks).copy(id = id, team = team, jobClass = jobClass, cpus = 0.1)
@@ -230,21 +241,21 @@
         invariants.checkAtEnd(at, faultsEndedAt = 390.seconds)
 
     @Test
-    fun `less than half of a class and of a team is served`() {
-        for (number in 1..5) acceptJob(number, if (number == 1) 2 else 1)
+    fun `served when less than half of a class and of a team started`() {
+        for (number in 1..5) submitAcceptedJob(number, if (number == 1) 2 else 1)
         for (number in 1..3) startJob(number)
         checkAtEnd()
         assertEquals(emptyList(), invariants.violations)
-        acceptJob(6, 1)
-        acceptJob(7, 1)
+        submitAcceptedJob(6, 1)
+        submitAcceptedJob(7, 1)
         checkAtEnd()
         assertTrue(invariants.violations.any { "class c" in it }, "${invariants.violations}")
         assertTrue(invariants.violations.any { "team t" in it }, "${invariants.violations}")
     }
 
     @Test
-    fun `one that its user called off, or that came late, need not be served`() {
-        acceptJob(1, 1)
+    fun `a job that was cancelled or submitted late need not have started`() {
+        submitAcceptedJob(1, 1)
         invariants.recordCancelRequest("job-000001")
         invariants.recordSubmission(spec().copy(id = "job-000002"))
         invariants.recordAnswer(200.seconds, "job-000002", "POST", 201, "queued")
@@ -254,22 +265,30 @@
     }
 
     @Test
-    fun `the largest of a class are served, and begin within four minutes`() {
-        for (number in 1..10) acceptJob(number, number)
+    fun `late and served when the largest jobs of a class have not started`() {
+        for (number in 1..10) submitAcceptedJob(number, number)
         for (number in 1..9) startJob(number)
         checkAtEnd()
-        // One of the two largest is half of them, yet the other has not begun.
-        assertEquals(listOf("late: job-000010 of 10 has not begun"), invariants.violations)
-        acceptJob(11, 11)
-        acceptJob(12, 12)
+        // One of the two largest jobs is half of them, which is enough for the rule served.
+        assertEquals(
+            listOf("late: job-000010 with 10 tasks has not started"),
+            invariants.violations,
+        )
+        submitAcceptedJob(11, 11)
+        submitAcceptedJob(12, 12)
         invariants.violations.clear()
         checkAtEnd()
         assertTrue(invariants.violations.any { "largest of c" in it }, "${invariants.violations}")
     }
 
+    /** Machine m1 in zone a with [freeCpus], which holds [tasks]. */
     private fun machine(freeCpus: Double = 16.0, vararg tasks: Pair<String, Int>) =
         MachineView("m1", "mid", "a", false, freeCpus, tasks.toList())
 
+    /**
+     * Submits [spec], checks its waiting tasks against [machines] every second for 95 s, and
+     * returns the violations of left_waiting.
+     */
     private fun waitingViolations(spec: JobSpec, vararg machines: MachineView): List<String> {
         invariants.recordSubmission(spec)
         invariants.recordAnswer(Micros.ZERO, spec.id, "POST", 201, "queued")
@@ -282,37 +301,37 @@
     }
 
     @Test
-    fun `left_waiting beside a machine with room`() =
+    fun `left_waiting when a machine has room`() =
         assertEquals(1, waitingViolations(spec(1), machine()).size)
 
     @Test
-    fun `left_waiting with a task that is not placed, also if another one is`() =
+    fun `left_waiting when one of two tasks is not placed`() =
         assertEquals(1, waitingViolations(spec(2), machine(8.0, job to 0)).size)
 
     @Test
-    fun `none is left_waiting where no machine fits`() {
+    fun `not left_waiting when no machine fits`() {
         assertEquals(emptyList(), waitingViolations(spec(1), machine(freeCpus = 7.0)))
         assertEquals(emptyList(), waitingViolations(spec(1).copy(zone = "b"), machine()))
         assertEquals(emptyList(), waitingViolations(spec(1).copy(types = listOf("big")), machine()))
         val spot = MachineView("m1", "mid", "a", true, 16.0, emptyList())
         assertEquals(emptyList(), waitingViolations(spec(1), spot))
-        val elsewhere = MachineView("m2", "mid", "b", false, 0.0, listOf(job to 0))
-        val bound = spec(2).copy(oneZone = true)
-        assertEquals(emptyList(), waitingViolations(bound, machine(), elsewhere))
-        val half = machine(8.0, job to 0)
-        assertEquals(emptyList(), waitingViolations(spec(2).copy(spread = true), half))
+        val otherZone = MachineView("m2", "mid", "b", false, 0.0, listOf(job to 0))
+        val oneZoneJob = spec(2).copy(oneZone = true)
+        assertEquals(emptyList(), waitingViolations(oneZoneJob, machine(), otherZone))
+        val halfFree = machine(8.0, job to 0)
+        assertEquals(emptyList(), waitingViolations(spec(2).copy(spread = true), halfFree))
         val replicas = spec(2).copy(spread = true, kind = JobKind.SERVICE)
         assertEquals(emptyList(), waitingViolations(replicas, machine()))
     }
 
     @Test
-    fun `none is left_waiting while its team is at its limit`() =
+    fun `not left_waiting while the team is at its limit`() =
         assertEquals(emptyList(), waitingViolations(spec(3), machine(16.0, job to 0, job to 1)))
 
     @Test
-    fun `none is left_waiting while its tasks go on starting`() {
+    fun `not left_waiting while tasks of the job keep starting`() {
         invariants.recordSubmission(spec())
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         for (at in 0..95) {
             if (at == 50) startTask(0)
             invariants.checkWaitingJobs(at.seconds, listOf(machine()), listOf(machine()))
@@ -321,7 +340,7 @@
     }
 
     @Test
-    fun `a job that can't run or lacks a field is accepted, or refused for the wrong reason`() {
+    fun `accepted_bad and wrong_answer for a job that can't run or lacks a field`() {
         for (status in listOf(422, 429, 503)) invariants.recordInvalidJobAnswer(
             job,
             422,
@@ -336,15 +355,15 @@
         invariants.recordInvalidJobAnswer(job, 422, 400, "")
         invariants.recordInvalidJobAnswer(job, 400, 422, "")
         assertEquals(2, invariants.violations.count { it.startsWith("wrong_answer:") })
-        // Nor may it be known afterwards.
+        // A later status request must not find the job either.
         invariants.recordAnswer(1.seconds, job, "GET", 200, "queued")
         assertViolated("invented")
     }
 
     @Test
-    fun `a repeat is answered with 200 and the state now`() {
+    fun `a repeated submission must be answered with 200 and the current state`() {
         invariants.recordSubmission(spec())
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         invariants.recordRepeatedSubmission(3.seconds, job, 200, "running", askedAt = 2.seconds)
         assertEquals(emptyList(), invariants.violations)
         invariants.recordRepeatedSubmission(3.seconds, job, 201, "queued", askedAt = 2.seconds)
@@ -355,12 +374,12 @@
     }
 
     @Test
-    fun `a job that is done stays so for repeats and cancellations`() {
+    fun `went_back when a done job is reported in another state`() {
         invariants.recordSubmission(spec(1))
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         startTask(0)
         invariants.recordTaskEnd(job, 0, "m1", done = true)
-        answer("GET", 200, "done")
+        recordAnswer("GET", 200, "done")
         invariants.recordRepeatedSubmission(3.seconds, job, 200, "done", askedAt = 2.seconds)
         invariants.recordAnswer(3.seconds, job, "abort", 200, "done", askedAt = 2.seconds)
         assertEquals(emptyList(), invariants.violations)
@@ -372,30 +391,30 @@
     }
 
     @Test
-    fun `the end of a job is told once, and not of one that was called off`() {
-        val ended = ArrayList<String>()
-        invariants.onAllTasksDone = { ended.add(it) }
+    fun `onAllTasksDone is called once, and not for a cancelled job`() {
+        val doneJobs = ArrayList<String>()
+        invariants.onAllTasksDone = { doneJobs.add(it) }
         invariants.recordSubmission(spec(2))
         invariants.recordSubmission(spec(1).copy(id = "job-000002"))
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         invariants.recordAnswer(1.seconds, "job-000002", "POST", 201, "queued")
         invariants.recordCancelRequest("job-000002")
         invariants.recordTaskEnd(job, 0, "m1", done = true)
         invariants.recordTaskEnd("job-000002", 0, "m1", done = true)
-        assertEquals(emptyList(), ended)
+        assertEquals(emptyList(), doneJobs)
         invariants.recordTaskEnd(job, 1, "m1", done = true)
         invariants.recordTaskEnd(job, 1, "m1", done = true)
-        assertEquals(listOf(job), ended)
+        assertEquals(listOf(job), doneJobs)
     }
 
     private fun gang(tasks: Int = 3) = spec(tasks).copy(kind = JobKind.GANG, cpus = 1.0)
 
     @Test
-    fun `a gang started over the remains of its last attempt, by its task`() {
+    fun `gang_over_remains when the same task of the earlier attempt is still on a machine`() {
         invariants.recordSubmission(gang())
         for (task in 0..2) startTask(task, "m$task")
         invariants.recordTaskEnd(job, 0, "m0", done = false)
-        // Another machine may take what has left, while others of the old attempt still exit.
+        // Task 0 has left its machine and may start elsewhere while the others still exit.
         startTask(0, "m9", attempt = 2)
         assertEquals(emptyList(), invariants.violations)
         startTask(1, "m8", attempt = 2)
@@ -404,7 +423,7 @@
     }
 
     @Test
-    fun `a gang started over the remains of its last attempt, by their zone`() {
+    fun `gang_over_remains when tasks of the earlier attempt are in another zone`() {
         invariants.recordSubmission(gang().copy(oneZone = true))
         for (task in 0..2) startTask(task, "m$task")
         invariants.recordTaskEnd(job, 0, "m0", done = false)
@@ -417,7 +436,7 @@
     }
 
     @Test
-    fun `a gang without same_place may go to another zone beside remains of its other tasks`() {
+    fun `a gang without same_place may start in another zone than its earlier attempt`() {
         invariants.recordSubmission(gang())
         for (task in 0..2) startTask(task, "m$task")
         invariants.recordTaskEnd(job, 0, "m0", done = false)
@@ -426,10 +445,10 @@
     }
 
     @Test
-    fun `a gang is called done with no task done, and one is enough`() {
+    fun `not_done when no task of a gang completed, and one completed task is enough`() {
         invariants.recordSubmission(gang())
         for (task in 0..2) startTask(task, "m$task")
-        answer("GET", 200, "done")
+        recordAnswer("GET", 200, "done")
         assertViolated("not_done")
         invariants.violations.clear()
         invariants.recordSubmission(gang().copy(id = "job-000002"))
@@ -439,7 +458,7 @@
     }
 
     @Test
-    fun `a gang begins with a part, or with a task that is on no machine`() {
+    fun `gang_part when a gang starts with too few tasks or with one that is on no machine`() {
         invariants.recordSubmission(gang())
         for (task in 0..1) startTask(task, "m$task")
         invariants.recordGangStart(job, 1, setOf(0, 1))
@@ -456,12 +475,12 @@
     }
 
     @Test
-    fun `the end of a gang is told once`() {
-        val ended = ArrayList<String>()
-        invariants.onAllTasksDone = { ended.add(it) }
+    fun `onAllTasksDone is called once for a gang`() {
+        val doneJobs = ArrayList<String>()
+        invariants.onAllTasksDone = { doneJobs.add(it) }
         invariants.recordSubmission(gang())
-        answer("POST", 201, "queued")
+        recordAnswer("POST", 201, "queued")
         for (task in 0..2) invariants.recordTaskEnd(job, task, "m$task", done = true)
-        assertEquals(listOf(job), ended)
+        assertEquals(listOf(job), doneJobs)
     }
 }
--- a/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
+++ b/src/test/kotlin/wardmux/sim/LeaderChangeFaults.kt
@@ -5,15 +5,15 @@
 import wardmux.model.seconds
 
 /**
- * Leaders that change every few seconds, beside machines that can be reached for moments only:
- * direct commands lost, late or held up, workers that report to another controller each time,
- * forwarders that restart, and a key-value store that refuses one controller or all.
+ * Injects leader changes every few seconds together with machines that are reachable only for short
+ * times: direct commands are lost or delayed, workers send each heartbeat to another controller,
+ * forwarding followers restart, and the key-value store refuses one controller or all.
  */
 class LeaderChangeFaults(private val simulation: ClusterSimulation) {
     private val clock = simulation.clock
     private var hasEnded = false
 
-    /** From now for [duration]; then all is well again. */
+    /** Injects faults for [duration] from now on, and then ends those that would last. */
     fun injectFor(duration: Micros) {
         hasEnded = false
         for (worker in simulation.cloud.workers()) worker.wanders =
@@ -37,6 +37,7 @@
         for (worker in simulation.cloud.workers()) worker.wanders = false
     }
 
+    /** Runs [action] again and again, after random pauses, until the faults end. */
     private fun repeatedly(shortestPause: Micros, longestPause: Micros, action: () -> Unit) {
         clock.after(clock.between(shortestPause, longestPause)) {
             if (hasEnded) return@after
@@ -45,6 +46,7 @@
         }
     }
 
+    /** Crashes the leader every few seconds, or all controllers at once. */
     private fun crashLeaders() =
         repeatedly(3.seconds, 8.seconds) {
             if (clock.chance(ALL_CONTROLLERS_CRASH_CHANCE)) {
@@ -57,7 +59,7 @@
             }
         }
 
-    /** Most machines carry out direct commands late, or never in the time of the leader. */
+    /** Delays direct commands to most machines, often until their sender no longer leads. */
     private fun delayCommands() {
         for (worker in simulation.cloud.workers()) {
             if (clock.chance(DELAYED_COMMANDS_CHANCE)) {
@@ -66,7 +68,10 @@
         }
     }
 
-    /** One way or both; what was sent to the machine meanwhile may come when it is back. */
+    /**
+     * Partitions some workers for a random time. Either messages to and from the worker are held
+     * until the partition ends, or those to it are dropped, or those in both directions are.
+     */
     private fun partitionSomeWorkers() {
         for (worker in simulation.cloud.workers()) {
             if (!clock.chance(PARTITION_CHANCE)) continue
@@ -83,16 +88,19 @@
         }
     }
 
+    /** Holds all messages to and from [host] and delivers them after [duration]. */
     private fun holdMessages(host: String, duration: Micros) {
         simulation.network.cut(host)
         clock.after(duration) { simulation.network.mend(host) }
     }
 
+    /** Drops the messages sent from [from] to [to]; the reverse direction works. */
     private fun dropMessages(from: String, to: String, duration: Micros) {
         simulation.network.part(from, to)
         clock.after(duration) { simulation.network.join(from, to) }
     }
 
+    /** The key-value store refuses the controller [member], or all if it is null. */
     private fun makeStoreUnavailable(member: String?, duration: Micros) {
         simulation.state.outage(member)
         clock.after(duration) { simulation.state.back(member) }
@@ -103,11 +111,16 @@
     private fun shortDelay() = clock.between(100.milliseconds, 3.seconds)
 
     private companion object {
+        /** Chance that a worker sends each heartbeat to another controller. */
         const val CONTROLLER_SWITCHING_CHANCE = 0.5
+
+        /** Chance that direct commands to a machine are delayed. */
         const val DELAYED_COMMANDS_CHANCE = 0.8
+
+        /** Chance that a worker is partitioned, each time that some are. */
         const val PARTITION_CHANCE = 0.25
 
-        /** Rather than the leader alone. */
+        /** Chance that all controllers crash rather than the leader alone. */
         const val ALL_CONTROLLERS_CRASH_CHANCE = 0.25
     }
 }
--- a/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
+++ b/src/test/kotlin/wardmux/sim/SingleGangScenario.kt
@@ -20,9 +20,12 @@
 import wardmux.serialization.lenientJson
 
 /**
- * One gang in a simulated simulation. Beyond the [Invariants], each command to start is held
- * against the stored pages, and no two attempts may be on machines at the same time, in whichever
- * zones.
+ * A simulated cluster with one gang. In addition to the [Invariants] it checks that each start
+ * command agrees with the stored task pages, and that tasks of two attempts are never on machines
+ * at the same time, not even in different zones.
+ *
+ * @param txnOps the most operations in one transaction of the key-value store
+ * @param gangWaitS how long a task waits for the rest of its gang, in seconds
  */
 internal class SingleGangScenario(seed: Long, txnOps: Int = 8, gangWaitS: Double = 35.0) {
     val simulation = ClusterSimulation(seed, txnOps, gangWaitS = gangWaitS)
@@ -30,12 +33,16 @@
     lateinit var gang: JobSpec
     private val violations = ArrayList<String>()
 
-    /** The machines that each attempt of each task was recorded on before it was started. */
+    /**
+     * By task number and attempt: the machines that the task pages named when a start command was
+     * sent.
+     */
     val recordedMachines = HashMap<Pair<Int, Int>, HashSet<String>>()
 
-    /** Called with the controller and the machine of each direct command to start. */
+    /** Called with the controller and the machine of each start command that is sent directly. */
     var onDirectStart: (by: String, machine: String) -> Unit = { _, _ -> }
 
+    /** Submits the gang at the simulated time [at] and starts the additional checks. */
     fun submit(
         tasks: Int,
         cpus: Double,
@@ -56,34 +63,39 @@
         clock.after(at) { simulation.submit(gang) }
         clock.every(20.milliseconds) {
             val attempts = simulation.invariants.attemptsOnMachines(gang.id)
-            if (attempts.size > 1) violations.add("attempts $attempts at once at ${clock.now}")
+            if (attempts.size > 1)
+                violations.add("attempts $attempts on machines at ${clock.now}, expected one")
         }
     }
 
+    /** Checks a start command, sent to [machine] or, if that is null, in a heartbeat response. */
     private fun checkStart(by: String, machine: String?, task: String, attempt: Int) {
         val id = TaskId.parse(task) ?: return
         if (id.job != gang.jobId) return
         val placements = recordedPlacements()
         val missing = (0 until gang.tasks).filter { placements[it]?.attempt != attempt }
-        if (missing.isNotEmpty()) violations.add("$task try $attempt starts without $missing")
+        if (missing.isNotEmpty())
+            violations.add("$task try $attempt starts, but tasks $missing are not recorded")
         val place = placements[id.index]?.machine?.value ?: return
-        if (machine != null && machine != place) violations.add("$task starts off its record")
+        if (machine != null && machine != place)
+            violations.add("$task starts on $machine, recorded is $place")
         recordedMachines.getOrPut(id.index to attempt) { HashSet() }.add(place)
         if (machine != null) onDirectStart(by, machine)
     }
 
+    /** The versions of the task pages that were read last, and the placements in them. */
     private var cachedPlacements: Pair<List<Long?>, Map<Int, Placement>> =
         emptyList<Long?>() to emptyMap()
 
-    /** What is stored of the gang's tasks that may be on machines. */
+    /** The stored placements of the gang's tasks that may be on machines, by task number. */
     fun recordedPlacements(): Map<Int, Placement> {
         val pages = 0..(gang.tasks - 1) / TASKS_PER_PAGE
         val versions = pages.map { simulation.state.version(TaskPageCodec.key(gang.jobId, it)) }
-        if (versions != cachedPlacements.first) cachedPlacements = versions to readPages(pages)
+        if (versions != cachedPlacements.first) cachedPlacements = versions to readPlacements(pages)
         return cachedPlacements.second
     }
 
-    private fun readPages(pages: IntRange): Map<Int, Placement> {
+    private fun readPlacements(pages: IntRange): Map<Int, Placement> {
         val job = Job(gang, KeyVersion(0), Micros.ZERO, TASKS_PER_PAGE)
         return pages
             .mapNotNull { simulation.state.value(TaskPageCodec.key(gang.jobId, it)) }
@@ -94,98 +106,103 @@
             .associateBy { it.task.index }
     }
 
-    /** How many pages of the gang a transaction puts. */
+    /** How many task pages of the gang the [transaction] writes. */
     fun pagesWrittenBy(transaction: JsonObject): Int =
         transaction["then"]?.jsonArray.orEmpty().count { change ->
             val key = change.jsonObject["put"]?.jsonPrimitive?.content.orEmpty()
             key.startsWith(TaskPageCodec.KEY_PREFIX + gang.id)
         }
 
-    /** Once, [after] the gang began to run. */
+    /** Runs [action] once, [after] this time since the gang first started to run. */
     fun runAfterGangStart(after: Micros, action: () -> Unit) {
         if (simulation.invariants.gangStarts > 0) clock.after(after, action)
         else clock.after(20.milliseconds) { runAfterGangStart(after, action) }
     }
 
-    /** The machines that hold tasks of the gang, in the order of these tasks. */
+    /** The machines that hold tasks of the gang, in the order of the task numbers. */
     fun gangMachines(): List<FakeWorker> {
         val machines = simulation.invariants.machineByTask(gang.id).toSortedMap().values.distinct()
         return machines.mapNotNull { id -> simulation.cloud.workers().find { it.id == id } }
     }
 
-    /** Heartbeats arrive, but neither answers nor commands reach it. */
+    /** Drops responses and commands to [worker]; its heartbeats still arrive. */
     fun dropMessagesTo(worker: String, duration: Micros) {
         for (node in simulation.nodes) dropMessages(node, worker, duration)
     }
 
-    /** Its heartbeats do not arrive; commands reach it. */
+    /** Drops the heartbeats of [worker]; direct commands still reach it. */
     fun dropHeartbeatsFrom(worker: String, duration: Micros) {
         simulation.network.mute.add(worker)
         clock.after(duration) { simulation.network.mute.remove(worker) }
     }
 
-    /** No machine can be deleted for [duration]. */
+    /** The cloud refuses to delete machines for [duration]. */
     fun refuseDeletions(duration: Micros) {
         simulation.cloud.keepsMachines = true
         clock.after(duration) { simulation.cloud.keepsMachines = false }
     }
 
-    /** Two more machines come up in each zone but [zone]. */
+    /** Rents two more machines in each zone except [zone]. */
     fun addMachinesOutside(zone: String) {
         for (other in listOf("a", "b", "c") - zone) repeat(2) {
             simulation.cloud.rent(other, false)
         }
     }
 
+    /** Partitions [worker] from all controllers, in both directions. */
     fun partition(worker: String, duration: Micros) {
         dropMessagesTo(worker, duration)
         for (node in simulation.nodes) dropMessages(worker, node, duration)
     }
 
+    /** [worker] executes nothing for [duration] and then resumes. */
     fun makeUnresponsive(worker: FakeWorker, duration: Micros) {
         worker.hanging = true
         clock.after(duration) { worker.hanging = false }
     }
 
+    /** Drops the messages sent from one host to the other; the reverse direction works. */
     private fun dropMessages(from: String, to: String, duration: Micros) {
         simulation.network.part(from, to)
         clock.after(duration) { simulation.network.join(from, to) }
     }
 
+    /** Runs up to [until], and asserts that no rule was violated and that the gang ran. */
     fun assertNoViolationsUntil(until: Micros) {
         simulation.run(until)
         assertEquals(emptyList(), (simulation.problems() + violations).distinct().take(4))
         assertTrue(
             simulation.invariants.gangStarts > 0,
-            "the gang never ran: ${simulation.gangs.endCounts}",
+            "the gang never ran; its tasks ended by ${simulation.gangs.endCounts}",
         )
     }
 
+    /** As [assertNoViolationsUntil]; the user must also have been told that the gang is done. */
     fun assertDoneBy(until: Micros) {
         assertNoViolationsUntil(until)
         assertEquals(
             "done",
             simulation.invariants.finalStateOf(gang.id),
-            "ends: ${simulation.gangs.endCounts}",
+            "state of the gang; its tasks ended by ${simulation.gangs.endCounts}",
         )
     }
 
-    /** An attempt after the first ran too. */
+    /** As [assertNoViolationsUntil]; an attempt after the first must have run too. */
     fun assertRestartedBy(until: Micros) {
         assertNoViolationsUntil(until)
         assertTrue(
             simulation.invariants.gangStarts > 1,
-            "it never began again: ${simulation.gangs.endCounts}",
+            "the gang ran only once; its tasks ended by ${simulation.gangs.endCounts}",
         )
     }
 
     companion object {
         const val CHECKPOINT_PERIOD_S = 5.0
 
-        /** Machines that stand idle are returned, so not long after they came up. */
+        /** Soon after the first machines came up, since idle machines are returned. */
         val SUBMISSION_TIME = 7.seconds
 
-        /** Tasks that a page holds with values of up to 8 KiB. */
+        /** The tasks that a page holds if values may be up to 8 KiB. */
         private val TASKS_PER_PAGE = TaskPageCodec.tasksPerPage(8 * 1024)
     }
 }
