--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -72,7 +72,8 @@
             limits = ProcessLimits(fdLimit = fdLimit),
         )
     val store = FakeKeyValueStore(clock, deployment.state)
-    val invariants = Invariants(teams, deployment.workers.cancelS.seconds + Invariants.SLACK)
+    val invariants =
+        Invariants(teams, deployment.workers.cancelS.seconds + Invariants.CANCELLATION_SLACK)
     val gangs = FakeGangs(clock, invariants, gangWaitS, gangPeerS)
     val cloud = FakeCloud(clock, zones, capacityPerZone, ::createWorker)
     private val workers = HashMap<String, FakeWorker>()
@@ -103,7 +104,7 @@
             onStartDecided?.let { listener ->
                 for (effect in effects) notifyStartCommands(effect, listener)
             }
-            if (!invariants.knowsCancelled) return
+            if (!invariants.hasReportedCancellation) return
             for (effect in effects) {
                 val body =
                     when {
@@ -112,7 +113,7 @@
                         else -> continue
                     }.decodeToString()
                 for (start in startCommandJob.findAll(body)) {
-                    invariants.ordered(clock.now, start.groupValues[1], start.value)
+                    invariants.recordStartCommand(clock.now, start.groupValues[1], start.value)
                 }
             }
         }
@@ -343,7 +344,7 @@
     }
 
     init {
-        invariants.whenAllDone = users::onJobEnded
+        invariants.onAllTasksDone = users::onJobEnded
         for (node in nodes) startController(node)
         if (startWithMachines) for (zone in zones) cloud.rent(zone, spot = false)
     }
@@ -409,7 +410,7 @@
     fun unconstrainedService(team: String, tasks: Int): JobSpec =
         unconstrainedJob(JobKind.SERVICE, team, tasks, cpus = 2.0, estimateS = 0.0)
 
-    fun run(until: Micros) = clock.run(until) { invariants.check(clock.now) }
+    fun run(until: Micros) = clock.run(until) { invariants.checkCancelledJobs(clock.now) }
 
     /** From now, which is calm, no job may wait beside a machine that has room for it. */
     fun startWorkConservationChecks() = repeatWorkConservationCheck()
@@ -417,7 +418,11 @@
     private fun repeatWorkConservationCheck() {
         val healthy =
             cloud.workers().filter { !it.unresponsive && !it.failsEveryTask && it.recallS == null }
-        invariants.rooms(clock.now, healthy.map { it.view() }, cloud.workers().map { it.view() })
+        invariants.checkWaitingJobs(
+            clock.now,
+            healthy.map { it.view() },
+            cloud.workers().map { it.view() },
+        )
         clock.after(1.seconds) { repeatWorkConservationCheck() }
     }
 
@@ -425,7 +430,7 @@
     fun checkAtEnd(faultsEndedAt: Micros) = invariants.checkAtEnd(clock.now, faultsEndedAt)
 
     fun violations(): List<String> =
-        invariants.broken + store.protocolViolations + cloud.protocolViolations
+        invariants.violations + store.protocolViolations + cloud.protocolViolations
 
     private companion object {
         val startCommandTask = Regex("""\{"verb":"start","piece":"(job-\d+/\d+)","try":(\d+)""")
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -54,13 +54,13 @@
         override val job = task.job
         override val index = task.index
         override val attempt = task.attempt
-        override val hanging
+        override val isUnresponsive
             get() = this@FakeWorker.unresponsive
 
-        override fun begin() = beginGangTask(task)
+        override fun startRunning() = beginGangTask(task)
 
-        override fun exit(cause: String, kept: Boolean) {
-            task.kept = kept
+        override fun exit(cause: String, progressSaved: Boolean) {
+            task.kept = progressSaved
             endTask(task, cause, done = cause == "done")
         }
     }
@@ -143,12 +143,14 @@
     /** It ends with its machine or its incarnation. */
     private fun loseTask(task: Task) {
         removeFromMachine(task, done = false)
-        if (task.status != "ended") invariants.losses.lost(clock.now, task.name, LossCause.CRASHED)
+        if (task.status != "ended")
+            invariants.disruptions.recordDisruption(clock.now, task.name, DisruptionCause.CRASHED)
     }
 
     private fun removeFromMachine(task: Task, done: Boolean) {
-        if (task.status in statusesOnMachine) invariants.ended(task.job, task.index, id, done)
-        task.gangTask?.let(gangs::gone)
+        if (task.status in statusesOnMachine)
+            invariants.recordTaskEnd(task.job, task.index, id, done)
+        task.gangTask?.let(gangs::removeTask)
     }
 
     private fun step() {
@@ -287,7 +289,7 @@
         when (command.getValue("verb").jsonPrimitive.content) {
             "start" ->
                 if (key !in tasks) {
-                    invariants.startCarriedOut(name.substringBefore('/'))
+                    invariants.recordStartCarriedOut(name.substringBefore('/'))
                     startTask(Task(name, attempt).also { tasks[key] = it })
                 }
             "halt" ->
@@ -321,18 +323,27 @@
         if (!isPresent(task) || task.status != "fetching") return
         if (unresponsive) return clock.after(1.seconds) { runTask(task, spec) }
         if (task.name in storedResults || gangs.isDone(task.job)) {
-            invariants.startsOfDone++
+            invariants.startsOfDoneTasks++
             return endTask(task, "done", false)
         }
         task.status = "running"
         hasUnreportedChange = true
-        invariants.started(clock.now, task.job, task.index, id, type, zone, spot, task.attempt)
+        invariants.recordTaskStart(
+            clock.now,
+            task.job,
+            task.index,
+            id,
+            type,
+            zone,
+            spot,
+            task.attempt,
+        )
         if (spec.kind == JobKind.GANG) {
             task.status = "gathering"
-            return gangs.join(GangMember(task).also { task.gangTask = it }, spec)
+            return gangs.addTask(GangMember(task).also { task.gangTask = it }, spec)
         }
         startedTasks++
-        invariants.losses.runs(clock.now, task.name, spec.team)
+        invariants.disruptions.recordRunning(clock.now, task.name, spec.team)
         if (failsEveryTask)
             return clock.after(1.seconds) { if (isPresent(task)) endTask(task, "error", false) }
         if (spec.estimateS > 0) {
@@ -347,7 +358,9 @@
         task.status = "running"
         hasUnreportedChange = true
         startedTasks++
-        specOf(task.job)?.let { invariants.losses.runs(clock.now, task.name, it.team) }
+        specOf(task.job)?.let {
+            invariants.disruptions.recordRunning(clock.now, task.name, it.team)
+        }
         if (failsEveryTask)
             clock.after(1.seconds) { if (isPresent(task)) endTask(task, "error", false) }
     }
@@ -359,15 +372,16 @@
         endTask(task, "done", true)
     }
 
-    private fun stopCause() = if (recallS == null) LossCause.STOPPED else LossCause.RECALLED
+    private fun stopCause() =
+        if (recallS == null) DisruptionCause.STOPPED else DisruptionCause.PREEMPTED
 
     private fun endTask(task: Task, cause: String, done: Boolean) {
         if (task.status == "ended") return
         removeFromMachine(task, done)
-        if (done) invariants.losses.done(task.name)
+        if (done) invariants.disruptions.recordDone(task.name)
         else {
-            val lossCause = if (cause == "stopped") stopCause() else LossCause.CRASHED
-            invariants.losses.lost(clock.now, task.name, lossCause)
+            val disruptionCause = if (cause == "stopped") stopCause() else DisruptionCause.CRASHED
+            invariants.disruptions.recordDisruption(clock.now, task.name, disruptionCause)
         }
         task.status = "ended"
         task.cause = cause
@@ -382,7 +396,7 @@
             gangTask != null -> gangs.halt(gangTask, withinS)
             task.status == "running" && spec.isCheckpointable && withinS >= spec.saveS -> {
                 task.status = "saving"
-                invariants.losses.lost(clock.now, task.name, stopCause())
+                invariants.disruptions.recordDisruption(clock.now, task.name, stopCause())
                 clock.after(spec.saveS.seconds) {
                     task.kept = true
                     if (isPresent(task)) endTask(task, "stopped", false)
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -5,21 +5,28 @@
 import wardmux.model.seconds
 
 /**
- * All that may happen to a [simulation], for scenarios of every kind; [submit] brings one more job.
+ * The faults that tests of all kinds inject into a [simulation]. Calling a list entry injects one
+ * fault. Faults that last end by themselves, except that a machine on which tasks fail stays so.
+ * Some entries submit or cancel jobs; [submitJob] submits one more job.
  */
-class FaultInjector(private val simulation: ClusterSimulation, private val submit: () -> Unit) {
+class FaultInjector(private val simulation: ClusterSimulation, private val submitJob: () -> Unit) {
     private val clock = simulation.clock
 
-    private fun someWorkers(most: Int) =
-        simulation.cloud.workers().shuffled(clock.random).take(1 + clock.random.nextInt(most))
+    /** One to [maxCount] random workers. */
+    private fun randomWorkers(maxCount: Int) =
+        simulation.cloud.workers().shuffled(clock.random).take(1 + clock.random.nextInt(maxCount))
 
-    private fun someNode() = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
+    private fun randomNode() = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
 
-    private fun members(): List<String> = simulation.nodes.shuffled(clock.random)
+    private fun shuffledNodes(): List<String> = simulation.nodes.shuffled(clock.random)
 
+    /**
+     * Crashes of controllers and machines, outages of the key-value store and the cloud,
+     * preemptions, unresponsive machines, delayed and lost messages, and bursts of jobs.
+     */
     val basicFaults: List<() -> Unit> =
         listOf(
-            { simulation.crash(someNode(), clock.randomBetween(100.milliseconds, 8.seconds)) },
+            { simulation.crash(randomNode(), clock.randomBetween(100.milliseconds, 8.seconds)) },
             {
                 simulation.leader()?.let {
                     simulation.crash(it, clock.randomBetween(200.milliseconds, 3.seconds))
@@ -32,42 +39,46 @@
                 )
             },
             {
-                for ((i, node) in members().withIndex()) {
+                for ((i, node) in shuffledNodes().withIndex()) {
                     clock.after((i * 7).seconds) { simulation.crash(node, 3.seconds) }
                 }
             },
-            { outage(null, clock.randomBetween(1.seconds, 25.seconds)) },
-            { outage(someNode(), clock.randomBetween(1.seconds, 40.seconds)) },
-            { simulation.leader()?.let { outage(it, clock.randomBetween(4.seconds, 40.seconds)) } },
+            { makeStoreUnavailable(null, clock.randomBetween(1.seconds, 25.seconds)) },
+            { makeStoreUnavailable(randomNode(), clock.randomBetween(1.seconds, 40.seconds)) },
+            {
+                simulation.leader()?.let {
+                    makeStoreUnavailable(it, clock.randomBetween(4.seconds, 40.seconds))
+                }
+            },
             {
                 simulation.cloud.unavailable = true
                 clock.after(20.seconds) { simulation.cloud.unavailable = false }
             },
-            { someWorkers(2).forEach { simulation.cloud.crash(it) } },
-            { someWorkers(4).filter { it.spot }.forEach { simulation.cloud.reclaimSpot(it) } },
+            { randomWorkers(2).forEach { simulation.cloud.crash(it) } },
+            { randomWorkers(4).filter { it.spot }.forEach { simulation.cloud.reclaimSpot(it) } },
             {
-                for (worker in someWorkers(3).filter { it.spot }) {
+                for (worker in randomWorkers(3).filter { it.spot }) {
                     worker.recallS = 10.0
                     clock.after(10.seconds) { simulation.cloud.reclaimSpot(worker) }
                 }
             },
             {
-                for (worker in someWorkers(2)) {
+                for (worker in randomWorkers(2)) {
                     worker.unresponsive = true
-                    // Some go on just inside their lease, some just outside it.
+                    // Some resume just before their lease ends, some just after.
                     clock.after(clock.randomBetween(2.seconds, 30.seconds)) {
                         worker.unresponsive = false
                     }
                 }
             },
             {
-                for (worker in someWorkers(2)) cut(
+                for (worker in randomWorkers(2)) holdMessages(
                     worker.id,
                     clock.randomBetween(3.seconds, 50.seconds),
                 )
             },
-            { cut(someNode(), clock.randomBetween(2.seconds, 30.seconds)) },
-            { someWorkers(1).forEach { it.failsEveryTask = true } },
+            { holdMessages(randomNode(), clock.randomBetween(2.seconds, 30.seconds)) },
+            { randomWorkers(1).forEach { it.failsEveryTask = true } },
             {
                 simulation.network.longDelayProbability = 0.05
                 clock.after(30.seconds) { simulation.network.longDelayProbability = 0.0 }
@@ -76,38 +87,48 @@
                 simulation.network.lossProbability = 0.1
                 clock.after(20.seconds) { simulation.network.lossProbability = 0.0 }
             },
-            { repeat(6) { submit() } },
+            { repeat(6) { submitJob() } },
         )
 
     /**
-     * Deaf machines, copies and delays. A list of its own, so that earlier seeds keep their
+     * Asymmetric message loss, duplicated messages, partitions between controllers, and delays.
+     * Separate from [basicFaults] so that the seeds of tests that use only those keep their
      * scenarios.
      */
     val networkFaults: List<() -> Unit> =
         listOf(
             {
-                for (worker in someWorkers(3)) deaf(
+                for (worker in randomWorkers(3)) dropMessagesTo(
                     worker.id,
                     clock.randomBetween(5.seconds, 60.seconds),
                 )
             },
             {
-                for (worker in someWorkers(2)) for (node in simulation.nodes) apart(node, worker.id)
+                for (worker in randomWorkers(2)) for (node in
+                    simulation.nodes) dropMessagesForRandomTime(node, worker.id)
             },
             {
                 simulation.network.duplicateProbability = 0.2
                 clock.after(40.seconds) { simulation.network.duplicateProbability = 0.0 }
             },
             {
-                // What was sent before a machine's end arrives after its deletion.
+                // Messages sent before the end of a machine arrive again after its deletion.
                 simulation.network.duplicateProbability = 0.5
-                someWorkers(2).forEach { simulation.cloud.crash(it) }
+                randomWorkers(2).forEach { simulation.cloud.crash(it) }
                 clock.after(15.seconds) { simulation.network.duplicateProbability = 0.0 }
             },
-            { simulation.leader()?.let { alone(it, clock.randomBetween(8.seconds, 50.seconds)) } },
-            { alone(someNode(), clock.randomBetween(8.seconds, 50.seconds)) },
             {
-                simulation.leader()?.let { unheard(it, clock.randomBetween(8.seconds, 50.seconds)) }
+                simulation.leader()?.let {
+                    partitionFromStoreAndPeers(it, clock.randomBetween(8.seconds, 50.seconds))
+                }
+            },
+            {
+                partitionFromStoreAndPeers(randomNode(), clock.randomBetween(8.seconds, 50.seconds))
+            },
+            {
+                simulation.leader()?.let {
+                    partitionFromWorkers(it, clock.randomBetween(8.seconds, 50.seconds))
+                }
             },
             {
                 for (node in simulation.nodes) {
@@ -115,49 +136,50 @@
                 }
             },
             {
-                // In the middle of the election that the first crash begins.
+                // The second crash falls into the election that the first one starts.
                 simulation.leader()?.let {
                     simulation.crash(it, clock.randomBetween(20.milliseconds, 300.milliseconds))
                 }
                 clock.after(clock.randomBetween(10.milliseconds, 5.seconds)) {
                     simulation.crash(
-                        someNode(),
+                        randomNode(),
                         clock.randomBetween(20.milliseconds, 300.milliseconds),
                     )
                 }
             },
             {
-                val length = clock.randomBetween(5.seconds, 40.seconds)
+                val duration = clock.randomBetween(5.seconds, 40.seconds)
                 for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
-                    part(a, b, length)
+                    dropMessages(a, b, duration)
             },
-            { slow("state", 60.milliseconds) },
-            { slow(someNode(), 500.milliseconds) },
+            { delayMessagesTo("state", 60.milliseconds) },
+            { delayMessagesTo(randomNode(), 500.milliseconds) },
         )
 
-    /** Frozen controllers and zones that are cut off. */
+    /** Frozen controllers, and a zone that is partitioned from the others. */
     val partitionFaults: List<() -> Unit> =
         listOf(
-            { simulation.freeze(someNode(), clock.randomBetween(1.seconds, 30.seconds)) },
+            { simulation.freeze(randomNode(), clock.randomBetween(1.seconds, 30.seconds)) },
             {
                 simulation.leader()?.let {
                     simulation.freeze(it, clock.randomBetween(1.seconds, 30.seconds))
                 }
             },
             {
-                // A zone cut off with a controller in it.
-                val length = clock.randomBetween(5.seconds, 47.seconds)
+                // Partitions zone a, with one controller in it, from the other controllers, the
+                // key-value store, the cloud and the users.
+                val duration = clock.randomBetween(5.seconds, 47.seconds)
                 val inside = simulation.cloud.workers().filter { it.zone == "a" }.map { it.id }
                 for (host in inside + simulation.nodes.first()) {
                     for (other in simulation.nodes.drop(1) + "state" + "cloud" + "user") {
-                        part(host, other, length)
-                        part(other, host, length)
+                        dropMessages(host, other, duration)
+                        dropMessages(other, host, duration)
                     }
                 }
             },
         )
 
-    /** Cancellations and old messages that meet the other faults. */
+    /** Cancellations and delayed messages, alone and combined with other faults. */
     val cancellationFaults: List<() -> Unit> =
         listOf(
             {
@@ -173,12 +195,12 @@
                 }
             },
             {
-                for (worker in someWorkers(4)) mute(
+                for (worker in randomWorkers(4)) dropHeartbeatsFrom(
                     worker.id,
                     clock.randomBetween(5.seconds, 50.seconds),
                 )
             },
-            { deafZone(clock.randomBetween(5.seconds, 40.seconds)) },
+            { dropMessagesToRandomZone(clock.randomBetween(5.seconds, 40.seconds)) },
             { simulation.users.cancelRunningJobs(1 + clock.random.nextInt(6), Micros.ZERO) },
             { simulation.users.cancelRunningJobs(6, clock.randomBetween(2.seconds, 30.seconds)) },
             {
@@ -191,17 +213,19 @@
                 }
             },
             {
-                // The leader is cut off, and jobs are cancelled through the next one.
-                simulation.leader()?.let { alone(it, clock.randomBetween(8.seconds, 50.seconds)) }
+                // The leader is partitioned, and jobs are cancelled through the next one.
+                simulation.leader()?.let {
+                    partitionFromStoreAndPeers(it, clock.randomBetween(8.seconds, 50.seconds))
+                }
                 clock.after(clock.randomBetween(1.seconds, 12.seconds)) {
                     simulation.users.cancelRunningJobs(6, Micros.ZERO)
                 }
             },
-            { gap(clock.randomBetween(5.seconds, 40.seconds)) },
-            { gap(clock.randomBetween(40.seconds, 70.seconds)) },
+            { storeOutageWithCancellations(clock.randomBetween(5.seconds, 40.seconds)) },
+            { storeOutageWithCancellations(clock.randomBetween(40.seconds, 70.seconds)) },
             {
-                // A leader ends while it does not hear some of its machines.
-                for (worker in someWorkers(4)) mute(
+                // A leader crashes while the heartbeats of some machines do not arrive.
+                for (worker in randomWorkers(4)) dropHeartbeatsFrom(
                     worker.id,
                     clock.randomBetween(5.seconds, 40.seconds),
                 )
@@ -211,73 +235,85 @@
             },
         )
 
-    /** The key-value store refuses the leader alone, jobs are cancelled, then it refuses all. */
-    private fun gap(length: Micros) {
-        val alone = clock.randomBetween(1.seconds, 14.seconds)
-        simulation.leader()?.let { outage(it, alone + 3.seconds) }
-        clock.after(clock.randomBetween(Micros.ZERO, alone)) {
+    /**
+     * The key-value store refuses the leader alone, jobs are cancelled meanwhile, and then it
+     * refuses all controllers for [duration].
+     */
+    private fun storeOutageWithCancellations(duration: Micros) {
+        val leaderOutage = clock.randomBetween(1.seconds, 14.seconds)
+        simulation.leader()?.let { makeStoreUnavailable(it, leaderOutage + 3.seconds) }
+        clock.after(clock.randomBetween(Micros.ZERO, leaderOutage)) {
             simulation.users.cancelRunningJobs(6, Micros.ZERO)
         }
-        clock.after(alone) { outage(null, length) }
+        clock.after(leaderOutage) { makeStoreUnavailable(null, duration) }
     }
 
-    private fun mute(worker: String, length: Micros) {
+    /** Drops the heartbeats of [worker]; direct commands still reach it. */
+    private fun dropHeartbeatsFrom(worker: String, duration: Micros) {
         simulation.network.outboundBlocked.add(worker)
-        clock.after(length) { simulation.network.outboundBlocked.remove(worker) }
+        clock.after(duration) { simulation.network.outboundBlocked.remove(worker) }
     }
 
-    private fun deafZone(length: Micros) {
+    /** Drops responses and commands to all workers of a random zone. */
+    private fun dropMessagesToRandomZone(duration: Micros) {
         val zone = listOf("a", "b", "c").random(clock.random)
-        for (worker in simulation.cloud.workers().filter { it.zone == zone }) deaf(
+        for (worker in simulation.cloud.workers().filter { it.zone == zone }) dropMessagesTo(
             worker.id,
-            length,
+            duration,
         )
     }
 
-    private fun part(from: String, to: String, length: Micros) {
+    /** Drops the messages sent from [from] to [to]; the reverse direction works. */
+    private fun dropMessages(from: String, to: String, duration: Micros) {
         simulation.network.blockPath(from, to)
-        clock.after(length) { simulation.network.unblockPath(from, to) }
+        clock.after(duration) { simulation.network.unblockPath(from, to) }
     }
 
-    private fun apart(a: String, b: String) {
-        val length = clock.randomBetween(3.seconds, 40.seconds)
-        part(a, b, length)
-        if (clock.chance(0.5)) part(b, a, length)
+    /** Drops messages for a random time, in half of the cases in both directions. */
+    private fun dropMessagesForRandomTime(from: String, to: String) {
+        val duration = clock.randomBetween(3.seconds, 40.seconds)
+        dropMessages(from, to, duration)
+        if (clock.chance(0.5)) dropMessages(to, from, duration)
     }
 
-    /** Its heartbeats arrive; responses and commands do not reach it. */
-    private fun deaf(worker: String, length: Micros) {
-        for (node in simulation.nodes) part(node, worker, length)
+    /** Drops responses and commands to [worker]; its heartbeats still arrive. */
+    private fun dropMessagesTo(worker: String, duration: Micros) {
+        for (node in simulation.nodes) dropMessages(node, worker, duration)
     }
 
-    /** A controller without key-value store and peers, but with its workers. */
-    private fun alone(member: String, length: Micros) {
+    /**
+     * Partitions a controller from the key-value store and its peers; it still reaches its workers.
+     */
+    private fun partitionFromStoreAndPeers(member: String, duration: Micros) {
         for (other in simulation.nodes - member + "state") {
-            part(member, other, length)
-            part(other, member, length)
+            dropMessages(member, other, duration)
+            dropMessages(other, member, duration)
         }
     }
 
-    /** A controller that its workers do not reach, nor it them. */
-    private fun unheard(member: String, length: Micros) {
+    /** Partitions a controller from all workers, in both directions. */
+    private fun partitionFromWorkers(member: String, duration: Micros) {
         for (worker in simulation.cloud.workers()) {
-            part(member, worker.id, length)
-            part(worker.id, member, length)
+            dropMessages(member, worker.id, duration)
+            dropMessages(worker.id, member, duration)
         }
     }
 
-    private fun slow(host: String, by: Micros) {
-        simulation.network.extraLatency[host] = by
+    /** Delays all messages to [host] by [delay] for 30 s. */
+    private fun delayMessagesTo(host: String, delay: Micros) {
+        simulation.network.extraLatency[host] = delay
         clock.after(30.seconds) { simulation.network.extraLatency.remove(host) }
     }
 
-    private fun outage(member: String?, length: Micros) {
+    /** The key-value store refuses the controller [member], or all if it is null. */
+    private fun makeStoreUnavailable(member: String?, duration: Micros) {
         simulation.store.startOutage(member)
-        clock.after(length) { simulation.store.endOutage(member) }
+        clock.after(duration) { simulation.store.endOutage(member) }
     }
 
-    private fun cut(host: String, length: Micros) {
+    /** Holds all messages to and from [host] and delivers them after [duration]. */
+    private fun holdMessages(host: String, duration: Micros) {
         simulation.network.isolate(host)
-        clock.after(length) { simulation.network.reconnect(host) }
+        clock.after(duration) { simulation.network.reconnect(host) }
     }
 }
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -94,7 +94,7 @@
     /** Submits [spec], and again until it is accepted; then asks for its status now and again. */
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
-        invariants.submitted(spec)
+        invariants.recordSubmission(spec)
         submitUntilAccepted(spec, clock.now + 60.seconds)
     }
 
@@ -103,7 +103,14 @@
         val requestedAt = clock.now
         request("POST", "/submissions", body) { status, text ->
             if (status != null)
-                invariants.told(clock.now, spec.id, "POST", status, statusIn(text), requestedAt)
+                invariants.recordAnswer(
+                    clock.now,
+                    spec.id,
+                    "POST",
+                    status,
+                    statusIn(text),
+                    requestedAt,
+                )
             if (status == 200 || status == 201) {
                 acceptedSubmissions++
                 // Some repeat a request that was carried out.
@@ -126,19 +133,26 @@
         val requestedAt = clock.now
         request("GET", "/submissions/$job", ByteArray(0)) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "GET", status, statusIn(text), requestedAt)
-            invariants.answered(clock.now, job, status == 200)
+                invariants.recordAnswer(clock.now, job, "GET", status, statusIn(text), requestedAt)
+            invariants.recordPoll(clock.now, job, status == 200)
             clock.after(clock.randomBetween(3.seconds, 6.seconds)) { poll(job) }
         }
     }
 
     /** Cancels [job] through the controller [by], or any, and again until it is confirmed. */
     fun cancel(job: String, controller: String? = null) {
-        invariants.askedToCancel(job)
+        invariants.recordCancelRequest(job)
         val requestedAt = clock.now
         request("POST", "/submissions/$job/abort", ByteArray(0), controller) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "abort", status, statusIn(text), requestedAt)
+                invariants.recordAnswer(
+                    clock.now,
+                    job,
+                    "abort",
+                    status,
+                    statusIn(text),
+                    requestedAt,
+                )
             if (status != 200) clock.after(1.seconds) { cancel(job, controller) }
             // Its submission was never answered, so this is the first that its user hears of it.
             else if (polledJobs.add(job)) poll(job)
@@ -152,7 +166,7 @@
      */
     fun cancelRunningJobs(count: Int, unresponsiveFor: Micros) {
         val running =
-            invariants.runningUncancelled().map(specs::getValue).sortedByDescending {
+            invariants.runningJobsNotCancelled().map(specs::getValue).sortedByDescending {
                 if (it.estimateS == 0.0) Double.MAX_VALUE else it.estimateS
             }
         val jobsToCancel = running.take(count).map { it.id }
@@ -185,12 +199,12 @@
     /** One of the requests that users seldom make; the answers to all of them are checked. */
     fun sendUnusualRequest() {
         when (clock.random.nextInt(5)) {
-            0 -> invariants.open().randomOrNull(clock.random)?.let(::resubmit)
-            1 -> invariants.over().randomOrNull(clock.random)?.let(::resubmit)
+            0 -> invariants.openJobs().randomOrNull(clock.random)?.let(::resubmit)
+            1 -> invariants.finishedJobs().randomOrNull(clock.random)?.let(::resubmit)
             2 ->
                 invariants
-                    .over()
-                    .filter { invariants.finalOf(it) == "done" }
+                    .finishedJobs()
+                    .filter { invariants.finalStateOf(it) == "done" }
                     .randomOrNull(clock.random)
                     ?.let { cancelCompletedJob(it) }
             3 -> submitInvalid(422, encode(unsatisfiableJob()))
@@ -206,7 +220,13 @@
         val body = encode(specs.getValue(job)).toString().encodeToByteArray()
         request("POST", "/submissions", body) { status, text ->
             if (status != null)
-                invariants.repeated(clock.now, job, status, statusIn(text), requestedAt)
+                invariants.recordRepeatedSubmission(
+                    clock.now,
+                    job,
+                    status,
+                    statusIn(text),
+                    requestedAt,
+                )
         }
     }
 
@@ -214,7 +234,14 @@
         val requestedAt = clock.now
         request("POST", "/submissions/$job/abort", ByteArray(0)) { status, text ->
             if (status != null)
-                invariants.told(clock.now, job, "abort", status, statusIn(text), requestedAt)
+                invariants.recordAnswer(
+                    clock.now,
+                    job,
+                    "abort",
+                    status,
+                    statusIn(text),
+                    requestedAt,
+                )
         }
     }
 
@@ -242,11 +269,12 @@
     private fun submitInvalid(expected: Int, body: JsonObject) {
         val job = body.getValue("name_id").jsonPrimitive.content
         request("POST", "/submissions", body.toString().encodeToByteArray()) { status, _ ->
-            if (status != null) invariants.answeredBad(job, expected, status, body.toString())
+            if (status != null)
+                invariants.recordInvalidJobAnswer(job, expected, status, body.toString())
             // Nor is it known afterwards.
             request("GET", "/submissions/$job", ByteArray(0)) { laterStatus, text ->
                 if (laterStatus != null)
-                    invariants.told(clock.now, job, "GET", laterStatus, statusIn(text))
+                    invariants.recordAnswer(clock.now, job, "GET", laterStatus, statusIn(text))
             }
         }
     }
