--- a/src/main/kotlin/wardmux/app/BackgroundExecutor.kt
+++ b/src/main/kotlin/wardmux/app/BackgroundExecutor.kt
@@ -11,12 +11,13 @@
 class BackgroundExecutor {
     private val log = logger<BackgroundExecutor>()
     private val executor: ExecutorService =
-        ThreadPoolExecutor(0, 1, IDLE_S, TimeUnit.SECONDS, LinkedBlockingQueue()) { work ->
-            Thread(work, "planner").apply { isDaemon = true }
+        ThreadPoolExecutor(0, 1, THREAD_IDLE_TIMEOUT_S, TimeUnit.SECONDS, LinkedBlockingQueue()) {
+            runnable ->
+            Thread(runnable, "planner").apply { isDaemon = true }
         }
 
-    /** Runs [task]; [then] is called on the background thread, with null if the task failed. */
-    fun execute(task: BackgroundTask<*>, then: (Any?) -> Unit) {
+    /** Runs [task]; [onResult] is called on the background thread, with null if the task failed. */
+    fun execute(task: BackgroundTask<*>, onResult: (Any?) -> Unit) {
         executor.execute {
             val result =
                 try {
@@ -26,11 +27,11 @@
                     log.error("background task {} failed", task.javaClass.simpleName, e)
                     null
                 }
-            then(result)
+            onResult(result)
         }
     }
 
     private companion object {
-        const val IDLE_S = 5L
+        const val THREAD_IDLE_TIMEOUT_S = 5L
     }
 }
--- a/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
+++ b/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
@@ -9,18 +9,18 @@
 object CdsTrainingRun {
     /** Runs a controller that reaches no service for as long as it takes to load its classes. */
     fun run() {
-        val dir = kotlin.io.path.createTempDirectory("wardmux").toFile()
-        val file = dir.resolve("settings.toml")
-        file.writeText(SAMPLE_SETTINGS)
-        val platform = SettingsFiles.platform(file)
-        dir.deleteRecursively()
-        val daemon = Thread { Daemon(platform, OperatorSettings()).run() }
-        daemon.isDaemon = true
-        daemon.start()
-        Thread.sleep(LOADING_MILLIS)
+        val directory = kotlin.io.path.createTempDirectory("wardmux").toFile()
+        val settingsFile = directory.resolve("settings.toml")
+        settingsFile.writeText(SAMPLE_SETTINGS)
+        val platform = SettingsFiles.platform(settingsFile)
+        directory.deleteRecursively()
+        val daemonThread = Thread { Daemon(platform, OperatorSettings()).run() }
+        daemonThread.isDaemon = true
+        daemonThread.start()
+        Thread.sleep(CLASS_LOADING_MILLIS)
     }
 
-    private const val LOADING_MILLIS = 1_500L
+    private const val CLASS_LOADING_MILLIS = 1_500L
 
     internal val SAMPLE_SETTINGS =
         """
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -25,7 +25,9 @@
     private val controller = Controller(platform, operators, newProcessIncarnation())
     private val sockets = platform.deployment.limits.sockets
     private val server =
-        HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) { handle(it) }
+        HttpServer(group, sockets.clients, sockets.workers, CONNECTION_IDLE_TIMEOUT_S) {
+            handle(it)
+        }
     private val backgroundExecutor = BackgroundExecutor()
     private val clients = HashMap<Target, HttpClient>()
     private val workerClients = WorkerClients(group, sockets.workers, MAX_RESPONSE_BYTES)
@@ -48,10 +50,10 @@
      * [BindException] if the address for peers or users can't be listened on.
      */
     fun run() {
-        val loop = group.next()
-        loop
+        val eventLoop = group.next()
+        eventLoop
             .submit {
-                loop.scheduleWithFixedDelay(
+                eventLoop.scheduleWithFixedDelay(
                     { handle(Input.Tick) },
                     0,
                     TICK_PERIOD.value,
@@ -60,18 +62,18 @@
             }
             .sync()
         bind(platform.peerAddress, ListenerKind.PEER)
-        val api = bind(platform.apiAddress, ListenerKind.API)
+        val apiChannel = bind(platform.apiAddress, ListenerKind.API)
         log.info("{} listens for users on {}", platform.member, platform.apiAddress)
-        listenForOperators(api)
+        listenForOperators(apiChannel)
     }
 
     /**
      * Users are served also where the operators' address can't be listened on: that is tried again
-     * now and then. Blocks until [api] is closed.
+     * now and then. Blocks until [apiChannel] is closed.
      */
-    private fun listenForOperators(api: Channel) {
+    private fun listenForOperators(apiChannel: Channel) {
         var isBound = bindOperators(isRetry = false)
-        while (!api.closeFuture().await(OPERATORS_RETRY_S, TimeUnit.SECONDS)) {
+        while (!apiChannel.closeFuture().await(OPERATOR_LISTENER_RETRY_S, TimeUnit.SECONDS)) {
             if (!isBound) isBound = bindOperators(isRetry = true)
         }
     }
@@ -94,19 +96,19 @@
      * with all of these alike.
      */
     private fun newProcessIncarnation(): String {
-        val wall = System.currentTimeMillis()
-        return "$wall-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
+        val wallTime = System.currentTimeMillis()
+        return "$wallTime-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
     }
 
-    private fun bind(address: String, port: ListenerKind) =
-        server.listen(requireNotNull(SettingsFiles.address(address)), port)
+    private fun bind(address: String, listener: ListenerKind) =
+        server.listen(requireNotNull(SettingsFiles.address(address)), listener)
 
     private fun handle(input: Input) {
         val effects =
             try {
                 val now = Micros(System.nanoTime() / NANOS_PER_MICRO)
-                val wall = Micros(System.currentTimeMillis() * MICROS_PER_MILLI)
-                controller.handle(now, wall, input)
+                val wallTime = Micros(System.currentTimeMillis() * MICROS_PER_MILLI)
+                controller.handle(now, wallTime, input)
             } catch (e: Exception) {
                 // A fault in handling one input must not end the controller for all users.
                 log.error("input dropped", e)
@@ -140,8 +142,8 @@
 
     private companion object {
         val TICK_PERIOD = 100.milliseconds
-        const val IDLE_SECONDS = 90L
-        const val OPERATORS_RETRY_S = 30L
+        const val CONNECTION_IDLE_TIMEOUT_S = 90L
+        const val OPERATOR_LISTENER_RETRY_S = 30L
 
         const val STORE_CONNECTIONS = 24
         const val CLOUD_CONNECTIONS = 4
--- a/src/main/kotlin/wardmux/app/PublicApi.kt
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -22,7 +22,7 @@
         RouteTable(
             context,
             listOf(
-                Route.Fixed("GET", ApiPaths.READY) { answerReady(it.id) },
+                Route.Fixed("GET", ApiPaths.READY) { answerReadiness(it.id) },
                 Route.Fixed("POST", ApiPaths.HEARTBEAT) { handleHeartbeat(it) },
                 Route.Fixed("POST", ApiPaths.SUBMISSIONS) { jobs.submit(it.id, it.body) },
                 Route.OfJob("GET", ApiPaths.JOB) { request, job -> jobs.status(request.id, job) },
@@ -39,21 +39,21 @@
      * Ready once jobs can be decided on. In an outage users are told when to come back; but where
      * the key-value store fails to answer this controller alone, the others serve them.
      */
-    private fun answerReady(call: Long) {
-        if (services.machineTypes.types != null && !isCutOffAlone())
-            context.answer(call, HttpStatus.OK, """{"ready":true}""")
+    private fun answerReadiness(requestId: Long) {
+        if (services.machineTypes.types != null && !isOnlyControllerWithoutStore())
+            context.answer(requestId, HttpStatus.OK, """{"ready":true}""")
         else
             context.answer(
-                call,
+                requestId,
                 HttpStatus.SERVICE_UNAVAILABLE,
                 """{"ready":false}""",
                 RETRY_AFTER_S,
             )
     }
 
-    private fun isCutOffAlone(): Boolean {
+    private fun isOnlyControllerWithoutStore(): Boolean {
         val unavailableSince = services.store.unavailableSince ?: return false
-        return context.now - unavailableSince > MAX_TROUBLED_READY &&
+        return context.now - unavailableSince > MAX_STORE_OUTAGE_WHILE_READY &&
             services.peerHeartbeats.isIsolatedFromStore()
     }
 
@@ -68,14 +68,14 @@
         currentTerm.election.observeToken(FencingToken(heartbeat.token))
         val term = currentTerm.term
         if (term != null) return term.handleHeartbeat(request.id, heartbeat)
-        val isTaken = forwarder.handleHeartbeat(request.id, heartbeat, request.body)
-        if (!isTaken) leaderRedirect.redirect(request.id)
+        val isHandled = forwarder.handleHeartbeat(request.id, heartbeat, request.body)
+        if (!isHandled) leaderRedirect.redirect(request.id)
     }
 
     private companion object {
         const val RETRY_AFTER_S = 1
 
         /** The key-value store may fail to answer this long before users are sent elsewhere. */
-        val MAX_TROUBLED_READY = 3.seconds
+        val MAX_STORE_OUTAGE_WHILE_READY = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/app/RouteTable.kt
+++ b/src/main/kotlin/wardmux/app/RouteTable.kt
@@ -36,7 +36,7 @@
         private val pattern = segments(path)
 
         /** The id as it stands in the path of these [segments]; null if that is another path. */
-        fun idIn(segments: List<String>): String? {
+        fun jobIdIn(segments: List<String>): String? {
             if (segments.size != pattern.size) return null
             var id: String? = null
             for ((expected, segment) in pattern.zip(segments)) {
@@ -67,7 +67,7 @@
         }
         val segments = Route.segments(path)
         for (route in jobRoutes) {
-            val id = route.idIn(segments) ?: continue
+            val id = route.jobIdIn(segments) ?: continue
             if (checkMethod(request, route)) handleForJob(request, route, id)
             return
         }
--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -70,9 +70,9 @@
     }
 }
 
-private const val EXIT_BAD_SETTINGS = 78
+private const val EXIT_INVALID_SETTINGS = 78
 
-private fun <T> orBadSettings(block: () -> T): T? =
+private fun <T> nullIfSettingsInvalid(block: () -> T): T? =
     try {
         block()
     } catch (e: InvalidSettingsException) {
@@ -90,7 +90,8 @@
     @Mixin lateinit var options: SettingsOptions
 
     override fun call(): Int {
-        val (platform, operators) = orBadSettings { options.read() } ?: return EXIT_BAD_SETTINGS
+        val (platform, operators) =
+            nullIfSettingsInvalid { options.read() } ?: return EXIT_INVALID_SETTINGS
         return try {
             Daemon(platform, operators).run()
             0
@@ -111,7 +112,7 @@
     @Mixin lateinit var options: SettingsOptions
 
     override fun call(): Int {
-        val (platform, _) = orBadSettings { options.read() } ?: return EXIT_BAD_SETTINGS
+        val (platform, _) = nullIfSettingsInvalid { options.read() } ?: return EXIT_INVALID_SETTINGS
         println("settings of ${platform.member} are sound")
         return 0
     }
--- a/src/main/kotlin/wardmux/app/WorkerClients.kt
+++ b/src/main/kotlin/wardmux/app/WorkerClients.kt
@@ -23,7 +23,7 @@
     /** The client for [address], as a worker reported it; if it is none, requests fail. */
     fun get(address: String): HttpClient =
         clients.getOrPut(address) {
-            val socketAddress = SettingsFiles.address(address) ?: UNREACHABLE
+            val socketAddress = SettingsFiles.address(address) ?: UNREACHABLE_ADDRESS
             HttpClient(group, socketAddress, 1, maxResponseBytes, keepAlive = false)
         }
 
@@ -32,6 +32,6 @@
         const val LOAD_FACTOR = 0.75f
 
         /** No connection to it ever comes about. */
-        val UNREACHABLE = InetSocketAddress("0.0.0.0", 1)
+        val UNREACHABLE_ADDRESS = InetSocketAddress("0.0.0.0", 1)
     }
 }
--- a/src/main/kotlin/wardmux/cli/DrainCommand.kt
+++ b/src/main/kotlin/wardmux/cli/DrainCommand.kt
@@ -48,7 +48,7 @@
 
     override fun call(): Int {
         val body = drain.body(spec)
-        return ask("POST", "", body, DrainStatus.serializer(), DrainText::status)
+        return sendRequest("POST", "", body, DrainStatus.serializer(), DrainText::status)
     }
 }
 
@@ -63,14 +63,20 @@
 
     override fun call(): Int {
         val body = drain.body(spec)
-        return ask("POST", "/${DrainPaths.CHECK}", body, DrainCheck.serializer(), DrainText::check)
+        return sendRequest(
+            "POST",
+            "/${DrainPaths.CHECK}",
+            body,
+            DrainCheck.serializer(),
+            DrainText::check,
+        )
     }
 }
 
 /** Lists the drains. */
 @Command(name = "list", description = ["Lists all drains."], mixinStandardHelpOptions = true)
 class DrainListCommand : OperatorCommand() {
-    override fun call(): Int = ask("GET", "", "", DrainList.serializer(), DrainText::list)
+    override fun call(): Int = sendRequest("GET", "", "", DrainList.serializer(), DrainText::list)
 }
 
 /** A command about one drain. */
@@ -81,7 +87,7 @@
 
     override fun call(): Int {
         val path = if (action.isEmpty()) "/$id" else "/$id/$action"
-        return ask(method, path, "", DrainStatus.serializer(), DrainText::status)
+        return sendRequest(method, path, "", DrainStatus.serializer(), DrainText::status)
     }
 }
 
--- a/src/main/kotlin/wardmux/cli/DrainOptions.kt
+++ b/src/main/kotlin/wardmux/cli/DrainOptions.kt
@@ -101,22 +101,22 @@
         DrainRequest(
             id,
             select.selector(),
-            choice(spec, "--order", StepOrder.entries, order),
+            parseEnum(spec, "--order", StepOrder.entries, order),
             stepSize,
             graceS,
             deadline,
-            choice(spec, "--at-deadline", DeadlineAction.entries, atDeadline),
+            parseEnum(spec, "--at-deadline", DeadlineAction.entries, atDeadline),
         )
 
-    private fun <T : Enum<T>> choice(
+    private fun <T : Enum<T>> parseEnum(
         spec: CommandSpec,
         option: String,
-        all: List<T>,
+        values: List<T>,
         text: String,
     ) =
-        all.firstOrNull { it.name.equals(text, ignoreCase = true) }
+        values.firstOrNull { it.name.equals(text, ignoreCase = true) }
             ?: throw ParameterException(
                 spec.commandLine(),
-                "$option must be one of ${all.map { it.name.lowercase() }}, but is '$text'",
+                "$option must be one of ${values.map { it.name.lowercase() }}, but is '$text'",
             )
 }
--- a/src/main/kotlin/wardmux/cli/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorClient.kt
@@ -16,8 +16,8 @@
     /** A controller gave a final answer. */
     class Answered(val status: Int, val body: String) : OperatorReply
 
-    /** No final answer in time; [mayHaveHappened] if a request was sent and not answered. */
-    class TimedOut(val mayHaveHappened: Boolean) : OperatorReply
+    /** No final answer in time; [mayHaveBeenCarriedOut] if a request was sent and not answered. */
+    class TimedOut(val mayHaveBeenCarriedOut: Boolean) : OperatorReply
 }
 
 /**
@@ -31,26 +31,26 @@
         addresses.map { HttpClient(group, it, 1, MAX_RESPONSE_BYTES, keepAlive = false) }
 
     /** Repeats a request until the answer is not 503 or the timeout is over. */
-    fun ask(method: String, path: String, body: String): OperatorReply {
+    fun sendUntilAnswered(method: String, path: String, body: String): OperatorReply {
         val deadline = System.nanoTime() + timeout.value * NANOS_PER_MICRO
-        var mayHaveHappened = false
-        var next = 0
+        var mayHaveBeenCarriedOut = false
+        var nextClient = 0
         while (System.nanoTime() < deadline) {
-            val outcome = askOnce(clients[next++ % clients.size], method, path, body)
-            if (outcome is Outcome.NoResponse) mayHaveHappened = true
+            val outcome = sendOnce(clients[nextClient++ % clients.size], method, path, body)
+            if (outcome is Outcome.NoResponse) mayHaveBeenCarriedOut = true
             if (outcome is Outcome.Response && outcome.status != HttpStatus.SERVICE_UNAVAILABLE)
                 return OperatorReply.Answered(outcome.status, outcome.text)
-            Thread.sleep(RETRY_MILLIS)
+            Thread.sleep(RETRY_PAUSE_MILLIS)
         }
-        return OperatorReply.TimedOut(mayHaveHappened)
+        return OperatorReply.TimedOut(mayHaveBeenCarriedOut)
     }
 
-    private fun askOnce(client: HttpClient, method: String, path: String, body: String): Outcome {
+    private fun sendOnce(client: HttpClient, method: String, path: String, body: String): Outcome {
         val answer = CompletableFuture<Outcome>()
         group.next().execute {
             client.send(method, path, body.encodeToByteArray(), REQUEST_TIMEOUT, answer::complete)
         }
-        return answer.get(REQUEST_TIMEOUT.value + SLACK.value, TimeUnit.MICROSECONDS)
+        return answer.get(REQUEST_TIMEOUT.value + OUTCOME_WAIT_MARGIN.value, TimeUnit.MICROSECONDS)
     }
 
     override fun close() {
@@ -60,8 +60,8 @@
     private companion object {
         const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
         const val NANOS_PER_MICRO = 1_000L
-        const val RETRY_MILLIS = 200L
+        const val RETRY_PAUSE_MILLIS = 200L
         val REQUEST_TIMEOUT = 5.seconds
-        val SLACK = 500.milliseconds
+        val OUTCOME_WAIT_MARGIN = 500.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/cli/OperatorCommand.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorCommand.kt
@@ -49,36 +49,36 @@
 
     @Mixin lateinit var options: OperatorOptions
 
-    /** Sends the request and prints the answer, formatted by [show]; returns the exit code. */
-    protected fun <T> ask(
+    /** Sends the request and prints the answer, formatted by [format]; returns the exit code. */
+    protected fun <T> sendRequest(
         method: String,
         path: String,
         body: String,
         answer: DeserializationStrategy<T>,
-        show: (T) -> String,
+        format: (T) -> String,
     ): Int {
         val client = OperatorClient(options.addresses(spec), options.timeoutS.seconds)
-        val reply = client.use { it.ask(method, DrainPaths.DRAINS + path, body) }
+        val reply = client.use { it.sendUntilAnswered(method, DrainPaths.DRAINS + path, body) }
         return when (reply) {
-            is OperatorReply.TimedOut -> timedOut(reply)
+            is OperatorReply.TimedOut -> printTimeout(reply)
             is OperatorReply.Answered ->
-                if (reply.status in HttpStatus.SUCCESS) succeeded(reply, answer, show)
-                else failed(reply)
+                if (reply.status in HttpStatus.SUCCESS) printAnswer(reply, answer, format)
+                else printError(reply)
         }
     }
 
-    private fun <T> succeeded(
+    private fun <T> printAnswer(
         reply: OperatorReply.Answered,
         answer: DeserializationStrategy<T>,
-        show: (T) -> String,
+        format: (T) -> String,
     ): Int {
         val out = spec.commandLine().out
         if (options.json) out.println(reply.body)
-        else out.println(show(operatorJson.decodeFromString(answer, reply.body)))
+        else out.println(format(operatorJson.decodeFromString(answer, reply.body)))
         return DrainExit.OK
     }
 
-    private fun failed(reply: OperatorReply.Answered): Int {
+    private fun printError(reply: OperatorReply.Answered): Int {
         val error = DrainText.error(reply.body)
         spec.commandLine().err.println("wardmux: $error")
         return when (reply.status) {
@@ -88,14 +88,14 @@
         }
     }
 
-    private fun timedOut(reply: OperatorReply.TimedOut): Int {
-        val known =
-            if (reply.mayHaveHappened) "it is not known whether it was carried out"
+    private fun printTimeout(reply: OperatorReply.TimedOut): Int {
+        val effect =
+            if (reply.mayHaveBeenCarriedOut) "it is not known whether it was carried out"
             else "nothing was carried out"
         spec
             .commandLine()
             .err
-            .println("wardmux: no controller answered within ${options.timeoutS} s; $known")
+            .println("wardmux: no controller answered within ${options.timeoutS} s; $effect")
         return DrainExit.NO_ANSWER
     }
 }
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -45,7 +45,7 @@
         val path: String,
         val body: ByteArray,
         val deadlineNanos: Long,
-        val then: (Outcome) -> Unit,
+        val onOutcome: (Outcome) -> Unit,
     ) {
         var isCompleted = false
         var timer: Future<*>? = null
@@ -55,13 +55,13 @@
             if (isCompleted) return
             isCompleted = true
             timer?.cancel(false)
-            then(outcome)
+            onOutcome(outcome)
         }
     }
 
-    private val idle = ArrayDeque<Channel>()
-    private val queue = ArrayDeque<PendingRequest>()
-    private var connections = 0
+    private val idleChannels = ArrayDeque<Channel>()
+    private val queuedRequests = ArrayDeque<PendingRequest>()
+    private var openConnections = 0
     private val bootstrap =
         Bootstrap()
             .group(group)
@@ -75,24 +75,24 @@
                             .pipeline()
                             .addLast(HttpClientCodec())
                             .addLast(HttpObjectAggregator(maxResponseBytes))
-                            .addLast(Exchange())
+                            .addLast(ResponseHandler())
                     }
                 }
             )
 
-    /** Sends a request, or queues it; [then] gets its outcome within [timeout]. */
+    /** Sends a request, or queues it; [onOutcome] gets its outcome within [timeout]. */
     fun send(
         method: String,
         path: String,
         body: ByteArray,
         timeout: Micros,
-        then: (Outcome) -> Unit,
+        onOutcome: (Outcome) -> Unit,
     ) {
         val nanos = timeout.value * 1_000
-        val pending = PendingRequest(method, path, body, System.nanoTime() + nanos, then)
+        val pending = PendingRequest(method, path, body, System.nanoTime() + nanos, onOutcome)
         pending.timer = group.next().schedule({ expire(pending) }, nanos, TimeUnit.NANOSECONDS)
-        queue.addLast(pending)
-        startQueued()
+        queuedRequests.addLast(pending)
+        sendQueued()
     }
 
     private fun expire(pending: PendingRequest) {
@@ -101,23 +101,24 @@
         pending.complete(if (channel == null) Outcome.NotSent else Outcome.NoResponse)
     }
 
-    private fun startQueued() {
-        while (queue.isNotEmpty()) {
-            if (queue.first().isCompleted) {
-                queue.removeFirst()
+    private fun sendQueued() {
+        while (queuedRequests.isNotEmpty()) {
+            if (queuedRequests.first().isCompleted) {
+                queuedRequests.removeFirst()
                 continue
             }
-            val channel = idle.removeLastOrNull()
+            val channel = idleChannels.removeLastOrNull()
             when {
-                channel != null -> if (channel.isActive) write(channel, queue.removeFirst())
-                connections < maxConnections -> connect(queue.removeFirst())
+                channel != null ->
+                    if (channel.isActive) write(channel, queuedRequests.removeFirst())
+                openConnections < maxConnections -> connect(queuedRequests.removeFirst())
                 else -> return
             }
         }
     }
 
     private fun connect(pending: PendingRequest) {
-        connections++
+        openConnections++
         bootstrap
             .connect(address)
             .addListener(
@@ -125,9 +126,9 @@
                     val channel = future.channel()
                     when {
                         !future.isSuccess -> {
-                            connections--
+                            openConnections--
                             pending.complete(Outcome.NotSent)
-                            startQueued()
+                            sendQueued()
                         }
                         pending.isCompleted -> if (keepAlive) release(channel) else channel.close()
                         else -> write(channel, pending)
@@ -138,7 +139,7 @@
 
     private fun write(channel: Channel, pending: PendingRequest) {
         pending.channel = channel
-        channel.pipeline().get(Exchange::class.java).pending = pending
+        channel.pipeline().get(ResponseHandler::class.java).pending = pending
         val request =
             DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -156,11 +157,11 @@
     }
 
     private fun release(channel: Channel) {
-        if (channel.isActive) idle.addLast(channel)
-        startQueued()
+        if (channel.isActive) idleChannels.addLast(channel)
+        sendQueued()
     }
 
-    private inner class Exchange : ChannelInboundHandlerAdapter() {
+    private inner class ResponseHandler : ChannelInboundHandlerAdapter() {
         var pending: PendingRequest? = null
 
         override fun channelRead(context: ChannelHandlerContext, message: Any) {
@@ -180,12 +181,12 @@
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
-            connections--
-            idle.remove(context.channel())
+            openConnections--
+            idleChannels.remove(context.channel())
             val completed = pending
             pending = null
             completed?.complete(Outcome.NoResponse)
-            startQueued()
+            sendQueued()
         }
 
         @Deprecated("Netty's own marking")
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -66,14 +66,14 @@
     )
 
     private val log = logger<HttpServer>()
-    private val pending = Long2ObjectHashMap<PendingRequest>()
+    private val pendingRequests = Long2ObjectHashMap<PendingRequest>()
     private val responseTimes = ResponseTimes()
-    private var lastId = 0L
+    private var lastRequestId = 0L
     private var openConnections = 0
     private var workerConnections = 0
 
-    /** Accepts connections on [address]; their requests carry [port]. */
-    fun listen(address: InetSocketAddress, port: ListenerKind): Channel =
+    /** Accepts connections on [address]; their requests carry [listener]. */
+    fun listen(address: InetSocketAddress, listener: ListenerKind): Channel =
         ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel::class.java)
@@ -93,8 +93,8 @@
                                     MAX_CHUNK_BYTES,
                                 )
                             )
-                            .addLast(BodyAggregator(maxBodyBytes(port)))
-                            .addLast(Connection(port))
+                            .addLast(BodyAggregator(maxBodyBytes(listener)))
+                            .addLast(Connection(listener))
                     }
                 }
             )
@@ -103,15 +103,15 @@
             .channel()
 
     /** PROTOCOL does not bound what the controllers send each other. */
-    private fun maxBodyBytes(port: ListenerKind) =
-        if (port == ListenerKind.PEER) MAX_PEER_BODY_BYTES else MAX_BODY_BYTES
+    private fun maxBodyBytes(listener: ListenerKind) =
+        if (listener == ListenerKind.PEER) MAX_PEER_BODY_BYTES else MAX_BODY_BYTES
 
     /**
      * Answers the request [id], with a Retry-After header if [retryAfterS] is given, in seconds.
      * Without effect if it was answered already or its connection is closed.
      */
     fun answer(id: Long, status: Int, body: ByteArray, retryAfterS: Int?) {
-        val request = pending.remove(id) ?: return
+        val request = pendingRequests.remove(id) ?: return
         val now = System.nanoTime()
         responseTimes.record(Micros((now - request.receivedNanos) / NANOS_PER_MICRO))
         responseTimes.logIfDue(Micros(now / NANOS_PER_MICRO))
@@ -147,22 +147,22 @@
             respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
     }
 
-    private inner class Connection(private val port: ListenerKind) :
+    private inner class Connection(private val listener: ListenerKind) :
         ChannelInboundHandlerAdapter() {
-        private var currentId = 0L
+        private var currentRequestId = 0L
         private var isWorker = false
 
         override fun channelActive(context: ChannelHandlerContext) {
             openConnections++
             // Answered at once, so that the client can go to another controller.
-            if (port == ListenerKind.API && openConnections > maxConnections)
+            if (listener == ListenerKind.API && openConnections > maxConnections)
                 respondUnavailable(context)
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
             openConnections--
             if (isWorker) workerConnections--
-            pending.remove(currentId)
+            pendingRequests.remove(currentRequestId)
         }
 
         private fun respondUnavailable(context: ChannelHandlerContext) =
@@ -177,8 +177,8 @@
         /**
          * Counts a connection as a worker's by its first heartbeat; false if it is one too many.
          */
-        private fun admits(path: String): Boolean {
-            if (isWorker || port != ListenerKind.API || path != ApiPaths.HEARTBEAT) return true
+        private fun admit(path: String): Boolean {
+            if (isWorker || listener != ListenerKind.API || path != ApiPaths.HEARTBEAT) return true
             isWorker = true
             return ++workerConnections <= maxWorkerConnections
         }
@@ -190,8 +190,7 @@
                     respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
                     return
                 }
-                if (admits(request.uri())) receive(context, request)
-                else respondUnavailable(context)
+                if (admit(request.uri())) receive(context, request) else respondUnavailable(context)
             } finally {
                 ReferenceCountUtil.release(message)
             }
@@ -200,12 +199,12 @@
         private fun receive(context: ChannelHandlerContext, request: FullHttpRequest) {
             val body = ByteArray(request.content().readableBytes())
             request.content().readBytes(body)
-            val id = ++lastId
-            currentId = id
-            pending[id] =
+            val id = ++lastRequestId
+            currentRequestId = id
+            pendingRequests[id] =
                 PendingRequest(context.channel(), HttpUtil.isKeepAlive(request), System.nanoTime())
             val method = request.method().name()
-            handler.handle(Input.Request(id, port, method, request.uri(), body))
+            handler.handle(Input.Request(id, listener, method, request.uri(), body))
         }
 
         @Deprecated("Netty's own marking")
--- a/src/main/kotlin/wardmux/http/ResponseTimes.kt
+++ b/src/main/kotlin/wardmux/http/ResponseTimes.kt
@@ -8,16 +8,17 @@
 /** Logs how long the HTTP server takes to respond, once a minute. */
 class ResponseTimes {
     private val log = logger<ResponseTimes>()
-    private val histogram = Histogram(MAX_MICROS, SIGNIFICANT_DIGITS)
-    private var logAt = Micros.LONG_AGO
+    private val histogram = Histogram(MAX_RESPONSE_MICROS, SIGNIFICANT_DIGITS)
+    private var nextLogAt = Micros.LONG_AGO
 
     /** Counts a response that took [duration]. */
-    fun record(duration: Micros) = histogram.recordValue(duration.value.coerceIn(0, MAX_MICROS))
+    fun record(duration: Micros) =
+        histogram.recordValue(duration.value.coerceIn(0, MAX_RESPONSE_MICROS))
 
     /** Logs the percentiles if a minute has passed, and counts anew. */
     fun logIfDue(now: Micros) {
-        if (now < logAt) return
-        logAt = now + LOG_PERIOD
+        if (now < nextLogAt) return
+        nextLogAt = now + LOG_PERIOD
         if (histogram.totalCount == 0L) return
         log.info(
             "{} HTTP responses: 50 % within {} ms, 99 % within {} ms, longest {} ms",
@@ -31,7 +32,7 @@
 
     private companion object {
         /** Longer ones are counted as this long. */
-        const val MAX_MICROS = 60_000_000L
+        const val MAX_RESPONSE_MICROS = 60_000_000L
         const val SIGNIFICANT_DIGITS = 2
         const val MEDIAN = 50.0
         const val NINETY_NINTH = 99.0
--- a/src/test/kotlin/wardmux/app/DaemonTest.kt
+++ b/src/test/kotlin/wardmux/app/DaemonTest.kt
@@ -19,7 +19,7 @@
 
     private fun freePort() = ServerSocket(0, 1, loopback).use { it.localPort }
 
-    private fun connects(port: Int): Boolean =
+    private fun canConnect(port: Int): Boolean =
         try {
             Socket().use { it.connect(InetSocketAddress(loopback, port), 1_000) }
             true
@@ -31,21 +31,21 @@
     fun `users are served also where the operators' address can't be listened on`() {
         val file = File(directory, "settings.toml")
         file.writeText(CdsTrainingRun.SAMPLE_SETTINGS)
-        val api = freePort()
+        val apiPort = freePort()
         val platform =
             SettingsFiles.platform(file)
-                .copy(apiAddress = "127.0.0.1:$api", peerAddress = "127.0.0.1:${freePort()}")
-        val taken = ServerSocket(0, 1, loopback)
-        val operators = OperatorSettings(drain = DrainSettings(":${taken.localPort}"))
+                .copy(apiAddress = "127.0.0.1:$apiPort", peerAddress = "127.0.0.1:${freePort()}")
+        val occupiedSocket = ServerSocket(0, 1, loopback)
+        val operators = OperatorSettings(drain = DrainSettings(":${occupiedSocket.localPort}"))
         val daemon = Thread { Daemon(platform, operators).run() }
         daemon.isDaemon = true
         daemon.start()
-        while (!connects(api)) {
+        while (!canConnect(apiPort)) {
             check(daemon.isAlive) { "the process has ended" }
             Thread.sleep(50)
         }
         daemon.join(1_000)
-        check(daemon.isAlive && connects(api)) { "the process has ended" }
-        taken.close()
+        check(daemon.isAlive && canConnect(apiPort)) { "the process has ended" }
+        occupiedSocket.close()
     }
 }
--- a/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
+++ b/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
@@ -28,7 +28,7 @@
  * declare.
  */
 class ExternalNamesTest {
-    private val listed = ExternalNames.read(File(LIST))
+    private val listed = ExternalNames.read(File(LIST_FILE))
     private val classes =
         ClassFileImporter()
             .withImportOption(ImportOption.DoNotIncludeTests())
@@ -75,11 +75,11 @@
     /** Names that are written in place: each must still be a string constant of some class. */
     @Test
     fun `literals that are listed are still in the code`() {
-        val literals = classes.flatMapTo(HashSet()) { ClassFileStrings.read(open(it)) }
+        val literals = classes.flatMapTo(HashSet()) { ClassFileStrings.read(openClassFile(it)) }
         assertEquals(emptyList(), listed.getValue("literals").filterNot { it in literals })
     }
 
-    private fun open(type: JavaClass): InputStream =
+    private fun openClassFile(type: JavaClass): InputStream =
         type.source.orElseThrow().uri.toURL().openStream()
 
     private fun descriptors(): List<SerialDescriptor> =
@@ -143,12 +143,12 @@
         val path = command.qualifiedName()
         val own = command.options().flatMap { it.names().toList() }.map { "$path $it" }
         val parameters = command.positionalParameters().map { "$path ${it.paramLabel()}" }
-        val below = command.subcommands().values.flatMap { options(it.commandSpec) }
-        return listOf(path) + own + parameters + below
+        val ofSubcommands = command.subcommands().values.flatMap { options(it.commandSpec) }
+        return listOf(path) + own + parameters + ofSubcommands
     }
 
     private companion object {
-        const val LIST = "src/test/resources/external-names.txt"
+        const val LIST_FILE = "src/test/resources/external-names.txt"
     }
 }
 
@@ -176,11 +176,11 @@
  */
 private object ClassFileStrings {
     private const val HEADER_BYTES = 8
-    private const val UTF8 = 1
-    private const val STRING = 8
-    private val TWO_BYTES = setOf(7, 16, 19, 20)
-    private val FOUR_BYTES = setOf(3, 4, 9, 10, 11, 12, 17, 18)
-    private val EIGHT_BYTES = setOf(5, 6)
+    private const val TAG_UTF8 = 1
+    private const val TAG_STRING = 8
+    private val TAGS_OF_TWO_BYTES = setOf(7, 16, 19, 20)
+    private val TAGS_OF_FOUR_BYTES = setOf(3, 4, 9, 10, 11, 12, 17, 18)
+    private val TAGS_OF_EIGHT_BYTES = setOf(5, 6)
 
     fun read(stream: InputStream): List<String> =
         DataInputStream(stream.buffered()).use { input ->
@@ -192,14 +192,14 @@
             while (index < count) {
                 val tag = input.readUnsignedByte()
                 when (tag) {
-                    UTF8 -> texts[index] = input.readUTF()
-                    STRING -> strings += input.readUnsignedShort()
-                    in TWO_BYTES -> input.skipBytes(2)
-                    in FOUR_BYTES -> input.skipBytes(4)
-                    in EIGHT_BYTES -> input.skipBytes(8)
+                    TAG_UTF8 -> texts[index] = input.readUTF()
+                    TAG_STRING -> strings += input.readUnsignedShort()
+                    in TAGS_OF_TWO_BYTES -> input.skipBytes(2)
+                    in TAGS_OF_FOUR_BYTES -> input.skipBytes(4)
+                    in TAGS_OF_EIGHT_BYTES -> input.skipBytes(8)
                     else -> input.skipBytes(3)
                 }
-                index += if (tag in EIGHT_BYTES) 2 else 1
+                index += if (tag in TAGS_OF_EIGHT_BYTES) 2 else 1
             }
             strings.mapNotNull { texts[it]?.replace("\u0001", "{}") }
         }
--- a/src/test/kotlin/wardmux/app/FormatAdditions.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditions.kt
@@ -84,7 +84,7 @@
         )
 
     /** With the fields that have no default only. */
-    private fun plainDrain(id: String, state: DrainState) =
+    private fun minimalDrain(id: String, state: DrainState) =
         DrainRecord(
             request = DrainRequest(id, DrainSelector()),
             state = state,
@@ -94,38 +94,38 @@
             newest = "i-000004",
         )
 
-    private fun ordered(id: String, order: StepOrder): DrainRecord {
-        val plain = plainDrain(id, DrainState.PLANNED)
+    private fun drainWithOrder(id: String, order: StepOrder): DrainRecord {
+        val plain = minimalDrain(id, DrainState.PLANNED)
         return plain.copy(request = plain.request.copy(order = order))
     }
 
-    private fun running(id: String, phase: StepPhase): DrainRecord {
+    private fun runningDrain(id: String, phase: StepPhase): DrainRecord {
         val step = DrainStep(number = 1, phase = phase, machines = emptyList(), beganAt = 5)
-        return plainDrain(id, DrainState.RUNNING).copy(step = step)
+        return minimalDrain(id, DrainState.RUNNING).copy(step = step)
     }
 
-    private fun paused(id: String, reason: PauseReason) =
-        plainDrain(id, DrainState.PAUSED).copy(reason = reason)
+    private fun pausedDrain(id: String, reason: PauseReason) =
+        minimalDrain(id, DrainState.PAUSED).copy(reason = reason)
 
     /** Among them, each value of each enumeration is there. */
     private val DRAINS =
         listOf(
             DRAIN,
-            ordered("planned", StepOrder.FEWEST_STEPS),
-            ordered("emptiest-first", StepOrder.EMPTIEST_FIRST),
-            running("preparing", StepPhase.PREPARING),
-            running("emptying", StepPhase.EMPTYING),
-            running("settling", StepPhase.SETTLING),
-            paused("by-operator", PauseReason.OPERATOR),
-            paused("by-deadline", PauseReason.DEADLINE),
-            paused("by-loss", PauseReason.LOSS),
-            paused("by-budget", PauseReason.BUDGET),
-            plainDrain("done", DrainState.DONE),
-            plainDrain("cancelled", DrainState.CANCELLED),
-            plainDrain("failed", DrainState.FAILED),
+            drainWithOrder("planned", StepOrder.FEWEST_STEPS),
+            drainWithOrder("emptiest-first", StepOrder.EMPTIEST_FIRST),
+            runningDrain("preparing", StepPhase.PREPARING),
+            runningDrain("emptying", StepPhase.EMPTYING),
+            runningDrain("settling", StepPhase.SETTLING),
+            pausedDrain("by-operator", PauseReason.OPERATOR),
+            pausedDrain("by-deadline", PauseReason.DEADLINE),
+            pausedDrain("by-loss", PauseReason.LOSS),
+            pausedDrain("by-budget", PauseReason.BUDGET),
+            minimalDrain("done", DrainState.DONE),
+            minimalDrain("cancelled", DrainState.CANCELLED),
+            minimalDrain("failed", DrainState.FAILED),
         )
 
-    private fun haltingAnswer() =
+    private fun haltingResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
             number = 41,
@@ -144,7 +144,7 @@
         )
 
     /** Of a leader that names the tasks to be halted, and has none. */
-    private fun nothingToHalt() =
+    private fun emptyHaltingResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
             number = 42,
@@ -154,13 +154,13 @@
         )
 
     /** All that the state service holds, by its key. */
-    fun stored(): Map<String, JsonElement> {
+    fun storedValues(): Map<String, JsonElement> {
         val drains = DRAINS.associate { DrainRecord.key(it.request.id) to it.toJson() }
         val answers =
             mapOf(
-                "n1" to nothingToHalt(),
-                "n3" to haltingAnswer(),
-                "n4" to haltingAnswer().withoutCommands(),
+                "n1" to emptyHaltingResponse(),
+                "n3" to haltingResponse(),
+                "n4" to haltingResponse().withoutCommands(),
             )
         val packed = JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(answers)))
         return drains + (StoredBatchClient.ANSWERS to packed)
@@ -172,8 +172,8 @@
     /** What controllers send each other, by its name. */
     fun messages(): Map<String, ByteArray> =
         mapOf(
-            "halting answer" to ForwardingCodec.encode(haltingAnswer()),
-            "nothing to halt" to ForwardingCodec.encode(nothingToHalt()),
+            "halting answer" to ForwardingCodec.encode(haltingResponse()),
+            "nothing to halt" to ForwardingCodec.encode(emptyHaltingResponse()),
             "forwarded request" to
                 CborFormat.encode(
                     ForwardedRequest.serializer(),
@@ -200,8 +200,8 @@
             budgets = listOf(BUDGET),
         )
 
-    private val STORED_STATUS =
-        DrainStatus(record = plainDrain("done", DrainState.DONE), source = Source.STORE)
+    private val STATUS_FROM_STORE =
+        DrainStatus(record = minimalDrain("done", DrainState.DONE), source = Source.STORE)
 
     private val CHECK =
         DrainCheck(
@@ -213,21 +213,24 @@
         )
 
     /** What operators send and are answered, by its name. */
-    fun operators(): Map<String, String> =
+    fun operatorMessages(): Map<String, String> =
         mapOf(
-            "request" to text(DrainRequest.serializer(), REQUEST),
-            "error" to text(DrainError.serializer(), DrainError("no such drain: rack-8")),
+            "request" to encode(DrainRequest.serializer(), REQUEST),
+            "error" to encode(DrainError.serializer(), DrainError("no such drain: rack-8")),
             "error of a drain that is over" to
-                text(DrainError.serializer(), DrainError("rack-7 is over", DrainState.CANCELLED)),
-            "status" to text(DrainStatus.serializer(), STATUS),
-            "stored status" to text(DrainStatus.serializer(), STORED_STATUS),
+                encode(DrainError.serializer(), DrainError("rack-7 is over", DrainState.CANCELLED)),
+            "status" to encode(DrainStatus.serializer(), STATUS),
+            "stored status" to encode(DrainStatus.serializer(), STATUS_FROM_STORE),
             "list" to
-                text(DrainList.serializer(), DrainList(listOf(STORED_STATUS), listOf("rack-9"))),
-            "check" to text(DrainCheck.serializer(), CHECK),
+                encode(
+                    DrainList.serializer(),
+                    DrainList(listOf(STATUS_FROM_STORE), listOf("rack-9")),
+                ),
+            "check" to encode(DrainCheck.serializer(), CHECK),
             "plain check" to
-                text(DrainCheck.serializer(), DrainCheck(0, emptyList(), 0, emptyList())),
+                encode(DrainCheck.serializer(), DrainCheck(0, emptyList(), 0, emptyList())),
         )
 
-    private fun <T> text(serializer: KSerializer<T>, value: T): String =
+    private fun <T> encode(serializer: KSerializer<T>, value: T): String =
         operatorJson.encodeToString(serializer, value)
 }
--- a/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
@@ -23,10 +23,10 @@
 
     @Test
     fun `what is stored is the same byte for byte, under the same keys`() {
-        val now = FormatAdditions.stored()
-        assertEquals(samples.stored.keys, now.keys)
+        val current = FormatAdditions.storedValues()
+        assertEquals(samples.stored.keys, current.keys)
         for ((key, value) in samples.stored) {
-            val written = now.getValue(key)
+            val written = current.getValue(key)
             if (FormatSamples.isPacked(key)) {
                 // How well it is packed may depend on the Java version.
                 val sample = FormatTree.unpacked(value).toHexString()
@@ -39,71 +39,72 @@
 
     @Test
     fun `messages between controllers are the same byte for byte`() {
-        val now = FormatAdditions.messages().mapValues { it.value.toHexString() }
-        assertEquals(samples.messages.mapValues { it.value.toHexString() }, now)
+        val current = FormatAdditions.messages().mapValues { it.value.toHexString() }
+        assertEquals(samples.messages.mapValues { it.value.toHexString() }, current)
     }
 
     @Test
     fun `what operators send and are answered is the same byte for byte`() {
         val operators = Json.parseToJsonElement(samples.text("operators")).jsonObject
         val samples = operators.mapValues { it.value.jsonPrimitive.content }
-        assertEquals(samples, FormatAdditions.operators())
+        assertEquals(samples, FormatAdditions.operatorMessages())
     }
 
     /** As it was sent, and as a later version might send it; each is written again alike. */
-    private fun eachAnswer(name: String, check: (HeartbeatBatchResponse) -> Unit) {
+    private fun checkResponse(name: String, check: (HeartbeatBatchResponse) -> Unit) {
         val bytes = samples.messages.getValue(name)
-        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
-        for (sent in listOf(bytes, more)) {
-            val answer = assertNotNull(ForwardingCodec.decodeResponse(sent), name)
-            check(answer)
-            assertEquals(bytes.toHexString(), ForwardingCodec.encode(answer).toHexString(), name)
+        val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
+        for (sent in listOf(bytes, extended)) {
+            val response = assertNotNull(ForwardingCodec.decodeResponse(sent), name)
+            check(response)
+            assertEquals(bytes.toHexString(), ForwardingCodec.encode(response).toHexString(), name)
         }
     }
 
-    private fun assertHalting(answer: HeartbeatBatchResponse?) {
-        assertNotNull(answer)
+    private fun assertHaltingResponse(response: HeartbeatBatchResponse?) {
+        assertNotNull(response)
         assertEquals(
             listOf("n3-1", 41L, 4_711L),
-            listOf(answer.processIncarnation, answer.number, answer.token),
+            listOf(response.processIncarnation, response.number, response.token),
         )
-        assertEquals(55_500_000, answer.leaderClock)
-        assertEquals(5_280_000, answer.grantDuration)
-        assertTrue(answer.renewalAllowed)
-        assertEquals(listOf("job-000412", "job-000414"), answer.cancelledJobs)
-        val halts = answer.mustHalt.orEmpty().map { it.machine to it.tasks }
+        assertEquals(55_500_000, response.leaderClock)
+        assertEquals(5_280_000, response.grantDuration)
+        assertTrue(response.renewalAllowed)
+        assertEquals(listOf("job-000412", "job-000414"), response.cancelledJobs)
+        val halts = response.mustHalt.orEmpty().map { it.machine to it.tasks }
         val first = listOf(TaskAttempt("job-000412/16", 1), TaskAttempt("job-000412/17", 2))
         assertEquals(listOf("i-000001" to first, "i-000002" to emptyList()), halts)
     }
 
-    private fun assertNothingToHalt(answer: HeartbeatBatchResponse?) {
-        assertNotNull(answer)
+    private fun assertEmptyHaltingResponse(response: HeartbeatBatchResponse?) {
+        assertNotNull(response)
         assertEquals(
             listOf("n3-1", 42L, 4_711L),
-            listOf(answer.processIncarnation, answer.number, answer.token),
+            listOf(response.processIncarnation, response.number, response.token),
         )
-        assertEquals(55_600_000, answer.leaderClock)
-        assertTrue(answer.renewalAllowed)
-        assertEquals(emptyList(), answer.cancelledJobs)
-        assertEquals(emptyList(), answer.mustHalt)
+        assertEquals(55_600_000, response.leaderClock)
+        assertTrue(response.renewalAllowed)
+        assertEquals(emptyList(), response.cancelledJobs)
+        assertEquals(emptyList(), response.mustHalt)
     }
 
     @Test
     fun `cancelled jobs and the tasks to be halted are read`() {
-        eachAnswer("halting answer") { assertHalting(it) }
-        eachAnswer("nothing to halt") { assertNothingToHalt(it) }
+        checkResponse("halting answer") { assertHaltingResponse(it) }
+        checkResponse("nothing to halt") { assertEmptyHaltingResponse(it) }
     }
 
     @Test
     fun `they are read by way of the state service, where no lease may be renewed without them`() {
         val value = samples.stored.getValue("a/relays")
-        val more = FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
-        for (stored in listOf(value, more)) {
-            val answers = assertNotNull(ForwardingCodec.decodeStoredResponses(stored)).byMember
-            assertEquals(setOf("n1", "n3", "n4"), answers.keys)
-            assertNothingToHalt(answers["n1"])
-            assertHalting(answers["n3"])
-            val withoutCommands = assertNotNull(answers["n4"])
+        val extended =
+            FormatTree.packed(FormatTree.withUnknownFields(FormatTree.parsePacked(value)))
+        for (stored in listOf(value, extended)) {
+            val responses = assertNotNull(ForwardingCodec.decodeStoredResponses(stored)).byMember
+            assertEquals(setOf("n1", "n3", "n4"), responses.keys)
+            assertEmptyHaltingResponse(responses["n1"])
+            assertHaltingResponse(responses["n3"])
+            val withoutCommands = assertNotNull(responses["n4"])
             assertEquals(41, withoutCommands.number)
             assertFalse(withoutCommands.renewalAllowed)
             assertEquals(emptyList(), withoutCommands.cancelledJobs)
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -42,9 +42,9 @@
  * samples; the tests write it with the present version and compare.
  */
 object FormatContents {
-    val LEADER = LeaderRecord(member = "n2", processIncarnation = "n2-5f3a")
+    val LEADER_RECORD = LeaderRecord(member = "n2", processIncarnation = "n2-5f3a")
 
-    val TYPES =
+    val MACHINE_TYPES =
         listOf(
             MachineType(
                 label = "rackmid",
@@ -61,21 +61,22 @@
             MachineType(label = "plain", cpus = 8.0, memoryGb = 32.0, zones = listOf("east")),
         )
 
-    const val TAGS_AT = 1_790_000_000_000_000L
+    const val TAGS_SAVED_AT = 1_790_000_000_000_000L
 
     /** Both teams are ahead of the clock; "batch" has been charged twice and corrected once. */
-    fun tags(): FairQueue =
-        queue().also {
-            val first = it.charge("batch", Cost(160_000_000), Micros(TAGS_AT))
-            it.charge("batch", Cost(40_000_000), Micros(TAGS_AT))
-            it.settle("batch", first, Cost(200_000_000), Micros(TAGS_AT))
-            it.charge("web", Cost(8_000_000), Micros(TAGS_AT))
+    fun chargedFairQueue(): FairQueue =
+        emptyFairQueue().also {
+            val first = it.charge("batch", Cost(160_000_000), Micros(TAGS_SAVED_AT))
+            it.charge("batch", Cost(40_000_000), Micros(TAGS_SAVED_AT))
+            it.settle("batch", first, Cost(200_000_000), Micros(TAGS_SAVED_AT))
+            it.charge("web", Cost(8_000_000), Micros(TAGS_SAVED_AT))
         }
 
-    fun queue() = FairQueue(mapOf("batch" to 100.0, "web" to 8.0), Micros(600_000_000), 3600.0)
+    fun emptyFairQueue() =
+        FairQueue(mapOf("batch" to 100.0, "web" to 8.0), Micros(600_000_000), 3600.0)
 
     /** With all optional fields. */
-    val BATCH_SPEC =
+    val ARRAY_SPEC =
         JobSpec(
             id = "job-000412",
             jobClass = "train",
@@ -100,8 +101,8 @@
         )
 
     /** Without the optional fields. */
-    val DAEMON_SPEC =
-        BATCH_SPEC.copy(
+    val SERVICE_SPEC =
+        ARRAY_SPEC.copy(
             id = "job-000413",
             kind = JobKind.SERVICE,
             priority = PriorityClass.PROD,
@@ -117,7 +118,7 @@
             deadlineS = null,
         )
     val GANG_SPEC =
-        BATCH_SPEC.copy(
+        ARRAY_SPEC.copy(
             id = "job-000414",
             kind = JobKind.GANG,
             priority = PriorityClass.NORMAL,
@@ -125,25 +126,25 @@
             deadlineS = null,
         )
     val IDLE_SPEC =
-        DAEMON_SPEC.copy(id = "job-000415", kind = JobKind.ARRAY, priority = PriorityClass.IDLE)
-    val GANG_AGAIN_SPEC = GANG_SPEC.copy(id = "job-000416", tasks = 8)
-    val GANG_DONE_SPEC = GANG_SPEC.copy(id = "job-000417", tasks = 8)
-    val SPECS = listOf(BATCH_SPEC, DAEMON_SPEC, GANG_SPEC, IDLE_SPEC)
+        SERVICE_SPEC.copy(id = "job-000415", kind = JobKind.ARRAY, priority = PriorityClass.IDLE)
+    val WAITING_GANG_SPEC = GANG_SPEC.copy(id = "job-000416", tasks = 8)
+    val DONE_GANG_SPEC = GANG_SPEC.copy(id = "job-000417", tasks = 8)
+    val SPECS = listOf(ARRAY_SPEC, SERVICE_SPEC, GANG_SPEC, IDLE_SPEC)
 
     const val ACCEPTED_AT = 1_790_000_000_123_456L
 
-    val DONE = JobRecord(JobState.DONE, ACCEPTED_AT)
+    val DONE_RECORD = JobRecord(JobState.DONE, ACCEPTED_AT)
 
-    fun accepted(spec: JobSpec) = JobRecord(JobState.ACCEPTED, ACCEPTED_AT, spec)
+    fun acceptedRecord(spec: JobSpec) = JobRecord(JobState.ACCEPTED, ACCEPTED_AT, spec)
 
-    fun cancelled(spec: JobSpec) = JobRecord(JobState.CANCELLED, ACCEPTED_AT, spec)
+    fun cancelledRecord(spec: JobSpec) = JobRecord(JobState.CANCELLED, ACCEPTED_AT, spec)
 
-    /** A page of [PAGE_SIZE] tasks, so that [BATCH_SPEC] has three. */
+    /** A page of [PAGE_SIZE] tasks, so that [ARRAY_SPEC] has three. */
     const val PAGE_SIZE = 16
 
     val CHARGES = listOf(Charge(Cost(88_750_000), 97.4), Charge(Cost(177_500_000), 0.125))
 
-    fun emptyJob() = Job(BATCH_SPEC, KeyVersion(7), Micros(ACCEPTED_AT), PAGE_SIZE)
+    fun newJob() = Job(ARRAY_SPEC, KeyVersion(7), Micros(ACCEPTED_AT), PAGE_SIZE)
 
     private fun placement(
         job: Job,
@@ -176,19 +177,19 @@
 
     /** Done: 0, 2 to 5 and 15; 20 and 31. Tried: 19, 24 and 30. */
     fun job(): Job =
-        emptyJob().also { job ->
-            val elsewhere = { task: Int, attempt: Int ->
+        newJob().also { job ->
+            val placedElsewhere = { task: Int, attempt: Int ->
                 placement(job, task, attempt, "i-000009", 1, "east", 0)
             }
             for (task in DONE_TASKS) {
-                val placed = elsewhere(task, 1)
+                val placed = placedElsewhere(task, 1)
                 job.place(placed, Micros.ZERO)
                 job.commit(placed)
                 job.complete(task, Micros.ZERO)
                 job.release(placed, Micros.ZERO)
             }
-            for ((task, attempt) in TRIED) {
-                val placed = elsewhere(task, attempt)
+            for ((task, attempt) in LAST_ATTEMPTS) {
+                val placed = placedElsewhere(task, attempt)
                 job.place(placed, Micros.ZERO)
                 job.commit(placed)
                 job.release(placed, Micros.ZERO)
@@ -197,14 +198,14 @@
         }
 
     /** All tasks of a gang have one attempt number; the pages of one that is out, in one zone. */
-    fun gangOut(): Job =
-        emptyGang(GANG_SPEC).also { gang ->
+    fun placedGang(): Job =
+        newGang(GANG_SPEC).also { gang ->
             for (placed in gangPlacements(gang)) gang.place(placed, Micros.ZERO)
         }
 
     /** Of one that waits again after its first attempt. */
-    fun gangAgain(): Job =
-        emptyGang(GANG_AGAIN_SPEC).also { gang ->
+    fun waitingGang(): Job =
+        newGang(WAITING_GANG_SPEC).also { gang ->
             for (placed in gangPlacements(gang)) {
                 gang.place(placed, Micros.ZERO)
                 gang.commit(placed)
@@ -213,16 +214,16 @@
         }
 
     /** Of one that is done: recorded for all tasks at once, some still on their machines. */
-    fun gangDone(): Job =
-        emptyGang(GANG_DONE_SPEC).also { gang ->
+    fun doneGang(): Job =
+        newGang(DONE_GANG_SPEC).also { gang ->
             val placed = gangPlacements(gang)
-            for (one in placed) gang.place(one, Micros.ZERO)
-            for (one in placed) gang.commit(one)
+            for (placement in placed) gang.place(placement, Micros.ZERO)
+            for (placement in placed) gang.commit(placement)
             for (task in 0 until gang.spec.tasks) gang.complete(task, Micros.ZERO)
             gang.release(placed.first(), Micros.ZERO)
         }
 
-    fun emptyGang(spec: JobSpec) = Job(spec, KeyVersion(7), Micros(ACCEPTED_AT), PAGE_SIZE)
+    fun newGang(spec: JobSpec) = Job(spec, KeyVersion(7), Micros(ACCEPTED_AT), PAGE_SIZE)
 
     const val GANG_ATTEMPT = 3
 
@@ -233,9 +234,9 @@
         }
 
     val DONE_TASKS = listOf(0, 2, 3, 4, 5, 15, 20, 31)
-    val TRIED = mapOf(19 to 1, 24 to 3, 30 to 1)
+    val LAST_ATTEMPTS = mapOf(19 to 1, 24 to 3, 30 to 1)
 
-    val BEAT =
+    val PEER_HEARTBEAT =
         PeerHeartbeat(
             member = "n1",
             token = 4_711,
@@ -245,9 +246,9 @@
             cancellationCursors =
                 listOf(CancellationCursor("n2", "n2-5f3a", 12), CancellationCursor("n3", "n3-1", 0)),
         )
-    val FOLLOWER_BEAT = PeerHeartbeat(member = "n3")
+    val FOLLOWER_HEARTBEAT = PeerHeartbeat(member = "n3")
 
-    val TOLD =
+    val CANCELLATION_UPDATE =
         CancellationUpdate(
             processIncarnation = "n2-5f3a",
             uptime = 86_400_000_000,
@@ -255,9 +256,10 @@
             jobs = listOf("job-000412", "job-000413"),
             hasMore = true,
         )
-    val NOTHING_TOLD = CancellationUpdate(processIncarnation = "n3-1", uptime = 0, firstIndex = 0)
+    val EMPTY_CANCELLATION_UPDATE =
+        CancellationUpdate(processIncarnation = "n3-1", uptime = 0, firstIndex = 0)
 
-    const val REPORT_BODY =
+    const val WORKER_HEARTBEAT_BODY =
         """{"box":"i-000001","endpoint":"10.0.0.9:9","boxkind":"rackmid","ward":"east",""" +
             """"loaners":true,"shift":3,"tick":77,"baton":4711,"recall_s":12.5,"pieces":[""" +
             """{"piece":"job-000412/16","try":1,"status":"running"},""" +
@@ -271,7 +273,7 @@
             token = 4_711,
             echoedClock = 55_000_000,
             sinceEcho = 250_000,
-            fullHeartbeats = listOf(FullHeartbeat(6, REPORT_BODY.encodeToByteArray())),
+            fullHeartbeats = listOf(FullHeartbeat(6, WORKER_HEARTBEAT_BODY.encodeToByteArray())),
             unchanged = listOf(4, 90, 5, 1_000_000),
         )
 
@@ -286,7 +288,7 @@
             sinceEcho = 0,
         )
 
-    val ORDERS =
+    val COMMANDS =
         listOf(
             WorkerCommand(
                 typeName = "halt",
@@ -297,7 +299,7 @@
             WorkerCommand(typeName = "forget", task = "job-000412/17", attempt = 2),
         )
 
-    fun answer() =
+    fun response() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
             number = 41,
@@ -308,7 +310,7 @@
             unknownNumbers = listOf(4, 5),
             undelivered =
                 listOf(
-                    UndeliveredCommands("i-000001", 3, ORDERS),
+                    UndeliveredCommands("i-000001", 3, COMMANDS),
                     UndeliveredCommands("i-000002", 1, emptyList()),
                 ),
             rejectedMachines = listOf("i-000007"),
@@ -318,7 +320,7 @@
             renewalAllowed = false,
         )
 
-    fun plainAnswer() =
+    fun defaultResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
             number = 1,
@@ -327,54 +329,56 @@
             grantDuration = 5_280_000,
         )
 
-    const val CONDEMNED_WHY = "tasks fail on it"
-    const val CONDEMNED_KEY = "m/i-000001"
+    const val DECOMMISSION_REASON = "tasks fail on it"
+    const val DECOMMISSIONED_MACHINE_KEY = "m/i-000001"
 
     /**
      * All that the state service holds, by its key. What is stored of a decommissioned machine is
      * here as the placement store writes it; that it puts it so is seen on a run of the whole
      * controller.
      */
-    fun stored(): Map<String, JsonElement> {
-        val all = LinkedHashMap<String, JsonElement>()
-        all[LeaderElection.KEY] = lenientJson.encodeToJsonElement(LeaderRecord.serializer(), LEADER)
-        all[FairQueue.KEY] = tags().toJson(Micros(TAGS_AT))
-        all[MachineTypeList.KEY] = MachineTypeList.encode(TYPES)
+    fun storedValues(): Map<String, JsonElement> {
+        val values = LinkedHashMap<String, JsonElement>()
+        values[LeaderElection.KEY] =
+            lenientJson.encodeToJsonElement(LeaderRecord.serializer(), LEADER_RECORD)
+        values[FairQueue.KEY] = chargedFairQueue().toJson(Micros(TAGS_SAVED_AT))
+        values[MachineTypeList.KEY] = MachineTypeList.encode(MACHINE_TYPES)
         for (spec in SPECS) {
-            all[JobRecord.key(spec.jobId)] = accepted(spec).toJson()
-            all[JobRecord.openKey(spec.jobId)] = accepted(spec).toJson()
-            all[JobRecord.cancelledKey(spec.jobId)] = cancelled(spec).toJson()
+            values[JobRecord.key(spec.jobId)] = acceptedRecord(spec).toJson()
+            values[JobRecord.openKey(spec.jobId)] = acceptedRecord(spec).toJson()
+            values[JobRecord.cancelledKey(spec.jobId)] = cancelledRecord(spec).toJson()
         }
-        all[JobRecord.key(JobId("job-000001"))] = DONE.toJson()
+        values[JobRecord.key(JobId("job-000001"))] = DONE_RECORD.toJson()
         val job = job()
-        for (page in 0..2) all[TaskPageCodec.key(job.id, page)] = TaskPageCodec.encode(job, page)
-        val gang = gangOut()
-        for (page in 0..2) all[TaskPageCodec.key(gang.id, page)] = TaskPageCodec.encode(gang, page)
-        for (other in listOf(gangAgain(), gangDone())) all[TaskPageCodec.key(other.id, 0)] =
+        for (page in 0..2) values[TaskPageCodec.key(job.id, page)] = TaskPageCodec.encode(job, page)
+        val gang = placedGang()
+        for (page in 0..2) values[TaskPageCodec.key(gang.id, page)] =
+            TaskPageCodec.encode(gang, page)
+        for (other in listOf(waitingGang(), doneGang())) values[TaskPageCodec.key(other.id, 0)] =
             TaskPageCodec.encode(other, 0)
-        all[CONDEMNED_KEY] = JsonPrimitive(CONDEMNED_WHY)
-        all[StoredBatchClient.BATCHES + "n3"] = JsonPrimitive(ForwardingCodec.pack(batch()))
-        all[StoredBatchClient.ANSWERS] =
+        values[DECOMMISSIONED_MACHINE_KEY] = JsonPrimitive(DECOMMISSION_REASON)
+        values[StoredBatchClient.BATCHES + "n3"] = JsonPrimitive(ForwardingCodec.pack(batch()))
+        values[StoredBatchClient.ANSWERS] =
             JsonPrimitive(
                 ForwardingCodec.pack(
                     StoredBatchResponses(
-                        mapOf("n1" to plainAnswer(), "n3" to answer().withoutCommands()) +
-                            ("n4" to answer())
+                        mapOf("n1" to defaultResponse(), "n3" to response().withoutCommands()) +
+                            ("n4" to response())
                     )
                 )
             )
-        return all
+        return values
     }
 
     fun messages(): Map<String, ByteArray> =
         mapOf(
-            "beat" to PeerHeartbeatCodec.encode(BEAT),
-            "beat of a follower" to PeerHeartbeatCodec.encode(FOLLOWER_BEAT),
-            "told" to PeerHeartbeatCodec.encode(TOLD),
-            "nothing told" to PeerHeartbeatCodec.encode(NOTHING_TOLD),
+            "beat" to PeerHeartbeatCodec.encode(PEER_HEARTBEAT),
+            "beat of a follower" to PeerHeartbeatCodec.encode(FOLLOWER_HEARTBEAT),
+            "told" to PeerHeartbeatCodec.encode(CANCELLATION_UPDATE),
+            "nothing told" to PeerHeartbeatCodec.encode(EMPTY_CANCELLATION_UPDATE),
             "batch" to ForwardingCodec.encode(batch()),
             "first batch" to ForwardingCodec.encode(firstBatch()),
-            "answer" to ForwardingCodec.encode(answer()),
-            "plain answer" to ForwardingCodec.encode(plainAnswer()),
+            "answer" to ForwardingCodec.encode(response()),
+            "plain answer" to ForwardingCodec.encode(defaultResponse()),
         )
 }
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -35,24 +35,25 @@
 class FormatRewriteTest {
     private val samples = FormatSamples(FormatSamples.PRODUCTION)
 
-    private fun rewritten(key: String, rewrite: (JsonElement) -> JsonElement) {
+    private fun assertStoredRewrite(key: String, rewrite: (JsonElement) -> JsonElement) {
         val value = samples.stored.getValue(key)
         assertEquals(value.toString(), rewrite(value).toString(), key)
-        assertEquals(value.toString(), rewrite(FormatTree.withMore(value)).toString(), key)
+        assertEquals(value.toString(), rewrite(FormatTree.withUnknownFields(value)).toString(), key)
     }
 
-    private fun sentOn(name: String, rewrite: (ByteArray) -> ByteArray) {
+    private fun assertMessageRewrite(name: String, rewrite: (ByteArray) -> ByteArray) {
         val bytes = samples.messages.getValue(name)
-        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
+        val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
         assertEquals(bytes.toHexString(), rewrite(bytes).toHexString(), name)
-        assertEquals(bytes.toHexString(), rewrite(more).toHexString(), name)
+        assertEquals(bytes.toHexString(), rewrite(extended).toHexString(), name)
     }
 
-    private fun packedAgain(key: String, rewrite: (JsonElement) -> String) {
+    private fun assertPackedRewrite(key: String, rewrite: (JsonElement) -> String) {
         val value = samples.stored.getValue(key)
         val bytes = FormatTree.unpacked(value).toHexString()
-        val more = FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
-        for (form in listOf(value, more)) {
+        val extended =
+            FormatTree.packed(FormatTree.withUnknownFields(FormatTree.parsePacked(value)))
+        for (form in listOf(value, extended)) {
             val written = FormatTree.unpacked(JsonPrimitive(rewrite(form))).toHexString()
             assertEquals(bytes, written, key)
         }
@@ -60,16 +61,16 @@
 
     @Test
     fun `the leader's record, the tags and the machine types`() {
-        rewritten(LeaderElection.KEY) {
+        assertStoredRewrite(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record)
         }
-        rewritten(FairQueue.KEY) {
-            val queue = FormatContents.queue()
+        assertStoredRewrite(FairQueue.KEY) {
+            val queue = FormatContents.emptyFairQueue()
             queue.load(it)
-            queue.toJson(Micros(FormatContents.TAGS_AT))
+            queue.toJson(Micros(FormatContents.TAGS_SAVED_AT))
         }
-        rewritten(MachineTypeList.KEY) {
+        assertStoredRewrite(MachineTypeList.KEY) {
             MachineTypeList.encode(assertNotNull(MachineTypeList.decode(it)))
         }
     }
@@ -78,7 +79,9 @@
     fun `records of jobs, also as they are cancelled or done`() {
         val records = samples.stored.keys.filter { it.first() in "jqc" && it[1] == '/' }
         assertEquals(13, records.size)
-        for (key in records) rewritten(key) { assertNotNull(JobRecord.decode(it)).toJson() }
+        for (key in records) assertStoredRewrite(key) {
+            assertNotNull(JobRecord.decode(it)).toJson()
+        }
         for (spec in FormatContents.SPECS) {
             val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
             val cancelled = samples.stored.getValue("c/${spec.id}")
@@ -97,8 +100,8 @@
             val whole = open.toCancelled(maxBytes = 2_000).toJson()
             val short = open.toCancelled(jsonBytes(whole) - 1).toJson()
             assertTrue(jsonBytes(short) < jsonBytes(whole), spec.id)
-            val lost = fields(whole) - fields(short)
-            assertTrue(lost.all { it in OPTIONAL }, "$lost of ${spec.id}")
+            val missing = fields(whole) - fields(short)
+            assertTrue(missing.all { it in OPTIONAL_FIELDS }, "$missing of ${spec.id}")
             assertEquals(whole.jsonObject.getValue("state"), short.jsonObject["state"])
             assertEquals(spec.team, assertNotNull(JobRecord.decode(short)).spec?.team)
         }
@@ -107,21 +110,21 @@
     private fun fields(record: JsonElement): Set<String> =
         record.jsonObject.keys + (record.jsonObject["spec"] as JsonObject).keys
 
-    private fun pagesAgain(spec: JobSpec, pages: IntRange) {
+    private fun assertPagesRewrite(spec: JobSpec, pages: IntRange) {
         val keys = pages.associateWith { TaskPageCodec.key(JobId(spec.id), it) }
-        for (more in listOf(false, true)) {
-            val first = FormatContents.emptyGang(spec)
-            val second = FormatContents.emptyGang(spec)
+        for (extended in listOf(false, true)) {
+            val first = FormatContents.newGang(spec)
+            val second = FormatContents.newGang(spec)
             for ((number, key) in keys) {
                 val sample = samples.stored.getValue(key)
-                load(first, number, if (more) FormatTree.withMore(sample) else sample)
+                load(first, number, if (extended) FormatTree.withUnknownFields(sample) else sample)
                 val again = TaskPageCodec.encode(first, number)
                 // The order of placements is free; the fields and all that they hold are not.
                 assertEquals(sample.jsonObject.keys.toList(), again.jsonObject.keys.toList(), key)
                 load(second, number, again)
             }
             assertEquals(contents(first), contents(second))
-            assertEquals(contents(written(spec)), contents(second))
+            assertEquals(contents(originalJob(spec)), contents(second))
         }
     }
 
@@ -130,12 +133,12 @@
         TaskPageCodec.restore(job, number, KeyVersion(99), stored)
     }
 
-    private fun written(spec: JobSpec): Job =
+    private fun originalJob(spec: JobSpec): Job =
         listOf(
                 FormatContents.job(),
-                FormatContents.gangOut(),
-                FormatContents.gangAgain(),
-                FormatContents.gangDone(),
+                FormatContents.placedGang(),
+                FormatContents.waitingGang(),
+                FormatContents.doneGang(),
             )
             .single { it.spec.id == spec.id }
 
@@ -150,19 +153,21 @@
 
     @Test
     fun `pages of arrays and gangs`() {
-        pagesAgain(FormatContents.BATCH_SPEC, 0..2)
-        pagesAgain(FormatContents.GANG_SPEC, 0..2)
-        pagesAgain(FormatContents.GANG_AGAIN_SPEC, 0..0)
-        pagesAgain(FormatContents.GANG_DONE_SPEC, 0..0)
+        assertPagesRewrite(FormatContents.ARRAY_SPEC, 0..2)
+        assertPagesRewrite(FormatContents.GANG_SPEC, 0..2)
+        assertPagesRewrite(FormatContents.WAITING_GANG_SPEC, 0..0)
+        assertPagesRewrite(FormatContents.DONE_GANG_SPEC, 0..0)
     }
 
     @Test
     fun `heartbeats and what is told of cancellations`() {
         for (name in listOf("beat", "beat of a follower")) {
-            sentOn(name) { PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it))) }
+            assertMessageRewrite(name) {
+                PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it)))
+            }
         }
         for (name in listOf("told", "nothing told")) {
-            sentOn(name) {
+            assertMessageRewrite(name) {
                 PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decodeUpdate(it)))
             }
         }
@@ -171,23 +176,25 @@
     @Test
     fun `batches and answers, sent and by way of the state service`() {
         for (name in listOf("batch", "first batch")) {
-            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeBatch(it))) }
+            assertMessageRewrite(name) {
+                ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeBatch(it)))
+            }
         }
         for (name in listOf("answer", "plain answer")) {
-            sentOn(name) {
+            assertMessageRewrite(name) {
                 ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeResponse(it)))
             }
         }
-        packedAgain(StoredBatchClient.BATCHES + "n3") {
+        assertPackedRewrite(StoredBatchClient.BATCHES + "n3") {
             ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeBatch(it)))
         }
-        packedAgain(StoredBatchClient.ANSWERS) {
+        assertPackedRewrite(StoredBatchClient.ANSWERS) {
             ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeStoredResponses(it)))
         }
     }
 
     private companion object {
         /** Without these the decoders of production and of the last landing read a record too. */
-        val OPTIONAL = setOf("boxkinds", "ward", "due_s")
+        val OPTIONAL_FIELDS = setOf("boxkinds", "ward", "due_s")
     }
 }
--- a/src/test/kotlin/wardmux/app/FormatSamples.kt
+++ b/src/test/kotlin/wardmux/app/FormatSamples.kt
@@ -31,7 +31,7 @@
         const val PRODUCTION = "d663ca5"
 
         /** The landing after it, which machines may run as well. */
-        const val LAST_LANDING = "b524460"
+        const val PRODUCTION_SUCCESSOR = "b524460"
 
         /** The version whose samples hold [FormatAdditions] instead. */
         const val ADDITIONS = "ab20a17"
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -52,59 +52,64 @@
     private val messages = samples.messages
 
     /** As production wrote it, and as a later version might. */
-    private fun eachStored(key: String, check: (JsonElement) -> Unit) {
+    private fun checkStored(key: String, check: (JsonElement) -> Unit) {
         val value = stored.getValue(key)
         check(value)
         check(
             if (FormatSamples.isPacked(key))
-                FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
-            else FormatTree.withMore(value)
+                FormatTree.packed(FormatTree.withUnknownFields(FormatTree.parsePacked(value)))
+            else FormatTree.withUnknownFields(value)
         )
     }
 
-    private fun eachMessage(name: String, check: (ByteArray) -> Unit) {
+    private fun checkMessage(name: String, check: (ByteArray) -> Unit) {
         val bytes = messages.getValue(name)
         check(bytes)
-        check(FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes))))
+        check(FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes))))
     }
 
     // What this version writes.
 
     @Test
     fun `what is stored is written as production writes it, under the same keys`() {
-        val now = FormatContents.stored()
-        assertEquals(stored.keys, now.keys)
-        val found =
+        val current = FormatContents.storedValues()
+        assertEquals(stored.keys, current.keys)
+        val actual =
             stored.entries.flatMap { (key, value) ->
-                val written = now.getValue(key)
+                val written = current.getValue(key)
                 if (FormatSamples.isPacked(key)) {
-                    val production = FormatTree.ofPacked(value)
-                    FormatTree.differences(production, FormatTree.ofPacked(written), ADDED, key)
+                    val production = FormatTree.parsePacked(value)
+                    FormatTree.differences(
+                        production,
+                        FormatTree.parsePacked(written),
+                        ADDED_FIELDS,
+                        key,
+                    )
                 } else {
-                    FormatTree.differences(value, written, ADDED, key)
+                    FormatTree.differences(value, written, ADDED_FIELDS, key)
                 }
             }
-        assertEquals(emptyList(), found)
+        assertEquals(emptyList(), actual)
     }
 
     @Test
     fun `messages are written as production writes them`() {
-        val now = FormatContents.messages()
-        assertEquals(messages.keys, now.keys)
-        val found =
+        val current = FormatContents.messages()
+        assertEquals(messages.keys, current.keys)
+        val actual =
             messages.entries.flatMap { (name, bytes) ->
-                val written = FormatTree.ofCbor(now.getValue(name))
-                FormatTree.differences(FormatTree.ofCbor(bytes), written, ADDED, name)
+                val written = FormatTree.parseCbor(current.getValue(name))
+                FormatTree.differences(FormatTree.parseCbor(bytes), written, ADDED_FIELDS, name)
             }
-        assertEquals(emptyList(), found)
+        assertEquals(emptyList(), actual)
     }
 
     /** Whoever reads bytes of this version finds those that the versions beside it write. */
     @Test
     fun `what is stored and sent is the same byte for byte`() {
-        val now = FormatContents.stored()
+        val current = FormatContents.storedValues()
         for ((key, value) in stored) {
-            val written = now.getValue(key)
+            val written = current.getValue(key)
             if (FormatSamples.isPacked(key)) {
                 // How well it is packed may depend on the Java version.
                 val production = FormatTree.unpacked(value).toHexString()
@@ -122,9 +127,9 @@
     /** So all that holds here beside production holds beside the last landing as well. */
     @Test
     fun `the last landing writes the bytes that production writes`() {
-        val landing = FormatSamples(FormatSamples.LAST_LANDING)
+        val successor = FormatSamples(FormatSamples.PRODUCTION_SUCCESSOR)
         for (name in listOf("stored", "messages")) {
-            assertEquals(samples.text(name), landing.text(name), name)
+            assertEquals(samples.text(name), successor.text(name), name)
         }
     }
 
@@ -139,22 +144,22 @@
     @Test
     fun `a field that is lost, changed or new is told as a difference`() {
         val tree = Json.parseToJsonElement("""{"a":[{"b":1}],"c":"1"}""")
-        fun against(text: String, vararg additions: String) =
+        fun differencesTo(text: String, vararg additions: String) =
             FormatTree.differences(tree, Json.parseToJsonElement(text), additions.toSet())
-        assertEquals(emptyList(), against("""{"c":"1","a":[{"b":1}]}"""))
-        assertEquals(listOf(".c is not written"), against("""{"a":[{"b":1}]}"""))
-        assertEquals(1, against("""{"a":[{"b":1}],"c":1}""").size)
-        assertEquals(1, against("""{"a":[{"b":2}],"c":"1"}""").size)
-        assertEquals(1, against("""{"a":[],"c":"1"}""").size)
-        assertEquals(listOf(".a[].d is new"), against("""{"a":[{"b":1,"d":0}],"c":"1"}"""))
-        assertEquals(emptyList(), against("""{"a":[{"b":1,"d":0}],"c":"1"}""", ".a[].d"))
+        assertEquals(emptyList(), differencesTo("""{"c":"1","a":[{"b":1}]}"""))
+        assertEquals(listOf(".c is not written"), differencesTo("""{"a":[{"b":1}]}"""))
+        assertEquals(1, differencesTo("""{"a":[{"b":1}],"c":1}""").size)
+        assertEquals(1, differencesTo("""{"a":[{"b":2}],"c":"1"}""").size)
+        assertEquals(1, differencesTo("""{"a":[],"c":"1"}""").size)
+        assertEquals(listOf(".a[].d is new"), differencesTo("""{"a":[{"b":1,"d":0}],"c":"1"}"""))
+        assertEquals(emptyList(), differencesTo("""{"a":[{"b":1,"d":0}],"c":"1"}""", ".a[].d"))
     }
 
     // What this version reads.
 
     @Test
     fun `the leader's record is read`() =
-        eachStored(LeaderElection.KEY) {
+        checkStored(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             assertEquals("n2", record.member)
             assertEquals("n2-5f3a", record.processIncarnation)
@@ -162,10 +167,10 @@
 
     @Test
     fun `the tags are read`() =
-        eachStored(FairQueue.KEY) {
-            val at = Micros(FormatContents.TAGS_AT)
-            val written = FormatContents.tags()
-            val read = FormatContents.queue()
+        checkStored(FairQueue.KEY) {
+            val at = Micros(FormatContents.TAGS_SAVED_AT)
+            val written = FormatContents.chargedFairQueue()
+            val read = FormatContents.emptyFairQueue()
             read.load(it)
             assertEquals(written.virtualTime, read.virtualTime)
             assertTrue(read.virtualTime > 0)
@@ -176,35 +181,37 @@
                 assertEquals(written.usage(team, at), read.usage(team, at), team)
             }
             // Usage goes on decaying from when it was written.
-            val halved = read.usage("web", Micros(FormatContents.TAGS_AT + 600_000_000))
+            val halved = read.usage("web", Micros(FormatContents.TAGS_SAVED_AT + 600_000_000))
             assertEquals(4_000_000.0, halved)
         }
 
     @Test
     fun `machine types are read`() =
-        eachStored(MachineTypeList.KEY) {
-            assertEquals(FormatContents.TYPES, MachineTypeList.decode(it))
+        checkStored(MachineTypeList.KEY) {
+            assertEquals(FormatContents.MACHINE_TYPES, MachineTypeList.decode(it))
         }
 
     @Test
     fun `job records are read in each state and shape, under each of their keys`() {
         for (spec in FormatContents.SPECS) {
             for (key in listOf("j/${spec.id}", "q/${spec.id}")) {
-                eachStored(key) {
-                    assertEquals(FormatContents.accepted(spec), JobRecord.decode(it))
+                checkStored(key) {
+                    assertEquals(FormatContents.acceptedRecord(spec), JobRecord.decode(it))
                 }
             }
-            eachStored("c/${spec.id}") {
-                assertEquals(FormatContents.cancelled(spec), JobRecord.decode(it))
+            checkStored("c/${spec.id}") {
+                assertEquals(FormatContents.cancelledRecord(spec), JobRecord.decode(it))
             }
         }
-        eachStored("j/job-000001") { assertEquals(FormatContents.DONE, JobRecord.decode(it)) }
+        checkStored("j/job-000001") {
+            assertEquals(FormatContents.DONE_RECORD, JobRecord.decode(it))
+        }
     }
 
     /** Spelled out once, so that a field that is read in another's place is noticed. */
     @Test
     fun `each field of a job record is read`() =
-        eachStored("c/job-000412") {
+        checkStored("c/job-000412") {
             val record = assertNotNull(JobRecord.decode(it))
             assertEquals(JobState.CANCELLED, record.state)
             assertEquals(1_790_000_000_123_456, record.acceptedAt)
@@ -236,23 +243,23 @@
 
     @Test
     fun `a page is read with its placements, their zones and charges`() =
-        eachStored("t/job-000412/1") { json ->
-            val job = FormatContents.emptyJob()
+        checkStored("t/job-000412/1") { json ->
+            val job = FormatContents.newJob()
             val read =
                 TaskPageCodec.restore(job, 1, KeyVersion(99), page(json)).associateBy {
                     it.task.index
                 }
-            val wanted = FormatContents.placements(job).associateBy { it.task.index }
+            val expected = FormatContents.placements(job).associateBy { it.task.index }
             assertEquals(setOf(16, 17, 18, 22, 23), read.keys)
-            for ((task, placement) in wanted) {
-                val found = read.getValue(task)
-                assertEquals(job.id, found.task.job)
-                assertEquals(placement.attempt, found.attempt, "attempt of $task")
-                assertEquals(placement.machine, found.machine, "machine of $task")
-                assertEquals(placement.incarnation, found.incarnation, "session of $task")
-                assertEquals(placement.zone, found.zone, "zone of $task")
-                assertEquals(placement.charge, found.charge, "charge of $task")
-                assertTrue(found.isRestored && found.isCommitted)
+            for ((task, placement) in expected) {
+                val actual = read.getValue(task)
+                assertEquals(job.id, actual.task.job)
+                assertEquals(placement.attempt, actual.attempt, "attempt of $task")
+                assertEquals(placement.machine, actual.machine, "machine of $task")
+                assertEquals(placement.incarnation, actual.incarnation, "session of $task")
+                assertEquals(placement.zone, actual.zone, "zone of $task")
+                assertEquals(placement.charge, actual.charge, "charge of $task")
+                assertTrue(actual.isRestored && actual.isCommitted)
             }
             assertEquals(9_000_000_000, read.getValue(23).incarnation)
             assertEquals(MachineId("i-000003"), read.getValue(23).machine)
@@ -262,60 +269,61 @@
 
     @Test
     fun `the runs of done tasks and the tried ones are read from all pages`() {
-        val more = { json: JsonElement -> FormatTree.withMore(json) }
-        for (form in listOf({ json: JsonElement -> json }, more)) {
-            val job = FormatContents.emptyJob()
+        val extended = { json: JsonElement -> FormatTree.withUnknownFields(json) }
+        for (transform in listOf({ json: JsonElement -> json }, extended)) {
+            val job = FormatContents.newJob()
             for (number in 0..2) {
-                val json = form(stored.getValue("t/job-000412/$number"))
+                val json = transform(stored.getValue("t/job-000412/$number"))
                 TaskPageCodec.restore(job, number, KeyVersion(99), page(json))
             }
             val tasks = 0 until job.spec.tasks
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isTaskDone(it) })
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isRecorded(it) })
             for (task in tasks) {
-                val last = FormatContents.TRIED[task] ?: job.placements.get(task)?.attempt ?: 0
+                val last =
+                    FormatContents.LAST_ATTEMPTS[task] ?: job.placements.get(task)?.attempt ?: 0
                 assertEquals(last + 1, job.nextAttempt(task), "next attempt of $task")
             }
             // What came back waits behind what was never tried.
             val waiting = generateSequence { job.pollWaitingTask().takeIf { it >= 0 } }.toList()
-            assertEquals(FormatContents.TRIED.keys.toList(), waiting.takeLast(3))
+            assertEquals(FormatContents.LAST_ATTEMPTS.keys.toList(), waiting.takeLast(3))
             assertEquals(40 - 8 - 5, waiting.size)
         }
     }
 
     @Test
     fun `the pages of gangs are read, with one attempt number for all tasks`() {
-        eachGangPages(FormatContents.GANG_SPEC, 0..2) { gang, read ->
-            val wanted = FormatContents.gangPlacements(gang).map { it.task to it.machine }
-            assertEquals(wanted, read.map { it.task to it.machine })
+        checkGangPages(FormatContents.GANG_SPEC, 0..2) { gang, read ->
+            val expected = FormatContents.gangPlacements(gang).map { it.task to it.machine }
+            assertEquals(expected, read.map { it.task to it.machine })
             assertEquals(setOf(FormatContents.GANG_ATTEMPT), read.map { it.attempt }.toSet())
             assertEquals(setOf("east"), read.map { it.zone }.toSet())
             assertEquals(FormatContents.GANG_ATTEMPT, gang.gangAttempt?.number)
             assertEquals(0, gang.doneCount)
         }
-        eachGangPages(FormatContents.GANG_AGAIN_SPEC, 0..0) { gang, read ->
+        checkGangPages(FormatContents.WAITING_GANG_SPEC, 0..0) { gang, read ->
             assertEquals(0, read.size)
             assertEquals(8, gang.waiting)
             gang.startGangAttempt(Micros.ZERO)
             assertEquals(FormatContents.GANG_ATTEMPT + 1, gang.nextAttempt(0))
         }
-        eachGangPages(FormatContents.GANG_DONE_SPEC, 0..0) { gang, read ->
+        checkGangPages(FormatContents.DONE_GANG_SPEC, 0..0) { gang, read ->
             assertEquals((1..7).toList(), read.map { it.task.index })
             assertTrue(gang.allTasksDone)
         }
     }
 
-    private fun eachGangPages(
+    private fun checkGangPages(
         spec: JobSpec,
         pages: IntRange,
         check: (Job, List<Placement>) -> Unit,
     ) {
-        val more = { json: JsonElement -> FormatTree.withMore(json) }
-        for (form in listOf({ json: JsonElement -> json }, more)) {
-            val gang = FormatContents.emptyGang(spec)
+        val extended = { json: JsonElement -> FormatTree.withUnknownFields(json) }
+        for (transform in listOf({ json: JsonElement -> json }, extended)) {
+            val gang = FormatContents.newGang(spec)
             val read =
                 pages.flatMap { number ->
-                    val json = form(stored.getValue("t/${spec.id}/$number"))
+                    val json = transform(stored.getValue("t/${spec.id}/$number"))
                     TaskPageCodec.restore(gang, number, KeyVersion(99), page(json))
                 }
             check(gang, read.sortedBy { it.task.index })
@@ -338,36 +346,37 @@
         harness.run(1.seconds)
         machine.handleHeartbeat(token, "${failed(1)},${failed(2)}")
         harness.run(1.seconds)
-        val sample = stored.getValue(FormatContents.CONDEMNED_KEY)
-        assertEquals(sample, harness.stored(FormatContents.CONDEMNED_KEY))
+        val sample = stored.getValue(FormatContents.DECOMMISSIONED_MACHINE_KEY)
+        assertEquals(sample, harness.stored(FormatContents.DECOMMISSIONED_MACHINE_KEY))
     }
 
     /**
      * What the only machine in the job's zone is told under a leader that finds [decommissioned].
      */
-    private fun startsWith(decommissioned: JsonElement?): Boolean {
+    private fun startsTaskAfter(decommissioned: JsonElement?): Boolean {
         val harness = ControllerHarness()
-        if (decommissioned != null) harness.write(FormatContents.CONDEMNED_KEY, decommissioned)
+        if (decommissioned != null)
+            harness.write(FormatContents.DECOMMISSIONED_MACHINE_KEY, decommissioned)
         harness.accept(plainJob(1).copy(zone = "a"))
         harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000002", "b").token()
         val machine = ManualWorker(harness, "i-000001", "a")
-        val answers =
+        val responses =
             List(4) { machine.report(token).toString().also { harness.run(0.5.seconds) } } +
                 harness.direct
-        return answers.any { "\"verb\":\"start\"" in it }
+        return responses.any { "\"verb\":\"start\"" in it }
     }
 
     @Test
     fun `a machine that production decommissioned gets nothing more, whatever is said of it`() {
-        assertTrue(startsWith(decommissioned = null))
-        assertFalse(startsWith(stored.getValue(FormatContents.CONDEMNED_KEY)))
-        assertFalse(startsWith(JsonObject(mapOf("later" to JsonPrimitive(1)))))
+        assertTrue(startsTaskAfter(decommissioned = null))
+        assertFalse(startsTaskAfter(stored.getValue(FormatContents.DECOMMISSIONED_MACHINE_KEY)))
+        assertFalse(startsTaskAfter(JsonObject(mapOf("later" to JsonPrimitive(1)))))
     }
 
     @Test
     fun `a heartbeat is read`() {
-        eachMessage("beat") {
+        checkMessage("beat") {
             val heartbeat = assertNotNull(PeerHeartbeatCodec.decode(it))
             assertEquals("n1", heartbeat.member)
             assertEquals(4_711, heartbeat.token)
@@ -375,38 +384,38 @@
             val progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0))
             assertEquals(progress, heartbeat.progress)
             assertTrue(heartbeat.forwardingEnabled)
-            val heard =
+            val cursors =
                 heartbeat.cancellationCursors.map { h ->
                     Triple(h.member, h.processIncarnation, h.count)
                 }
-            assertEquals(listOf(Triple("n2", "n2-5f3a", 12L), Triple("n3", "n3-1", 0L)), heard)
+            assertEquals(listOf(Triple("n2", "n2-5f3a", 12L), Triple("n3", "n3-1", 0L)), cursors)
         }
-        eachMessage("beat of a follower") {
-            assertEquals(FormatContents.FOLLOWER_BEAT, PeerHeartbeatCodec.decode(it))
+        checkMessage("beat of a follower") {
+            assertEquals(FormatContents.FOLLOWER_HEARTBEAT, PeerHeartbeatCodec.decode(it))
         }
     }
 
     @Test
     fun `the answer to a heartbeat is read`() {
-        eachMessage("told") {
-            val told = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
-            assertEquals("n2-5f3a", told.processIncarnation)
-            assertEquals(86_400_000_000, told.uptime)
-            assertEquals(12, told.firstIndex)
-            assertEquals(listOf("job-000412", "job-000413"), told.jobs)
-            assertTrue(told.hasMore)
+        checkMessage("told") {
+            val update = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
+            assertEquals("n2-5f3a", update.processIncarnation)
+            assertEquals(86_400_000_000, update.uptime)
+            assertEquals(12, update.firstIndex)
+            assertEquals(listOf("job-000412", "job-000413"), update.jobs)
+            assertTrue(update.hasMore)
         }
-        eachMessage("nothing told") {
-            val told = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
-            assertEquals("n3-1", told.processIncarnation)
-            assertEquals(0, told.uptime)
-            assertEquals(0, told.firstIndex)
-            assertEquals(emptyList(), told.jobs)
-            assertFalse(told.hasMore)
+        checkMessage("nothing told") {
+            val update = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
+            assertEquals("n3-1", update.processIncarnation)
+            assertEquals(0, update.uptime)
+            assertEquals(0, update.firstIndex)
+            assertEquals(emptyList(), update.jobs)
+            assertFalse(update.hasMore)
         }
     }
 
-    private fun assertWhole(batch: HeartbeatBatch?) {
+    private fun assertAllFields(batch: HeartbeatBatch?) {
         assertNotNull(batch)
         assertEquals("n3", batch.member)
         assertEquals("n3-1", batch.processIncarnation)
@@ -414,58 +423,62 @@
         assertEquals(4_711, batch.token)
         assertEquals(55_000_000, batch.echoedClock)
         assertEquals(250_000, batch.sinceEcho)
-        val report = batch.fullHeartbeats.single()
-        assertEquals(6, report.number)
-        assertContentEquals(FormatContents.REPORT_BODY.encodeToByteArray(), report.body)
+        val fullHeartbeat = batch.fullHeartbeats.single()
+        assertEquals(6, fullHeartbeat.number)
+        assertContentEquals(
+            FormatContents.WORKER_HEARTBEAT_BODY.encodeToByteArray(),
+            fullHeartbeat.body,
+        )
         assertEquals(listOf<Long>(4, 90, 5, 1_000_000), batch.unchanged)
     }
 
-    private fun assertWhole(answer: HeartbeatBatchResponse?) {
-        assertNotNull(answer)
-        assertEquals("n3-1", answer.processIncarnation)
-        assertEquals(41, answer.number)
-        assertEquals(4_711, answer.token)
-        assertEquals(55_500_000, answer.leaderClock)
-        assertFalse(answer.forwardingEnabled)
-        assertEquals(5_280_000, answer.grantDuration)
-        assertEquals(listOf<Long>(4, 5), answer.unknownNumbers)
-        val mail = answer.undelivered.map { Triple(it.machine, it.incarnation, it.commands) }
-        val orders = FormatContents.ORDERS
-        val wanted = listOf(Triple("i-000001", 3L, orders), Triple("i-000002", 1L, emptyList()))
-        assertEquals(wanted, mail)
-        assertEquals(listOf("i-000007"), answer.rejectedMachines)
-        assertEquals(3, answer.rebalanceCount)
-        assertEquals("n1", answer.rebalanceTarget)
-        assertTrue(answer.redirectsWorkers)
-        assertFalse(answer.renewalAllowed)
+    private fun assertAllFields(response: HeartbeatBatchResponse?) {
+        assertNotNull(response)
+        assertEquals("n3-1", response.processIncarnation)
+        assertEquals(41, response.number)
+        assertEquals(4_711, response.token)
+        assertEquals(55_500_000, response.leaderClock)
+        assertFalse(response.forwardingEnabled)
+        assertEquals(5_280_000, response.grantDuration)
+        assertEquals(listOf<Long>(4, 5), response.unknownNumbers)
+        val undelivered =
+            response.undelivered.map { Triple(it.machine, it.incarnation, it.commands) }
+        val commands = FormatContents.COMMANDS
+        val expected = listOf(Triple("i-000001", 3L, commands), Triple("i-000002", 1L, emptyList()))
+        assertEquals(expected, undelivered)
+        assertEquals(listOf("i-000007"), response.rejectedMachines)
+        assertEquals(3, response.rebalanceCount)
+        assertEquals("n1", response.rebalanceTarget)
+        assertTrue(response.redirectsWorkers)
+        assertFalse(response.renewalAllowed)
     }
 
-    private fun assertBare(answer: HeartbeatBatchResponse?) {
-        assertNotNull(answer)
-        assertEquals("n3-1", answer.processIncarnation)
-        assertEquals(4_711, answer.token)
-        assertEquals(5_280_000, answer.grantDuration)
-        assertEquals(emptyList(), answer.unknownNumbers)
-        assertEquals(emptyList(), answer.undelivered)
-        assertEquals(emptyList(), answer.rejectedMachines)
-        assertEquals(0, answer.rebalanceCount)
-        assertNull(answer.rebalanceTarget)
+    private fun assertWithoutCommands(response: HeartbeatBatchResponse?) {
+        assertNotNull(response)
+        assertEquals("n3-1", response.processIncarnation)
+        assertEquals(4_711, response.token)
+        assertEquals(5_280_000, response.grantDuration)
+        assertEquals(emptyList(), response.unknownNumbers)
+        assertEquals(emptyList(), response.undelivered)
+        assertEquals(emptyList(), response.rejectedMachines)
+        assertEquals(0, response.rebalanceCount)
+        assertNull(response.rebalanceTarget)
     }
 
-    private fun assertPlain(answer: HeartbeatBatchResponse?) {
-        assertBare(answer)
-        assertEquals(1, answer?.number)
-        assertEquals(55_000_000, answer?.leaderClock)
-        assertEquals(true, answer?.forwardingEnabled)
-        assertEquals(false, answer?.redirectsWorkers)
-        assertEquals(true, answer?.renewalAllowed)
+    private fun assertDefaultFields(response: HeartbeatBatchResponse?) {
+        assertWithoutCommands(response)
+        assertEquals(1, response?.number)
+        assertEquals(55_000_000, response?.leaderClock)
+        assertEquals(true, response?.forwardingEnabled)
+        assertEquals(false, response?.redirectsWorkers)
+        assertEquals(true, response?.renewalAllowed)
     }
 
     @Test
     fun `batches are read`() {
-        eachMessage("batch") { assertWhole(ForwardingCodec.decodeBatch(it)) }
-        eachStored("r/n3") { assertWhole(ForwardingCodec.decodeBatch(it)) }
-        eachMessage("first batch") {
+        checkMessage("batch") { assertAllFields(ForwardingCodec.decodeBatch(it)) }
+        checkStored("r/n3") { assertAllFields(ForwardingCodec.decodeBatch(it)) }
+        checkMessage("first batch") {
             val batch = assertNotNull(ForwardingCodec.decodeBatch(it))
             assertEquals("n3", batch.member)
             assertEquals("n3-1", batch.processIncarnation)
@@ -480,15 +493,15 @@
 
     @Test
     fun `the answers to batches are read`() {
-        eachMessage("answer") { assertWhole(ForwardingCodec.decodeResponse(it)) }
-        eachMessage("plain answer") { assertPlain(ForwardingCodec.decodeResponse(it)) }
-        eachStored("a/relays") {
-            val answers = assertNotNull(ForwardingCodec.decodeStoredResponses(it)).byMember
-            assertEquals(setOf("n1", "n3", "n4"), answers.keys)
-            assertPlain(answers["n1"])
-            assertWhole(answers["n4"])
-            val withoutCommands = answers["n3"]
-            assertBare(withoutCommands)
+        checkMessage("answer") { assertAllFields(ForwardingCodec.decodeResponse(it)) }
+        checkMessage("plain answer") { assertDefaultFields(ForwardingCodec.decodeResponse(it)) }
+        checkStored("a/relays") {
+            val responses = assertNotNull(ForwardingCodec.decodeStoredResponses(it)).byMember
+            assertEquals(setOf("n1", "n3", "n4"), responses.keys)
+            assertDefaultFields(responses["n1"])
+            assertAllFields(responses["n4"])
+            val withoutCommands = responses["n3"]
+            assertWithoutCommands(withoutCommands)
             assertEquals(41, withoutCommands?.number)
             assertEquals(55_500_000, withoutCommands?.leaderClock)
             assertEquals(false, withoutCommands?.forwardingEnabled)
@@ -502,6 +515,6 @@
          * Fields that production does not write and passes over, each by the key or name of the
          * sample and the path in it, with the reason why a process of production may be shown it.
          */
-        val ADDED = emptySet<String>()
+        val ADDED_FIELDS = emptySet<String>()
     }
 }
--- a/src/test/kotlin/wardmux/app/FormatTree.kt
+++ b/src/test/kotlin/wardmux/app/FormatTree.kt
@@ -21,63 +21,76 @@
  * value stands in for a field that is missing.
  */
 object FormatTree {
-    private const val BYTES = "bytes:"
-    private const val BREAK = 0xff
+    private const val BYTE_STRING_PREFIX = "bytes:"
+    private const val BREAK_BYTE = 0xff
 
-    fun ofCbor(bytes: ByteArray): JsonElement {
+    fun parseCbor(bytes: ByteArray): JsonElement {
         val input = DataInputStream(ByteArrayInputStream(bytes))
         return read(input, input.readUnsignedByte()).also {
             check(input.read() < 0) { "bytes are left over" }
         }
     }
 
-    private fun read(input: DataInputStream, first: Int): JsonElement {
-        val low = first and 0x1f
-        return when (first shr 5) {
-            0 -> JsonPrimitive(number(input, low))
-            1 -> JsonPrimitive(-1 - number(input, low))
-            2 -> JsonPrimitive(BYTES + chunk(input, low).toHexString())
-            3 -> JsonPrimitive(chunk(input, low).decodeToString())
-            4 -> buildJsonArray { each(input, low) { add(read(input, it)) } }
+    private fun read(input: DataInputStream, initialByte: Int): JsonElement {
+        val additionalInformation = initialByte and 0x1f
+        return when (initialByte shr 5) {
+            0 -> JsonPrimitive(readArgument(input, additionalInformation))
+            1 -> JsonPrimitive(-1 - readArgument(input, additionalInformation))
+            2 ->
+                JsonPrimitive(
+                    BYTE_STRING_PREFIX + readBytes(input, additionalInformation).toHexString()
+                )
+            3 -> JsonPrimitive(readBytes(input, additionalInformation).decodeToString())
+            4 ->
+                buildJsonArray {
+                    forEachItem(input, additionalInformation) { add(read(input, it)) }
+                }
             5 ->
                 buildJsonObject {
-                    each(input, low) {
+                    forEachItem(input, additionalInformation) {
                         val key = read(input, it).jsonPrimitive.content
                         val before = put(key, read(input, input.readUnsignedByte()))
                         check(before == null) { "$key is there twice" }
                     }
                 }
             7 ->
-                when (low) {
+                when (additionalInformation) {
                     20 -> JsonPrimitive(false)
                     21 -> JsonPrimitive(true)
                     22 -> JsonNull
                     27 -> JsonPrimitive(input.readDouble())
-                    else -> error("simple value $low")
+                    else -> error("simple value $additionalInformation")
                 }
-            else -> error("major type of $first")
+            else -> error("major type of $initialByte")
         }
     }
 
-    private fun number(input: DataInputStream, low: Int): Long =
-        when (low) {
-            in 0..23 -> low.toLong()
+    private fun readArgument(input: DataInputStream, additionalInformation: Int): Long =
+        when (additionalInformation) {
+            in 0..23 -> additionalInformation.toLong()
             24 -> input.readUnsignedByte().toLong()
             25 -> input.readUnsignedShort().toLong()
             26 -> input.readInt().toLong() and 0xffffffffL
             27 -> input.readLong()
-            else -> error("length $low")
+            else -> error("length $additionalInformation")
         }
 
-    private fun chunk(input: DataInputStream, low: Int): ByteArray =
-        input.readNBytes(number(input, low).toInt())
-
-    private fun each(input: DataInputStream, low: Int, entry: (Int) -> Unit) {
-        if (low != 31) return repeat(number(input, low).toInt()) { entry(input.readUnsignedByte()) }
+    private fun readBytes(input: DataInputStream, additionalInformation: Int): ByteArray =
+        input.readNBytes(readArgument(input, additionalInformation).toInt())
+
+    private fun forEachItem(
+        input: DataInputStream,
+        additionalInformation: Int,
+        entry: (Int) -> Unit,
+    ) {
+        if (additionalInformation != 31)
+            return repeat(readArgument(input, additionalInformation).toInt()) {
+                entry(input.readUnsignedByte())
+            }
         while (true) {
-            val first = input.readUnsignedByte()
-            if (first == BREAK) return
-            entry(first)
+            val initialByte = input.readUnsignedByte()
+            if (initialByte == BREAK_BYTE) return
+            entry(initialByte)
         }
     }
 
@@ -90,14 +103,14 @@
     private fun write(out: DataOutputStream, tree: JsonElement) {
         when (tree) {
             is JsonObject -> {
-                head(out, 5, tree.size.toLong())
+                writeHead(out, 5, tree.size.toLong())
                 for ((key, value) in tree) {
                     write(out, JsonPrimitive(key))
                     write(out, value)
                 }
             }
             is JsonArray -> {
-                head(out, 4, tree.size.toLong())
+                writeHead(out, 4, tree.size.toLong())
                 for (value in tree) write(out, value)
             }
             is JsonNull -> out.writeByte(0xf6)
@@ -109,18 +122,19 @@
         val text = value.content
         val whole = text.toLongOrNull()
         when {
-            value.isString && text.startsWith(BYTES) -> {
-                val bytes = text.removePrefix(BYTES).hexToByteArray()
-                head(out, 2, bytes.size.toLong())
+            value.isString && text.startsWith(BYTE_STRING_PREFIX) -> {
+                val bytes = text.removePrefix(BYTE_STRING_PREFIX).hexToByteArray()
+                writeHead(out, 2, bytes.size.toLong())
                 out.write(bytes)
             }
             value.isString -> {
                 val bytes = text.encodeToByteArray()
-                head(out, 3, bytes.size.toLong())
+                writeHead(out, 3, bytes.size.toLong())
                 out.write(bytes)
             }
             text == "true" || text == "false" -> out.writeByte(if (text == "true") 0xf5 else 0xf4)
-            whole != null -> if (whole >= 0) head(out, 0, whole) else head(out, 1, -1 - whole)
+            whole != null ->
+                if (whole >= 0) writeHead(out, 0, whole) else writeHead(out, 1, -1 - whole)
             else -> {
                 out.writeByte(0xfb)
                 out.writeDouble(text.toDouble())
@@ -128,13 +142,13 @@
         }
     }
 
-    private fun head(out: DataOutputStream, major: Int, number: Long) {
+    private fun writeHead(out: DataOutputStream, major: Int, number: Long) {
         out.writeByte((major shl 5) or 27)
         out.writeLong(number)
     }
 
     /** Of what the state service keeps packed. */
-    fun ofPacked(stored: JsonElement): JsonElement = ofCbor(unpacked(stored))
+    fun parsePacked(stored: JsonElement): JsonElement = parseCbor(unpacked(stored))
 
     fun unpacked(stored: JsonElement): ByteArray {
         val bytes = Base64.getDecoder().decode(stored.jsonPrimitive.content)
@@ -148,57 +162,57 @@
     }
 
     /**
-     * How [now] differs from what [production] wrote. A field that is only in [now] is told too,
-     * unless its path is one of [additions].
+     * How [written] differs from what [sample] wrote. A field that is only in [written] is told
+     * too, unless its path is one of [additions].
      */
     fun differences(
-        production: JsonElement,
-        now: JsonElement,
+        sample: JsonElement,
+        written: JsonElement,
         additions: Set<String> = emptySet(),
         path: String = "",
     ): List<String> =
         when {
-            production is JsonObject && now is JsonObject -> {
-                val lost = (production.keys - now.keys).map { "$path.$it is not written" }
+            sample is JsonObject && written is JsonObject -> {
+                val lost = (sample.keys - written.keys).map { "$path.$it is not written" }
                 val added =
-                    (now.keys - production.keys)
+                    (written.keys - sample.keys)
                         .map { "$path.$it" }
                         .filter { it !in additions }
                         .map { "$it is new" }
                 val changed =
-                    production.keys.intersect(now.keys).flatMap {
+                    sample.keys.intersect(written.keys).flatMap {
                         val inner = "$path.$it"
-                        differences(production.getValue(it), now.getValue(it), additions, inner)
+                        differences(sample.getValue(it), written.getValue(it), additions, inner)
                     }
                 lost + added + changed
             }
-            production is JsonArray && now is JsonArray && production.size == now.size ->
-                production.indices.flatMap {
-                    differences(production[it], now[it], additions, "$path[]")
+            sample is JsonArray && written is JsonArray && sample.size == written.size ->
+                sample.indices.flatMap {
+                    differences(sample[it], written[it], additions, "$path[]")
                 }
-            production == now -> emptyList()
-            else -> listOf("$path: $now instead of $production")
+            sample == written -> emptyList()
+            else -> listOf("$path: $written instead of $sample")
         }
 
     /** With an unknown field in each object, except where the keys are names of things. */
-    fun withMore(tree: JsonElement): JsonElement =
+    fun withUnknownFields(tree: JsonElement): JsonElement =
         when (tree) {
             is JsonObject ->
                 JsonObject(
                     tree.mapValues { (key, value) ->
-                        if (key in BY_NAME && value is JsonObject) {
-                            JsonObject(value.mapValues { withMore(it.value) })
+                        if (key in MAP_FIELDS && value is JsonObject) {
+                            JsonObject(value.mapValues { withUnknownFields(it.value) })
                         } else {
-                            withMore(value)
+                            withUnknownFields(value)
                         }
-                    } + MORE
+                    } + UNKNOWN_FIELDS
                 )
-            is JsonArray -> JsonArray(tree.map { withMore(it) })
+            is JsonArray -> JsonArray(tree.map { withUnknownFields(it) })
             else -> tree
         }
 
-    private val BY_NAME = setOf("teams", "byMember")
-    private val MORE =
+    private val MAP_FIELDS = setOf("teams", "byMember")
+    private val UNKNOWN_FIELDS =
         mapOf(
             "later" to JsonPrimitive("x"),
             "laterNumber" to JsonPrimitive(-7),
--- a/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
+++ b/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
@@ -41,15 +41,15 @@
  */
 class OperatorFormatTest {
     private val samples = FormatSamples(FormatSamples.ADDITIONS)
-    private val operators: Map<String, String> =
+    private val operatorMessages: Map<String, String> =
         Json.parseToJsonElement(samples.text("operators")).jsonObject.mapValues {
             it.value.jsonPrimitive.content
         }
 
     /** As it was written, and as a later version might write it; each is written again alike. */
-    private fun eachDrain(id: String, check: (DrainRecord) -> Unit) {
+    private fun checkDrain(id: String, check: (DrainRecord) -> Unit) {
         val value = samples.stored.getValue("d/$id")
-        for (stored in listOf(value, FormatTree.withMore(value))) {
+        for (stored in listOf(value, FormatTree.withUnknownFields(value))) {
             val record = drain(stored)
             check(record)
             assertEquals(value.toString(), record.toJson().toString(), id)
@@ -59,28 +59,28 @@
     private fun drain(stored: JsonElement): DrainRecord =
         lenientJson.decodeFromJsonElement(DrainRecord.serializer(), stored)
 
-    private fun <T : Any> eachMessage(
+    private fun <T : Any> checkMessage(
         name: String,
         serializer: KSerializer<T>,
         check: (T) -> Unit,
     ) {
         val bytes = samples.messages.getValue(name)
-        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
-        for (sent in listOf(bytes, more)) {
+        val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
+        for (sent in listOf(bytes, extended)) {
             val message = assertNotNull(CborFormat.decode(serializer, sent), name)
             check(message)
             assertContentEquals(bytes, CborFormat.encode(serializer, message), name)
         }
     }
 
-    private fun <T> ofOperators(name: String, serializer: KSerializer<T>): T {
-        val text = operators.getValue(name)
+    private fun <T> decodeOperatorMessage(name: String, serializer: KSerializer<T>): T {
+        val text = operatorMessages.getValue(name)
         return operatorJson.decodeFromString(serializer, text).also {
             assertEquals(text, operatorJson.encodeToString(serializer, it), name)
         }
     }
 
-    private fun assertSelects(select: DrainSelector) {
+    private fun assertSelector(select: DrainSelector) {
         assertEquals(listOf("i-000001", "i-000003"), select.machines)
         assertEquals(listOf("rackmid", "plain"), select.types)
         assertEquals(listOf("east"), select.zones)
@@ -88,9 +88,9 @@
         assertEquals("2026-09-01T06:30:00+02:00", select.olderThan)
     }
 
-    private fun assertWhole(request: DrainRequest) {
+    private fun assertAllFields(request: DrainRequest) {
         assertEquals("rack-7", request.id)
-        assertSelects(request.select)
+        assertSelector(request.select)
         assertEquals(StepOrder.BY_ZONE, request.order)
         assertEquals(2, request.stepSize)
         assertEquals(45.5, request.graceS)
@@ -98,7 +98,7 @@
         assertEquals(DeadlineAction.CONTINUE, request.atDeadline)
     }
 
-    private fun assertWhole(step: DrainStep?) {
+    private fun assertAllFields(step: DrainStep?) {
         assertNotNull(step)
         assertEquals(3, step.number)
         assertEquals(StepPhase.EMPTYING, step.phase)
@@ -108,8 +108,8 @@
         assertEquals(1_790_000_000_000_003, step.emptyingSince)
     }
 
-    private fun assertWhole(record: DrainRecord) {
-        assertWhole(record.request)
+    private fun assertAllFields(record: DrainRecord) {
+        assertAllFields(record.request)
         assertEquals(DrainState.PAUSED, record.state)
         assertEquals(4_711, record.token)
         assertEquals(1_790_000_000_000_001, record.startedAt)
@@ -117,7 +117,7 @@
         assertEquals("i-000042", record.newest)
         assertEquals(PauseReason.LOSS, record.reason)
         assertEquals("team web: 3 of 4", record.note)
-        assertWhole(record.step)
+        assertAllFields(record.step)
         assertEquals(5, record.stepsDone)
         assertEquals(6, record.returned)
         assertEquals(7, record.moved)
@@ -125,7 +125,7 @@
         assertEquals(9_000_000, record.lastStep)
     }
 
-    private fun assertPlain(request: DrainRequest) {
+    private fun assertDefaultFields(request: DrainRequest) {
         assertEquals("done", request.id)
         val all = DrainSelector(emptyList(), emptyList(), emptyList(), null, null)
         assertEquals(all, request.select)
@@ -136,8 +136,8 @@
         assertEquals(DeadlineAction.PAUSE, request.atDeadline)
     }
 
-    private fun assertPlain(record: DrainRecord) {
-        assertPlain(record.request)
+    private fun assertDefaultFields(record: DrainRecord) {
+        assertDefaultFields(record.request)
         assertEquals(DrainState.DONE, record.state)
         assertEquals(1, record.token)
         assertEquals(2, record.startedAt)
@@ -152,47 +152,47 @@
 
     @Test
     fun `a drain is read, with and without its optional fields`() {
-        eachDrain("rack-7") { assertWhole(it) }
-        eachDrain("done") { assertPlain(it) }
+        checkDrain("rack-7") { assertAllFields(it) }
+        checkDrain("done") { assertDefaultFields(it) }
     }
 
     @Test
     fun `a drain is read in each state and order`() {
-        eachDrain("planned") { assertEquals(DrainState.PLANNED, it.state) }
-        eachDrain("preparing") { assertEquals(DrainState.RUNNING, it.state) }
-        eachDrain("by-loss") { assertEquals(DrainState.PAUSED, it.state) }
-        eachDrain("done") { assertEquals(DrainState.DONE, it.state) }
-        eachDrain("cancelled") { assertEquals(DrainState.CANCELLED, it.state) }
-        eachDrain("failed") { assertEquals(DrainState.FAILED, it.state) }
-        eachDrain("planned") { assertEquals(StepOrder.FEWEST_STEPS, it.request.order) }
-        eachDrain("emptiest-first") { assertEquals(StepOrder.EMPTIEST_FIRST, it.request.order) }
-        eachDrain("rack-7") { assertEquals(StepOrder.BY_ZONE, it.request.order) }
+        checkDrain("planned") { assertEquals(DrainState.PLANNED, it.state) }
+        checkDrain("preparing") { assertEquals(DrainState.RUNNING, it.state) }
+        checkDrain("by-loss") { assertEquals(DrainState.PAUSED, it.state) }
+        checkDrain("done") { assertEquals(DrainState.DONE, it.state) }
+        checkDrain("cancelled") { assertEquals(DrainState.CANCELLED, it.state) }
+        checkDrain("failed") { assertEquals(DrainState.FAILED, it.state) }
+        checkDrain("planned") { assertEquals(StepOrder.FEWEST_STEPS, it.request.order) }
+        checkDrain("emptiest-first") { assertEquals(StepOrder.EMPTIEST_FIRST, it.request.order) }
+        checkDrain("rack-7") { assertEquals(StepOrder.BY_ZONE, it.request.order) }
     }
 
     @Test
     fun `a drain is read in each phase of its step and paused for each reason`() {
-        eachDrain("preparing") { assertEquals(StepPhase.PREPARING, it.step?.phase) }
-        eachDrain("emptying") { assertEquals(StepPhase.EMPTYING, it.step?.phase) }
-        eachDrain("settling") { assertEquals(StepPhase.SETTLING, it.step?.phase) }
-        eachDrain("by-operator") { assertEquals(PauseReason.OPERATOR, it.reason) }
-        eachDrain("by-deadline") { assertEquals(PauseReason.DEADLINE, it.reason) }
-        eachDrain("by-loss") { assertEquals(PauseReason.LOSS, it.reason) }
-        eachDrain("by-budget") { assertEquals(PauseReason.BUDGET, it.reason) }
+        checkDrain("preparing") { assertEquals(StepPhase.PREPARING, it.step?.phase) }
+        checkDrain("emptying") { assertEquals(StepPhase.EMPTYING, it.step?.phase) }
+        checkDrain("settling") { assertEquals(StepPhase.SETTLING, it.step?.phase) }
+        checkDrain("by-operator") { assertEquals(PauseReason.OPERATOR, it.reason) }
+        checkDrain("by-deadline") { assertEquals(PauseReason.DEADLINE, it.reason) }
+        checkDrain("by-loss") { assertEquals(PauseReason.LOSS, it.reason) }
+        checkDrain("by-budget") { assertEquals(PauseReason.BUDGET, it.reason) }
     }
 
     @Test
     fun `the names of all values of the enumerations`() {
-        assertNames(Source.serializer(), "leader", "store")
-        assertNames(DeadlineAction.serializer(), "pause", "continue")
-        assertNames(StepOrder.serializer(), "fewest_steps", "emptiest_first", "by_zone")
+        assertElementNames(Source.serializer(), "leader", "store")
+        assertElementNames(DeadlineAction.serializer(), "pause", "continue")
+        assertElementNames(StepOrder.serializer(), "fewest_steps", "emptiest_first", "by_zone")
         val states = arrayOf("planned", "running", "paused", "done", "cancelled", "failed")
-        assertNames(DrainState.serializer(), *states)
-        assertNames(PauseReason.serializer(), "operator", "deadline", "loss", "budget")
-        assertNames(StepPhase.serializer(), "preparing", "emptying", "settling")
+        assertElementNames(DrainState.serializer(), *states)
+        assertElementNames(PauseReason.serializer(), "operator", "deadline", "loss", "budget")
+        assertElementNames(StepPhase.serializer(), "preparing", "emptying", "settling")
     }
 
     @OptIn(ExperimentalSerializationApi::class)
-    private fun assertNames(serializer: KSerializer<*>, vararg names: String) {
+    private fun assertElementNames(serializer: KSerializer<*>, vararg names: String) {
         val descriptor = serializer.descriptor
         val found = List(descriptor.elementsCount) { descriptor.getElementName(it) }
         assertEquals(names.toList(), found)
@@ -200,17 +200,17 @@
 
     @Test
     fun `what is passed on to the leader is read, and its answer`() {
-        eachMessage("forwarded request", ForwardedRequest.serializer()) {
+        checkMessage("forwarded request", ForwardedRequest.serializer()) {
             assertEquals("POST", it.method)
             assertEquals("/drains/rack-7/pause", it.path)
             assertContentEquals(byteArrayOf(123, 0, 127, -128, -1, 125), it.body)
         }
-        eachMessage("forwarded answer", ForwardedResponse.serializer()) {
+        checkMessage("forwarded answer", ForwardedResponse.serializer()) {
             assertEquals(503, it.status)
             assertEquals("""{"error":"später"}""", it.body)
             assertEquals(2, it.retryAfterS)
         }
-        eachMessage("plain forwarded answer", ForwardedResponse.serializer()) {
+        checkMessage("plain forwarded answer", ForwardedResponse.serializer()) {
             assertEquals(200, it.status)
             assertEquals("{}", it.body)
             assertNull(it.retryAfterS)
@@ -219,32 +219,35 @@
 
     @Test
     fun `an operator's request is read, but not with a field that is unknown`() {
-        assertWhole(ofOperators("request", DrainRequest.serializer()))
-        val more = FormatTree.withMore(Json.parseToJsonElement(operators.getValue("request")))
+        assertAllFields(decodeOperatorMessage("request", DrainRequest.serializer()))
+        val extended =
+            FormatTree.withUnknownFields(
+                Json.parseToJsonElement(operatorMessages.getValue("request"))
+            )
         assertFailsWith<SerializationException> {
-            operatorJson.decodeFromJsonElement(DrainRequest.serializer(), more)
+            operatorJson.decodeFromJsonElement(DrainRequest.serializer(), extended)
         }
     }
 
     @Test
     fun `errors are read`() {
-        val error = ofOperators("error", DrainError.serializer())
+        val error = decodeOperatorMessage("error", DrainError.serializer())
         assertEquals("no such drain: rack-8", error.error)
         assertNull(error.state)
-        val over = ofOperators("error of a drain that is over", DrainError.serializer())
+        val over = decodeOperatorMessage("error of a drain that is over", DrainError.serializer())
         assertEquals("rack-7 is over", over.error)
         assertEquals(DrainState.CANCELLED, over.state)
     }
 
-    private fun assertWeb(budget: BudgetStatus) {
+    private fun assertWebBudget(budget: BudgetStatus) {
         assertEquals("web", budget.team)
         assertEquals(4, budget.limit)
         assertEquals(3, budget.disrupted)
         assertEquals(2, budget.minReplicas)
     }
 
-    private fun assertStored(status: DrainStatus) {
-        assertPlain(status.record)
+    private fun assertStoredStatus(status: DrainStatus) {
+        assertDefaultFields(status.record)
         assertEquals(Source.STORE, status.source)
         assertEquals(0.0, status.ageS)
         assertEquals("", status.waitsFor)
@@ -254,32 +257,32 @@
 
     @Test
     fun `the status of a drain is read, from the leader and as it is stored`() {
-        val status = ofOperators("status", DrainStatus.serializer())
-        assertWhole(status.record)
+        val status = decodeOperatorMessage("status", DrainStatus.serializer())
+        assertAllFields(status.record)
         assertEquals(Source.LEADER, status.source)
         assertEquals(0.25, status.ageS)
         assertEquals("the budget of web", status.waitsFor)
         assertEquals(11, status.remaining)
-        assertWeb(status.budgets.single())
-        assertStored(ofOperators("stored status", DrainStatus.serializer()))
+        assertWebBudget(status.budgets.single())
+        assertStoredStatus(decodeOperatorMessage("stored status", DrainStatus.serializer()))
     }
 
     @Test
     fun `the list of drains is read`() {
-        val list = ofOperators("list", DrainList.serializer())
-        assertStored(list.drains.single())
+        val list = decodeOperatorMessage("list", DrainList.serializer())
+        assertStoredStatus(list.drains.single())
         assertEquals(listOf("rack-9"), list.unreadable)
     }
 
     @Test
     fun `what a drain would do is read`() {
-        val check = ofOperators("check", DrainCheck.serializer())
+        val check = decodeOperatorMessage("check", DrainCheck.serializer())
         assertEquals(3, check.machines)
         assertEquals(listOf(listOf("i-000001", "i-000003"), listOf("i-000002")), check.steps)
         assertEquals(17, check.tasksToMove)
-        assertWeb(check.budgets.single())
+        assertWebBudget(check.budgets.single())
         assertEquals("no room for job-000413", check.stoppedBy)
-        val plain = ofOperators("plain check", DrainCheck.serializer())
+        val plain = decodeOperatorMessage("plain check", DrainCheck.serializer())
         assertEquals(DrainCheck(0, emptyList(), 0, emptyList(), null), plain)
     }
 }
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -13,10 +13,10 @@
 class ReadinessTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
 
-    private fun ready() = harness.call("GET", "/ready")?.first
+    private fun readyStatus() = harness.call("GET", "/ready")?.first
 
     /** Seconds in which the peer says how long ago the key-value store answered it. */
-    private fun pass(inSeconds: Int, peerSilenceS: (Int) -> Long) =
+    private fun runWithPeer(inSeconds: Int, peerSilenceS: (Int) -> Long) =
         repeat(inSeconds) {
             val heartbeat =
                 PeerHeartbeatCodec.encode(
@@ -39,7 +39,7 @@
                 ListenerKind.PEER,
             )
             harness.run(1.seconds)
-            assertEquals(200, ready())
+            assertEquals(200, readyStatus())
         }
     }
 
@@ -47,18 +47,18 @@
     fun `in an outage for all controllers, all stay ready`() {
         harness.run(2.seconds)
         harness.refuse = { true }
-        pass(12) { it.toLong() }
-        assertEquals(200, ready())
+        runWithPeer(12) { it.toLong() }
+        assertEquals(200, readyStatus())
     }
 
     @Test
     fun `a controller that alone is refused is not ready until it is served again`() {
         harness.run(2.seconds)
         harness.refuse = { true }
-        pass(5) { 0 }
-        assertEquals(503, ready())
+        runWithPeer(5) { 0 }
+        assertEquals(503, readyStatus())
         harness.refuse = { false }
-        pass(2) { 0 }
-        assertEquals(200, ready())
+        runWithPeer(2) { 0 }
+        assertEquals(200, readyStatus())
     }
 }
--- a/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
+++ b/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
@@ -23,7 +23,7 @@
  * The file that is read here names every key, none with its default; it is never made anew.
  */
 class SettingsKeysTest {
-    private val settings by lazy { SettingsFiles.operators(File(SAMPLE)) }
+    private val settings by lazy { SettingsFiles.operators(File(SAMPLE_FILE)) }
     private val drain by lazy { assertNotNull(settings.drain) }
 
     @Test
@@ -74,7 +74,7 @@
 
     @Test
     fun `these are all keys that there are`() =
-        assertEquals(KEYS, keys(OperatorSettings.serializer().descriptor))
+        assertEquals(KEYS, keyPaths(OperatorSettings.serializer().descriptor))
 
     @Test
     fun `the file sets every key to something else than its default`() {
@@ -83,34 +83,34 @@
                 teams = listOf(TeamBudgetSettings("")),
                 windows = listOf(WindowSettings("", "", 0.0)),
             )
-        val byDefault = values(tree(OperatorSettings(drain = defaults)))
-        val set = values(tree(settings))
-        assertEquals(KEYS, set.keys.toList())
-        for ((key, value) in set) assertNotEquals(byDefault.getValue(key), value, key)
+        val defaultValues = leafValues(toJson(OperatorSettings(drain = defaults)))
+        val setValues = leafValues(toJson(settings))
+        assertEquals(KEYS, setValues.keys.toList())
+        for ((key, value) in setValues) assertNotEquals(defaultValues.getValue(key), value, key)
     }
 
-    private fun tree(settings: OperatorSettings): JsonElement =
+    private fun toJson(settings: OperatorSettings): JsonElement =
         json.encodeToJsonElement(OperatorSettings.serializer(), settings)
 
     @OptIn(ExperimentalSerializationApi::class)
-    private fun keys(descriptor: SerialDescriptor, path: String = ""): List<String> =
+    private fun keyPaths(descriptor: SerialDescriptor, path: String = ""): List<String> =
         when (descriptor.kind) {
-            StructureKind.LIST -> keys(descriptor.getElementDescriptor(0), "$path[]")
+            StructureKind.LIST -> keyPaths(descriptor.getElementDescriptor(0), "$path[]")
             StructureKind.CLASS ->
                 List(descriptor.elementsCount) {
                         val name = descriptor.getElementName(it)
-                        keys(descriptor.getElementDescriptor(it), "$path.$name")
+                        keyPaths(descriptor.getElementDescriptor(it), "$path.$name")
                     }
                     .flatten()
             else -> listOf(path.removePrefix("."))
         }
 
-    private fun values(tree: JsonElement, path: String = ""): Map<String, JsonElement> =
+    private fun leafValues(tree: JsonElement, path: String = ""): Map<String, JsonElement> =
         when (tree) {
-            is JsonArray -> values(tree.single(), "$path[]")
+            is JsonArray -> leafValues(tree.single(), "$path[]")
             is JsonObject ->
                 tree.entries.fold(emptyMap()) { all, (name, value) ->
-                    all + values(value, "$path.$name")
+                    all + leafValues(value, "$path.$name")
                 }
             else -> mapOf(path.removePrefix(".") to tree)
         }
@@ -118,7 +118,8 @@
     private companion object {
         val json = Json { encodeDefaults = true }
 
-        const val SAMPLE = "src/test/resources/formats/${FormatSamples.ADDITIONS}/settings.toml"
+        const val SAMPLE_FILE =
+            "src/test/resources/formats/${FormatSamples.ADDITIONS}/settings.toml"
 
         val KEYS =
             listOf(
--- a/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
@@ -66,7 +66,7 @@
 
     @Test
     fun `only the edge uses messages of the protocols`() {
-        for ((messages, users) in MESSAGES) {
+        for ((messages, users) in PACKAGES_BY_MESSAGE) {
             check(
                 classes()
                     .that()
@@ -80,16 +80,19 @@
 
     @Test
     fun `constructors take at most eight parameters, but for messages, records and settings`() {
-        val tooLong =
-            PRODUCTION_CLASSES.filterNot { isData(it) }
+        val tooManyParameters =
+            PRODUCTION_CLASSES.filterNot { isDataOrSerialized(it) }
                 .flatMap { it.constructors }
                 .filterNot { JavaModifier.SYNTHETIC in it.modifiers }
                 .filter { it.rawParameterTypes.size > MAX_CONSTRUCTOR_PARAMETERS }
-        assertEquals(emptyList(), tooLong.map { "${it.owner.name}: ${it.rawParameterTypes.size}" })
+        assertEquals(
+            emptyList(),
+            tooManyParameters.map { "${it.owner.name}: ${it.rawParameterTypes.size}" },
+        )
     }
 
     /** Serialized classes and data classes have as many fields as what they describe. */
-    private fun isData(type: JavaClass) =
+    private fun isDataOrSerialized(type: JavaClass) =
         type.isAnnotatedWith(Serializable::class.java) ||
             type.methods.any { it.name == "component1" }
 
@@ -124,7 +127,7 @@
             )
 
         /** Messages by name, and the packages that may use them. */
-        val MESSAGES =
+        val PACKAGES_BY_MESSAGE =
             mapOf(
                 "wardmux\\.worker\\.(WorkerHeartbeat|ReportedTask|WorkerCommand|DirectCommands)(\\$.*)?" to
                     arrayOf(
--- a/src/test/kotlin/wardmux/cli/DrainCommandTest.kt
+++ b/src/test/kotlin/wardmux/cli/DrainCommandTest.kt
@@ -19,29 +19,29 @@
 
 /** The command line where no controller can be asked, and what it says of answers. */
 class DrainCommandTest {
-    private val printed = StringWriter()
+    private val output = StringWriter()
 
     private fun run(vararg arguments: String): Int {
-        val line = CommandLine(WardmuxCommand())
-        val writer = PrintWriter(printed, true)
-        return line.setOut(writer).setErr(writer).execute("drain", *arguments)
+        val commandLine = CommandLine(WardmuxCommand())
+        val writer = PrintWriter(output, true)
+        return commandLine.setOut(writer).setErr(writer).execute("drain", *arguments)
     }
 
     @Test
     fun `a timeout is reported with what is known of the request`() {
         val code = run("list", "--controller", "127.0.0.1:1", "--timeout", "0.5")
         assertEquals(DrainExit.NO_ANSWER, code)
-        assertTrue("nothing was carried out" in printed.toString(), printed.toString())
+        assertTrue("nothing was carried out" in output.toString(), output.toString())
     }
 
     @Test
     fun `an invalid option is a bad request that names it`() {
         assertEquals(DrainExit.BAD_REQUEST, run("list", "--controller", "nowhere"))
-        assertTrue("--controller" in printed.toString())
+        assertTrue("--controller" in output.toString())
         assertEquals(DrainExit.BAD_REQUEST, run("start", "--id", "d1", "--order", "sideways"))
-        assertTrue("--order" in printed.toString())
+        assertTrue("--order" in output.toString())
         assertEquals(DrainExit.BAD_REQUEST, run("start"))
-        assertTrue("--id" in printed.toString())
+        assertTrue("--id" in output.toString())
         assertEquals(DrainExit.BAD_REQUEST, run("start", "--id", "x", "--spot", "--ordinary"))
         assertEquals(DrainExit.BAD_REQUEST, run())
     }
--- a/src/test/kotlin/wardmux/http/HttpServerTest.kt
+++ b/src/test/kotlin/wardmux/http/HttpServerTest.kt
@@ -36,14 +36,18 @@
         group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS)
     }
 
-    private fun Socket.ask(method: String, path: String, body: ByteArray = ByteArray(0)): Int {
+    private fun Socket.sendForStatus(
+        method: String,
+        path: String,
+        body: ByteArray = ByteArray(0),
+    ): Int {
         val head = "$method $path HTTP/1.1\r\nHost: x\r\nContent-Length: ${body.size}\r\n\r\n"
         getOutputStream().write(head.encodeToByteArray() + body)
         getOutputStream().flush()
-        return status()
+        return readStatus()
     }
 
-    private fun Socket.status(): Int {
+    private fun Socket.readStatus(): Int {
         val input = getInputStream()
         val head = StringBuilder()
         while (!head.endsWith("\r\n\r\n")) {
@@ -62,20 +66,26 @@
     @Test
     fun `each bad request has its status and the connection stays open`() {
         connect().use { socket ->
-            assertEquals(400, socket.ask("POST", "/submissions", "{".encodeToByteArray()))
-            assertEquals(400, socket.ask("POST", "/submissions", "[]".encodeToByteArray()))
+            assertEquals(400, socket.sendForStatus("POST", "/submissions", "{".encodeToByteArray()))
+            assertEquals(
+                400,
+                socket.sendForStatus("POST", "/submissions", "[]".encodeToByteArray()),
+            )
             val fields = listOf("cores", "pieces", "shape", "name_id", "loaners")
             for (field in fields) {
-                assertEquals(400, socket.ask("POST", "/submissions", submission(field to null)))
+                assertEquals(
+                    400,
+                    socket.sendForStatus("POST", "/submissions", submission(field to null)),
+                )
             }
-            assertEquals(404, socket.ask("GET", "/submissions/job-000777"))
-            assertEquals(404, socket.ask("GET", "/submissions/nonsense"))
-            assertEquals(404, socket.ask("POST", "/submissions/job-000777/abort"))
-            assertEquals(404, socket.ask("GET", "/nowhere"))
-            assertEquals(405, socket.ask("GET", "/submissions"))
-            assertEquals(405, socket.ask("DELETE", "/submissions/job-000777"))
-            assertEquals(400, socket.ask("POST", "/hello", "x".encodeToByteArray()))
-            assertEquals(200, socket.ask("GET", "/ready"))
+            assertEquals(404, socket.sendForStatus("GET", "/submissions/job-000777"))
+            assertEquals(404, socket.sendForStatus("GET", "/submissions/nonsense"))
+            assertEquals(404, socket.sendForStatus("POST", "/submissions/job-000777/abort"))
+            assertEquals(404, socket.sendForStatus("GET", "/nowhere"))
+            assertEquals(405, socket.sendForStatus("GET", "/submissions"))
+            assertEquals(405, socket.sendForStatus("DELETE", "/submissions/job-000777"))
+            assertEquals(400, socket.sendForStatus("POST", "/hello", "x".encodeToByteArray()))
+            assertEquals(200, socket.sendForStatus("GET", "/ready"))
         }
     }
 
@@ -83,23 +93,29 @@
     fun `an infeasible job is refused, and a known job never is`() {
         connect().use { socket ->
             val unknownTeam = submission("owner" to JsonPrimitive("nobody"))
-            assertEquals(422, socket.ask("POST", "/submissions", unknownTeam))
+            assertEquals(422, socket.sendForStatus("POST", "/submissions", unknownTeam))
             val huge = submission("cores" to JsonPrimitive(17.0))
-            assertEquals(422, socket.ask("POST", "/submissions", huge))
-            assertEquals(201, socket.ask("POST", "/submissions", submission()))
+            assertEquals(422, socket.sendForStatus("POST", "/submissions", huge))
+            assertEquals(201, socket.sendForStatus("POST", "/submissions", submission()))
             // The id is known now: whatever the repeat says, the answer is its state.
-            assertEquals(200, socket.ask("POST", "/submissions", submission()))
-            assertEquals(200, socket.ask("POST", "/submissions", huge))
-            assertEquals(200, socket.ask("POST", "/submissions", submission("cores" to null)))
-            assertEquals(200, socket.ask("POST", "/submissions/job-000412/abort"))
-            assertEquals(200, socket.ask("GET", "/submissions/job-000412"))
+            assertEquals(200, socket.sendForStatus("POST", "/submissions", submission()))
+            assertEquals(200, socket.sendForStatus("POST", "/submissions", huge))
+            assertEquals(
+                200,
+                socket.sendForStatus("POST", "/submissions", submission("cores" to null)),
+            )
+            assertEquals(200, socket.sendForStatus("POST", "/submissions/job-000412/abort"))
+            assertEquals(200, socket.sendForStatus("GET", "/submissions/job-000412"))
         }
     }
 
     @Test
     fun `a body over the limit is malformed`() {
         connect().use { socket ->
-            assertEquals(400, socket.ask("POST", "/submissions", ByteArray(MAX_BODY_BYTES + 1)))
+            assertEquals(
+                400,
+                socket.sendForStatus("POST", "/submissions", ByteArray(MAX_BODY_BYTES + 1)),
+            )
         }
     }
 
@@ -107,23 +123,24 @@
     fun `a request that is not HTTP is malformed`() {
         connect().use { socket ->
             socket.getOutputStream().write("rubbish\r\n\r\n".encodeToByteArray())
-            assertEquals(400, socket.status())
+            assertEquals(400, socket.readStatus())
         }
     }
 
     @Test
     fun `a connection beyond the workers' limit gets 503, and users are still served`() {
-        val workers = List(2) { connect().also { it.ask("POST", "/hello") } }
-        connect().use { assertEquals(503, it.ask("POST", "/hello")) }
-        connect().use { assertEquals(200, it.ask("GET", "/ready")) }
-        workers.forEach { it.close() }
+        val workerSockets = List(2) { connect().also { it.sendForStatus("POST", "/hello") } }
+        connect().use { assertEquals(503, it.sendForStatus("POST", "/hello")) }
+        connect().use { assertEquals(200, it.sendForStatus("GET", "/ready")) }
+        workerSockets.forEach { it.close() }
     }
 
     @Test
     fun `a connection beyond the limit gets 503 at once`() {
-        val open = List(3) { connect().also { assertEquals(200, it.ask("GET", "/ready")) } }
-        connect().use { assertEquals(503, it.status()) }
-        assertEquals(200, open.first().ask("GET", "/ready"))
-        open.forEach { it.close() }
+        val openSockets =
+            List(3) { connect().also { assertEquals(200, it.sendForStatus("GET", "/ready")) } }
+        connect().use { assertEquals(503, it.readStatus()) }
+        assertEquals(200, openSockets.first().sendForStatus("GET", "/ready"))
+        openSockets.forEach { it.close() }
     }
 }
