--- a/src/main/kotlin/wardmux/app/BackgroundExecutor.kt
+++ b/src/main/kotlin/wardmux/app/BackgroundExecutor.kt
@@ -7,7 +7,7 @@
 import wardmux.core.BackgroundTask
 import wardmux.logging.logger
 
-/** Runs background tasks one at a time, on a thread that ends while there are none. */
+/** Runs background tasks one at a time. The thread ends when it has been idle for some seconds. */
 class BackgroundExecutor {
     private val log = logger<BackgroundExecutor>()
     private val executor: ExecutorService =
@@ -23,8 +23,13 @@
                 try {
                     task.run()
                 } catch (e: RuntimeException) {
-                    // The core goes on without the result: a fault in a task must not stop it.
-                    log.error("background task {} failed", task.javaClass.simpleName, e)
+                    // A fault in a background task must not stop the core: it continues without the
+                    // result.
+                    log.error(
+                        "background task {} failed; the core continues without its result",
+                        task.javaClass.simpleName,
+                        e,
+                    )
                     null
                 }
             onResult(result)
--- a/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
+++ b/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
@@ -7,7 +7,10 @@
  * A short run of the daemon that loads the classes for the JVM's class-data sharing (CDS) archive.
  */
 object CdsTrainingRun {
-    /** Runs a controller that reaches no service for as long as it takes to load its classes. */
+    /**
+     * Runs a controller for [CLASS_LOADING_MILLIS], which is long enough to load its classes. The
+     * controller can connect to no service: nothing listens on the addresses in its settings.
+     */
     fun run() {
         val directory = kotlin.io.path.createTempDirectory("wardmux").toFile()
         val settingsFile = directory.resolve("settings.toml")
@@ -22,6 +25,7 @@
 
     private const val CLASS_LOADING_MILLIS = 1_500L
 
+    /** Complete and valid platform settings; tests use them as well. */
     internal val SAMPLE_SETTINGS =
         """
         member = "wardbox-0"
--- a/src/main/kotlin/wardmux/app/Controller.kt
+++ b/src/main/kotlin/wardmux/app/Controller.kt
@@ -17,8 +17,9 @@
 import wardmux.model.Micros
 
 /**
- * One controller as a state machine: takes inputs with their time, returns what to send and answer.
- * [processIncarnation] differs between any two processes, also those of one member.
+ * One controller as a state machine. It receives inputs with the time of each, and returns the
+ * requests to send, the responses to give and the computations to run. [processIncarnation]
+ * identifies the process: no two processes share it, not even successive processes of one member.
  */
 class Controller(
     platform: PlatformConfig,
@@ -64,13 +65,13 @@
             leaderRedirect::redirect,
         )
 
-    /** The operators' interface; null where drains are switched off. */
+    /** The API for operators; null if drains are disabled by the settings. */
     private val drainApi =
         operators.drain?.let { DrainApi(context, store, CurrentDrainLeader(currentTerm)) }
     private val publicApi = PublicApi(services, currentTerm, forwarder, leaderRedirect, jobs)
     private val peerApi = PeerApi(services, currentTerm, drainApi)
 
-    /** Handles one input that came at the given monotonic time and time of day. */
+    /** Handles [input], which arrived at monotonic time [now] and time of day [wallTime]. */
     fun handle(now: Micros, wallTime: Micros, input: Input): List<Effect> {
         context.setTime(now, wallTime)
         when (input) {
@@ -83,7 +84,7 @@
         return context.takeEffects()
     }
 
-    /** The effects so far of an input whose handling failed. */
+    /** Returns the effects that an input had before its handling failed. */
     fun pendingEffects(): List<Effect> = context.takeEffects()
 
     private fun tick() {
--- a/src/main/kotlin/wardmux/app/CurrentTerm.kt
+++ b/src/main/kotlin/wardmux/app/CurrentTerm.kt
@@ -8,12 +8,12 @@
 import wardmux.model.FencingToken
 import wardmux.model.seconds
 
-/** Has a controller stand for election, and holds its term while it leads. */
+/** Takes part in the leader election, and holds the term of this controller while it leads. */
 class CurrentTerm(
     private val services: ControllerServices,
     private val completionListener: JobCompletionListener,
 ) : LeaderElection.Listener {
-    /** The election that this controller takes part in. */
+    /** The election in which this controller is a candidate. */
     val election =
         LeaderElection(
             services.context,
@@ -24,11 +24,11 @@
             listener = this,
         )
 
-    /** The term that this controller leads; null while it follows. */
+    /** The term in which this controller leads; null while it is a follower. */
     var term: LeaderTerm? = null
         private set
 
-    /** The fencing token that this controller leads with; null while it follows. */
+    /** The fencing token of this controller as leader; null while it is a follower. */
     val token: FencingToken?
         get() = (election.role as? Role.Leader)?.token
 
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -18,7 +18,9 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Connects a [Controller] to sockets and clocks; one event loop runs both. */
+/**
+ * Connects a [Controller] to sockets and clocks. One event loop runs the controller and its I/O.
+ */
 class Daemon(private val platform: PlatformConfig, private val operators: OperatorSettings) {
     private val log = logger<Daemon>()
     private val group = NioEventLoopGroup(1)
@@ -46,8 +48,8 @@
     }
 
     /**
-     * Listens for peers, users and operators, and blocks until the users' socket is closed. Throws
-     * [BindException] if the address for peers or users can't be listened on.
+     * Listens for peers, users and operators, and blocks until the listener for users is closed.
+     * Throws [BindException] if the address for peers or for users can't be bound.
      */
     fun run() {
         val eventLoop = group.next()
@@ -68,8 +70,9 @@
     }
 
     /**
-     * Users are served also where the operators' address can't be listened on: that is tried again
-     * now and then. Blocks until [apiChannel] is closed.
+     * Binds the listener for operators, and blocks until [apiChannel] is closed. If the address
+     * can't be bound, users are served all the same, and binding is retried every
+     * [OPERATOR_LISTENER_RETRY_S] seconds.
      */
     private fun listenForOperators(apiChannel: Channel) {
         var isBound = bindOperators(isRetry = false)
@@ -78,7 +81,7 @@
         }
     }
 
-    /** True if nothing is left to bind. */
+    /** Returns true if the listener for operators is bound or is not configured. */
     private fun bindOperators(isRetry: Boolean): Boolean {
         val address = operators.drain?.listener ?: return true
         try {
@@ -86,14 +89,22 @@
             log.info("{} listens for operators on {}", platform.member, address)
             return true
         } catch (e: BindException) {
-            if (!isRetry) log.warn("drain.address {} can't be listened on: {}", address, e.message)
+            if (!isRetry) {
+                log.warn(
+                    "can't listen for operators on drain.address {}, retrying every {} s: {}",
+                    address,
+                    OPERATOR_LISTENER_RETRY_S,
+                    e.message,
+                )
+            }
             return false
         }
     }
 
     /**
-     * Two processes may start at the same reading of a clock, or with the same random numbers; not
-     * with all of these alike.
+     * Returns an identifier that no other process has. Two processes may read the same time from a
+     * clock or draw the same random number, so the identifier combines the time of day, the
+     * monotonic time, the process id and a random UUID.
      */
     private fun newProcessIncarnation(): String {
         val wallTime = System.currentTimeMillis()
@@ -110,8 +121,8 @@
                 val wallTime = Micros(System.currentTimeMillis() * MICROS_PER_MILLI)
                 controller.handle(now, wallTime, input)
             } catch (e: Exception) {
-                // A fault in handling one input must not end the controller for all users.
-                log.error("input dropped", e)
+                // A fault while handling one input must not stop the controller for all users.
+                log.error("the controller failed to handle an input, which is dropped", e)
                 controller.pendingEffects()
             }
         for (effect in effects) perform(effect)
--- a/src/main/kotlin/wardmux/app/LeaderRedirect.kt
+++ b/src/main/kotlin/wardmux/app/LeaderRedirect.kt
@@ -5,9 +5,9 @@
 import wardmux.election.LeaderElection
 import wardmux.worker.Redirect
 
-/** Redirects workers whose heartbeats a follower can't answer to the leader. */
+/** Redirects workers to the leader if this follower can't answer their heartbeats. */
 class LeaderRedirect(private val context: CoreContext, private val election: LeaderElection) {
-    /** Answers [requestId] with the leader to go to, or with none if that is not known. */
+    /** Answers the request [requestId] with 421. The body names the leader if it is known. */
     fun redirect(requestId: Long) {
         val leader =
             election.knownLeader ?: return context.answer(requestId, HttpStatus.MISDIRECTED_REQUEST)
--- a/src/main/kotlin/wardmux/app/Logs.kt
+++ b/src/main/kotlin/wardmux/app/Logs.kt
@@ -1,10 +1,16 @@
 package wardmux.app
 
-/** slf4j-simple on standard error; it reads its settings once, before the first logger is made. */
+/**
+ * Configures slf4j-simple, which logs to standard error. It reads its settings once, when the first
+ * logger is created, so it must be configured before that.
+ */
 object Logs {
     private val levels = setOf("error", "info", "debug")
 
-    /** Sets the level of all logs: error, info or debug; anything else means info. */
+    /**
+     * Sets the level of all loggers to [level]: error, info or debug. Null or any other value means
+     * info.
+     */
     fun configure(level: String?) {
         val chosen = level?.lowercase()?.takeIf { it in levels } ?: "info"
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", chosen)
--- a/src/main/kotlin/wardmux/app/PeerApi.kt
+++ b/src/main/kotlin/wardmux/app/PeerApi.kt
@@ -10,17 +10,17 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.peers.PeerHeartbeats
 
-/** The API for the other controllers. */
+/** The API that the other controllers call. */
 class PeerApi(
     services: ControllerServices,
     private val currentTerm: CurrentTerm,
-    /** Null where drains are switched off. */
+    /** Null if drains are disabled by the settings. */
     private val drainApi: DrainApi?,
 ) {
     private val context = services.context
     private val peerHeartbeats = services.peerHeartbeats
 
-    /** Answers [request], whose [path] is without its query. */
+    /** Answers [request]; [path] is its path without the query. */
     fun handle(request: Input.Request, path: String) {
         when {
             path == PeerHeartbeats.PATH -> handleHeartbeat(request)
--- a/src/main/kotlin/wardmux/app/PublicApi.kt
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -9,7 +9,7 @@
 import wardmux.model.FencingToken
 import wardmux.model.seconds
 
-/** The API for users and workers. */
+/** The API that users and workers call. */
 class PublicApi(
     private val services: ControllerServices,
     private val currentTerm: CurrentTerm,
@@ -32,12 +32,14 @@
             ),
         )
 
-    /** Answers [request], whose [path] is without its query. */
+    /** Answers [request]; [path] is its path without the query. */
     fun handle(request: Input.Request, path: String) = routes.handle(request, path)
 
     /**
-     * Ready once jobs can be decided on. In an outage users are told when to come back; but where
-     * the key-value store fails to answer this controller alone, the others serve them.
+     * Answers whether this controller can decide on jobs, which requires the list of machine types.
+     * In an outage of the key-value store all controllers stay ready, and their answers tell users
+     * when to retry. If the store fails to answer this controller only, the controller is not
+     * ready, so that users turn to the others.
      */
     private fun answerReadiness(requestId: Long) {
         if (services.machineTypes.types != null && !isOnlyControllerWithoutStore())
@@ -63,7 +65,7 @@
                 ?: return context.answer(
                     request.id,
                     HttpStatus.BAD_REQUEST,
-                    """{"error":"not a report"}""",
+                    """{"error":"the body is not a valid heartbeat"}""",
                 )
         currentTerm.election.observeToken(FencingToken(heartbeat.token))
         val term = currentTerm.term
@@ -75,7 +77,10 @@
     private companion object {
         const val RETRY_AFTER_S = 1
 
-        /** The key-value store may fail to answer this long before users are sent elsewhere. */
+        /**
+         * How long the key-value store may leave this controller alone without an answer before the
+         * controller is not ready.
+         */
         val MAX_STORE_OUTAGE_WHILE_READY = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/app/RouteTable.kt
+++ b/src/main/kotlin/wardmux/app/RouteTable.kt
@@ -9,13 +9,13 @@
 import wardmux.jobs.SubmissionReader
 import wardmux.model.JobId
 
-/** Handles the requests for one job. */
+/** Handles requests whose path contains the id of a job. */
 fun interface JobRequestHandler {
-    /** Handles [request], whose path names [job]. */
+    /** Handles [request], whose path contains the id [job]. */
     fun handle(request: Input.Request, job: JobId)
 }
 
-/** One path with the only method that it is called with. */
+/** A path and the only method that is allowed for it. */
 sealed interface Route {
     val method: String
     val path: String
@@ -27,7 +27,7 @@
         val handler: HttpRequestHandler,
     ) : Route
 
-    /** A path with the id of a job at [ApiPaths.JOB_PARAMETER]. */
+    /** A path that contains the id of a job in place of [ApiPaths.JOB_PARAMETER]. */
     class OfJob(
         override val method: String,
         override val path: String,
@@ -35,7 +35,10 @@
     ) : Route {
         private val pattern = segments(path)
 
-        /** The id as it stands in the path of these [segments]; null if that is another path. */
+        /**
+         * Returns the id, still URL-encoded, from the [segments] of a request's path; null if the
+         * path does not match this route.
+         */
         fun jobIdIn(segments: List<String>): String? {
             if (segments.size != pattern.size) return null
             var id: String? = null
@@ -48,17 +51,20 @@
     }
 
     companion object {
-        /** The parts of [path] between its slashes; the leading slash may be missing. */
+        /** Splits [path] at its slashes. The leading slash is optional. */
         fun segments(path: String): List<String> = path.removePrefix("/").split('/')
     }
 }
 
-/** Finds the handler of a request by its path, and answers requests that have none. */
+/**
+ * Finds the handler of a request by its path. Answers 404 if no route matches, and 405 if the
+ * method is not the one of the route.
+ */
 class RouteTable(private val context: CoreContext, routes: List<Route>) {
     private val fixedRoutes = routes.filterIsInstance<Route.Fixed>().associateBy { it.path }
     private val jobRoutes = routes.filterIsInstance<Route.OfJob>()
 
-    /** Handles [request], whose [path] is without its query. */
+    /** Handles [request]; [path] is its path without the query. */
     fun handle(request: Input.Request, path: String) {
         val fixed = fixedRoutes[path]
         if (fixed != null) {
@@ -74,13 +80,17 @@
         answerError(request, HttpStatus.NOT_FOUND, "no such path")
     }
 
+    /** Returns whether [request] has the method of [route]; otherwise answers 405. */
     private fun checkMethod(request: Input.Request, route: Route): Boolean {
         if (request.method == route.method) return true
         answerError(request, HttpStatus.METHOD_NOT_ALLOWED, "use ${route.method}")
         return false
     }
 
-    /** An id that has not the form of one was never accepted. */
+    /**
+     * Answers 404 to an id that is not well formed, because no job was accepted with such an id.
+     * Otherwise passes the request to the handler of [route].
+     */
     private fun handleForJob(request: Input.Request, route: Route.OfJob, encodedId: String) {
         val id =
             try {
--- a/src/main/kotlin/wardmux/app/WardmuxCommand.kt
+++ b/src/main/kotlin/wardmux/app/WardmuxCommand.kt
@@ -19,7 +19,8 @@
 /** The root of the command line. */
 @Command(
     name = "wardmux",
-    description = ["A cluster scheduler: runs users' jobs on rented machines, fairly and once."],
+    description =
+        ["A cluster scheduler: runs users' jobs once, on rented machines, with fair shares."],
     mixinStandardHelpOptions = true,
     versionProvider = Version::class,
     subcommands =
@@ -32,13 +33,13 @@
         throw ParameterException(spec.commandLine(), "Missing command: serve, check or drain")
 }
 
-/** Reads the version from the manifest of the packaged program. */
+/** Reads the version from the manifest of the JAR file. */
 class Version : IVersionProvider {
     override fun getVersion(): Array<String> =
         arrayOf("wardmux ${Version::class.java.`package`.implementationVersion ?: "(unpackaged)"}")
 }
 
-/** The platform's and the operators' settings. */
+/** The settings from the platform and those from the operators. */
 data class Settings(val platform: PlatformConfig, val operators: OperatorSettings)
 
 /** The options that name the settings files. */
@@ -47,18 +48,21 @@
         names = ["--config"],
         required = true,
         paramLabel = "FILE",
-        description = ["The settings file that the platform hands over (TOML)."],
+        description = ["The settings file that the platform provides (TOML)."],
     )
     lateinit var config: File
 
     @Option(
         names = ["--settings"],
         paramLabel = "FILE",
-        description = ["The operators' own settings (TOML); without it, the defaults hold."],
+        description = ["The operators' settings file (TOML); without it, defaults apply."],
     )
     var settings: File? = null
 
-    /** Both settings; throws [InvalidSettingsException] if one is wrong. */
+    /**
+     * Reads both files. Throws [InvalidSettingsException] if one is invalid, or if the operators'
+     * settings name a team that the platform's do not.
+     */
     fun read(): Settings {
         val platform = SettingsFiles.platform(config)
         val operators = SettingsFiles.operators(settings)
@@ -72,6 +76,7 @@
 
 private const val EXIT_INVALID_SETTINGS = 78
 
+/** Returns the result of [block], or prints the error and returns null if settings are invalid. */
 private fun <T> nullIfSettingsInvalid(block: () -> T): T? =
     try {
         block()
@@ -83,7 +88,7 @@
 /** Runs a controller. */
 @Command(
     name = "serve",
-    description = ["Runs a controller until it is killed."],
+    description = ["Runs a controller until the process is killed."],
     mixinStandardHelpOptions = true,
 )
 class ServeCommand : Callable<Int> {
@@ -96,7 +101,7 @@
             Daemon(platform, operators).run()
             0
         } catch (e: java.net.BindException) {
-            System.err.println("wardmux: api_addr or peer_bind cannot be listened on: ${e.message}")
+            System.err.println("wardmux: cannot listen on api_addr or peer_bind: ${e.message}")
             1
         }
     }
@@ -105,7 +110,8 @@
 /** Checks the settings files without starting a controller. */
 @Command(
     name = "check",
-    description = ["Checks both settings files and says what is wrong; the exit code tells."],
+    description =
+        ["Checks both settings files and prints what is invalid; the exit code is then 78."],
     mixinStandardHelpOptions = true,
 )
 class CheckCommand : Callable<Int> {
@@ -113,14 +119,14 @@
 
     override fun call(): Int {
         val (platform, _) = nullIfSettingsInvalid { options.read() } ?: return EXIT_INVALID_SETTINGS
-        println("settings of ${platform.member} are sound")
+        println("the settings of ${platform.member} are valid")
         return 0
     }
 }
 
 /**
- * Runs at build time: the classes that it loads go into the class-data sharing archive, which is
- * mapped at start-up.
+ * Loads the controller's classes for the class-data sharing archive. Runs at build time; the JVM
+ * maps the archive into memory at start-up.
  */
 @Command(name = "rehearse", hidden = true)
 class CdsTrainingCommand : Callable<Int> {
--- a/src/main/kotlin/wardmux/app/WorkerClients.kt
+++ b/src/main/kotlin/wardmux/app/WorkerClients.kt
@@ -6,8 +6,8 @@
 import wardmux.http.HttpClient
 
 /**
- * HTTP clients for workers by address: those of the [maxClients] addresses that were used last.
- * Responses may have up to [maxResponseBytes].
+ * HTTP clients for workers, by address. Keeps the clients of the [maxClients] most recently used
+ * addresses. A response body may have up to [maxResponseBytes].
  */
 class WorkerClients(
     private val group: EventLoopGroup,
@@ -20,7 +20,10 @@
                 size > maxClients
         }
 
-    /** The client for [address], as a worker reported it; if it is none, requests fail. */
+    /**
+     * Returns the client for [address], which a worker reported. If the address is malformed,
+     * requests that the client sends fail.
+     */
     fun get(address: String): HttpClient =
         clients.getOrPut(address) {
             val socketAddress = SettingsFiles.address(address) ?: UNREACHABLE_ADDRESS
@@ -31,7 +34,7 @@
         const val INITIAL_CAPACITY = 16
         const val LOAD_FACTOR = 0.75f
 
-        /** No connection to it ever comes about. */
+        /** Connecting to this address always fails. */
         val UNREACHABLE_ADDRESS = InetSocketAddress("0.0.0.0", 1)
     }
 }
--- a/src/main/kotlin/wardmux/cli/DrainCommand.kt
+++ b/src/main/kotlin/wardmux/cli/DrainCommand.kt
@@ -11,10 +11,10 @@
 import wardmux.drain.DrainPaths
 import wardmux.drain.DrainStatus
 
-/** The commands about drains. */
+/** The parent of the commands that manage drains. */
 @Command(
     name = "drain",
-    description = ["Takes machines out for maintenance, step by step and within budgets."],
+    description = ["Removes machines for maintenance, in steps and within disruption budgets."],
     mixinStandardHelpOptions = true,
     subcommands =
         [
@@ -40,7 +40,7 @@
 /** Starts a drain. */
 @Command(
     name = "start",
-    description = ["Starts a drain. The same id again is the same drain."],
+    description = ["Starts a drain. Repeating it with the same id does not start another one."],
     mixinStandardHelpOptions = true,
 )
 class DrainStartCommand : OperatorCommand() {
@@ -52,10 +52,10 @@
     }
 }
 
-/** A dry run. */
+/** Plans a drain without starting it. */
 @Command(
     name = "check",
-    description = ["Shows the steps and budgets of a drain, and what would stop it; starts none."],
+    description = ["Plans a drain without starting it: its steps, budgets and obstacles."],
     mixinStandardHelpOptions = true,
 )
 class DrainCheckCommand : OperatorCommand() {
@@ -79,10 +79,13 @@
     override fun call(): Int = sendRequest("GET", "", "", DrainList.serializer(), DrainText::list)
 }
 
-/** A command about one drain. */
+/**
+ * A command for one drain. Sends a request with the given [method]; [action] is the last segment of
+ * its path, or empty for the path of the drain itself.
+ */
 abstract class SingleDrainCommand(private val method: String, private val action: String) :
     OperatorCommand() {
-    @Parameters(index = "0", paramLabel = "ID", description = ["The drain."])
+    @Parameters(index = "0", paramLabel = "ID", description = ["The id of the drain."])
     lateinit var id: String
 
     override fun call(): Int {
@@ -95,26 +98,26 @@
 @Command(name = "status", description = ["Shows one drain."], mixinStandardHelpOptions = true)
 class DrainStatusCommand : SingleDrainCommand("GET", "")
 
-/** Holds a drain up. */
+/** Pauses a drain. */
 @Command(
     name = "pause",
-    description = ["Stops and returns nothing more until the drain is resumed."],
+    description = ["Stops no more tasks and returns no more machines until the drain is resumed."],
     mixinStandardHelpOptions = true,
 )
 class DrainPauseCommand : SingleDrainCommand("POST", DrainPaths.PAUSE)
 
-/** Lets a paused drain go on. */
+/** Resumes a paused drain. */
 @Command(
     name = "resume",
-    description = ["Lets a paused drain go on; past its deadline, without it."],
+    description = ["Resumes a paused drain; a deadline that has passed no longer applies."],
     mixinStandardHelpOptions = true,
 )
 class DrainResumeCommand : SingleDrainCommand("POST", DrainPaths.RESUME)
 
-/** Ends a drain. */
+/** Cancels a drain. */
 @Command(
     name = "cancel",
-    description = ["Ends a drain; machines that are not returned yet take tasks again."],
+    description = ["Cancels a drain. Machines that are not returned yet accept tasks again."],
     mixinStandardHelpOptions = true,
 )
 class DrainCancelCommand : SingleDrainCommand("POST", DrainPaths.CANCEL)
--- a/src/main/kotlin/wardmux/cli/DrainExit.kt
+++ b/src/main/kotlin/wardmux/cli/DrainExit.kt
@@ -2,10 +2,10 @@
 
 /** Exit codes of the drain commands. */
 object DrainExit {
-    /** Carried out. */
+    /** The request succeeded. */
     const val OK = 0
 
-    /** The request is invalid; one line names the field. */
+    /** The request is invalid; one line of standard error names the field. */
     const val BAD_REQUEST = 2
 
     /** No controller gave a final answer within the timeout. */
@@ -14,6 +14,6 @@
     /** There is no such drain. */
     const val UNKNOWN_DRAIN = 4
 
-    /** The drain's state does not allow the request. */
+    /** The state of the drain does not allow the request. */
     const val CONFLICT = 5
 }
--- a/src/main/kotlin/wardmux/cli/DrainOptions.kt
+++ b/src/main/kotlin/wardmux/cli/DrainOptions.kt
@@ -35,15 +35,15 @@
     @Option(
         names = ["--older-than"],
         paramLabel = "TIME",
-        description = ["Only machines rented before this time (ISO 8601 with its offset)."],
+        description = ["Only machines rented before this time (ISO 8601 with UTC offset)."],
     )
     var olderThan: String? = null
 
-    /** The selector that the options make. */
+    /** The selector that the options describe. */
     fun selector() = DrainSelector(machines, types, zones, kind?.isSpot, olderThan)
 }
 
-/** Spot machines or ordinary ones: exactly one of the options. */
+/** Selects either spot or ordinary machines; exactly one of the options must be given. */
 class KindOptions {
     @Option(names = ["--spot"], required = true, description = ["Only spot machines."])
     var spot = false
@@ -57,7 +57,11 @@
 
 /** Options that describe a drain. */
 class DrainOptions {
-    @Option(names = ["--id"], required = true, description = ["Names the drain; a repeat is it."])
+    @Option(
+        names = ["--id"],
+        required = true,
+        description = ["Id of the drain; a repeat starts no other."],
+    )
     lateinit var id: String
 
     @Mixin lateinit var select: SelectorOptions
@@ -65,35 +69,35 @@
     @Option(
         names = ["--order"],
         paramLabel = "ORDER",
-        description = ["fewest_steps (as a rule), emptiest_first or by_zone."],
+        description = ["The order of machines: fewest_steps (default), emptiest_first or by_zone."],
     )
     var order: String = "fewest_steps"
 
-    @Option(names = ["--step-size"], description = ["The most machines of one step (4)."])
+    @Option(names = ["--step-size"], description = ["Maximum machines in one step (default 4)."])
     var stepSize: Int = 4
 
     @Option(
         names = ["--grace"],
         paramLabel = "SECONDS",
-        description = ["How long tasks may go on before they are stopped (60)."],
+        description = ["How long tasks may continue before they are stopped (default 60)."],
     )
     var graceS: Double = 60.0
 
     @Option(
         names = ["--deadline"],
         paramLabel = "TIME",
-        description = ["ISO 8601 with its offset."],
+        description = ["When the drain must be done (ISO 8601 with UTC offset)."],
     )
     var deadline: String? = null
 
     @Option(
         names = ["--at-deadline"],
         paramLabel = "ACTION",
-        description = ["pause (as a rule) or continue."],
+        description = ["What to do at the deadline: pause (default) or continue."],
     )
     var atDeadline: String = "pause"
 
-    /** The request as JSON; throws [ParameterException] if an option has an unknown value. */
+    /** The request as JSON. Throws [ParameterException] if an option has an unknown value. */
     fun body(spec: CommandSpec): String =
         operatorJson.encodeToString(DrainRequest.serializer(), request(spec))
 
@@ -108,6 +112,7 @@
             parseEnum(spec, "--at-deadline", DeadlineAction.entries, atDeadline),
         )
 
+    /** Returns the one of [values] whose name is [text], ignoring case. */
     private fun <T : Enum<T>> parseEnum(
         spec: CommandSpec,
         option: String,
--- a/src/main/kotlin/wardmux/cli/DrainText.kt
+++ b/src/main/kotlin/wardmux/cli/DrainText.kt
@@ -13,9 +13,9 @@
 import wardmux.maintenance.MaintenanceWindows
 import wardmux.model.Micros
 
-/** Responses as text for a terminal. */
+/** Formats responses as text for a terminal. */
 object DrainText {
-    /** One drain in full. */
+    /** Formats all details of one drain. */
     fun status(status: DrainStatus): String {
         val record = status.record
         val lines = ArrayList<String>()
@@ -29,18 +29,18 @@
         for (budget in status.budgets) lines += "  ${budgetOf(budget)}"
         lines += "  started ${timeOf(record.startedAt)}, changed ${timeOf(record.changedAt)}"
         if (status.source == Source.STORE)
-            lines += "  no leader could be asked: as it is stored, ${status.ageS} s old"
+            lines += "  no leader could be reached: this is the stored state, ${status.ageS} s old"
         return lines.joinToString("\n")
     }
 
-    /** All drains, one a line. */
+    /** Formats a list of drains, one per line. */
     fun list(list: DrainList): String {
         val lines = list.drains.map { "${it.record.request.id}  ${stateOf(it.record)}" }
-        val all = lines + list.unreadable.map { "$it  failed: its record can't be read" }
+        val all = lines + list.unreadable.map { "$it  failed: the stored record can't be read" }
         return if (all.isEmpty()) "no drains" else all.joinToString("\n")
     }
 
-    /** The result of a dry run. */
+    /** Formats the plan of a drain that was only checked. */
     fun check(check: DrainCheck): String {
         val head = "${check.machines} machines, ${check.tasksToMove} tasks to move"
         val steps = check.steps.mapIndexed { i, step -> "  step ${i + 1}: ${step.joinToString()}" }
@@ -49,14 +49,14 @@
         return (listOf(head) + steps + budgets + stop).joinToString("\n")
     }
 
-    /** The error in the body of a response. */
+    /** Returns the message of the [DrainError] in [body], or [body] itself if it holds none. */
     fun error(body: String): String =
         try {
             val error = operatorJson.decodeFromString(DrainError.serializer(), body)
             val state = error.state?.let { ": ${it.name.lowercase()}" }.orEmpty()
             error.error + state
         } catch (e: SerializationException) {
-            body.ifEmpty { "refused without a reason" }
+            body.ifEmpty { "the request was rejected without a reason" }
         }
 
     private fun stateOf(record: DrainRecord): String {
@@ -67,7 +67,7 @@
 
     private fun stepOf(step: DrainStep) =
         "step ${step.number} is ${step.phase.name.lowercase()}: " +
-            "${step.machines.joinToString()}; ${step.moved.size} tasks on their way"
+            "${step.machines.joinToString()}; ${step.moved.size} tasks being moved"
 
     private fun budgetOf(budget: BudgetStatus) =
         "team ${budget.team}: ${budget.disrupted} of ${budget.limit} workers disrupted"
--- a/src/main/kotlin/wardmux/cli/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorClient.kt
@@ -11,18 +11,22 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** The result of a request to the controllers. */
+/** The result of a request that was sent to the controllers until one answered. */
 sealed interface OperatorReply {
-    /** A controller gave a final answer. */
+    /** A controller gave a final answer, that is any status but 503. */
     class Answered(val status: Int, val body: String) : OperatorReply
 
-    /** No final answer in time; [mayHaveBeenCarriedOut] if a request was sent and not answered. */
+    /**
+     * No controller gave a final answer within the timeout. [mayHaveBeenCarriedOut] is true if a
+     * request was sent and got no response.
+     */
     class TimedOut(val mayHaveBeenCarriedOut: Boolean) : OperatorReply
 }
 
 /**
- * Sends a request to one controller after the other until one gives a final answer or the timeout
- * is over. All requests are idempotent: a start with the same id is the same drain.
+ * Sends a request to the controllers in turn until one gives a final answer or the timeout expires.
+ * Repeating a request is safe because all requests are idempotent: starting a drain again with the
+ * same id does not start another one.
  */
 class OperatorClient(private val addresses: List<InetSocketAddress>, private val timeout: Micros) :
     AutoCloseable {
@@ -30,7 +34,7 @@
     private val clients =
         addresses.map { HttpClient(group, it, 1, MAX_RESPONSE_BYTES, keepAlive = false) }
 
-    /** Repeats a request until the answer is not 503 or the timeout is over. */
+    /** Repeats a request until the status is not 503 or the timeout expires. */
     fun sendUntilAnswered(method: String, path: String, body: String): OperatorReply {
         val deadline = System.nanoTime() + timeout.value * NANOS_PER_MICRO
         var mayHaveBeenCarriedOut = false
@@ -62,6 +66,8 @@
         const val NANOS_PER_MICRO = 1_000L
         const val RETRY_PAUSE_MILLIS = 200L
         val REQUEST_TIMEOUT = 5.seconds
+
+        /** How much longer than the request timeout to wait for the outcome from the event loop. */
         val OUTCOME_WAIT_MARGIN = 500.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/cli/OperatorCommand.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorCommand.kt
@@ -14,25 +14,26 @@
 import wardmux.drain.operatorJson
 import wardmux.model.seconds
 
-/** Options that all commands about drains share. */
+/** Options that all drain commands share. */
 class OperatorOptions {
     @Option(
         names = ["--controller"],
         paramLabel = "HOST:PORT",
-        description = ["An operators' listener; may be given several times (127.0.0.1:7070)."],
+        description =
+            ["A controller's listener for operators; repeatable (default 127.0.0.1:7070)."],
     )
     var controllers: List<String> = listOf("127.0.0.1:7070")
 
     @Option(
         names = ["--timeout"],
         paramLabel = "SECONDS",
-        description = ["For how long to ask again where no controller can answer (10)."],
+        description = ["How long to retry while no controller can answer (default 10)."],
     )
     var timeoutS: Double = 10.0
 
-    @Option(names = ["--json"], description = ["Print the answer as JSON."]) var json = false
+    @Option(names = ["--json"], description = ["Print the response as JSON."]) var json = false
 
-    /** The addresses of the controllers; throws [ParameterException] if one is malformed. */
+    /** The addresses of the controllers. Throws [ParameterException] if one is malformed. */
     fun addresses(spec: CommandSpec): List<InetSocketAddress> =
         controllers.map {
             SettingsFiles.address(it)
@@ -43,13 +44,16 @@
         }
 }
 
-/** A command that sends one request to the controllers and prints the answer. */
+/** A command that sends one request to the controllers and prints the response. */
 abstract class OperatorCommand : Callable<Int> {
     @Spec lateinit var spec: CommandSpec
 
     @Mixin lateinit var options: OperatorOptions
 
-    /** Sends the request and prints the answer, formatted by [format]; returns the exit code. */
+    /**
+     * Sends the request and prints the response, which is decoded with [answer] and formatted with
+     * [format]. Returns the exit code.
+     */
     protected fun <T> sendRequest(
         method: String,
         path: String,
@@ -90,7 +94,7 @@
 
     private fun printTimeout(reply: OperatorReply.TimedOut): Int {
         val effect =
-            if (reply.mayHaveBeenCarriedOut) "it is not known whether it was carried out"
+            if (reply.mayHaveBeenCarriedOut) "it is not known whether the request was carried out"
             else "nothing was carried out"
         spec
             .commandLine()
--- a/src/main/kotlin/wardmux/http/ApiPaths.kt
+++ b/src/main/kotlin/wardmux/http/ApiPaths.kt
@@ -1,20 +1,20 @@
 package wardmux.http
 
-/** The paths that users and workers call, as PROTOCOL names them. */
+/** The paths that users and workers call. The protocol defines them, so they are fixed. */
 object ApiPaths {
-    /** Stands for the id of a job in the paths below. */
+    /** The placeholder for a job id in the paths below. */
     const val JOB_PARAMETER = "{job}"
 
-    /** Whether this controller takes jobs. */
+    /** Reports whether this controller accepts jobs. */
     const val READY = "/ready"
 
-    /** Workers' heartbeats. */
+    /** Receives workers' heartbeats. */
     const val HEARTBEAT = "/hello"
 
-    /** Takes a new job. */
+    /** Accepts a new job. */
     const val SUBMISSIONS = "/submissions"
 
-    /** The status of a job. */
+    /** Returns the status of a job. */
     const val JOB = "$SUBMISSIONS/$JOB_PARAMETER"
 
     /** Cancels a job. */
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -27,10 +27,11 @@
 import wardmux.model.Micros
 
 /**
- * Sends HTTP requests to one address, one at a time on each of at most [maxConnections]
- * connections. A request without a response within its timeout fails, and its connection is closed.
- * Responses may have up to [maxResponseBytes]. With [keepAlive] false each request has a connection
- * of its own, for addresses that are rarely asked.
+ * Sends HTTP requests to one address over at most [maxConnections] connections. Each connection
+ * carries one request at a time; further requests are queued. A request that gets no response
+ * within its timeout fails, and its connection is closed. A response body may have up to
+ * [maxResponseBytes]. If [keepAlive] is false, each request uses a new connection; this suits
+ * addresses that rarely receive requests.
  */
 class HttpClient(
     private val group: EventLoopGroup,
@@ -39,7 +40,7 @@
     private val maxResponseBytes: Int,
     private val keepAlive: Boolean = true,
 ) {
-    /** A request that has no outcome yet. */
+    /** A request whose outcome is not known yet. [channel] is null until the request is written. */
     private class PendingRequest(
         val method: String,
         val path: String,
@@ -61,6 +62,7 @@
 
     private val idleChannels = ArrayDeque<Channel>()
     private val queuedRequests = ArrayDeque<PendingRequest>()
+    /** The number of connections that are open or being opened. */
     private var openConnections = 0
     private val bootstrap =
         Bootstrap()
@@ -80,7 +82,10 @@
                 }
             )
 
-    /** Sends a request, or queues it; [onOutcome] gets its outcome within [timeout]. */
+    /**
+     * Sends a request, or queues it while all connections are in use. [onOutcome] is called once,
+     * after [timeout] at the latest.
+     */
     fun send(
         method: String,
         path: String,
@@ -95,6 +100,7 @@
         sendQueued()
     }
 
+    /** Ends [pending] after its timeout; it may have reached the server only if it was written. */
     private fun expire(pending: PendingRequest) {
         val channel = pending.channel
         channel?.close()
@@ -156,11 +162,13 @@
         channel.writeAndFlush(request)
     }
 
+    /** Makes the connection available to the next request. */
     private fun release(channel: Channel) {
         if (channel.isActive) idleChannels.addLast(channel)
         sendQueued()
     }
 
+    /** Completes the request that is pending on one connection. */
     private inner class ResponseHandler : ChannelInboundHandlerAdapter() {
         var pending: PendingRequest? = null
 
@@ -189,7 +197,7 @@
             sendQueued()
         }
 
-        @Deprecated("Netty's own marking")
+        @Deprecated("Netty marks this method as deprecated")
         override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
             context.close()
         }
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -31,7 +31,7 @@
 import wardmux.logging.logger
 import wardmux.model.Micros
 
-/** The largest body that users and workers may send. */
+/** The size limit for request bodies of users and workers. */
 const val MAX_BODY_BYTES = 64 * 1024
 private const val MAX_PEER_BODY_BYTES = 1024 * 1024
 private const val ACCEPT_BACKLOG = 1024
@@ -43,14 +43,14 @@
 
 /** Handles the requests that a server receives. */
 fun interface HttpRequestHandler {
-    /** Handles [request], which is to be answered with [HttpServer.answer]. */
+    /** Handles [request]; its response is sent later with [HttpServer.answer]. */
     fun handle(request: Input.Request)
 }
 
 /**
- * An HTTP server on one event loop. At most [maxConnections] may be open on the API's port, at most
- * [maxWorkerConnections] of them by workers so that users always get through, and each may be idle
- * for [idleSeconds].
+ * An HTTP server on one event loop. A new connection to the API listener is answered with 503 while
+ * more than [maxConnections] are open. Workers may hold at most [maxWorkerConnections] connections,
+ * so that users can always connect. A connection that is idle for [idleSeconds] is closed.
  */
 class HttpServer(
     private val group: EventLoopGroup,
@@ -72,7 +72,7 @@
     private var openConnections = 0
     private var workerConnections = 0
 
-    /** Accepts connections on [address]; their requests carry [listener]. */
+    /** Accepts connections on [address]; requests received on them are marked with [listener]. */
     fun listen(address: InetSocketAddress, listener: ListenerKind): Channel =
         ServerBootstrap()
             .group(group)
@@ -102,13 +102,16 @@
             .sync()
             .channel()
 
-    /** PROTOCOL does not bound what the controllers send each other. */
+    /**
+     * The limit for requests of users and workers comes from the protocol. The protocol sets no
+     * limit for messages between controllers, so the limit for peers is larger.
+     */
     private fun maxBodyBytes(listener: ListenerKind) =
         if (listener == ListenerKind.PEER) MAX_PEER_BODY_BYTES else MAX_BODY_BYTES
 
     /**
-     * Answers the request [id], with a Retry-After header if [retryAfterS] is given, in seconds.
-     * Without effect if it was answered already or its connection is closed.
+     * Answers the request [id]. Sends a Retry-After header of [retryAfterS] seconds unless it is
+     * null. Does nothing if the request was already answered or its connection is closed.
      */
     fun answer(id: Long, status: Int, body: ByteArray, retryAfterS: Int?) {
         val request = pendingRequests.remove(id) ?: return
@@ -141,12 +144,16 @@
         if (!keepAlive) sent.addListener(ChannelFutureListener.CLOSE)
     }
 
-    /** A body that is too large is malformed, like any other that PROTOCOL does not allow. */
+    /**
+     * Answers 400 to a body that is too large: the protocol treats it as malformed, like any other
+     * invalid body.
+     */
     private inner class BodyAggregator(maxBytes: Int) : HttpObjectAggregator(maxBytes) {
         override fun handleOversizedMessage(context: ChannelHandlerContext, head: HttpMessage) =
             respond(context.channel(), false, HttpStatus.BAD_REQUEST, ByteArray(0), null)
     }
 
+    /** Counts one connection and passes its requests to [handler]. */
     private inner class Connection(private val listener: ListenerKind) :
         ChannelInboundHandlerAdapter() {
         private var currentRequestId = 0L
@@ -154,7 +161,7 @@
 
         override fun channelActive(context: ChannelHandlerContext) {
             openConnections++
-            // Answered at once, so that the client can go to another controller.
+            // Answered before a request arrives, so that the client can try another controller.
             if (listener == ListenerKind.API && openConnections > maxConnections)
                 respondUnavailable(context)
         }
@@ -175,7 +182,9 @@
             )
 
         /**
-         * Counts a connection as a worker's by its first heartbeat; false if it is one too many.
+         * Returns whether a request for [path] may be handled. The first heartbeat marks the
+         * connection as a worker's; it is rejected if workers already hold all connections that
+         * they may have.
          */
         private fun admit(path: String): Boolean {
             if (isWorker || listener != ListenerKind.API || path != ApiPaths.HEARTBEAT) return true
@@ -207,9 +216,13 @@
             handler.handle(Input.Request(id, listener, method, request.uri(), body))
         }
 
-        @Deprecated("Netty's own marking")
+        @Deprecated("Netty marks this method as deprecated")
         override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
-            log.debug("connection closed: {}", cause.toString())
+            log.debug(
+                "connection on the {} listener failed and is closed: {}",
+                listener,
+                cause.toString(),
+            )
             context.close()
         }
     }
--- a/src/main/kotlin/wardmux/http/ResponseTimes.kt
+++ b/src/main/kotlin/wardmux/http/ResponseTimes.kt
@@ -5,17 +5,19 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Logs how long the HTTP server takes to respond, once a minute. */
+/** Measures how long the HTTP server takes to respond, and logs the percentiles once a minute. */
 class ResponseTimes {
     private val log = logger<ResponseTimes>()
     private val histogram = Histogram(MAX_RESPONSE_MICROS, SIGNIFICANT_DIGITS)
     private var nextLogAt = Micros.LONG_AGO
 
-    /** Counts a response that took [duration]. */
+    /** Records a response that took [duration]. */
     fun record(duration: Micros) =
         histogram.recordValue(duration.value.coerceIn(0, MAX_RESPONSE_MICROS))
 
-    /** Logs the percentiles if a minute has passed, and counts anew. */
+    /**
+     * Logs the percentiles and resets the histogram if [LOG_PERIOD] has passed since the last time.
+     */
     fun logIfDue(now: Micros) {
         if (now < nextLogAt) return
         nextLogAt = now + LOG_PERIOD
@@ -31,7 +33,7 @@
     }
 
     private companion object {
-        /** Longer ones are counted as this long. */
+        /** The largest value of the histogram; longer response times are recorded as this value. */
         const val MAX_RESPONSE_MICROS = 60_000_000L
         const val SIGNIFICANT_DIGITS = 2
         const val MEDIAN = 50.0
