--- a/src/test/kotlin/wardmux/app/DaemonTest.kt
+++ b/src/test/kotlin/wardmux/app/DaemonTest.kt
@@ -11,7 +11,10 @@
 import wardmux.config.OperatorSettings
 import wardmux.config.SettingsFiles
 
-/** The process around the controller. */
+/**
+ * Guards against a controller that does not serve users because another process occupies the
+ * address for operators.
+ */
 class DaemonTest {
     @TempDir lateinit var directory: File
 
@@ -28,7 +31,7 @@
         }
 
     @Test
-    fun `users are served also where the operators' address can't be listened on`() {
+    fun `users are served while the address for operators can't be bound`() {
         val file = File(directory, "settings.toml")
         file.writeText(CdsTrainingRun.SAMPLE_SETTINGS)
         val apiPort = freePort()
@@ -41,11 +44,13 @@
         daemon.isDaemon = true
         daemon.start()
         while (!canConnect(apiPort)) {
-            check(daemon.isAlive) { "the process has ended" }
+            check(daemon.isAlive) { "the daemon ended before it accepted connections of users" }
             Thread.sleep(50)
         }
         daemon.join(1_000)
-        check(daemon.isAlive && canConnect(apiPort)) { "the process has ended" }
+        check(daemon.isAlive && canConnect(apiPort)) {
+            "the daemon ended or stopped accepting connections of users"
+        }
         occupiedSocket.close()
     }
 }
--- a/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
+++ b/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
@@ -35,7 +35,7 @@
             .importPackages("wardmux")
             .toList()
 
-    /** One line for each serialized class: its fields in order, optional ones marked by '?'. */
+    /** The list has one line per serialized class: its fields in order, optional ones with '?'. */
     @Test
     fun `fields of messages, records and settings are those listed`() =
         assertEquals(listed.getValue("fields"), descriptors().mapNotNull(::fields).sorted())
@@ -44,7 +44,7 @@
     fun `values of serialized enums are those listed`() =
         assertEquals(listed.getValue("values"), enums().map(::elementNames).distinct().sorted())
 
-    /** Paths, key prefixes and single words that are declared as constants. */
+    /** Covers paths, key prefixes and single words that are declared as constants. */
     @Test
     fun `constants without a space are those listed`() =
         assertEquals(listed.getValue("constants"), stringConstants().sorted())
@@ -72,7 +72,7 @@
         )
     }
 
-    /** Names that are written in place: each must still be a string constant of some class. */
+    /** Names without a declaration: each must still be a string constant in some class file. */
     @Test
     fun `literals that are listed are still in the code`() {
         val literals = classes.flatMapTo(HashSet()) { ClassFileStrings.read(openClassFile(it)) }
@@ -85,7 +85,10 @@
     private fun descriptors(): List<SerialDescriptor> =
         classes.filter { it.isAnnotatedWith(Serializable::class.java) }.mapNotNull(::descriptor)
 
-    /** The descriptor of a serialized class; type parameters are taken to be strings. */
+    /**
+     * The descriptor of a serialized class, or null if it has no companion; type parameters are
+     * taken to be strings.
+     */
     private fun descriptor(type: JavaClass): SerialDescriptor? {
         val companion =
             type.reflect().declaredFields.firstOrNull { it.name == "Companion" } ?: return null
@@ -128,7 +131,7 @@
 
     private fun stringConstants(): Set<String> =
         classes
-            // Its texts are in the section of literals, with or without a space.
+            // The reasons are listed in the section of literals, because some contain a space.
             .filterNot { it.isEquivalentTo(DecommissionReason::class.java) }
             .flatMap { it.reflect().declaredFields.toList() }
             .filter { Modifier.isStatic(it.modifiers) && Modifier.isFinal(it.modifiers) }
@@ -152,7 +155,10 @@
     }
 }
 
-/** The list of names, by section: `[section]`, then one entry a line; `#` begins a comment. */
+/**
+ * Reads the list of names by section. A line `[section]` starts a section, each further line is an
+ * entry, and `#` starts a comment.
+ */
 private object ExternalNames {
     fun read(file: File): Map<String, List<String>> {
         val sections = LinkedHashMap<String, MutableList<String>>()
--- a/src/test/kotlin/wardmux/app/FormatAdditions.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditions.kt
@@ -30,8 +30,9 @@
 import wardmux.serialization.CborFormat
 
 /**
- * What the samples of the formats say that are newer than [FormatContents]: drains, as they are
- * stored, passed on and shown to operators, and cancelled tasks that relays have to halt.
+ * The values that the samples of [FormatSamples.ADDITIONS] hold, whose formats are newer than those
+ * in [FormatContents]: drains as they are stored, forwarded to the leader and shown to operators,
+ * and the cancelled tasks that forwarding controllers must halt.
  */
 object FormatAdditions {
     private const val STARTED_AT = 1_790_000_000_000_001L
@@ -64,7 +65,7 @@
             atDeadline = DeadlineAction.CONTINUE,
         )
 
-    /** With all optional fields. */
+    /** A drain with all optional fields. */
     val DRAIN =
         DrainRecord(
             request = REQUEST,
@@ -83,7 +84,7 @@
             lastStep = 9_000_000,
         )
 
-    /** With the fields that have no default only. */
+    /** A drain that sets only the fields without a default. */
     private fun minimalDrain(id: String, state: DrainState) =
         DrainRecord(
             request = DrainRequest(id, DrainSelector()),
@@ -107,7 +108,7 @@
     private fun pausedDrain(id: String, reason: PauseReason) =
         minimalDrain(id, DrainState.PAUSED).copy(reason = reason)
 
-    /** Among them, each value of each enumeration is there. */
+    /** Drains that together contain each value of each enum. */
     private val DRAINS =
         listOf(
             DRAIN,
@@ -125,6 +126,7 @@
             minimalDrain("failed", DrainState.FAILED),
         )
 
+    /** A response that names cancelled jobs and the tasks to halt on two machines. */
     private fun haltingResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
@@ -143,7 +145,7 @@
                 ),
         )
 
-    /** Of a leader that names the tasks to be halted, and has none. */
+    /** A response of a leader that sends the list of tasks to halt, which is empty. */
     private fun emptyHaltingResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
@@ -153,7 +155,7 @@
             mustHalt = emptyList(),
         )
 
-    /** All that the state service holds, by its key. */
+    /** All values in the key-value store, by their keys. */
     fun storedValues(): Map<String, JsonElement> {
         val drains = DRAINS.associate { DrainRecord.key(it.request.id) to it.toJson() }
         val answers =
@@ -166,10 +168,10 @@
         return drains + (StoredBatchClient.ANSWERS to packed)
     }
 
-    /** Bytes with and without a sign, as the codec writes them as numbers. */
+    /** Negative and non-negative bytes, because the codec writes bytes as signed numbers. */
     private val BODY = byteArrayOf(123, 0, 127, -128, -1, 125)
 
-    /** What controllers send each other, by its name. */
+    /** The serialized messages between controllers, by their names in the samples. */
     fun messages(): Map<String, ByteArray> =
         mapOf(
             "halting answer" to ForwardingCodec.encode(haltingResponse()),
@@ -212,7 +214,9 @@
             stoppedBy = "no room for job-000413",
         )
 
-    /** What operators send and are answered, by its name. */
+    /**
+     * The requests of operators and the responses to them as JSON, by their names in the samples.
+     */
     fun operatorMessages(): Map<String, String> =
         mapOf(
             "request" to encode(DrainRequest.serializer(), REQUEST),
--- a/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditionsTest.kt
@@ -14,21 +14,23 @@
 import wardmux.model.TaskAttempt
 
 /**
- * What this version writes of [FormatAdditions] is byte for byte what is in the samples, which are
- * never made anew; and the answers to relays in them, with the cancelled tasks that are to be
- * halted, are read.
+ * Guards against a change of the formats in [FormatAdditions]: controllers of another version would
+ * misread what this version stores or sends, or this version what they do. This version must write
+ * the samples byte for byte, and read the responses with cancelled tasks to halt. The samples are
+ * never regenerated.
  */
 class FormatAdditionsTest {
     private val samples = FormatSamples(FormatSamples.ADDITIONS)
 
     @Test
-    fun `what is stored is the same byte for byte, under the same keys`() {
+    fun `stored values and their keys match the samples byte for byte`() {
         val current = FormatAdditions.storedValues()
         assertEquals(samples.stored.keys, current.keys)
         for ((key, value) in samples.stored) {
             val written = current.getValue(key)
             if (FormatSamples.isPacked(key)) {
-                // How well it is packed may depend on the Java version.
+                // The compressed bytes may depend on the Java version, so they are compared
+                // unpacked.
                 val sample = FormatTree.unpacked(value).toHexString()
                 assertEquals(sample, FormatTree.unpacked(written).toHexString(), key)
             } else {
@@ -38,19 +40,22 @@
     }
 
     @Test
-    fun `messages between controllers are the same byte for byte`() {
+    fun `messages between controllers match the samples byte for byte`() {
         val current = FormatAdditions.messages().mapValues { it.value.toHexString() }
         assertEquals(samples.messages.mapValues { it.value.toHexString() }, current)
     }
 
     @Test
-    fun `what operators send and are answered is the same byte for byte`() {
+    fun `requests of operators and the responses match the samples byte for byte`() {
         val operators = Json.parseToJsonElement(samples.text("operators")).jsonObject
         val samples = operators.mapValues { it.value.jsonPrimitive.content }
         assertEquals(samples, FormatAdditions.operatorMessages())
     }
 
-    /** As it was sent, and as a later version might send it; each is written again alike. */
+    /**
+     * Runs [check] on the response [name] as it was sent and with unknown fields, as a later
+     * version might send it. Both must be encoded again to the original bytes.
+     */
     private fun checkResponse(name: String, check: (HeartbeatBatchResponse) -> Unit) {
         val bytes = samples.messages.getValue(name)
         val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
@@ -89,13 +94,13 @@
     }
 
     @Test
-    fun `cancelled jobs and the tasks to be halted are read`() {
+    fun `cancelled jobs and tasks to halt are read from a response`() {
         checkResponse("halting answer") { assertHaltingResponse(it) }
         checkResponse("nothing to halt") { assertEmptyHaltingResponse(it) }
     }
 
     @Test
-    fun `they are read by way of the state service, where no lease may be renewed without them`() {
+    fun `stored responses are read, and without the tasks to halt they allow no lease renewal`() {
         val value = samples.stored.getValue("a/relays")
         val extended =
             FormatTree.packed(FormatTree.withUnknownFields(FormatTree.parsePacked(value)))
@@ -112,9 +117,9 @@
         }
     }
 
-    /** A leader of an earlier version names none, which is not the same as that there are none. */
+    /** Null means that the leader cannot send the list; an empty list means no tasks to halt. */
     @Test
-    fun `an answer of an earlier version names no tasks to be halted`() {
+    fun `a response of an earlier version has no list of tasks to halt`() {
         val earlier = FormatSamples(FormatSamples.PRODUCTION).messages.getValue("answer")
         assertNull(assertNotNull(ForwardingCodec.decodeResponse(earlier)).mustHalt)
     }
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -38,8 +38,9 @@
 import wardmux.worker.WorkerCommand
 
 /**
- * What the samples of the formats say. It was written once by the version in production, into the
- * samples; the tests write it with the present version and compare.
+ * The values that the samples of [FormatSamples.PRODUCTION] hold. The version in production
+ * serialized them once into the sample files. The tests serialize them with this version and
+ * compare the results with the samples.
  */
 object FormatContents {
     val LEADER_RECORD = LeaderRecord(member = "n2", processIncarnation = "n2-5f3a")
@@ -63,7 +64,10 @@
 
     const val TAGS_SAVED_AT = 1_790_000_000_000_000L
 
-    /** Both teams are ahead of the clock; "batch" has been charged twice and corrected once. */
+    /**
+     * A queue in which the start tags of both teams are ahead of the virtual time. "batch" was
+     * charged twice, and the first charge was corrected once.
+     */
     fun chargedFairQueue(): FairQueue =
         emptyFairQueue().also {
             val first = it.charge("batch", Cost(160_000_000), Micros(TAGS_SAVED_AT))
@@ -75,7 +79,7 @@
     fun emptyFairQueue() =
         FairQueue(mapOf("batch" to 100.0, "web" to 8.0), Micros(600_000_000), 3600.0)
 
-    /** With all optional fields. */
+    /** A job specification with all optional fields. */
     val ARRAY_SPEC =
         JobSpec(
             id = "job-000412",
@@ -100,7 +104,7 @@
             deadlineS = 900.0,
         )
 
-    /** Without the optional fields. */
+    /** A job specification without the optional fields. */
     val SERVICE_SPEC =
         ARRAY_SPEC.copy(
             id = "job-000413",
@@ -139,7 +143,7 @@
 
     fun cancelledRecord(spec: JobSpec) = JobRecord(JobState.CANCELLED, ACCEPTED_AT, spec)
 
-    /** A page of [PAGE_SIZE] tasks, so that [ARRAY_SPEC] has three. */
+    /** The number of tasks in a page, so that [ARRAY_SPEC] has three pages. */
     const val PAGE_SIZE = 16
 
     val CHARGES = listOf(Charge(Cost(88_750_000), 97.4), Charge(Cost(177_500_000), 0.125))
@@ -165,7 +169,7 @@
             CHARGES[charge],
         )
 
-    /** In the second page: on three machines, one of them in two sessions, in two zones. */
+    /** Placements in the second page: on three machines, one in two incarnations, in two zones. */
     fun placements(job: Job) =
         listOf(
             placement(job, 16, 1, "i-000001", 3, "east", 0),
@@ -175,7 +179,10 @@
             placement(job, 23, 4, "i-000003", 9_000_000_000, "east", 1),
         )
 
-    /** Done: 0, 2 to 5 and 15; 20 and 31. Tried: 19, 24 and 30. */
+    /**
+     * A job with tasks that are done ([DONE_TASKS]), waiting again after an attempt
+     * ([LAST_ATTEMPTS]), placed ([placements]) and never attempted.
+     */
     fun job(): Job =
         newJob().also { job ->
             val placedElsewhere = { task: Int, attempt: Int ->
@@ -197,13 +204,15 @@
             for (placed in placements(job)) job.place(placed, Micros.ZERO)
         }
 
-    /** All tasks of a gang have one attempt number; the pages of one that is out, in one zone. */
+    /**
+     * A gang whose tasks are all placed in one zone. All tasks of a gang share an attempt number.
+     */
     fun placedGang(): Job =
         newGang(GANG_SPEC).also { gang ->
             for (placed in gangPlacements(gang)) gang.place(placed, Micros.ZERO)
         }
 
-    /** Of one that waits again after its first attempt. */
+    /** A gang that waits again after an attempt ended. */
     fun waitingGang(): Job =
         newGang(WAITING_GANG_SPEC).also { gang ->
             for (placed in gangPlacements(gang)) {
@@ -213,7 +222,10 @@
             }
         }
 
-    /** Of one that is done: recorded for all tasks at once, some still on their machines. */
+    /**
+     * A gang that is done, which is recorded for all tasks at once. All but the first task are
+     * still on their machines.
+     */
     fun doneGang(): Job =
         newGang(DONE_GANG_SPEC).also { gang ->
             val placed = gangPlacements(gang)
@@ -227,13 +239,14 @@
 
     const val GANG_ATTEMPT = 3
 
-    /** Eight tasks on each machine. */
+    /** Places the tasks of [gang], eight on each machine. */
     fun gangPlacements(gang: Job) =
         List(gang.spec.tasks) {
             placement(gang, it, GANG_ATTEMPT, "i-00001${it / 8}", 2, "east", 0)
         }
 
     val DONE_TASKS = listOf(0, 2, 3, 4, 5, 15, 20, 31)
+    /** The last attempt number of tasks that wait again, by task. */
     val LAST_ATTEMPTS = mapOf(19 to 1, 24 to 3, 30 to 1)
 
     val PEER_HEARTBEAT =
@@ -277,7 +290,7 @@
             unchanged = listOf(4, 90, 5, 1_000_000),
         )
 
-    /** The first of a process: it has no clock to echo and nothing to tell. */
+    /** The first batch of a process: it has no leader clock to echo and no heartbeats. */
     fun firstBatch() =
         HeartbeatBatch(
             member = "n3",
@@ -333,9 +346,9 @@
     const val DECOMMISSIONED_MACHINE_KEY = "m/i-000001"
 
     /**
-     * All that the state service holds, by its key. What is stored of a decommissioned machine is
-     * here as the placement store writes it; that it puts it so is seen on a run of the whole
-     * controller.
+     * All values in the key-value store, by their keys. The value for a decommissioned machine is
+     * written here as the placement store writes it; a test that runs a whole controller verifies
+     * that the placement store does so.
      */
     fun storedValues(): Map<String, JsonElement> {
         val values = LinkedHashMap<String, JsonElement>()
@@ -370,6 +383,7 @@
         return values
     }
 
+    /** The serialized messages between controllers, by their names in the samples. */
     fun messages(): Map<String, ByteArray> =
         mapOf(
             "beat" to PeerHeartbeatCodec.encode(PEER_HEARTBEAT),
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -27,20 +27,25 @@
 import wardmux.serialization.lenientJson
 
 /**
- * While versions serve side by side, each reads what the other wrote and writes it again. What this
- * version writes of something that it has read still holds all that the version in production, or
- * the last landing, wrote there and needs. What is read is also tried with fields that no present
- * version knows: they are ignored, and do not keep anything else from being written again.
+ * Guards against data that is lost when this version reads a value of another version and writes it
+ * again, which happens while several versions run side by side. What this version writes must keep
+ * everything that the version in production or its successor wrote and needs. Each value is also
+ * read with unknown fields, which must be ignored without a loss of other fields.
  */
 class FormatRewriteTest {
     private val samples = FormatSamples(FormatSamples.PRODUCTION)
 
+    /**
+     * Asserts that the stored value is rewritten unchanged, also if it was read with unknown
+     * fields.
+     */
     private fun assertStoredRewrite(key: String, rewrite: (JsonElement) -> JsonElement) {
         val value = samples.stored.getValue(key)
         assertEquals(value.toString(), rewrite(value).toString(), key)
         assertEquals(value.toString(), rewrite(FormatTree.withUnknownFields(value)).toString(), key)
     }
 
+    /** Asserts that the message is rewritten unchanged, also if it was read with unknown fields. */
     private fun assertMessageRewrite(name: String, rewrite: (ByteArray) -> ByteArray) {
         val bytes = samples.messages.getValue(name)
         val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
@@ -48,6 +53,7 @@
         assertEquals(bytes.toHexString(), rewrite(extended).toHexString(), name)
     }
 
+    /** Asserts the same for a compressed stored value, compared unpacked. */
     private fun assertPackedRewrite(key: String, rewrite: (JsonElement) -> String) {
         val value = samples.stored.getValue(key)
         val bytes = FormatTree.unpacked(value).toHexString()
@@ -60,7 +66,7 @@
     }
 
     @Test
-    fun `the leader's record, the tags and the machine types`() {
+    fun `the leader record, the fair queue tags and the machine types keep their content`() {
         assertStoredRewrite(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record)
@@ -76,7 +82,7 @@
     }
 
     @Test
-    fun `records of jobs, also as they are cancelled or done`() {
+    fun `job records keep their content, and open ones become the same cancelled records`() {
         val records = samples.stored.keys.filter { it.first() in "jqc" && it[1] == '/' }
         assertEquals(13, records.size)
         for (key in records) assertStoredRewrite(key) {
@@ -92,16 +98,25 @@
         }
     }
 
-    /** Of a record that has no room any more, only what production does without is left out. */
+    /**
+     * A cancelled record that exceeds the size limit is shortened. Only fields that the version in
+     * production can do without may be left out.
+     */
     @Test
-    fun `a record that is shortened keeps each field that must be there`() {
+    fun `a shortened record keeps each required field`() {
         for (spec in FormatContents.SPECS) {
             val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
             val whole = open.toCancelled(maxBytes = 2_000).toJson()
             val short = open.toCancelled(jsonBytes(whole) - 1).toJson()
-            assertTrue(jsonBytes(short) < jsonBytes(whole), spec.id)
+            assertTrue(
+                jsonBytes(short) < jsonBytes(whole),
+                "the record of ${spec.id} must become shorter",
+            )
             val missing = fields(whole) - fields(short)
-            assertTrue(missing.all { it in OPTIONAL_FIELDS }, "$missing of ${spec.id}")
+            assertTrue(
+                missing.all { it in OPTIONAL_FIELDS },
+                "expected only optional fields to be left out of ${spec.id}, but was $missing",
+            )
             assertEquals(whole.jsonObject.getValue("state"), short.jsonObject["state"])
             assertEquals(spec.team, assertNotNull(JobRecord.decode(short)).spec?.team)
         }
@@ -110,6 +125,7 @@
     private fun fields(record: JsonElement): Set<String> =
         record.jsonObject.keys + (record.jsonObject["spec"] as JsonObject).keys
 
+    /** Asserts that the task pages of [spec] still describe the same tasks after a rewrite. */
     private fun assertPagesRewrite(spec: JobSpec, pages: IntRange) {
         val keys = pages.associateWith { TaskPageCodec.key(JobId(spec.id), it) }
         for (extended in listOf(false, true)) {
@@ -119,7 +135,7 @@
                 val sample = samples.stored.getValue(key)
                 load(first, number, if (extended) FormatTree.withUnknownFields(sample) else sample)
                 val again = TaskPageCodec.encode(first, number)
-                // The order of placements is free; the fields and all that they hold are not.
+                // The order of placements may change; the fields and their content may not.
                 assertEquals(sample.jsonObject.keys.toList(), again.jsonObject.keys.toList(), key)
                 load(second, number, again)
             }
@@ -142,7 +158,10 @@
             )
             .single { it.spec.id == spec.id }
 
-    /** Of each task: done, where it is, or which try is next; both of one done on its machine. */
+    /**
+     * Describes each task: whether it is done, where it is placed, or its next attempt number. A
+     * task that is done but still on its machine has both the first and the second.
+     */
     private fun contents(job: Job): List<String> =
         List(job.spec.tasks) { task ->
             val at = job.placements.get(task)
@@ -152,7 +171,7 @@
         }
 
     @Test
-    fun `pages of arrays and gangs`() {
+    fun `task pages of arrays and gangs keep their content`() {
         assertPagesRewrite(FormatContents.ARRAY_SPEC, 0..2)
         assertPagesRewrite(FormatContents.GANG_SPEC, 0..2)
         assertPagesRewrite(FormatContents.WAITING_GANG_SPEC, 0..0)
@@ -160,7 +179,7 @@
     }
 
     @Test
-    fun `heartbeats and what is told of cancellations`() {
+    fun `heartbeats of peers and cancellation updates keep their content`() {
         for (name in listOf("beat", "beat of a follower")) {
             assertMessageRewrite(name) {
                 PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it)))
@@ -174,7 +193,7 @@
     }
 
     @Test
-    fun `batches and answers, sent and by way of the state service`() {
+    fun `batches and responses keep their content as messages and as stored values`() {
         for (name in listOf("batch", "first batch")) {
             assertMessageRewrite(name) {
                 ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeBatch(it)))
@@ -194,7 +213,7 @@
     }
 
     private companion object {
-        /** Without these the decoders of production and of the last landing read a record too. */
+        /** The decoders of production and of its successor accept a record without these fields. */
         val OPTIONAL_FIELDS = setOf("boxkinds", "ward", "due_s")
     }
 }
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -41,17 +41,18 @@
 import wardmux.sim.plainJob
 
 /**
- * During an upgrade processes of the version in production and of this one work on each other's
- * data. The samples are what the version in production wrote of [FormatContents], which the last
- * landing writes alike; they are never made anew with this one. Each is read here as it is and with
- * unknown fields in it, and compared with what this version writes.
+ * Guards against stored data and messages that one version can't read from another: during an
+ * upgrade, processes of the version in production and of this version work on each other's data.
+ * The samples are what the version in production wrote for [FormatContents]; the version merged
+ * after it writes the same. They are never regenerated. Each sample is read as it is and with
+ * unknown fields, and is compared with what this version writes.
  */
 class FormatTest {
     private val samples = FormatSamples(FormatSamples.PRODUCTION)
     private val stored = samples.stored
     private val messages = samples.messages
 
-    /** As production wrote it, and as a later version might. */
+    /** Runs [check] on a stored value as it is and with unknown fields, as of a later version. */
     private fun checkStored(key: String, check: (JsonElement) -> Unit) {
         val value = stored.getValue(key)
         check(value)
@@ -62,6 +63,7 @@
         )
     }
 
+    /** Runs [check] on a message as it is and with unknown fields, as of a later version. */
     private fun checkMessage(name: String, check: (ByteArray) -> Unit) {
         val bytes = messages.getValue(name)
         check(bytes)
@@ -71,7 +73,7 @@
     // What this version writes.
 
     @Test
-    fun `what is stored is written as production writes it, under the same keys`() {
+    fun `stored values have the keys and fields that production writes`() {
         val current = FormatContents.storedValues()
         assertEquals(stored.keys, current.keys)
         val actual =
@@ -93,7 +95,7 @@
     }
 
     @Test
-    fun `messages are written as production writes them`() {
+    fun `messages have the fields that production writes`() {
         val current = FormatContents.messages()
         assertEquals(messages.keys, current.keys)
         val actual =
@@ -104,14 +106,15 @@
         assertEquals(emptyList(), actual)
     }
 
-    /** Whoever reads bytes of this version finds those that the versions beside it write. */
+    /** A reader that compares bytes must find no difference between versions that run together. */
     @Test
-    fun `what is stored and sent is the same byte for byte`() {
+    fun `stored values and messages match the samples byte for byte`() {
         val current = FormatContents.storedValues()
         for ((key, value) in stored) {
             val written = current.getValue(key)
             if (FormatSamples.isPacked(key)) {
-                // How well it is packed may depend on the Java version.
+                // The compressed bytes may depend on the Java version, so they are compared
+                // unpacked.
                 val production = FormatTree.unpacked(value).toHexString()
                 assertEquals(production, FormatTree.unpacked(written).toHexString(), key)
             } else {
@@ -124,25 +127,28 @@
         }
     }
 
-    /** So all that holds here beside production holds beside the last landing as well. */
+    /** Both versions write the same bytes, so compatibility with the samples covers both. */
     @Test
-    fun `the last landing writes the bytes that production writes`() {
+    fun `the version merged after production writes the bytes that production writes`() {
         val successor = FormatSamples(FormatSamples.PRODUCTION_SUCCESSOR)
         for (name in listOf("stored", "messages")) {
             assertEquals(samples.text(name), successor.text(name), name)
         }
     }
 
-    /** A version that comes into production later needs samples of its own. */
+    /** When another version goes into production, samples of that version are needed. */
     @Test
     fun `the samples are those of the version that the deploy file names`() {
         val line = File("deploy/service.toml").readLines().single { it.startsWith("production") }
         val commit = line.substringAfter('"').substringBefore('"')
-        assertTrue(commit.startsWith(FormatSamples.PRODUCTION), commit)
+        assertTrue(
+            commit.startsWith(FormatSamples.PRODUCTION),
+            "expected production to be ${FormatSamples.PRODUCTION}, but was $commit",
+        )
     }
 
     @Test
-    fun `a field that is lost, changed or new is told as a difference`() {
+    fun `a missing, changed or new field is reported as a difference`() {
         val tree = Json.parseToJsonElement("""{"a":[{"b":1}],"c":"1"}""")
         fun differencesTo(text: String, vararg additions: String) =
             FormatTree.differences(tree, Json.parseToJsonElement(text), additions.toSet())
@@ -158,7 +164,7 @@
     // What this version reads.
 
     @Test
-    fun `the leader's record is read`() =
+    fun `the leader record is read`() =
         checkStored(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             assertEquals("n2", record.member)
@@ -166,7 +172,7 @@
         }
 
     @Test
-    fun `the tags are read`() =
+    fun `the tags and usage of the fair queue are read`() =
         checkStored(FairQueue.KEY) {
             val at = Micros(FormatContents.TAGS_SAVED_AT)
             val written = FormatContents.chargedFairQueue()
@@ -175,12 +181,15 @@
             assertEquals(written.virtualTime, read.virtualTime)
             assertTrue(read.virtualTime > 0)
             for (team in listOf("batch", "web")) {
-                assertTrue(read.startTag(team) > read.virtualTime, team)
+                assertTrue(
+                    read.startTag(team) > read.virtualTime,
+                    "the start tag of $team must be after the virtual time",
+                )
                 assertEquals(written.startTag(team), read.startTag(team), team)
-                assertTrue(read.usage(team, at) > 0, team)
+                assertTrue(read.usage(team, at) > 0, "the usage of $team must be positive")
                 assertEquals(written.usage(team, at), read.usage(team, at), team)
             }
-            // Usage goes on decaying from when it was written.
+            // Usage decays from the time at which it was written; 600 s is the half-life.
             val halved = read.usage("web", Micros(FormatContents.TAGS_SAVED_AT + 600_000_000))
             assertEquals(4_000_000.0, halved)
         }
@@ -192,7 +201,7 @@
         }
 
     @Test
-    fun `job records are read in each state and shape, under each of their keys`() {
+    fun `job records of each state and kind are read under each of their keys`() {
         for (spec in FormatContents.SPECS) {
             for (key in listOf("j/${spec.id}", "q/${spec.id}")) {
                 checkStored(key) {
@@ -208,7 +217,7 @@
         }
     }
 
-    /** Spelled out once, so that a field that is read in another's place is noticed. */
+    /** Compares each field with a literal, to detect a field that is read into another. */
     @Test
     fun `each field of a job record is read`() =
         checkStored("c/job-000412") {
@@ -242,7 +251,7 @@
         lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), json)
 
     @Test
-    fun `a page is read with its placements, their zones and charges`() =
+    fun `a task page is read with its placements, their zones and charges`() =
         checkStored("t/job-000412/1") { json ->
             val job = FormatContents.newJob()
             val read =
@@ -256,7 +265,7 @@
                 assertEquals(job.id, actual.task.job)
                 assertEquals(placement.attempt, actual.attempt, "attempt of $task")
                 assertEquals(placement.machine, actual.machine, "machine of $task")
-                assertEquals(placement.incarnation, actual.incarnation, "session of $task")
+                assertEquals(placement.incarnation, actual.incarnation, "incarnation of $task")
                 assertEquals(placement.zone, actual.zone, "zone of $task")
                 assertEquals(placement.charge, actual.charge, "charge of $task")
                 assertTrue(actual.isRestored && actual.isCommitted)
@@ -268,7 +277,7 @@
         }
 
     @Test
-    fun `the runs of done tasks and the tried ones are read from all pages`() {
+    fun `done tasks and the attempt numbers of waiting tasks are read from all pages`() {
         val extended = { json: JsonElement -> FormatTree.withUnknownFields(json) }
         for (transform in listOf({ json: JsonElement -> json }, extended)) {
             val job = FormatContents.newJob()
@@ -284,7 +293,7 @@
                     FormatContents.LAST_ATTEMPTS[task] ?: job.placements.get(task)?.attempt ?: 0
                 assertEquals(last + 1, job.nextAttempt(task), "next attempt of $task")
             }
-            // What came back waits behind what was never tried.
+            // Tasks that wait again after an attempt are behind those that were never attempted.
             val waiting = generateSequence { job.pollWaitingTask().takeIf { it >= 0 } }.toList()
             assertEquals(FormatContents.LAST_ATTEMPTS.keys.toList(), waiting.takeLast(3))
             assertEquals(40 - 8 - 5, waiting.size)
@@ -292,7 +301,7 @@
     }
 
     @Test
-    fun `the pages of gangs are read, with one attempt number for all tasks`() {
+    fun `the pages of gangs are read with one attempt number for all tasks`() {
         checkGangPages(FormatContents.GANG_SPEC, 0..2) { gang, read ->
             val expected = FormatContents.gangPlacements(gang).map { it.task to it.machine }
             assertEquals(expected, read.map { it.task to it.machine })
@@ -313,6 +322,7 @@
         }
     }
 
+    /** Runs [check] on a gang restored from its pages, as they are and with unknown fields. */
     private fun checkGangPages(
         spec: JobSpec,
         pages: IntRange,
@@ -351,7 +361,8 @@
     }
 
     /**
-     * What the only machine in the job's zone is told under a leader that finds [decommissioned].
+     * Whether the only machine in the job's zone is commanded to start the task, under a leader
+     * that finds the value [decommissioned] stored for the machine; null stands for no value.
      */
     private fun startsTaskAfter(decommissioned: JsonElement?): Boolean {
         val harness = ControllerHarness()
@@ -368,14 +379,14 @@
     }
 
     @Test
-    fun `a machine that production decommissioned gets nothing more, whatever is said of it`() {
+    fun `a machine with any stored decommissioning record gets no task`() {
         assertTrue(startsTaskAfter(decommissioned = null))
         assertFalse(startsTaskAfter(stored.getValue(FormatContents.DECOMMISSIONED_MACHINE_KEY)))
         assertFalse(startsTaskAfter(JsonObject(mapOf("later" to JsonPrimitive(1)))))
     }
 
     @Test
-    fun `a heartbeat is read`() {
+    fun `the heartbeat of a peer is read`() {
         checkMessage("beat") {
             val heartbeat = assertNotNull(PeerHeartbeatCodec.decode(it))
             assertEquals("n1", heartbeat.member)
@@ -396,7 +407,7 @@
     }
 
     @Test
-    fun `the answer to a heartbeat is read`() {
+    fun `the cancellation update that answers a heartbeat is read`() {
         checkMessage("told") {
             val update = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
             assertEquals("n2-5f3a", update.processIncarnation)
@@ -475,7 +486,7 @@
     }
 
     @Test
-    fun `batches are read`() {
+    fun `batches of forwarded heartbeats are read`() {
         checkMessage("batch") { assertAllFields(ForwardingCodec.decodeBatch(it)) }
         checkStored("r/n3") { assertAllFields(ForwardingCodec.decodeBatch(it)) }
         checkMessage("first batch") {
@@ -492,7 +503,7 @@
     }
 
     @Test
-    fun `the answers to batches are read`() {
+    fun `the responses to batches are read`() {
         checkMessage("answer") { assertAllFields(ForwardingCodec.decodeResponse(it)) }
         checkMessage("plain answer") { assertDefaultFields(ForwardingCodec.decodeResponse(it)) }
         checkStored("a/relays") {
@@ -512,8 +523,9 @@
 
     private companion object {
         /**
-         * Fields that production does not write and passes over, each by the key or name of the
-         * sample and the path in it, with the reason why a process of production may be shown it.
+         * Fields that the version in production does not write and ignores when it reads them, each
+         * as the key or name of the sample followed by the path of the field. A comment on each
+         * entry gives the reason why a process of the version in production may receive it.
          */
         val ADDED_FIELDS = emptySet<String>()
     }
--- a/src/test/kotlin/wardmux/app/FormatTree.kt
+++ b/src/test/kotlin/wardmux/app/FormatTree.kt
@@ -17,20 +17,23 @@
 import kotlinx.serialization.json.jsonPrimitive
 
 /**
- * What was written, whatever wrote it: read without the classes that are tested, so that no default
- * value stands in for a field that is missing.
+ * Reads and writes serialized values as JSON trees, without the classes that are tested: these
+ * would replace a missing field by its default value and so hide that it is missing. A CBOR byte
+ * string is represented by a JSON string that starts with [BYTE_STRING_PREFIX].
  */
 object FormatTree {
     private const val BYTE_STRING_PREFIX = "bytes:"
     private const val BREAK_BYTE = 0xff
 
+    /** Parses [bytes], which must hold exactly one CBOR item. */
     fun parseCbor(bytes: ByteArray): JsonElement {
         val input = DataInputStream(ByteArrayInputStream(bytes))
         return read(input, input.readUnsignedByte()).also {
-            check(input.read() < 0) { "bytes are left over" }
+            check(input.read() < 0) { "the input continues after the first CBOR item" }
         }
     }
 
+    /** Reads one CBOR item (RFC 8949) whose initial byte has already been read. */
     private fun read(input: DataInputStream, initialByte: Int): JsonElement {
         val additionalInformation = initialByte and 0x1f
         return when (initialByte shr 5) {
@@ -50,7 +53,7 @@
                     forEachItem(input, additionalInformation) {
                         val key = read(input, it).jsonPrimitive.content
                         val before = put(key, read(input, input.readUnsignedByte()))
-                        check(before == null) { "$key is there twice" }
+                        check(before == null) { "the key $key occurs twice in a CBOR map" }
                     }
                 }
             7 ->
@@ -59,12 +62,13 @@
                     21 -> JsonPrimitive(true)
                     22 -> JsonNull
                     27 -> JsonPrimitive(input.readDouble())
-                    else -> error("simple value $additionalInformation")
+                    else -> error("unsupported CBOR simple value $additionalInformation")
                 }
-            else -> error("major type of $initialByte")
+            else -> error("unsupported CBOR major type in initial byte $initialByte")
         }
     }
 
+    /** Reads the number or length that follows the initial byte. */
     private fun readArgument(input: DataInputStream, additionalInformation: Int): Long =
         when (additionalInformation) {
             in 0..23 -> additionalInformation.toLong()
@@ -72,12 +76,16 @@
             25 -> input.readUnsignedShort().toLong()
             26 -> input.readInt().toLong() and 0xffffffffL
             27 -> input.readLong()
-            else -> error("length $additionalInformation")
+            else -> error("unsupported CBOR additional information $additionalInformation")
         }
 
     private fun readBytes(input: DataInputStream, additionalInformation: Int): ByteArray =
         input.readNBytes(readArgument(input, additionalInformation).toInt())
 
+    /**
+     * Calls [entry] with the initial byte of each item of an array, or of each key of a map.
+     * Additional information 31 stands for an indefinite length, which a break byte ends.
+     */
     private fun forEachItem(
         input: DataInputStream,
         additionalInformation: Int,
@@ -94,6 +102,7 @@
         }
     }
 
+    /** Encodes a tree as CBOR; the reverse of [parseCbor]. */
     fun toCbor(tree: JsonElement): ByteArray {
         val bytes = ByteArrayOutputStream()
         write(DataOutputStream(bytes), tree)
@@ -142,19 +151,22 @@
         }
     }
 
+    /** Writes the major type with an 8-byte argument. */
     private fun writeHead(out: DataOutputStream, major: Int, number: Long) {
         out.writeByte((major shl 5) or 27)
         out.writeLong(number)
     }
 
-    /** Of what the state service keeps packed. */
+    /** Parses a value that is stored as compressed CBOR in Base64. */
     fun parsePacked(stored: JsonElement): JsonElement = parseCbor(unpacked(stored))
 
+    /** The CBOR bytes of a value that is stored compressed and in Base64. */
     fun unpacked(stored: JsonElement): ByteArray {
         val bytes = Base64.getDecoder().decode(stored.jsonPrimitive.content)
         return InflaterInputStream(ByteArrayInputStream(bytes)).readAllBytes()
     }
 
+    /** The stored form of [tree]; the reverse of [parsePacked]. */
     fun packed(tree: JsonElement): JsonElement {
         val bytes = ByteArrayOutputStream()
         DeflaterOutputStream(bytes).use { it.write(toCbor(tree)) }
@@ -162,8 +174,8 @@
     }
 
     /**
-     * How [written] differs from what [sample] wrote. A field that is only in [written] is told
-     * too, unless its path is one of [additions].
+     * Describes how [written] differs from [sample]. A field that only [written] has is a
+     * difference as well, unless its path is one of [additions].
      */
     fun differences(
         sample: JsonElement,
@@ -194,7 +206,10 @@
             else -> listOf("$path: $written instead of $sample")
         }
 
-    /** With an unknown field in each object, except where the keys are names of things. */
+    /**
+     * Adds [UNKNOWN_FIELDS] to each object, as a later version might. Objects that are maps from
+     * names to values get none.
+     */
     fun withUnknownFields(tree: JsonElement): JsonElement =
         when (tree) {
             is JsonObject ->
@@ -211,6 +226,7 @@
             else -> tree
         }
 
+    /** Fields whose objects are maps from names to values. */
     private val MAP_FIELDS = setOf("teams", "byMember")
     private val UNKNOWN_FIELDS =
         mapOf(
--- a/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
+++ b/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
@@ -35,9 +35,10 @@
 import wardmux.serialization.lenientJson
 
 /**
- * Drains outlive the version that began them, and controllers of two versions pass operators'
- * requests on to each other. The samples are read here; that they are written alike is seen in
- * [FormatAdditionsTest].
+ * Guards against drains and operators' messages that this version can't read from another version:
+ * a drain may continue under a later version than the one that started it, and controllers of two
+ * versions forward operators' requests to each other. This class tests that the samples are read;
+ * [FormatAdditionsTest] tests that they are written byte for byte.
  */
 class OperatorFormatTest {
     private val samples = FormatSamples(FormatSamples.ADDITIONS)
@@ -46,7 +47,10 @@
             it.value.jsonPrimitive.content
         }
 
-    /** As it was written, and as a later version might write it; each is written again alike. */
+    /**
+     * Runs [check] on the stored drain as it is and with unknown fields, as a later version might
+     * write it. Both must be encoded again to the original text.
+     */
     private fun checkDrain(id: String, check: (DrainRecord) -> Unit) {
         val value = samples.stored.getValue("d/$id")
         for (stored in listOf(value, FormatTree.withUnknownFields(value))) {
@@ -59,6 +63,7 @@
     private fun drain(stored: JsonElement): DrainRecord =
         lenientJson.decodeFromJsonElement(DrainRecord.serializer(), stored)
 
+    /** Does the same for a message between controllers. */
     private fun <T : Any> checkMessage(
         name: String,
         serializer: KSerializer<T>,
@@ -73,6 +78,7 @@
         }
     }
 
+    /** Decodes a message and asserts that it is encoded again to the original text. */
     private fun <T> decodeOperatorMessage(name: String, serializer: KSerializer<T>): T {
         val text = operatorMessages.getValue(name)
         return operatorJson.decodeFromString(serializer, text).also {
@@ -151,7 +157,7 @@
     }
 
     @Test
-    fun `a drain is read, with and without its optional fields`() {
+    fun `a drain is read with and without its optional fields`() {
         checkDrain("rack-7") { assertAllFields(it) }
         checkDrain("done") { assertDefaultFields(it) }
     }
@@ -170,7 +176,7 @@
     }
 
     @Test
-    fun `a drain is read in each phase of its step and paused for each reason`() {
+    fun `a drain is read in each phase of its step and for each reason of a pause`() {
         checkDrain("preparing") { assertEquals(StepPhase.PREPARING, it.step?.phase) }
         checkDrain("emptying") { assertEquals(StepPhase.EMPTYING, it.step?.phase) }
         checkDrain("settling") { assertEquals(StepPhase.SETTLING, it.step?.phase) }
@@ -181,7 +187,7 @@
     }
 
     @Test
-    fun `the names of all values of the enumerations`() {
+    fun `the serialized names of all enum values are unchanged`() {
         assertElementNames(Source.serializer(), "leader", "store")
         assertElementNames(DeadlineAction.serializer(), "pause", "continue")
         assertElementNames(StepOrder.serializer(), "fewest_steps", "emptiest_first", "by_zone")
@@ -199,7 +205,7 @@
     }
 
     @Test
-    fun `what is passed on to the leader is read, and its answer`() {
+    fun `forwarded requests and the leader's responses are read`() {
         checkMessage("forwarded request", ForwardedRequest.serializer()) {
             assertEquals("POST", it.method)
             assertEquals("/drains/rack-7/pause", it.path)
@@ -218,7 +224,7 @@
     }
 
     @Test
-    fun `an operator's request is read, but not with a field that is unknown`() {
+    fun `an operator's request is read unless it has an unknown field`() {
         assertAllFields(decodeOperatorMessage("request", DrainRequest.serializer()))
         val extended =
             FormatTree.withUnknownFields(
@@ -230,7 +236,7 @@
     }
 
     @Test
-    fun `errors are read`() {
+    fun `error responses are read with and without the state of a drain`() {
         val error = decodeOperatorMessage("error", DrainError.serializer())
         assertEquals("no such drain: rack-8", error.error)
         assertNull(error.state)
@@ -256,7 +262,7 @@
     }
 
     @Test
-    fun `the status of a drain is read, from the leader and as it is stored`() {
+    fun `the status of a drain is read, both from the leader and from the store`() {
         val status = decodeOperatorMessage("status", DrainStatus.serializer())
         assertAllFields(status.record)
         assertEquals(Source.LEADER, status.source)
@@ -268,14 +274,14 @@
     }
 
     @Test
-    fun `the list of drains is read`() {
+    fun `the list of drains is read with its unreadable drains`() {
         val list = decodeOperatorMessage("list", DrainList.serializer())
         assertStoredStatus(list.drains.single())
         assertEquals(listOf("rack-9"), list.unreadable)
     }
 
     @Test
-    fun `what a drain would do is read`() {
+    fun `the result of checking a drain is read`() {
         val check = decodeOperatorMessage("check", DrainCheck.serializer())
         assertEquals(3, check.machines)
         assertEquals(listOf(listOf("i-000001", "i-000003"), listOf("i-000002")), check.steps)
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -9,13 +9,20 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 
-/** Which controllers are ready for users while the key-value store does not answer some or all. */
+/**
+ * Guards against a wrong answer of `/ready` in an outage of the key-value store. If the store fails
+ * for all controllers, none may report that it is not ready, since users could turn to no other. If
+ * it fails for one controller only, that one must not be ready, so that users turn to the others.
+ */
 class ReadinessTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
 
     private fun readyStatus() = harness.call("GET", "/ready")?.first
 
-    /** Seconds in which the peer says how long ago the key-value store answered it. */
+    /**
+     * Runs the controller for [inSeconds]. In each second, which [peerSilenceS] gets as its index,
+     * the peer reports for how many seconds the key-value store has not answered it.
+     */
     private fun runWithPeer(inSeconds: Int, peerSilenceS: (Int) -> Long) =
         repeat(inSeconds) {
             val heartbeat =
@@ -28,7 +35,7 @@
         }
 
     @Test
-    fun `an idle follower, which hardly asks the key-value store, stays ready`() {
+    fun `an idle follower that sends few requests to the key-value store stays ready`() {
         harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
         harness.run(2.seconds)
         repeat(20) {
@@ -44,7 +51,7 @@
     }
 
     @Test
-    fun `in an outage for all controllers, all stay ready`() {
+    fun `a controller stays ready in an outage that affects all controllers`() {
         harness.run(2.seconds)
         harness.refuse = { true }
         runWithPeer(12) { it.toLong() }
@@ -52,7 +59,7 @@
     }
 
     @Test
-    fun `a controller that alone is refused is not ready until it is served again`() {
+    fun `a controller that is the only one without the store is not ready until the store answers`() {
         harness.run(2.seconds)
         harness.refuse = { true }
         runWithPeer(5) { 0 }
--- a/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
+++ b/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
@@ -19,8 +19,9 @@
 import wardmux.maintenance.WindowSettings
 
 /**
- * Operators keep files of settings over many versions, so each key keeps its name and its place.
- * The file that is read here names every key, none with its default; it is never made anew.
+ * Guards against a settings key that is renamed, moved or read into the wrong field: operators keep
+ * their settings files over many versions. The sample file sets every key to a value that differs
+ * from its default. It is never regenerated, since it stands for the files that operators have.
  */
 class SettingsKeysTest {
     private val settings by lazy { SettingsFiles.operators(File(SAMPLE_FILE)) }
@@ -73,11 +74,11 @@
     }
 
     @Test
-    fun `these are all keys that there are`() =
+    fun `the settings have exactly the listed keys`() =
         assertEquals(KEYS, keyPaths(OperatorSettings.serializer().descriptor))
 
     @Test
-    fun `the file sets every key to something else than its default`() {
+    fun `the sample file sets every key to a value other than its default`() {
         val defaults =
             DrainSettings(
                 teams = listOf(TeamBudgetSettings("")),
@@ -93,6 +94,7 @@
         json.encodeToJsonElement(OperatorSettings.serializer(), settings)
 
     @OptIn(ExperimentalSerializationApi::class)
+    /** The paths of all keys below [descriptor], with `[]` for the elements of a list. */
     private fun keyPaths(descriptor: SerialDescriptor, path: String = ""): List<String> =
         when (descriptor.kind) {
             StructureKind.LIST -> keyPaths(descriptor.getElementDescriptor(0), "$path[]")
@@ -105,6 +107,7 @@
             else -> listOf(path.removePrefix("."))
         }
 
+    /** The values in [tree] by the paths of their keys; each list must have one element. */
     private fun leafValues(tree: JsonElement, path: String = ""): Map<String, JsonElement> =
         when (tree) {
             is JsonArray -> leafValues(tree.single(), "$path[]")
--- a/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
@@ -15,14 +15,15 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Holds the layers of `docs/architecture.md`: which packages may use which, and what the core may
- * use.
+ * Enforces the layers of `docs/architecture.md`. Guards against dependencies between packages that
+ * form cycles, sockets, threads and clocks in the core, and wire formats that are used outside the
+ * packages that handle them.
  */
 class ArchitectureTest {
     private fun check(rule: ArchRule) = rule.check(PRODUCTION_CLASSES)
 
     @Test
-    fun `packages depend on each other in one direction only`() =
+    fun `dependencies between packages form no cycle`() =
         check(slices().matching("wardmux.(*)..").should().beFreeOfCycles())
 
     @Test
@@ -36,7 +37,7 @@
         )
 
     @Test
-    fun `the core opens no socket and starts no thread`() =
+    fun `the core uses no sockets and no threads`() =
         check(
             noClasses()
                 .that(belongToTheCore())
@@ -65,7 +66,7 @@
         )
 
     @Test
-    fun `only the edge uses messages of the protocols`() {
+    fun `only the listed packages use messages of the protocols`() {
         for ((messages, users) in PACKAGES_BY_MESSAGE) {
             check(
                 classes()
@@ -79,7 +80,7 @@
     }
 
     @Test
-    fun `constructors take at most eight parameters, but for messages, records and settings`() {
+    fun `constructors take at most eight parameters except for data and serialized classes`() {
         val tooManyParameters =
             PRODUCTION_CLASSES.filterNot { isDataOrSerialized(it) }
                 .flatMap { it.constructors }
@@ -91,7 +92,10 @@
         )
     }
 
-    /** Serialized classes and data classes have as many fields as what they describe. */
+    /**
+     * True for serialized and data classes, which may have more constructor parameters: they need
+     * one for each field of what they describe.
+     */
     private fun isDataOrSerialized(type: JavaClass) =
         type.isAnnotatedWith(Serializable::class.java) ||
             type.methods.any { it.name == "component1" }
@@ -104,7 +108,10 @@
                     !type.packageName.startsWith("$ROOT.$name.")
         }
 
-    /** All but the process around the core, its sockets, and the operators' command line. */
+    /**
+     * Matches all classes except the process that runs the core, HTTP, the command line, the
+     * settings files and logging.
+     */
     private fun belongToTheCore() =
         object : DescribedPredicate<JavaClass>("classes of the core") {
             override fun test(type: JavaClass) =
@@ -126,7 +133,7 @@
                 "wardmux.http..",
             )
 
-        /** Messages by name, and the packages that may use them. */
+        /** Name patterns of message classes, each with the packages that may use them. */
         val PACKAGES_BY_MESSAGE =
             mapOf(
                 "wardmux\\.worker\\.(WorkerHeartbeat|ReportedTask|WorkerCommand|DirectCommands)(\\$.*)?" to
--- a/src/test/kotlin/wardmux/cli/DrainCommandTest.kt
+++ b/src/test/kotlin/wardmux/cli/DrainCommandTest.kt
@@ -17,7 +17,10 @@
 import wardmux.drain.Source
 import wardmux.drain.StepPhase
 
-/** The command line where no controller can be asked, and what it says of answers. */
+/**
+ * Guards against exit codes and messages of the drain commands that mislead operators: when no
+ * controller can be reached, when an option is invalid, and in the text for a drain's status.
+ */
 class DrainCommandTest {
     private val output = StringWriter()
 
@@ -28,26 +31,29 @@
     }
 
     @Test
-    fun `a timeout is reported with what is known of the request`() {
+    fun `a timeout is reported together with whether the request may have been carried out`() {
         val code = run("list", "--controller", "127.0.0.1:1", "--timeout", "0.5")
         assertEquals(DrainExit.NO_ANSWER, code)
-        assertTrue("nothing was carried out" in output.toString(), output.toString())
+        assertTrue(
+            "nothing was carried out" in output.toString(),
+            "expected \"nothing was carried out\" in: $output",
+        )
     }
 
     @Test
-    fun `an invalid option is a bad request that names it`() {
+    fun `an invalid option is reported by its name with the exit code of a bad request`() {
         assertEquals(DrainExit.BAD_REQUEST, run("list", "--controller", "nowhere"))
-        assertTrue("--controller" in output.toString())
+        assertTrue("--controller" in output.toString(), "expected --controller in: $output")
         assertEquals(DrainExit.BAD_REQUEST, run("start", "--id", "d1", "--order", "sideways"))
-        assertTrue("--order" in output.toString())
+        assertTrue("--order" in output.toString(), "expected --order in: $output")
         assertEquals(DrainExit.BAD_REQUEST, run("start"))
-        assertTrue("--id" in output.toString())
+        assertTrue("--id" in output.toString(), "expected --id in: $output")
         assertEquals(DrainExit.BAD_REQUEST, run("start", "--id", "x", "--spot", "--ordinary"))
         assertEquals(DrainExit.BAD_REQUEST, run())
     }
 
     @Test
-    fun `a drain is shown with its step, what it waits for and its budgets`() {
+    fun `the text for a drain holds its state, its step, what it waits for and its budgets`() {
         val step = DrainStep(2, StepPhase.EMPTYING, listOf("i-000007"), listOf("job-1/0"), 0)
         val request = DrainRequest("d1", DrainSelector(zones = listOf("a")))
         val record =
@@ -69,8 +75,8 @@
             )
         val parts =
             listOf("d1: running", "i-000007", "waits for: room", "1 of 2", "5 machines left")
-        for (part in parts) assertTrue(part in text, "$part is not in $text")
+        for (part in parts) assertTrue(part in text, "expected \"$part\" in: $text")
         val stored = DrainText.status(DrainStatus(record, Source.STORE, ageS = 0.5))
-        assertTrue("0.5 s old" in stored, stored)
+        assertTrue("0.5 s old" in stored, "expected \"0.5 s old\" in: $stored")
     }
 }
--- a/src/test/kotlin/wardmux/http/HttpServerTest.kt
+++ b/src/test/kotlin/wardmux/http/HttpServerTest.kt
@@ -14,7 +14,10 @@
 import wardmux.model.seconds
 import wardmux.sim.ControllerHarness
 
-/** Bad requests through a real socket are answered at once, and the connection stays usable. */
+/**
+ * Sends requests through real sockets. Guards against malformed requests that go unanswered or make
+ * a connection unusable, and against connections of workers that keep users from connecting.
+ */
 class HttpServerTest {
     private val harness = ControllerHarness().also { it.run(2.seconds) }
     private val group = NioEventLoopGroup(1)
@@ -27,7 +30,8 @@
 
     private fun answer(request: Input.Request) {
         val (status, body) =
-            harness.call(request.method, request.path, request.body) ?: (500 to "no answer")
+            harness.call(request.method, request.path, request.body)
+                ?: (500 to "the controller did not answer")
         server.answer(request.id, status, body.encodeToByteArray(), null)
     }
 
@@ -36,6 +40,7 @@
         group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS)
     }
 
+    /** Sends a request and returns the status of its response. */
     private fun Socket.sendForStatus(
         method: String,
         path: String,
@@ -47,6 +52,7 @@
         return readStatus()
     }
 
+    /** Reads a whole response and returns its status, or -1 if the connection was closed. */
     private fun Socket.readStatus(): Int {
         val input = getInputStream()
         val head = StringBuilder()
@@ -64,7 +70,7 @@
     private fun connect() = Socket(address.address, address.port).also { it.soTimeout = 20_000 }
 
     @Test
-    fun `each bad request has its status and the connection stays open`() {
+    fun `each invalid request gets the status for its fault and the connection stays open`() {
         connect().use { socket ->
             assertEquals(400, socket.sendForStatus("POST", "/submissions", "{".encodeToByteArray()))
             assertEquals(
@@ -90,14 +96,15 @@
     }
 
     @Test
-    fun `an infeasible job is refused, and a known job never is`() {
+    fun `an infeasible job is rejected unless its id was already accepted`() {
         connect().use { socket ->
             val unknownTeam = submission("owner" to JsonPrimitive("nobody"))
             assertEquals(422, socket.sendForStatus("POST", "/submissions", unknownTeam))
             val huge = submission("cores" to JsonPrimitive(17.0))
             assertEquals(422, socket.sendForStatus("POST", "/submissions", huge))
             assertEquals(201, socket.sendForStatus("POST", "/submissions", submission()))
-            // The id is known now: whatever the repeat says, the answer is its state.
+            // The id was accepted: the answer to a repeat is the state of the job, whatever its
+            // body.
             assertEquals(200, socket.sendForStatus("POST", "/submissions", submission()))
             assertEquals(200, socket.sendForStatus("POST", "/submissions", huge))
             assertEquals(
@@ -110,7 +117,7 @@
     }
 
     @Test
-    fun `a body over the limit is malformed`() {
+    fun `a body over the size limit gets 400`() {
         connect().use { socket ->
             assertEquals(
                 400,
@@ -120,7 +127,7 @@
     }
 
     @Test
-    fun `a request that is not HTTP is malformed`() {
+    fun `a request that is not HTTP gets 400`() {
         connect().use { socket ->
             socket.getOutputStream().write("rubbish\r\n\r\n".encodeToByteArray())
             assertEquals(400, socket.readStatus())
@@ -128,7 +135,7 @@
     }
 
     @Test
-    fun `a connection beyond the workers' limit gets 503, and users are still served`() {
+    fun `a worker beyond the limit for workers gets 503 while users are still served`() {
         val workerSockets = List(2) { connect().also { it.sendForStatus("POST", "/hello") } }
         connect().use { assertEquals(503, it.sendForStatus("POST", "/hello")) }
         connect().use { assertEquals(200, it.sendForStatus("GET", "/ready")) }
@@ -136,7 +143,7 @@
     }
 
     @Test
-    fun `a connection beyond the limit gets 503 at once`() {
+    fun `a connection beyond the limit gets 503 before it sends a request`() {
         val openSockets =
             List(3) { connect().also { assertEquals(200, it.sendForStatus("GET", "/ready")) } }
         connect().use { assertEquals(503, it.readStatus()) }
