--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -35,10 +35,10 @@
     private val workerClients = WorkerClients(group, sockets.workers, MAX_RESPONSE_BYTES)
 
     init {
-        addClient(Target.KeyValueStore, platform.services.state, STORE_CONNECTIONS)
-        addClient(Target.Cloud, platform.services.cloud, CLOUD_CONNECTIONS)
+        addClient(Target.KeyValueStore, platform.services.state, MAX_STORE_CONNECTIONS)
+        addClient(Target.Cloud, platform.services.cloud, MAX_CLOUD_CONNECTIONS)
         for (peer in platform.peers) {
-            addClient(Target.Peer(peer.member), peer.address, PEER_CONNECTIONS)
+            addClient(Target.Peer(peer.member), peer.address, MAX_CONNECTIONS_PER_PEER)
         }
     }
 
@@ -156,9 +156,9 @@
         const val CONNECTION_IDLE_TIMEOUT_S = 90L
         const val OPERATOR_LISTENER_RETRY_S = 30L
 
-        const val STORE_CONNECTIONS = 24
-        const val CLOUD_CONNECTIONS = 4
-        const val PEER_CONNECTIONS = 2
+        const val MAX_STORE_CONNECTIONS = 24
+        const val MAX_CLOUD_CONNECTIONS = 4
+        const val MAX_CONNECTIONS_PER_PEER = 2
         const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
         const val NANOS_PER_MICRO = 1_000
         const val MICROS_PER_MILLI = 1_000
--- a/src/main/kotlin/wardmux/app/PublicApi.kt
+++ b/src/main/kotlin/wardmux/app/PublicApi.kt
@@ -78,8 +78,8 @@
         const val RETRY_AFTER_S = 1
 
         /**
-         * How long the key-value store may leave this controller alone without an answer before the
-         * controller is not ready.
+         * How long the key-value store may fail to answer before a controller reports that it is
+         * not ready, if the store fails to answer that controller only.
          */
         val MAX_STORE_OUTAGE_WHILE_READY = 3.seconds
     }
--- a/src/main/kotlin/wardmux/cli/DrainText.kt
+++ b/src/main/kotlin/wardmux/cli/DrainText.kt
@@ -36,8 +36,9 @@
     /** Formats a list of drains, one per line. */
     fun list(list: DrainList): String {
         val lines = list.drains.map { "${it.record.request.id}  ${stateOf(it.record)}" }
-        val all = lines + list.unreadable.map { "$it  failed: the stored record can't be read" }
-        return if (all.isEmpty()) "no drains" else all.joinToString("\n")
+        val allLines =
+            lines + list.unreadable.map { "$it  failed: the stored record can't be read" }
+        return if (allLines.isEmpty()) "no drains" else allLines.joinToString("\n")
     }
 
     /** Formats the plan of a drain that was only checked. */
--- a/src/main/kotlin/wardmux/cli/OperatorClient.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorClient.kt
@@ -50,11 +50,11 @@
     }
 
     private fun sendOnce(client: HttpClient, method: String, path: String, body: String): Outcome {
-        val answer = CompletableFuture<Outcome>()
+        val outcome = CompletableFuture<Outcome>()
         group.next().execute {
-            client.send(method, path, body.encodeToByteArray(), REQUEST_TIMEOUT, answer::complete)
+            client.send(method, path, body.encodeToByteArray(), REQUEST_TIMEOUT, outcome::complete)
         }
-        return answer.get(REQUEST_TIMEOUT.value + OUTCOME_WAIT_MARGIN.value, TimeUnit.MICROSECONDS)
+        return outcome.get(REQUEST_TIMEOUT.value + OUTCOME_WAIT_MARGIN.value, TimeUnit.MICROSECONDS)
     }
 
     override fun close() {
--- a/src/main/kotlin/wardmux/cli/OperatorCommand.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorCommand.kt
@@ -51,14 +51,14 @@
     @Mixin lateinit var options: OperatorOptions
 
     /**
-     * Sends the request and prints the response, which is decoded with [answer] and formatted with
-     * [format]. Returns the exit code.
+     * Sends the request and prints the response, which is decoded with [deserializer] and formatted
+     * with [format]. Returns the exit code.
      */
     protected fun <T> sendRequest(
         method: String,
         path: String,
         body: String,
-        answer: DeserializationStrategy<T>,
+        deserializer: DeserializationStrategy<T>,
         format: (T) -> String,
     ): Int {
         val client = OperatorClient(options.addresses(spec), options.timeoutS.seconds)
@@ -66,19 +66,19 @@
         return when (reply) {
             is OperatorReply.TimedOut -> printTimeout(reply)
             is OperatorReply.Answered ->
-                if (reply.status in HttpStatus.SUCCESS) printAnswer(reply, answer, format)
+                if (reply.status in HttpStatus.SUCCESS) printAnswer(reply, deserializer, format)
                 else printError(reply)
         }
     }
 
     private fun <T> printAnswer(
         reply: OperatorReply.Answered,
-        answer: DeserializationStrategy<T>,
+        deserializer: DeserializationStrategy<T>,
         format: (T) -> String,
     ): Int {
         val out = spec.commandLine().out
         if (options.json) out.println(reply.body)
-        else out.println(format(operatorJson.decodeFromString(answer, reply.body)))
+        else out.println(format(operatorJson.decodeFromString(deserializer, reply.body)))
         return DrainExit.OK
     }
 
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -62,6 +62,7 @@
 
     private val idleChannels = ArrayDeque<Channel>()
     private val queuedRequests = ArrayDeque<PendingRequest>()
+
     /** The number of connections that are open or being opened. */
     private var openConnections = 0
     private val bootstrap =
--- a/src/test/kotlin/wardmux/app/FormatContents.kt
+++ b/src/test/kotlin/wardmux/app/FormatContents.kt
@@ -246,6 +246,7 @@
         }
 
     val DONE_TASKS = listOf(0, 2, 3, 4, 5, 15, 20, 31)
+
     /** The last attempt number of tasks that wait again, by task. */
     val LAST_ATTEMPTS = mapOf(19 to 1, 24 to 3, 30 to 1)
 
