--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -107,8 +107,8 @@
      * monotonic time, the process id and a random UUID.
      */
     private fun newProcessIncarnation(): String {
-        val wallTime = System.currentTimeMillis()
-        return "$wallTime-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
+        val wall = System.currentTimeMillis()
+        return "$wall-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
     }
 
     private fun bind(address: String, listener: ListenerKind) =
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `a controller that is the only one without the store is not ready until the store answers`() {
+    fun `a controller that alone gets no answer from the store is not ready until it gets one`() {
         harness.run(2.seconds)
         harness.refuse = { true }
         runWithPeer(5) { 0 }
