--- a/src/main/kotlin/wardmux/cli/OperatorCommand.kt
+++ b/src/main/kotlin/wardmux/cli/OperatorCommand.kt
@@ -14,25 +14,26 @@
 import wardmux.drain.operatorJson
 import wardmux.model.seconds
 
-/** Options that all commands about drains share. */
+/** Options that all drain commands share. */
 class OperatorOptions {
     @Option(
         names = ["--controller"],
         paramLabel = "HOST:PORT",
-        description = ["An operators' listener; may be given several times (127.0.0.1:7070)."],
+        description =
+            ["A controller's listener for operators; repeatable (default 127.0.0.1:7070)."],
     )
     var controllers: List<String> = listOf("127.0.0.1:7070")
 
     @Option(
         names = ["--timeout"],
         paramLabel = "SECONDS",
-        description = ["For how long to ask again where no controller can answer (10)."],
+        description = ["How long to retry while no controller can answer (default 10)."],
     )
     var timeoutS: Double = 10.0
 
-    @Option(names = ["--json"], description = ["Print the answer as JSON."]) var json = false
+    @Option(names = ["--json"], description = ["Print the response as JSON."]) var json = false
 
-    /** The addresses of the controllers; throws [ParameterException] if one is malformed. */
+    /** The addresses of the controllers. Throws [ParameterException] if one is malformed. */
     fun addresses(spec: CommandSpec): List<InetSocketAddress> =
         controllers.map {
             SettingsFiles.parseAddress(it)
@@ -43,42 +44,45 @@
         }
 }
 
-/** A command that sends one request to the controllers and prints the answer. */
+/** A command that sends one request to the controllers and prints the response. */
 abstract class OperatorCommand : Callable<Int> {
     @Spec lateinit var spec: CommandSpec
 
     @Mixin lateinit var options: OperatorOptions
 
-    /** Sends the request and prints the answer, formatted by [show]; returns the exit code. */
-    protected fun <T> ask(
+    /**
+     * Sends the request and prints the response, which is decoded with [deserializer] and formatted
+     * with [format]. Returns the exit code.
+     */
+    protected fun <T> sendRequest(
         method: String,
         path: String,
         body: String,
-        answer: DeserializationStrategy<T>,
-        show: (T) -> String,
+        deserializer: DeserializationStrategy<T>,
+        format: (T) -> String,
     ): Int {
         val client = OperatorClient(options.addresses(spec), options.timeoutS.seconds)
-        val reply = client.use { it.ask(method, DrainPaths.DRAINS + path, body) }
+        val reply = client.use { it.sendUntilAnswered(method, DrainPaths.DRAINS + path, body) }
         return when (reply) {
-            is OperatorReply.TimedOut -> timedOut(reply)
+            is OperatorReply.TimedOut -> printTimeout(reply)
             is OperatorReply.Answered ->
-                if (reply.status in HttpStatus.SUCCESS) succeeded(reply, answer, show)
-                else failed(reply)
+                if (reply.status in HttpStatus.SUCCESS) printAnswer(reply, deserializer, format)
+                else printError(reply)
         }
     }
 
-    private fun <T> succeeded(
+    private fun <T> printAnswer(
         reply: OperatorReply.Answered,
-        answer: DeserializationStrategy<T>,
-        show: (T) -> String,
+        deserializer: DeserializationStrategy<T>,
+        format: (T) -> String,
     ): Int {
         val out = spec.commandLine().out
         if (options.json) out.println(reply.body)
-        else out.println(show(operatorJson.decodeFromString(answer, reply.body)))
+        else out.println(format(operatorJson.decodeFromString(deserializer, reply.body)))
         return DrainExit.OK
     }
 
-    private fun failed(reply: OperatorReply.Answered): Int {
+    private fun printError(reply: OperatorReply.Answered): Int {
         val error = DrainText.error(reply.body)
         spec.commandLine().err.println("wardmux: $error")
         return when (reply.status) {
@@ -88,14 +92,14 @@
         }
     }
 
-    private fun timedOut(reply: OperatorReply.TimedOut): Int {
-        val known =
-            if (reply.mayHaveHappened) "it is not known whether it was carried out"
+    private fun printTimeout(reply: OperatorReply.TimedOut): Int {
+        val effect =
+            if (reply.mayHaveBeenCarriedOut) "it is not known whether the request was carried out"
             else "nothing was carried out"
         spec
             .commandLine()
             .err
-            .println("wardmux: no controller answered within ${options.timeoutS} s; $known")
+            .println("wardmux: no controller answered within ${options.timeoutS} s; $effect")
         return DrainExit.NO_ANSWER
     }
 }
--- a/src/test/kotlin/wardmux/app/FormatAdditions.kt
+++ b/src/test/kotlin/wardmux/app/FormatAdditions.kt
@@ -30,8 +30,9 @@
 import wardmux.serialization.CborFormat
 
 /**
- * What the samples of the formats say that are newer than [FormatContents]: drains, as they are
- * stored, passed on and shown to operators, and cancelled tasks that relays have to halt.
+ * The values that the samples of [FormatSamples.ADDITIONS] hold, whose formats are newer than those
+ * in [FormatContents]: drains as they are stored, forwarded to the leader and shown to operators,
+ * and the cancelled tasks that forwarding controllers must halt.
  */
 object FormatAdditions {
     private const val STARTED_AT = 1_790_000_000_000_001L
@@ -64,7 +65,7 @@
             atDeadline = DeadlineAction.CONTINUE,
         )
 
-    /** With all optional fields. */
+    /** A drain with all optional fields. */
     val DRAIN =
         DrainRecord(
             request = REQUEST,
@@ -83,8 +84,8 @@
             lastStep = 9_000_000,
         )
 
-    /** With the fields that have no default only. */
-    private fun plainDrain(id: String, state: DrainState) =
+    /** A drain that sets only the fields without a default. */
+    private fun minimalDrain(id: String, state: DrainState) =
         DrainRecord(
             request = DrainRequest(id, DrainSelector()),
             state = state,
@@ -94,38 +95,39 @@
             newest = "i-000004",
         )
 
-    private fun ordered(id: String, order: StepOrder): DrainRecord {
-        val plain = plainDrain(id, DrainState.PLANNED)
+    private fun drainWithOrder(id: String, order: StepOrder): DrainRecord {
+        val plain = minimalDrain(id, DrainState.PLANNED)
         return plain.copy(request = plain.request.copy(order = order))
     }
 
-    private fun running(id: String, phase: StepPhase): DrainRecord {
+    private fun runningDrain(id: String, phase: StepPhase): DrainRecord {
         val step = DrainStep(number = 1, phase = phase, machines = emptyList(), beganAt = 5)
-        return plainDrain(id, DrainState.RUNNING).copy(step = step)
+        return minimalDrain(id, DrainState.RUNNING).copy(step = step)
     }
 
-    private fun paused(id: String, reason: PauseReason) =
-        plainDrain(id, DrainState.PAUSED).copy(reason = reason)
+    private fun pausedDrain(id: String, reason: PauseReason) =
+        minimalDrain(id, DrainState.PAUSED).copy(reason = reason)
 
-    /** Among them, each value of each enumeration is there. */
+    /** Drains that together contain each value of each enum. */
     private val DRAINS =
         listOf(
             DRAIN,
-            ordered("planned", StepOrder.FEWEST_STEPS),
-            ordered("emptiest-first", StepOrder.EMPTIEST_FIRST),
-            running("preparing", StepPhase.PREPARING),
-            running("emptying", StepPhase.EMPTYING),
-            running("settling", StepPhase.SETTLING),
-            paused("by-operator", PauseReason.OPERATOR),
-            paused("by-deadline", PauseReason.DEADLINE),
-            paused("by-loss", PauseReason.LOSS),
-            paused("by-budget", PauseReason.BUDGET),
-            plainDrain("done", DrainState.DONE),
-            plainDrain("cancelled", DrainState.CANCELLED),
-            plainDrain("failed", DrainState.FAILED),
+            drainWithOrder("planned", StepOrder.FEWEST_STEPS),
+            drainWithOrder("emptiest-first", StepOrder.EMPTIEST_FIRST),
+            runningDrain("preparing", StepPhase.PREPARING),
+            runningDrain("emptying", StepPhase.EMPTYING),
+            runningDrain("settling", StepPhase.SETTLING),
+            pausedDrain("by-operator", PauseReason.OPERATOR),
+            pausedDrain("by-deadline", PauseReason.DEADLINE),
+            pausedDrain("by-loss", PauseReason.LOSS),
+            pausedDrain("by-budget", PauseReason.BUDGET),
+            minimalDrain("done", DrainState.DONE),
+            minimalDrain("cancelled", DrainState.CANCELLED),
+            minimalDrain("failed", DrainState.FAILED),
         )
 
-    private fun haltingAnswer() =
+    /** A response that names cancelled jobs and the tasks to halt on two machines. */
+    private fun haltingResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
             number = 41,
@@ -143,8 +145,8 @@
                 ),
         )
 
-    /** Of a leader that names the tasks to be halted, and has none. */
-    private fun nothingToHalt() =
+    /** A response of a leader that sends the list of tasks to halt, which is empty. */
+    private fun emptyHaltingResponse() =
         HeartbeatBatchResponse(
             processIncarnation = "n3-1",
             number = 42,
@@ -153,27 +155,27 @@
             mustHalt = emptyList(),
         )
 
-    /** All that the state service holds, by its key. */
-    fun stored(): Map<String, JsonElement> {
+    /** All values in the key-value store, by their keys. */
+    fun storedValues(): Map<String, JsonElement> {
         val drains = DRAINS.associate { DrainRecord.key(it.request.id) to it.toJson() }
         val answers =
             mapOf(
-                "n1" to nothingToHalt(),
-                "n3" to haltingAnswer(),
-                "n4" to haltingAnswer().withoutCommands(),
+                "n1" to emptyHaltingResponse(),
+                "n3" to haltingResponse(),
+                "n4" to haltingResponse().withoutCommands(),
             )
         val packed = JsonPrimitive(ForwardingCodec.pack(StoredBatchResponses(answers)))
         return drains + (StoredBatchClient.RESPONSES_KEY to packed)
     }
 
-    /** Bytes with and without a sign, as the codec writes them as numbers. */
+    /** Negative and non-negative bytes, because the codec writes bytes as signed numbers. */
     private val BODY = byteArrayOf(123, 0, 127, -128, -1, 125)
 
-    /** What controllers send each other, by its name. */
+    /** The serialized messages between controllers, by their names in the samples. */
     fun messages(): Map<String, ByteArray> =
         mapOf(
-            "halting answer" to ForwardingCodec.encode(haltingAnswer()),
-            "nothing to halt" to ForwardingCodec.encode(nothingToHalt()),
+            "halting answer" to ForwardingCodec.encode(haltingResponse()),
+            "nothing to halt" to ForwardingCodec.encode(emptyHaltingResponse()),
             "forwarded request" to
                 CborFormat.encode(
                     ForwardedRequest.serializer(),
@@ -200,8 +202,8 @@
             budgets = listOf(BUDGET),
         )
 
-    private val STORED_STATUS =
-        DrainStatus(record = plainDrain("done", DrainState.DONE), source = Source.STORE)
+    private val STATUS_FROM_STORE =
+        DrainStatus(record = minimalDrain("done", DrainState.DONE), source = Source.STORE)
 
     private val CHECK =
         DrainCheck(
@@ -212,22 +214,27 @@
             stoppedBy = "no room for job-000413",
         )
 
-    /** What operators send and are answered, by its name. */
-    fun operators(): Map<String, String> =
+    /**
+     * The requests of operators and the responses to them as JSON, by their names in the samples.
+     */
+    fun operatorMessages(): Map<String, String> =
         mapOf(
-            "request" to text(DrainRequest.serializer(), REQUEST),
-            "error" to text(DrainError.serializer(), DrainError("no such drain: rack-8")),
+            "request" to encode(DrainRequest.serializer(), REQUEST),
+            "error" to encode(DrainError.serializer(), DrainError("no such drain: rack-8")),
             "error of a drain that is over" to
-                text(DrainError.serializer(), DrainError("rack-7 is over", DrainState.CANCELLED)),
-            "status" to text(DrainStatus.serializer(), STATUS),
-            "stored status" to text(DrainStatus.serializer(), STORED_STATUS),
+                encode(DrainError.serializer(), DrainError("rack-7 is over", DrainState.CANCELLED)),
+            "status" to encode(DrainStatus.serializer(), STATUS),
+            "stored status" to encode(DrainStatus.serializer(), STATUS_FROM_STORE),
             "list" to
-                text(DrainList.serializer(), DrainList(listOf(STORED_STATUS), listOf("rack-9"))),
-            "check" to text(DrainCheck.serializer(), CHECK),
+                encode(
+                    DrainList.serializer(),
+                    DrainList(listOf(STATUS_FROM_STORE), listOf("rack-9")),
+                ),
+            "check" to encode(DrainCheck.serializer(), CHECK),
             "plain check" to
-                text(DrainCheck.serializer(), DrainCheck(0, emptyList(), 0, emptyList())),
+                encode(DrainCheck.serializer(), DrainCheck(0, emptyList(), 0, emptyList())),
         )
 
-    private fun <T> text(serializer: KSerializer<T>, value: T): String =
+    private fun <T> encode(serializer: KSerializer<T>, value: T): String =
         operatorJson.encodeToString(serializer, value)
 }
--- a/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatRewriteTest.kt
@@ -27,58 +27,67 @@
 import wardmux.serialization.lenientJson
 
 /**
- * While versions serve side by side, each reads what the other wrote and writes it again. What this
- * version writes of something that it has read still holds all that the version in production, or
- * the last landing, wrote there and needs. What is read is also tried with fields that no present
- * version knows: they are ignored, and do not keep anything else from being written again.
+ * Guards against data that is lost when this version reads a value of another version and writes it
+ * again, which happens while several versions run side by side. What this version writes must keep
+ * everything that the version in production or its successor wrote and needs. Each value is also
+ * read with unknown fields, which must be ignored without a loss of other fields.
  */
 class FormatRewriteTest {
     private val samples = FormatSamples(FormatSamples.PRODUCTION)
 
-    private fun rewritten(key: String, rewrite: (JsonElement) -> JsonElement) {
+    /**
+     * Asserts that the stored value is rewritten unchanged, also if it was read with unknown
+     * fields.
+     */
+    private fun assertStoredRewrite(key: String, rewrite: (JsonElement) -> JsonElement) {
         val value = samples.stored.getValue(key)
         assertEquals(value.toString(), rewrite(value).toString(), key)
-        assertEquals(value.toString(), rewrite(FormatTree.withMore(value)).toString(), key)
+        assertEquals(value.toString(), rewrite(FormatTree.withUnknownFields(value)).toString(), key)
     }
 
-    private fun sentOn(name: String, rewrite: (ByteArray) -> ByteArray) {
+    /** Asserts that the message is rewritten unchanged, also if it was read with unknown fields. */
+    private fun assertMessageRewrite(name: String, rewrite: (ByteArray) -> ByteArray) {
         val bytes = samples.messages.getValue(name)
-        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
+        val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
         assertEquals(bytes.toHexString(), rewrite(bytes).toHexString(), name)
-        assertEquals(bytes.toHexString(), rewrite(more).toHexString(), name)
+        assertEquals(bytes.toHexString(), rewrite(extended).toHexString(), name)
     }
 
-    private fun packedAgain(key: String, rewrite: (JsonElement) -> String) {
+    /** Asserts the same for a compressed stored value, compared unpacked. */
+    private fun assertPackedRewrite(key: String, rewrite: (JsonElement) -> String) {
         val value = samples.stored.getValue(key)
         val bytes = FormatTree.unpacked(value).toHexString()
-        val more = FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
-        for (form in listOf(value, more)) {
+        val extended =
+            FormatTree.packed(FormatTree.withUnknownFields(FormatTree.parsePacked(value)))
+        for (form in listOf(value, extended)) {
             val written = FormatTree.unpacked(JsonPrimitive(rewrite(form))).toHexString()
             assertEquals(bytes, written, key)
         }
     }
 
     @Test
-    fun `the leader's record, the tags and the machine types`() {
-        rewritten(LeaderElection.KEY) {
+    fun `the leader record, the fair queue tags and the machine types keep their content`() {
+        assertStoredRewrite(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             lenientJson.encodeToJsonElement(LeaderRecord.serializer(), record)
         }
-        rewritten(FairQueue.KEY) {
-            val queue = FormatContents.queue()
+        assertStoredRewrite(FairQueue.KEY) {
+            val queue = FormatContents.emptyFairQueue()
             queue.load(it)
-            queue.toJson(Micros(FormatContents.TAGS_AT))
+            queue.toJson(Micros(FormatContents.TAGS_SAVED_AT))
         }
-        rewritten(MachineTypeList.KEY) {
+        assertStoredRewrite(MachineTypeList.KEY) {
             MachineTypeList.encode(assertNotNull(MachineTypeList.decode(it)))
         }
     }
 
     @Test
-    fun `records of jobs, also as they are cancelled or done`() {
+    fun `job records keep their content, and open ones become the same cancelled records`() {
         val records = samples.stored.keys.filter { it.first() in "jqc" && it[1] == '/' }
         assertEquals(13, records.size)
-        for (key in records) rewritten(key) { assertNotNull(JobRecord.decode(it)).toJson() }
+        for (key in records) assertStoredRewrite(key) {
+            assertNotNull(JobRecord.decode(it)).toJson()
+        }
         for (spec in FormatContents.SPECS) {
             val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
             val cancelled = samples.stored.getValue("c/${spec.id}")
@@ -89,16 +98,25 @@
         }
     }
 
-    /** Of a record that has no room any more, only what production does without is left out. */
+    /**
+     * A cancelled record that exceeds the size limit is shortened. Only fields that the version in
+     * production can do without may be left out.
+     */
     @Test
-    fun `a record that is shortened keeps each field that must be there`() {
+    fun `a shortened record keeps each required field`() {
         for (spec in FormatContents.SPECS) {
             val open = assertNotNull(JobRecord.decode(samples.stored.getValue("q/${spec.id}")))
             val whole = open.toCancelled(maxBytes = 2_000).toJson()
             val short = open.toCancelled(jsonBytes(whole) - 1).toJson()
-            assertTrue(jsonBytes(short) < jsonBytes(whole), spec.id)
-            val lost = fields(whole) - fields(short)
-            assertTrue(lost.all { it in OPTIONAL }, "$lost of ${spec.id}")
+            assertTrue(
+                jsonBytes(short) < jsonBytes(whole),
+                "the record of ${spec.id} must become shorter",
+            )
+            val missing = fields(whole) - fields(short)
+            assertTrue(
+                missing.all { it in OPTIONAL_FIELDS },
+                "expected only optional fields to be left out of ${spec.id}, but was $missing",
+            )
             assertEquals(whole.jsonObject.getValue("state"), short.jsonObject["state"])
             assertEquals(spec.team, assertNotNull(JobRecord.decode(short)).spec?.team)
         }
@@ -107,21 +125,22 @@
     private fun fields(record: JsonElement): Set<String> =
         record.jsonObject.keys + (record.jsonObject["spec"] as JsonObject).keys
 
-    private fun pagesAgain(spec: JobSpec, pages: IntRange) {
+    /** Asserts that the task pages of [spec] still describe the same tasks after a rewrite. */
+    private fun assertPagesRewrite(spec: JobSpec, pages: IntRange) {
         val keys = pages.associateWith { TaskPageCodec.key(JobId(spec.id), it) }
-        for (more in listOf(false, true)) {
-            val first = FormatContents.emptyGang(spec)
-            val second = FormatContents.emptyGang(spec)
+        for (extended in listOf(false, true)) {
+            val first = FormatContents.newGang(spec)
+            val second = FormatContents.newGang(spec)
             for ((number, key) in keys) {
                 val sample = samples.stored.getValue(key)
-                load(first, number, if (more) FormatTree.withMore(sample) else sample)
+                load(first, number, if (extended) FormatTree.withUnknownFields(sample) else sample)
                 val again = TaskPageCodec.encode(first, number)
-                // The order of placements is free; the fields and all that they hold are not.
+                // The order of placements may change; the fields and their content may not.
                 assertEquals(sample.jsonObject.keys.toList(), again.jsonObject.keys.toList(), key)
                 load(second, number, again)
             }
             assertEquals(contents(first), contents(second))
-            assertEquals(contents(written(spec)), contents(second))
+            assertEquals(contents(originalJob(spec)), contents(second))
         }
     }
 
@@ -130,16 +149,19 @@
         TaskPageCodec.restore(job, number, KeyVersion(99), stored)
     }
 
-    private fun written(spec: JobSpec): Job =
+    private fun originalJob(spec: JobSpec): Job =
         listOf(
                 FormatContents.job(),
-                FormatContents.gangOut(),
-                FormatContents.gangAgain(),
-                FormatContents.gangDone(),
+                FormatContents.placedGang(),
+                FormatContents.waitingGang(),
+                FormatContents.doneGang(),
             )
             .single { it.spec.id == spec.id }
 
-    /** Of each task: done, where it is, or which try is next; both of one done on its machine. */
+    /**
+     * Describes each task: whether it is done, where it is placed, or its next attempt number. A
+     * task that is done but still on its machine has both the first and the second.
+     */
     private fun contents(job: Job): List<String> =
         List(job.spec.tasks) { task ->
             val at = job.placements.get(task)
@@ -149,45 +171,49 @@
         }
 
     @Test
-    fun `pages of arrays and gangs`() {
-        pagesAgain(FormatContents.BATCH_SPEC, 0..2)
-        pagesAgain(FormatContents.GANG_SPEC, 0..2)
-        pagesAgain(FormatContents.GANG_AGAIN_SPEC, 0..0)
-        pagesAgain(FormatContents.GANG_DONE_SPEC, 0..0)
+    fun `task pages of arrays and gangs keep their content`() {
+        assertPagesRewrite(FormatContents.ARRAY_SPEC, 0..2)
+        assertPagesRewrite(FormatContents.GANG_SPEC, 0..2)
+        assertPagesRewrite(FormatContents.WAITING_GANG_SPEC, 0..0)
+        assertPagesRewrite(FormatContents.DONE_GANG_SPEC, 0..0)
     }
 
     @Test
-    fun `heartbeats and what is told of cancellations`() {
+    fun `heartbeats of peers and cancellation updates keep their content`() {
         for (name in listOf("beat", "beat of a follower")) {
-            sentOn(name) { PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it))) }
+            assertMessageRewrite(name) {
+                PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decode(it)))
+            }
         }
         for (name in listOf("told", "nothing told")) {
-            sentOn(name) {
+            assertMessageRewrite(name) {
                 PeerHeartbeatCodec.encode(assertNotNull(PeerHeartbeatCodec.decodeUpdate(it)))
             }
         }
     }
 
     @Test
-    fun `batches and answers, sent and by way of the state service`() {
+    fun `batches and responses keep their content as messages and as stored values`() {
         for (name in listOf("batch", "first batch")) {
-            sentOn(name) { ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeBatch(it))) }
+            assertMessageRewrite(name) {
+                ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeBatch(it)))
+            }
         }
         for (name in listOf("answer", "plain answer")) {
-            sentOn(name) {
+            assertMessageRewrite(name) {
                 ForwardingCodec.encode(assertNotNull(ForwardingCodec.decodeResponse(it)))
             }
         }
-        packedAgain(StoredBatchClient.BATCH_KEY_PREFIX + "n3") {
+        assertPackedRewrite(StoredBatchClient.BATCH_KEY_PREFIX + "n3") {
             ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeBatch(it)))
         }
-        packedAgain(StoredBatchClient.RESPONSES_KEY) {
+        assertPackedRewrite(StoredBatchClient.RESPONSES_KEY) {
             ForwardingCodec.pack(assertNotNull(ForwardingCodec.decodeStoredResponses(it)))
         }
     }
 
     private companion object {
-        /** Without these the decoders of production and of the last landing read a record too. */
-        val OPTIONAL = setOf("boxkinds", "ward", "due_s")
+        /** The decoders of production and of its successor accept a record without these fields. */
+        val OPTIONAL_FIELDS = setOf("boxkinds", "ward", "due_s")
     }
 }
--- a/src/test/kotlin/wardmux/app/ReadinessTest.kt
+++ b/src/test/kotlin/wardmux/app/ReadinessTest.kt
@@ -9,14 +9,21 @@
 import wardmux.peers.PeerHeartbeatCodec
 import wardmux.sim.ControllerHarness
 
-/** Which controllers are ready for users while the key-value store does not answer some or all. */
+/**
+ * Guards against a wrong answer of `/ready` in an outage of the key-value store. If the store fails
+ * for all controllers, none may report that it is not ready, since users could turn to no other. If
+ * it fails for one controller only, that one must not be ready, so that users turn to the others.
+ */
 class ReadinessTest {
     private val harness = ControllerHarness(peers = listOf("n1"))
 
-    private fun ready() = harness.call("GET", "/ready")?.first
+    private fun readyStatus() = harness.call("GET", "/ready")?.first
 
-    /** Seconds in which the peer says how long ago the key-value store answered it. */
-    private fun pass(inSeconds: Int, peerSilenceS: (Int) -> Long) =
+    /**
+     * Runs the controller for [inSeconds]. In each second, which [peerSilenceS] gets as its index,
+     * the peer reports for how many seconds the key-value store has not answered it.
+     */
+    private fun runWithPeer(inSeconds: Int, peerSilenceS: (Int) -> Long) =
         repeat(inSeconds) {
             val heartbeat =
                 PeerHeartbeatCodec.encode(
@@ -28,7 +35,7 @@
         }
 
     @Test
-    fun `an idle follower, which hardly asks the key-value store, stays ready`() {
+    fun `an idle follower that sends few requests to the key-value store stays ready`() {
         harness.writeWithOtherLease(
             "leader",
             Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""),
@@ -42,26 +49,26 @@
                 ListenerKind.PEER,
             )
             harness.run(1.seconds)
-            assertEquals(200, ready())
+            assertEquals(200, readyStatus())
         }
     }
 
     @Test
-    fun `in an outage for all controllers, all stay ready`() {
+    fun `a controller stays ready in an outage that affects all controllers`() {
         harness.run(2.seconds)
         harness.refusesStoreRequest = { true }
-        pass(12) { it.toLong() }
-        assertEquals(200, ready())
+        runWithPeer(12) { it.toLong() }
+        assertEquals(200, readyStatus())
     }
 
     @Test
-    fun `a controller that alone is refused is not ready until it is served again`() {
+    fun `a controller that alone gets no answer from the store is not ready until it gets one`() {
         harness.run(2.seconds)
         harness.refusesStoreRequest = { true }
-        pass(5) { 0 }
-        assertEquals(503, ready())
+        runWithPeer(5) { 0 }
+        assertEquals(503, readyStatus())
         harness.refusesStoreRequest = { false }
-        pass(2) { 0 }
-        assertEquals(200, ready())
+        runWithPeer(2) { 0 }
+        assertEquals(200, readyStatus())
     }
 }
