--- a/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
@@ -50,29 +50,32 @@
         runningByTeam.clear()
         disruptedByTeam.clear()
         disruptedByService.clear()
-        for (job in cluster.jobs.values) if (!job.hasEnded && !job.allTasksDone) count(job)
-        if (evictionsSent.size > MAX_EVICTIONS_KEPT) forgetOldEvictions()
+        for (job in cluster.jobs.values) if (!job.hasEnded && !job.allTasksDone) countTasks(job)
+        if (evictionsSent.size > EVICTIONS_BEFORE_PRUNING) pruneEvictions()
     }
 
-    private fun count(job: Job) {
-        var up = 0
+    private fun countTasks(job: Job) {
+        var running = 0
         var disrupted = job.interrupted.size
         for (placement in job.placements.values) {
-            if (isUp(placement)) up++ else if (hadStarted(placement)) disrupted++
+            if (isConfirmedRunning(placement)) running++
+            else if (mayHaveStarted(placement)) disrupted++
         }
-        runningByTeam.merge(job.spec.team, up, Int::plus)
+        runningByTeam.merge(job.spec.team, running, Int::plus)
         disruptedByTeam.merge(job.spec.team, disrupted, Int::plus)
         if (job.spec.kind == JobKind.SERVICE) disruptedByService[job.id] = disrupted
     }
 
-    private fun forgetOldEvictions() {
-        val placed = HashSet<TaskAttempt>()
-        for (job in cluster.jobs.values) job.placements.values.mapTo(placed) { it.taskAttempt }
-        evictionsSent.retainAll(placed)
+    private fun pruneEvictions() {
+        val currentAttempts = HashSet<TaskAttempt>()
+        for (job in cluster.jobs.values) job.placements.values.mapTo(currentAttempts) {
+            it.taskAttempt
+        }
+        evictionsSent.retainAll(currentAttempts)
     }
 
     /** True if the task is known to run, and was not sent a stop. */
-    fun isUp(placement: Placement): Boolean {
+    fun isConfirmedRunning(placement: Placement): Boolean {
         val machine = cluster.machines[placement.machine] ?: return false
         return placement.status == TaskStatus.RUNNING &&
             !placement.isStopping &&
@@ -92,38 +95,39 @@
      * False for a first start by this leader that does not run yet. A first start that an earlier
      * leader recorded may have run.
      */
-    private fun hadStarted(placement: Placement) =
+    private fun mayHaveStarted(placement: Placement) =
         placement.isRestored ||
             placement.attempt > 1 ||
             placement.runningSince != null ||
             placement.taskAttempt in evictionsSent
 
     /** True if the task counts as disrupted already, so that its eviction takes nothing more. */
-    fun isDisrupted(placement: Placement) = !isUp(placement) && hadStarted(placement)
+    fun isDisrupted(placement: Placement) =
+        !isConfirmedRunning(placement) && mayHaveStarted(placement)
 
     /** Counts the task as disrupted from now, since its stop is being sent. */
     fun recordEviction(placement: Placement) {
         val spec = placement.job.spec
         val wasDisrupted = isDisrupted(placement)
-        val wasUp = isUp(placement)
+        val wasRunning = isConfirmedRunning(placement)
         if (!evictionsSent.add(placement.taskAttempt) || wasDisrupted) return
         disruptedByTeam.merge(spec.team, 1, Int::plus)
-        if (wasUp) runningByTeam.merge(spec.team, -1, Int::plus)
+        if (wasRunning) runningByTeam.merge(spec.team, -1, Int::plus)
         if (spec.kind == JobKind.SERVICE) disruptedByService.merge(placement.job.id, 1, Int::plus)
     }
 
     /** How many tasks of the team are disrupted or may be. */
-    fun disruptedOf(team: String): Int = disruptedByTeam[team] ?: 0
+    fun disruptedTasks(team: String): Int = disruptedByTeam[team] ?: 0
 
     /** How many tasks of the team may be disrupted at once, by number and share of its budget. */
-    fun limitOf(team: String): Int {
+    fun disruptionLimit(team: String): Int {
         val budget = settings.budgetOf(team)
-        val tasks = (runningByTeam[team] ?: 0) + disruptedOf(team)
+        val tasks = (runningByTeam[team] ?: 0) + disruptedTasks(team)
         return minOf(budget.maxDisrupted, ceil(tasks * budget.maxDisruptedShare).toInt())
     }
 
     /** How many replicas of the service may be down at once. */
-    fun maxReplicasDown(job: Job): Int =
+    fun maxDownReplicas(job: Job): Int =
         (job.spec.tasks - settings.budgetOf(job.spec.team).minReplicas).coerceAtLeast(0)
 
     /** Why [count] more tasks of the job may not be evicted now, or null if they may. */
@@ -139,29 +143,29 @@
             replicaRefusal(job, count)?.let {
                 return it
             }
-        val limit = limitOf(team)
-        if (disruptedOf(team) + count <= limit) return null
+        val limit = disruptionLimit(team)
+        if (disruptedTasks(team) + count <= limit) return null
         return BudgetRefusal.Temporary(
-            "team $team: ${disruptedOf(team)} of $limit workers are disrupted"
+            "team $team: ${disruptedTasks(team)} of $limit workers are disrupted"
         )
     }
 
     private fun replicaRefusal(job: Job, count: Int): BudgetRefusal? {
-        val max = maxReplicasDown(job)
+        val maxDown = maxDownReplicas(job)
         val down = disruptedByService[job.id] ?: 0
         return when {
-            max < count ->
+            maxDown < count ->
                 BudgetRefusal.Permanent(
                     "team ${job.spec.team}: ${job.id} has ${job.spec.tasks} replicas, and " +
                         "${settings.budgetOf(job.spec.team).minReplicas} must stay up"
                 )
-            down + count > max ->
-                BudgetRefusal.Temporary("${job.id}: $down of at most $max replicas are down")
+            down + count > maxDown ->
+                BudgetRefusal.Temporary("${job.id}: $down of at most $maxDown replicas are down")
             else -> null
         }
     }
 
     private companion object {
-        const val MAX_EVICTIONS_KEPT = 1_000
+        const val EVICTIONS_BEFORE_PRUNING = 1_000
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -51,15 +51,16 @@
                 ?: return context.answer(call.id, HttpStatus.BAD_REQUEST)
         val service = leader.local ?: return context.answer(call.id, HttpStatus.CONFLICT)
         service.handle(request) { response ->
-            val wire = ForwardedResponse(response.status, response.body, response.retryAfterS)
-            val bytes = CborFormat.encode(ForwardedResponse.serializer(), wire)
+            val forwarded = ForwardedResponse(response.status, response.body, response.retryAfterS)
+            val bytes = CborFormat.encode(ForwardedResponse.serializer(), forwarded)
             context.answerBytes(call.id, HttpStatus.OK, bytes)
         }
     }
 
     private fun forward(call: Long, member: String, request: ForwardedRequest) {
         val body = CborFormat.encode(ForwardedRequest.serializer(), request)
-        context.send(Target.Peer(member), "POST", DrainPaths.FORWARDED, body, TIMEOUT) { outcome ->
+        context.send(Target.Peer(member), "POST", DrainPaths.FORWARDED, body, FORWARD_TIMEOUT) {
+            outcome ->
             val response = outcome as? Outcome.Response
             val forwarded =
                 response
@@ -85,12 +86,12 @@
         else answer(call, response)
     }
 
-    /** Answers a read from the key-value store, and any other request with [refused]. */
-    private fun answerFromStore(call: Long, request: ForwardedRequest, refused: OperatorResponse) {
-        if (request.method != "GET") return answer(call, refused)
+    /** Answers a read from the key-value store, and any other request with [fallback]. */
+    private fun answerFromStore(call: Long, request: ForwardedRequest, fallback: OperatorResponse) {
+        if (request.method != "GET") return answer(call, fallback)
         val readAt = context.now
         store.scan(DrainRecord.PREFIX, DrainRecord.serializer(), RequestPriority.READ) { found ->
-            if (found == null) return@scan answer(call, refused)
+            if (found == null) return@scan answer(call, fallback)
             val age = (context.now - readAt).inSeconds
             val readable = found.items.mapNotNull { it.data }
             val drains = readable.map { DrainStatus(it, Source.STORE, ageS = age) }
@@ -99,12 +100,12 @@
                     .filter { it.data == null }
                     .map { it.key.removePrefix(DrainRecord.PREFIX) }
             val id = request.path.removePrefix(DrainPaths.DRAINS).trim('/')
-            val one = drains.firstOrNull { it.record.request.id == id }
+            val requested = drains.firstOrNull { it.record.request.id == id }
             answer(
                 call,
                 when {
                     id.isEmpty() -> OperatorResponses.list(DrainList(drains, unreadable))
-                    one != null -> OperatorResponses.status(HttpStatus.OK, one)
+                    requested != null -> OperatorResponses.status(HttpStatus.OK, requested)
                     else -> OperatorResponses.unknown(id)
                 },
             )
@@ -115,6 +116,6 @@
         context.answer(call, response.status, response.body, response.retryAfterS)
 
     private companion object {
-        val TIMEOUT = 3.seconds
+        val FORWARD_TIMEOUT = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -15,13 +15,13 @@
     private val context: CoreContext,
     private val drains: DrainStore,
     private val budgets: DisruptionBudgets,
-    private val marks: MaintenanceMarks,
+    private val maintenanceUpdater: MaintenanceUpdater,
     private val starter: StepStarter,
     private val executor: StepExecutor,
 ) {
     private val log = logger<DrainManager>()
     private val waitsFor = HashMap<String, String>()
-    private var nextAt = Micros.LONG_AGO
+    private var nextAdvanceAt = Micros.LONG_AGO
 
     /** What the drain [id] waits for, for the operators; empty if nothing. */
     fun waitsFor(id: String): String = waitsFor[id].orEmpty()
@@ -29,10 +29,10 @@
     /** Advances all drains; only for a leader that may decide. */
     fun tick() {
         drains.tick()
-        if (!drains.isRead || context.now < nextAt) return
-        nextAt = context.now + PERIOD
+        if (!drains.isRead || context.now < nextAdvanceAt) return
+        nextAdvanceAt = context.now + ADVANCE_PERIOD
         val active = drains.all.filter { !it.state.isFinal }
-        marks.update(active)
+        maintenanceUpdater.update(active)
         if (active.isEmpty()) return
         budgets.recount()
         for (record in active) if (!drains.isBusy(record.request.id)) advance(record)
@@ -44,15 +44,15 @@
         when (decision) {
             is DrainDecision.Wait -> if (record.isPausedAutomatically) resume(record)
             is DrainDecision.Write -> {
-                starter.noteWithoutRoom(record, decision.record)
-                write(running(decision.record))
+                starter.backOffUnplaceable(record, decision.record)
+                write(withRunningState(decision.record))
             }
             is DrainDecision.Pause -> pause(record, decision)
             null -> Unit
         }
     }
 
-    private fun running(record: DrainRecord): DrainRecord {
+    private fun withRunningState(record: DrainRecord): DrainRecord {
         val next = record.copy(reason = null, note = "")
         return if (next.state.isFinal) next else next.copy(state = DrainState.RUNNING)
     }
@@ -78,7 +78,7 @@
     private fun pause(record: DrainRecord, decision: DrainDecision.Pause) {
         waitsFor[record.request.id] = decision.note
         if (record.state == DrainState.PAUSED && record.reason == decision.reason) return
-        if (isTooSoon(record) && decision.reason.resumesAutomatically) return
+        if (isRecentlyChanged(record) && decision.reason.resumesAutomatically) return
         log.info("drain {} pauses: {}", record.request.id, decision.note)
         write(
             record.copy(
@@ -90,22 +90,24 @@
     }
 
     private fun resume(record: DrainRecord) {
-        if (isTooSoon(record)) return
+        if (isRecentlyChanged(record)) return
         write(record.resumed())
     }
 
     /** Pauses that come and go with single losses are not written each time. */
-    private fun isTooSoon(record: DrainRecord) =
-        context.wallTime - Micros(record.changedAt) < MIN_BETWEEN_PAUSE_CHANGES
+    private fun isRecentlyChanged(record: DrainRecord) =
+        context.wallTime - Micros(record.changedAt) < MIN_PAUSE_CHANGE_INTERVAL
 
     private val DrainRecord.isPausedAutomatically: Boolean
         get() = state == DrainState.PAUSED && reason?.resumesAutomatically == true
 
     private fun write(record: DrainRecord) {
-        drains.write(record) { next, outcome -> if (outcome == DrainWrite.WRITTEN) written(next) }
+        drains.write(record) { next, outcome ->
+            if (outcome == DrainWriteOutcome.WRITTEN) onWritten(next)
+        }
     }
 
-    private fun written(record: DrainRecord) {
+    private fun onWritten(record: DrainRecord) {
         val step = record.step
         log.info(
             "drain {} is {}: step {} {}, {} machines returned, {} tasks evicted",
@@ -117,12 +119,12 @@
             record.moved,
         )
         // At once, so that machines of a cancelled drain take tasks again and a new step starts.
-        nextAt = Micros.LONG_AGO
+        nextAdvanceAt = Micros.LONG_AGO
     }
 
     private companion object {
-        val PERIOD = 500.milliseconds
-        val MIN_BETWEEN_PAUSE_CHANGES = 3.seconds
+        val ADVANCE_PERIOD = 500.milliseconds
+        val MIN_PAUSE_CHANGE_INTERVAL = 3.seconds
         const val MAX_NOTE_CHARS = 200
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainPlan.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPlan.kt
@@ -35,17 +35,18 @@
         step.size <= 1 ||
             step.size <= stepSize &&
                 step.all { it.isWithinLimits() } &&
-                total(step) { it.tasksByTeam }.all { (team, n) -> n <= limit(teamLimits, team) } &&
+                total(step) { it.tasksByTeam }
+                    .all { (team, n) -> n <= limitFor(teamLimits, team) } &&
                 total(step) { it.replicasByService }
-                    .all { (service, n) -> n <= limit(serviceLimits, service) } &&
+                    .all { (service, n) -> n <= limitFor(serviceLimits, service) } &&
                 (order != StepOrder.BY_ZONE || step.all { it.zone == step.first().zone })
 
     private fun MachineLoad.isWithinLimits() =
-        tasksByTeam.all { (team, n) -> n <= limit(teamLimits, team) } &&
-            replicasByService.all { (service, n) -> n <= limit(serviceLimits, service) }
+        tasksByTeam.all { (team, n) -> n <= limitFor(teamLimits, team) } &&
+            replicasByService.all { (service, n) -> n <= limitFor(serviceLimits, service) }
 
     /** True if [load] is beyond the limits by itself, and so has to be a step of its own. */
-    fun goesAlone(load: MachineLoad): Boolean = !load.isWithinLimits()
+    fun needsOwnStep(load: MachineLoad): Boolean = !load.isWithinLimits()
 
     private fun total(step: List<MachineLoad>, counts: (MachineLoad) -> Map<String, Int>) =
         HashMap<String, Int>().also { sums ->
@@ -54,7 +55,7 @@
 
     companion object {
         /** The limit for [name], or [Int.MAX_VALUE] if it has none. */
-        fun limit(limits: Map<String, Int>, name: String): Int = limits[name] ?: Int.MAX_VALUE
+        fun limitFor(limits: Map<String, Int>, name: String): Int = limits[name] ?: Int.MAX_VALUE
     }
 }
 
@@ -65,14 +66,14 @@
     val isOptimal: Boolean = false,
 ) {
     /** The cost: fewer steps first, then fewer CPUs evicted at once. */
-    val measure: PlanMeasure
-        get() = PlanMeasure(steps.size, steps.maxOfOrNull { step -> step.sumOf { it.cpus } } ?: 0.0)
+    val cost: PlanCost
+        get() = PlanCost(steps.size, steps.maxOfOrNull { step -> step.sumOf { it.cpus } } ?: 0.0)
 }
 
 /** The number of steps, and the largest number of CPUs that one of them evicts. */
-data class PlanMeasure(val steps: Int, val maxCpus: Double) : Comparable<PlanMeasure> {
-    override fun compareTo(other: PlanMeasure) =
-        compareValuesBy(this, other, { it.steps }, { it.maxCpus })
+data class PlanCost(val steps: Int, val maxStepCpus: Double) : Comparable<PlanCost> {
+    override fun compareTo(other: PlanCost) =
+        compareValuesBy(this, other, { it.steps }, { it.maxStepCpus })
 }
 
 /** First-fit planning, largest machines first: the fallback, and the solver's upper bound. */
@@ -80,14 +81,14 @@
     /** A plan within all limits. */
     fun plan(problem: DrainProblem): DrainPlan {
         val steps = ArrayList<MutableList<MachineLoad>>()
-        for (load in problem.machines.sortedWith(placingOrder(problem))) {
+        for (load in problem.machines.sortedWith(placementOrder(problem))) {
             val step = steps.firstOrNull { problem.allows(it + load) }
             if (step != null) step.add(load) else steps.add(mutableListOf(load))
         }
-        return DrainPlan(inOrder(problem, steps))
+        return DrainPlan(orderSteps(problem, steps))
     }
 
-    private fun placingOrder(problem: DrainProblem): Comparator<MachineLoad> =
+    private fun placementOrder(problem: DrainProblem): Comparator<MachineLoad> =
         when (problem.order) {
             StepOrder.FEWEST_STEPS -> compareByDescending<MachineLoad> { it.tasks }
             StepOrder.EMPTIEST_FIRST -> compareBy<MachineLoad> { it.tasks }
@@ -95,11 +96,11 @@
         }.thenBy { it.machine.value }
 
     /** Sorts [steps] by zone if the problem asks for it, then by the number of evicted tasks. */
-    fun inOrder(problem: DrainProblem, steps: List<List<MachineLoad>>): List<List<MachineLoad>> {
-        val emptiest = compareBy<List<MachineLoad>> { step -> step.sumOf { it.tasks } }
+    fun orderSteps(problem: DrainProblem, steps: List<List<MachineLoad>>): List<List<MachineLoad>> {
+        val fewestTasksFirst = compareBy<List<MachineLoad>> { step -> step.sumOf { it.tasks } }
         val order =
-            if (problem.order != StepOrder.BY_ZONE) emptiest
-            else compareBy<List<MachineLoad>> { it.first().zone }.then(emptiest)
+            if (problem.order != StepOrder.BY_ZONE) fewestTasksFirst
+            else compareBy<List<MachineLoad>> { it.first().zone }.then(fewestTasksFirst)
         return steps.sortedWith(order)
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainRequestCheck.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRequestCheck.kt
@@ -29,7 +29,7 @@
     fun check(request: DrainRequest) {
         val problem =
             problem(request, context.wallTime)
-                ?: selection.problem(request.select, types.types.orEmpty(), zones)
+                ?: selection.unknownNameProblem(request.select, types.types.orEmpty(), zones)
         if (problem != null) throw InvalidDrainRequestException(problem)
     }
 
@@ -48,7 +48,7 @@
 
     private fun idProblem(id: String): String? =
         when {
-            !ID_FORM.matches(id) -> "id: letters, digits, '.', '_' and '-', at most 64: $id"
+            !ID_PATTERN.matches(id) -> "id: letters, digits, '.', '_' and '-', at most 64: $id"
             id == DrainPaths.CHECK -> "id: $id is a word of the interface"
             else -> null
         }
@@ -75,7 +75,7 @@
     }
 
     private companion object {
-        val ID_FORM = Regex("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+        val ID_PATTERN = Regex("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
         const val MAX_GRACE_S = 86_400.0
         const val MAX_STEP_SIZE = 20
     }
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -23,23 +23,27 @@
      * named, since the replacements are among them.
      */
     fun targets(request: DrainRequest, newest: String): List<Machine> {
-        val before = request.select.olderThan?.let { parseTime(it) }
+        val latestRental = request.select.olderThan?.let { parseTime(it) }
         return cluster.machines.values.filter { machine ->
             !machine.isDecommissioned &&
-                selects(request.select, machine) &&
+                isSelected(request.select, machine) &&
                 (machine.id.value <= newest || machine.id.value in request.select.machines) &&
-                (before == null || machine.rentedBefore?.let { it <= before } == true)
+                (latestRental == null || machine.rentedBefore?.let { it <= latestRental } == true)
         }
     }
 
-    private fun selects(select: DrainSelector, machine: Machine) =
+    private fun isSelected(select: DrainSelector, machine: Machine) =
         (select.machines.isEmpty() || machine.id.value in select.machines) &&
             (select.types.isEmpty() || machine.type.label in select.types) &&
             (select.zones.isEmpty() || machine.zone in select.zones) &&
             (select.spot == null || machine.spot == select.spot)
 
     /** The first selected name that does not exist, in one line with its field, or null. */
-    fun problem(select: DrainSelector, types: List<MachineType>, zones: List<String>): String? {
+    fun unknownNameProblem(
+        select: DrainSelector,
+        types: List<MachineType>,
+        zones: List<String>,
+    ): String? {
         val labels = types.map { it.label }
         return select.types.firstOrNull { it !in labels }?.let { "select.types: unknown: $it" }
             ?: select.zones.firstOrNull { it !in zones }?.let { "select.zones: unknown: $it" }
--- a/src/main/kotlin/wardmux/drain/DrainService.kt
+++ b/src/main/kotlin/wardmux/drain/DrainService.kt
@@ -61,12 +61,12 @@
         val record = drains.newRecord(request, selection.newest)
         if (jsonBytes(record.toJson()) > drains.maxBytes / RECORD_PARTS)
             throw InvalidDrainRequestException("select.machines: too many to be stored")
-        removeOldest()
+        removeOldestFinished()
         write(record, HttpStatus.CREATED, respond)
     }
 
     /** Finished drains are kept for a while; the one that finished first is removed first. */
-    private fun removeOldest() {
+    private fun removeOldestFinished() {
         val finished = drains.all.filter { it.state.isFinal }.sortedBy { it.changedAt }
         finished.dropLast(MAX_FINISHED_DRAINS).firstOrNull()?.let { drains.remove(it.request.id) }
     }
@@ -82,8 +82,8 @@
         if (drains.isBusy(id)) return respond(OperatorResponses.UNAVAILABLE)
         val next =
             when (action) {
-                DrainPaths.PAUSE -> paused(record)
-                DrainPaths.RESUME -> resumed(record)
+                DrainPaths.PAUSE -> pausedByOperator(record)
+                DrainPaths.RESUME -> resumedByOperator(record)
                 DrainPaths.CANCEL -> record.copy(state = DrainState.CANCELLED, step = null)
                 else -> return respond(OperatorResponses.noSuchPath())
             }
@@ -96,11 +96,11 @@
         }
     }
 
-    private fun paused(record: DrainRecord) =
+    private fun pausedByOperator(record: DrainRecord) =
         record.copy(state = DrainState.PAUSED, reason = PauseReason.OPERATOR, note = "")
 
     /** A drain that is past its deadline continues without one. */
-    private fun resumed(record: DrainRecord): DrainRecord {
+    private fun resumedByOperator(record: DrainRecord): DrainRecord {
         if (record.state != DrainState.PAUSED && !record.state.isFinal) return record
         val isOverdue = record.reason == PauseReason.DEADLINE
         val request = if (isOverdue) record.request.copy(deadline = null) else record.request
@@ -109,7 +109,7 @@
 
     private fun write(record: DrainRecord, status: Int, respond: (OperatorResponse) -> Unit) {
         drains.write(record) { next, outcome ->
-            if (outcome == DrainWrite.WRITTEN)
+            if (outcome == DrainWriteOutcome.WRITTEN)
                 respond(OperatorResponses.status(status, statuses.of(next)))
             else respond(OperatorResponses.UNAVAILABLE)
         }
--- a/src/main/kotlin/wardmux/drain/DrainStatusReader.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStatusReader.kt
@@ -35,8 +35,8 @@
     fun budgetOf(team: String) =
         BudgetStatus(
             team,
-            budgets.limitOf(team),
-            budgets.disruptedOf(team),
+            budgets.disruptionLimit(team),
+            budgets.disruptedTasks(team),
             settings.budgetOf(team).minReplicas,
         )
 
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -18,7 +18,7 @@
 class StoredDrain(val record: DrainRecord, val version: KeyVersion)
 
 /** The outcome of a write of a drain. */
-enum class DrainWrite {
+enum class DrainWriteOutcome {
     WRITTEN,
 
     /** Not written; the write may be repeated. */
@@ -42,12 +42,12 @@
     private val log = logger<DrainStore>()
     private val drains = sortedMapOf<String, StoredDrain>()
     private val unreadable = sortedSetOf<String>()
-    private val writing = HashMap<String, DrainRecord>()
+    private val pendingWrites = HashMap<String, DrainRecord>()
     private var nextReadAt = Micros.LONG_AGO
-    private var reading = false
+    private var isReading = false
 
     /** Counts reads: the outcome of a write that began before a read is unknown. */
-    private var generation = 0
+    private var readGeneration = 0
 
     /** All drains have been read, and no write since had an unknown outcome. */
     var isRead = false
@@ -69,30 +69,30 @@
     operator fun get(id: String): DrainRecord? = drains[id]?.record
 
     /** True while a write of this drain is under way. */
-    fun isBusy(id: String): Boolean = id in writing
+    fun isBusy(id: String): Boolean = id in pendingWrites
 
     /** The steps of drains that are not final, stored or being written. */
-    val steps: List<DrainStep>
-        get() = (all + writing.values).filter { !it.state.isFinal }.mapNotNull { it.step }
+    val activeSteps: List<DrainStep>
+        get() = (all + pendingWrites.values).filter { !it.state.isFinal }.mapNotNull { it.step }
 
     /** Reads all drains if they are not known. */
     fun tick() {
-        if (!isRead && !reading && context.now >= nextReadAt) read()
+        if (!isRead && !isReading && context.now >= nextReadAt) read()
     }
 
     private fun read() {
-        reading = true
-        val started = ++generation
+        isReading = true
+        val startGeneration = ++readGeneration
         store.scan(DrainRecord.PREFIX, DrainRecord.serializer()) { found ->
-            if (started != generation) return@scan
-            reading = false
+            if (startGeneration != readGeneration) return@scan
+            isReading = false
             if (found == null) {
-                nextReadAt = context.now + RETRY
+                nextReadAt = context.now + READ_RETRY_DELAY
                 return@scan
             }
             drains.clear()
             unreadable.clear()
-            writing.clear()
+            pendingWrites.clear()
             for (item in found.items) {
                 val record = item.data
                 val id = item.key.removePrefix(DrainRecord.PREFIX)
@@ -114,18 +114,19 @@
      * Writes [changed] with this leader's token and the time; [then] is called with the record as
      * written and the outcome.
      */
-    fun write(changed: DrainRecord, then: (DrainRecord, DrainWrite) -> Unit) {
+    fun write(changed: DrainRecord, then: (DrainRecord, DrainWriteOutcome) -> Unit) {
         val record = changed.copy(token = role.token.value, changedAt = context.wallTime.value)
         val id = record.request.id
-        val started = generation
-        writing[id] = record
+        val startGeneration = readGeneration
+        pendingWrites[id] = record
         val version = drains[id]?.version ?: KeyVersion.ABSENT
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, version))
-        val change = WriteOperation(put = key, data = record.toJson())
-        store.compareAndSwap(conditions, listOf(change), RequestPriority.LEADER) { result ->
-            if (started != generation) return@compareAndSwap then(record, DrainWrite.UNKNOWN)
-            writing.remove(id)
+        val operation = WriteOperation(put = key, data = record.toJson())
+        store.compareAndSwap(conditions, listOf(operation), RequestPriority.LEADER) { result ->
+            if (startGeneration != readGeneration)
+                return@compareAndSwap then(record, DrainWriteOutcome.UNKNOWN)
+            pendingWrites.remove(id)
             if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value.keyVersion)
             then(record, outcome(result))
         }
@@ -134,8 +135,8 @@
     /** Removes a drain from the store. */
     fun remove(id: String) {
         val stored = drains[id] ?: return
-        val started = generation
-        writing[id] = stored.record
+        val startGeneration = readGeneration
+        pendingWrites[id] = stored.record
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, stored.version))
         store.compareAndSwap(
@@ -143,34 +144,34 @@
             listOf(WriteOperation(remove = key)),
             RequestPriority.LEADER,
         ) { result ->
-            if (started != generation) return@compareAndSwap
-            writing.remove(id)
-            if (outcome(result) == DrainWrite.WRITTEN) drains.remove(id)
+            if (startGeneration != readGeneration) return@compareAndSwap
+            pendingWrites.remove(id)
+            if (outcome(result) == DrainWriteOutcome.WRITTEN) drains.remove(id)
         }
     }
 
-    private fun outcome(result: StoreResult<Revision>): DrainWrite =
+    private fun outcome(result: StoreResult<Revision>): DrainWriteOutcome =
         when (result) {
-            is StoreResult.Ok -> DrainWrite.WRITTEN
-            is StoreResult.NotExecuted -> DrainWrite.REFUSED
+            is StoreResult.Ok -> DrainWriteOutcome.WRITTEN
+            is StoreResult.NotExecuted -> DrainWriteOutcome.REFUSED
             is StoreResult.Conflict -> {
-                if (LeaderElection.KEY in result.failed) term.fenced() else readAgain()
-                DrainWrite.UNKNOWN
+                if (LeaderElection.KEY in result.failed) term.fenced() else scheduleReread()
+                DrainWriteOutcome.UNKNOWN
             }
             else -> {
-                readAgain()
-                DrainWrite.UNKNOWN
+                scheduleReread()
+                DrainWriteOutcome.UNKNOWN
             }
         }
 
-    private fun readAgain() {
-        generation++
-        reading = false
+    private fun scheduleReread() {
+        readGeneration++
+        isReading = false
         isRead = false
         nextReadAt = context.now
     }
 
     private companion object {
-        val RETRY = 400.milliseconds
+        val READ_RETRY_DELAY = 400.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/EvictionPlanner.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionPlanner.kt
@@ -14,7 +14,7 @@
     private val feasibility: RelocationFeasibility,
     private val replacements: ReplacementCapacity,
     /** How many tasks one record can name. */
-    private val maxRelocating: Int,
+    private val maxRelocatingTasks: Int,
 ) {
     private val selector = EvictionSelector(context, budgets)
 
@@ -23,11 +23,11 @@
         val selection = selector.select(candidates(record, step, machines))
         if (selection.selected.isEmpty()) return noEviction(selection, machines)
         val recorded = machines.flatMap { it.placements.values }.filter { it.name in step.moved }
-        val withoutRoom = feasibility.withoutRoom(recorded + selection.selected).toSet()
+        val unplaceable = feasibility.unplaceableTasks(recorded + selection.selected).toSet()
         val unsettled = inspector.unsettledTasks(step)
-        val feasible = selection.selected.filter { it !in withoutRoom }
-        if (feasible.isEmpty()) return replacements.awaitRoom(withoutRoom.toList())
-        val evicted = feasible.take((maxRelocating - unsettled.size).coerceAtLeast(0))
+        val feasible = selection.selected.filter { it !in unplaceable }
+        if (feasible.isEmpty()) return replacements.awaitCapacity(unplaceable.toList())
+        val evicted = feasible.take((maxRelocatingTasks - unsettled.size).coerceAtLeast(0))
         if (evicted.isEmpty()) return DrainDecision.Wait("${unsettled.size} tasks are on their way")
         val names = (unsettled + evicted.map { it.name }).distinct()
         val moved = record.moved + evicted.size
@@ -50,19 +50,19 @@
 
     private fun noEviction(selection: EvictionSelection, machines: List<Machine>): DrainDecision {
         val refusal = selection.refusal
-        val left = machines.sumOf { it.placements.size }
-        if (refusal == null) return DrainDecision.Wait("$left tasks end, save or move")
+        val remainingTasks = machines.sumOf { it.placements.size }
+        if (refusal == null) return DrainDecision.Wait("$remainingTasks tasks end, save or move")
         if (refusal is BudgetRefusal.Permanent) {
             val hasReplicas = machines.any { m -> m.placements.values.any { it.isReplica } }
             return if (hasReplicas) DrainDecision.Pause(PauseReason.BUDGET, refusal.reason)
-            else DrainDecision.Wait("$left tasks end by themselves: ${refusal.reason}")
+            else DrainDecision.Wait("$remainingTasks tasks end by themselves: ${refusal.reason}")
         }
         val team = selection.refusedTeam
-        val drained =
+        val evictedByDrains =
             inspector.activeSteps
                 .flatMap { inspector.unsettledTasks(it) }
                 .count { inspector.teamOf(it) == team }
-        return if (budgets.disruptedOf(team) > drained)
+        return if (budgets.disruptedTasks(team) > evictedByDrains)
             DrainDecision.Pause(PauseReason.LOSS, refusal.reason)
         else DrainDecision.Wait(refusal.reason)
     }
--- a/src/main/kotlin/wardmux/drain/EvictionSelector.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionSelector.kt
@@ -30,40 +30,41 @@
     /** As many as the budgets allow, those that lose least run time first. */
     fun select(candidates: List<Placement>): EvictionSelection {
         val selected = ArrayList<Placement>()
-        val byTeam = HashMap<String, Int>()
+        val selectedByTeam = HashMap<String, Int>()
         var refusal: BudgetRefusal? = null
         var refusedTeam = ""
         for (candidate in candidates.sortedBy { lostRunTime(it).value }) {
-            if (selected.size >= MAX_AT_ONCE) break
+            if (selected.size >= MAX_EVICTIONS_AT_ONCE) break
             val team = candidate.job.spec.team
             val tasks = candidate.evictedTogether.size
             if (candidate.job.spec.isGang && selected.any { it.job === candidate.job }) continue
-            val refused = refusalTogether(candidate, tasks, selected, byTeam[team] ?: 0)
-            if (refused != null) {
+            val candidateRefusal =
+                refusalWithSelected(candidate, tasks, selected, selectedByTeam[team] ?: 0)
+            if (candidateRefusal != null) {
                 // A refused replica is reported first: other tasks end by themselves.
                 if (refusal == null || candidate.isReplica) {
-                    refusal = refused
+                    refusal = candidateRefusal
                     refusedTeam = team
                 }
                 continue
             }
             selected.add(candidate)
-            byTeam.merge(team, tasks, Int::plus)
+            selectedByTeam.merge(team, tasks, Int::plus)
         }
         return EvictionSelection(selected, refusal, refusedTeam)
     }
 
     /** Why the budgets do not allow [candidate] beside what is [selected] already, or null. */
-    private fun refusalTogether(
+    private fun refusalWithSelected(
         candidate: Placement,
         tasks: Int,
         selected: List<Placement>,
         selectedOfTeam: Int,
     ): BudgetRefusal? {
-        val alone = budgets.refusal(candidate.job, tasks)
-        if (alone != null || selectedOfTeam == 0) return alone
+        val ownRefusal = budgets.refusal(candidate.job, tasks)
+        if (ownRefusal != null || selectedOfTeam == 0) return ownRefusal
         val team = candidate.job.spec.team
-        if (budgets.disruptedOf(team) + selectedOfTeam + tasks > budgets.limitOf(team))
+        if (budgets.disruptedTasks(team) + selectedOfTeam + tasks > budgets.disruptionLimit(team))
             return BudgetRefusal.Temporary("team $team: its budget is in use")
         val ofJob = selected.count { it.job === candidate.job }
         if (!candidate.isReplica || ofJob == 0) return null
@@ -79,6 +80,6 @@
     }
 
     private companion object {
-        const val MAX_AT_ONCE = 64
+        const val MAX_EVICTIONS_AT_ONCE = 64
     }
 }
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -64,7 +64,7 @@
             context,
             store,
             budgets,
-            MaintenanceMarks(cluster, inspector, urgentWork),
+            MaintenanceUpdater(cluster, inspector, urgentWork),
             StepStarter(context, inspector, selection, admission, plans, inventory),
             stepExecutor(),
         )
@@ -90,7 +90,7 @@
                 budgets,
                 feasibility,
                 replacements,
-                maxRelocating = store.maxBytes / RECORD_PARTS / MAX_TASK_NAME_BYTES,
+                maxRelocatingTasks = store.maxBytes / RECORD_PARTS / MAX_TASK_NAME_BYTES,
             ),
             inventory,
         )
@@ -115,16 +115,17 @@
 
         /** Lists lag behind, and a list may be older than the one before it. */
         override val isComplete: Boolean
-            get() = isListed && context.now - electedAt > listDelay
+            get() = isListed && context.now - electedAt > listCompletenessDelay
 
-        private val listDelay = (deployment.cloud.listLagS * LIST_LAGS).seconds
+        private val listCompletenessDelay =
+            (deployment.cloud.listLagS * LIST_COMPLETENESS_LAGS).seconds
 
         override fun decommission(machine: Machine, reason: String) =
             environment.term.decommission(machine, reason)
     }
 
     private companion object {
-        const val LIST_LAGS = 3
+        const val LIST_COMPLETENESS_LAGS = 3
 
         /** A third of a record is for the request, a third for machines and notes. */
         const val RECORD_PARTS = 3
--- a/src/main/kotlin/wardmux/drain/MaintenanceMarks.kt
+++ b/src/main/kotlin/wardmux/drain/MaintenanceUpdater.kt
@@ -5,37 +5,39 @@
 import wardmux.scheduling.ClusterState
 
 /** Cordons the machines of steps, as follows from the records alone. */
-class MaintenanceMarks(
+class MaintenanceUpdater(
     private val cluster: ClusterState,
     private val inspector: StepInspector,
     private val urgentWork: UrgentWork,
 ) {
-    private val marked = HashSet<Machine>()
+    private val machinesInSteps = HashSet<Machine>()
 
     /** Sets what each machine may take by the drains that are [active]. */
     fun update(active: List<DrainRecord>) {
         cluster.hasDrains = active.isNotEmpty()
-        if (active.isEmpty()) clear() else mark(active)
+        if (active.isEmpty()) clear() else setForSteps(active)
     }
 
     private fun clear() {
-        for (machine in marked) machine.maintenance = Maintenance.NONE
-        if (marked.isNotEmpty()) cluster.markChanged()
-        marked.clear()
+        for (machine in machinesInSteps) machine.maintenance = Maintenance.NONE
+        if (machinesInSteps.isNotEmpty()) cluster.markChanged()
+        machinesInSteps.clear()
     }
 
-    private fun mark(active: List<DrainRecord>) {
-        val wanted = HashMap<Machine, Maintenance>()
+    private fun setForSteps(active: List<DrainRecord>) {
+        val maintenanceByMachine = HashMap<Machine, Maintenance>()
         for (record in active) {
             val step = record.step ?: continue
             val machines = inspector.machinesOf(step)
             val maintenance = maintenanceFor(step, machines)
-            for (machine in machines) wanted[machine] = maintenance
+            for (machine in machines) maintenanceByMachine[machine] = maintenance
         }
-        for (machine in marked - wanted.keys) set(machine, Maintenance.NONE)
-        for ((machine, maintenance) in wanted) set(machine, maintenance)
-        marked.clear()
-        marked.addAll(wanted.keys)
+        for (machine in machinesInSteps - maintenanceByMachine.keys) {
+            setMaintenance(machine, Maintenance.NONE)
+        }
+        for ((machine, maintenance) in maintenanceByMachine) setMaintenance(machine, maintenance)
+        machinesInSteps.clear()
+        machinesInSteps.addAll(maintenanceByMachine.keys)
     }
 
     private fun maintenanceFor(step: DrainStep, machines: List<Machine>): Maintenance =
@@ -45,7 +47,7 @@
             else -> Maintenance.CORDONED
         }
 
-    private fun set(machine: Machine, maintenance: Maintenance) {
+    private fun setMaintenance(machine: Machine, maintenance: Maintenance) {
         if (machine.maintenance == maintenance) return
         machine.maintenance = maintenance
         cluster.markChanged()
--- a/src/main/kotlin/wardmux/drain/PlanScheduler.kt
+++ b/src/main/kotlin/wardmux/drain/PlanScheduler.kt
@@ -32,11 +32,11 @@
 
     /** The planning problem of the drain for [machines]. */
     fun problem(request: DrainRequest, machines: List<Machine>): DrainProblem {
-        val teams = cluster.teams.keys.associateWith { maxOf(1, budgets.limitOf(it)) }
+        val teams = cluster.teams.keys.associateWith { maxOf(1, budgets.disruptionLimit(it)) }
         val services =
             cluster.jobs.values
                 .filter { it.spec.kind == JobKind.SERVICE }
-                .associate { it.id.value to maxOf(1, budgets.maxReplicasDown(it)) }
+                .associate { it.id.value to maxOf(1, budgets.maxDownReplicas(it)) }
         val loads = machines.map { loadOf(it, request) }
         return DrainProblem(loads, teams, services, request.stepSize, request.order)
     }
@@ -54,53 +54,53 @@
 
     /** The machines of the next step, or null while a plan is being computed. */
     fun nextStep(request: DrainRequest, machines: List<Machine>): List<Machine>? {
-        val known = machines.associateBy { it.id }
-        val requested = pending[request.id]
+        val machinesById = machines.associateBy { it.id }
+        val pendingPlan = pending[request.id]
         if (
-            requested != null &&
-                !requested.isAnswered &&
-                context.now - requested.requestedAt < timeout
+            pendingPlan != null &&
+                !pendingPlan.isAnswered &&
+                context.now - pendingPlan.requestedAt < timeout
         )
             return null
         pending.remove(request.id)
-        requested
+        pendingPlan
             ?.plan
-            ?.let { firstStep(it, known) }
+            ?.let { firstStep(it, machinesById) }
             ?.let {
                 return it
             }
         val problem = problem(request, machines)
-        if (requested == null && requestPlan(request, problem)) return null
+        if (pendingPlan == null && requestPlan(request, problem)) return null
         val step = GreedyPlanner.plan(problem).steps.first()
-        return step.map { known.getValue(it.machine) }
+        return step.map { machinesById.getValue(it.machine) }
     }
 
     /** The first step of [plan] if all its machines are still to be drained. */
-    private fun firstStep(plan: DrainPlan, known: Map<MachineId, Machine>): List<Machine>? {
+    private fun firstStep(plan: DrainPlan, machinesById: Map<MachineId, Machine>): List<Machine>? {
         val step = plan.steps.firstOrNull() ?: return null
-        val machines = step.mapNotNull { known[it.machine] }
+        val machines = step.mapNotNull { machinesById[it.machine] }
         return machines.takeIf { it.size == step.size }
     }
 
     private val timeout: Micros
-        get() = settings.solverTimeS.seconds + RESULT_SLACK
+        get() = settings.solverTimeS.seconds + PLAN_RESULT_MARGIN
 
     /** False if no plan may be computed now. */
     private fun requestPlan(request: DrainRequest, problem: DrainProblem): Boolean {
         if (settings.solverTimeS <= 0 || settings.solverShare <= 0) return false
         if (context.now < nextPlanAt || problem.machines.size <= 1) return false
         nextPlanAt = context.now + (settings.solverTimeS / settings.solverShare).seconds
-        val requested = PendingPlan(context.now)
-        pending[request.id] = requested
+        val pendingPlan = PendingPlan(context.now)
+        pending[request.id] = pendingPlan
         context.compute(DrainPlanning(problem, settings.solverTimeS.seconds)) { plan ->
-            requested.isAnswered = true
-            requested.plan = plan
+            pendingPlan.isAnswered = true
+            pendingPlan.plan = plan
             log.debug("plan for {}: {} steps", request.id, plan?.steps?.size)
         }
         return true
     }
 
     private companion object {
-        val RESULT_SLACK = 2.seconds
+        val PLAN_RESULT_MARGIN = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -20,36 +20,41 @@
      * task goes to a machine that is being drained, unless it is [staying], nor to one of
      * [leaving].
      */
-    fun withoutRoom(
+    fun unplaceableTasks(
         evicted: List<Placement>,
         leaving: Set<Machine> = emptySet(),
         staying: Set<Machine> = emptySet(),
     ): List<Placement> {
-        val open =
+        val candidates =
             cluster.machines.values.filter {
                 (it.maintenance == Maintenance.NONE || it in staying) &&
                     it !in leaving &&
                     eligibility.isSchedulable(it)
             }
-        val free = open.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
-        val zones = HashMap<Job, HashMap<String, Int>>()
-        return evicted.sortedByDescending { it.job.spec.cpus }.filterNot { place(it, free, zones) }
+        val free =
+            candidates.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
+        val taskCountsByZone = HashMap<Job, HashMap<String, Int>>()
+        return evicted
+            .sortedByDescending { it.job.spec.cpus }
+            .filterNot { place(it, free, taskCountsByZone) }
     }
 
     private fun place(
         placement: Placement,
         free: Map<Machine, FreeResources>,
-        zones: HashMap<Job, HashMap<String, Int>>,
+        taskCountsByZone: HashMap<Job, HashMap<String, Int>>,
     ): Boolean {
         val job = placement.job
-        val occupied = zones.getOrPut(job) { HashMap(eligibility.taskCountByZone(job)) }
-        val without = HashMap(occupied)
-        without.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
+        val tasksByZone =
+            taskCountsByZone.getOrPut(job) { HashMap(eligibility.taskCountByZone(job)) }
+        val otherTasksByZone = HashMap(tasksByZone)
+        otherTasksByZone.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
         val machine =
-            free.keys.firstOrNull { fits(it, free.getValue(it), job, without) } ?: return false
+            free.keys.firstOrNull { fits(it, free.getValue(it), job, otherTasksByZone) }
+                ?: return false
         reserve(free.getValue(machine), job)
-        without.merge(machine.zone, 1, Int::plus)
-        zones[job] = without
+        otherTasksByZone.merge(machine.zone, 1, Int::plus)
+        taskCountsByZone[job] = otherTasksByZone
         return true
     }
 
@@ -57,14 +62,14 @@
         machine: Machine,
         free: FreeResources,
         job: Job,
-        zones: Map<String, Int>,
+        taskCountsByZone: Map<String, Int>,
     ): Boolean {
         val spec = job.spec
         return eligibility.satisfiesConstraints(spec, machine) &&
             spec.cpus <= free.cpus + MachineType.EPSILON &&
             spec.gpus <= free.gpus + MachineType.EPSILON &&
             spec.memoryGb <= free.memoryGb + MachineType.EPSILON &&
-            eligibility.isZoneAllowed(machine.zone, spec, zones)
+            eligibility.isZoneAllowed(machine.zone, spec, taskCountsByZone)
     }
 
     private fun reserve(free: FreeResources, job: Job) {
--- a/src/main/kotlin/wardmux/drain/ReplacementCapacity.kt
+++ b/src/main/kotlin/wardmux/drain/ReplacementCapacity.kt
@@ -15,15 +15,15 @@
     private val types: MachineTypes,
 ) {
     /** Requests a machine for the first of [tasks] unless one is coming, and waits for it. */
-    fun awaitRoom(tasks: List<Placement>): DrainDecision {
+    fun awaitCapacity(tasks: List<Placement>): DrainDecision {
         val first = tasks.first()
-        request(first.job)
+        requestMachine(first.job)
         return DrainDecision.Wait(
             "room for ${tasks.size} tasks, first ${first.name}, is not up yet"
         )
     }
 
-    private fun request(job: Job) {
+    private fun requestMachine(job: Job) {
         if (!provisioner.isComing(job) && !isBooting(job))
             provisioner.rentOne(job, types.types.orEmpty())
     }
--- a/src/main/kotlin/wardmux/drain/SolverPlanner.kt
+++ b/src/main/kotlin/wardmux/drain/SolverPlanner.kt
@@ -12,19 +12,25 @@
  */
 object SolverPlanner {
     /**
-     * The best plan found within [limit] and [nodes] search nodes; never worse than the greedy one.
+     * The best plan found within [timeLimit] and [maxNodes] search nodes; never worse than the
+     * greedy one.
      */
-    fun plan(problem: DrainProblem, limit: Micros, nodes: Long = MAX_NODES): DrainPlan {
+    fun plan(
+        problem: DrainProblem,
+        timeLimit: Micros,
+        maxNodes: Long = MAX_SEARCH_NODES,
+    ): DrainPlan {
         val greedy = GreedyPlanner.plan(problem)
-        val free = problem.machines.filterNot { problem.goesAlone(it) }
-        val alone = problem.machines.filter { problem.goesAlone(it) }.map { listOf(it) }
-        val maxSteps = greedy.steps.size - alone.size
-        if (free.size > MAX_MACHINES || maxSteps <= 1) return greedy
-        val solved = Search(problem, free, maxSteps).run(limit, nodes)
-        val plan = DrainPlan(GreedyPlanner.inOrder(problem, solved.steps + alone), solved.isOptimal)
-        val isSound = solved.steps.isNotEmpty() && plan.steps.all { problem.allows(it) }
-        return if (isSound && plan.measure < greedy.measure) plan
-        else DrainPlan(greedy.steps, solved.isOptimal)
+        val groupable = problem.machines.filterNot { problem.needsOwnStep(it) }
+        val ownSteps = problem.machines.filter { problem.needsOwnStep(it) }.map { listOf(it) }
+        val maxSteps = greedy.steps.size - ownSteps.size
+        if (groupable.size > MAX_SOLVER_MACHINES || maxSteps <= 1) return greedy
+        val found = Search(problem, groupable, maxSteps).run(timeLimit, maxNodes)
+        val plan =
+            DrainPlan(GreedyPlanner.orderSteps(problem, found.steps + ownSteps), found.isOptimal)
+        val isSound = found.steps.isNotEmpty() && plan.steps.all { problem.allows(it) }
+        return if (isSound && plan.cost < greedy.cost) plan
+        else DrainPlan(greedy.steps, found.isOptimal)
     }
 
     private class Search(
@@ -37,23 +43,23 @@
             Array(machines.size) { model.intVar("step$it", 0, maxSteps - 1) }
         private val lastStep = model.intVar("last", 0, maxSteps - 1)
 
-        fun run(limit: Micros, nodes: Long): DrainPlan {
-            limitBins(machines.map { 1 }, problem.stepSize)
+        fun run(timeLimit: Micros, maxNodes: Long): DrainPlan {
+            limitPerStep(machines.map { 1 }, problem.stepSize)
             for (team in machines.flatMap { it.tasksByTeam.keys }.distinct()) {
                 val counts = machines.map { it.tasksByTeam[team] ?: 0 }
-                limitBins(counts, DrainProblem.limit(problem.teamLimits, team))
+                limitPerStep(counts, DrainProblem.limitFor(problem.teamLimits, team))
             }
             for (service in machines.flatMap { it.replicasByService.keys }.distinct()) {
                 val counts = machines.map { it.replicasByService[service] ?: 0 }
-                limitBins(counts, DrainProblem.limit(problem.serviceLimits, service))
+                limitPerStep(counts, DrainProblem.limitFor(problem.serviceLimits, service))
             }
             if (problem.order == StepOrder.BY_ZONE) separateZones()
             model.max(lastStep, stepOf).post()
-            return search(limit, nodes)
+            return search(timeLimit, maxNodes)
         }
 
         /** The sum of [counts] in each step is at most [limit]. */
-        private fun limitBins(counts: List<Int>, limit: Int) {
+        private fun limitPerStep(counts: List<Int>, limit: Int) {
             val max = minOf(limit, counts.sum())
             if (max == counts.sum()) return
             val loads = model.intVarArray(maxSteps, 0, max)
@@ -67,11 +73,11 @@
             }
         }
 
-        private fun search(limit: Micros, nodes: Long): DrainPlan {
+        private fun search(timeLimit: Micros, maxNodes: Long): DrainPlan {
             val solver = model.solver
             solver.setSearch(ChocoSearch.domOverWDegSearch(*stepOf))
-            solver.limitTime(limit.value / MICROS_PER_MILLI)
-            solver.limitNode(nodes)
+            solver.limitTime(timeLimit.value / MICROS_PER_MILLI)
+            solver.limitNode(maxNodes)
             val best = solver.findOptimalSolution(lastStep, false)
             if (best == null) return DrainPlan(emptyList(), !solver.isStopCriterionMet)
             val steps = machines.indices.groupBy { best.getIntVal(stepOf[it]) }.toSortedMap()
@@ -81,7 +87,7 @@
     }
 
     /** Beyond this the model takes too long to build. */
-    private const val MAX_MACHINES = 300
-    private const val MAX_NODES = 200_000L
+    private const val MAX_SOLVER_MACHINES = 300
+    private const val MAX_SEARCH_NODES = 200_000L
     private const val MICROS_PER_MILLI = 1_000L
 }
--- a/src/main/kotlin/wardmux/drain/StepAdmission.kt
+++ b/src/main/kotlin/wardmux/drain/StepAdmission.kt
@@ -32,7 +32,7 @@
     /** Why a step with exactly [machines] may not start now, by what it evicts, or null. */
     fun stepRefusal(record: DrainRecord, machines: List<Machine>): DrainDecision? {
         val evicted = machines.flatMap { inspector.tasksToEvict(it, record.request) }
-        pauseBetweenSteps(teamsOf(evicted))?.let {
+        reasonForStepPause(teamsOf(evicted))?.let {
             return DrainDecision.Wait(it)
         }
         for (placement in evicted.distinctBy { it.job.id }) {
@@ -49,9 +49,9 @@
             return it
         }
         val evicted = targets.flatMap { inspector.tasksToEvict(it, record.request) }
-        return pauseBetweenSteps(teamsOf(evicted))
+        return reasonForStepPause(teamsOf(evicted))
             ?: evicted.firstNotNullOfOrNull { budgets.refusal(it.job, 1)?.reason }
-            ?: missingRoom(evicted, targets.toSet())
+            ?: missingCapacity(evicted, targets.toSet())
     }
 
     private fun teamsOf(placements: List<Placement>): Set<String> =
@@ -68,19 +68,19 @@
 
     /** As long as the step before, or the grace period and the usual time beside it. */
     private fun expectedDuration(record: DrainRecord): Duration {
-        val usual = record.request.graceS.seconds + USUAL_STEP
-        return Duration.ofSeconds(maxOf(usual, Micros(record.lastStep)).inSeconds.toLong())
+        val usualDuration = record.request.graceS.seconds + USUAL_STEP_DURATION
+        return Duration.ofSeconds(maxOf(usualDuration, Micros(record.lastStep)).inSeconds.toLong())
     }
 
-    private fun pauseBetweenSteps(teams: Set<String>): String? {
-        val last = drains.all.maxOfOrNull { it.stepEndedAt } ?: 0
+    private fun reasonForStepPause(teams: Set<String>): String? {
+        val lastStepEndedAt = drains.all.maxOfOrNull { it.stepEndedAt } ?: 0
         for (team in teams) {
             val pause = settings.budgetOf(team).stepPauseS.seconds
             if (pause == Micros.ZERO) continue
             if (isInActiveStep(team)) return "another step that disrupts $team is under way"
-            val since = context.wallTime - Micros(last)
-            if (last > 0 && since < pause)
-                return "the pause between two steps of $team, ${(pause - since).inSeconds.toInt()} s"
+            val elapsed = context.wallTime - Micros(lastStepEndedAt)
+            if (lastStepEndedAt > 0 && elapsed < pause)
+                return "the pause between two steps of $team, ${(pause - elapsed).inSeconds.toInt()} s"
         }
         return null
     }
@@ -94,14 +94,14 @@
                 }
         }
 
-    private fun missingRoom(evicted: List<Placement>, leaving: Set<Machine>): String? {
-        val withoutRoom = feasibility.withoutRoom(evicted, leaving)
-        return if (withoutRoom.isEmpty()) null
-        else "no room yet for ${withoutRoom.size} of ${evicted.size} tasks; it is rented first"
+    private fun missingCapacity(evicted: List<Placement>, leaving: Set<Machine>): String? {
+        val unplaceable = feasibility.unplaceableTasks(evicted, leaving)
+        return if (unplaceable.isEmpty()) null
+        else "no room yet for ${unplaceable.size} of ${evicted.size} tasks; it is rented first"
     }
 
     private companion object {
         /** Boot of a replacement and restart of what was evicted. */
-        val USUAL_STEP = 120.seconds
+        val USUAL_STEP_DURATION = 120.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -22,42 +22,42 @@
     fun decide(record: DrainRecord, step: DrainStep): DrainDecision =
         when (step.phase) {
             StepPhase.PREPARING -> preparation.decide(record, step)
-            StepPhase.EMPTYING -> empty(record, step)
-            StepPhase.SETTLING -> settle(record, step)
+            StepPhase.EMPTYING -> emptyMachines(record, step)
+            StepPhase.SETTLING -> awaitRestarts(record, step)
         }
 
-    private fun empty(record: DrainRecord, step: DrainStep): DrainDecision {
+    private fun emptyMachines(record: DrainRecord, step: DrainStep): DrainDecision {
         val machines = inspector.machinesOf(step)
         for (machine in machines) {
-            if (isEmptied(machine)) inventory.decommission(machine, TaskEvictions.DRAINED)
+            if (isEmptied(machine)) inventory.decommission(machine, TaskEvictions.EVICTION_REASON)
         }
         if (machines.isEmpty()) return startSettling(record, step)
-        val open = machines.filter { !it.isDecommissioned }
-        if (open.isEmpty())
+        val activeMachines = machines.filter { !it.isDecommissioned }
+        if (activeMachines.isEmpty())
             return DrainDecision.Wait("${machines.size} machines are being returned")
-        urgentWork.reasonToYield(open)?.let {
+        urgentWork.reasonToYield(activeMachines)?.let {
             return DrainDecision.Wait(it)
         }
         evictions.evictRecorded(step)
-        return evictionPlanner.decide(record, step, open)
+        return evictionPlanner.decide(record, step, activeMachines)
     }
 
     /**
      * Nothing is placed or reported there, and no start is in flight. The ends of its last tasks
-     * are recorded within [RECORDING_TIME], until which the machine is kept.
+     * are recorded within [TASK_END_RECORDING_TIME], until which the machine is kept.
      */
     private fun isEmptied(machine: Machine) =
         machine.isEmpty &&
             machine.unconfirmedStarts.isEmpty() &&
             !machine.isCommandInFlight &&
-            context.now - machine.idleSince > RECORDING_TIME
+            context.now - machine.idleSince > TASK_END_RECORDING_TIME
 
     private fun startSettling(record: DrainRecord, step: DrainStep): DrainDecision {
         if (!inventory.isComplete) return DrainDecision.Wait("the list of machines")
         return DrainDecision.Write(record.copy(step = step.copy(phase = StepPhase.SETTLING)))
     }
 
-    private fun settle(record: DrainRecord, step: DrainStep): DrainDecision {
+    private fun awaitRestarts(record: DrainRecord, step: DrainStep): DrainDecision {
         val unsettled = inspector.unsettledTasks(step)
         if (unsettled.isNotEmpty())
             return DrainDecision.Wait(
@@ -76,6 +76,6 @@
     }
 
     private companion object {
-        val RECORDING_TIME = 5.seconds
+        val TASK_END_RECORDING_TIME = 5.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepInspector.kt
+++ b/src/main/kotlin/wardmux/drain/StepInspector.kt
@@ -18,7 +18,7 @@
 ) {
     /** The steps of all drains that are under way. */
     val activeSteps: List<DrainStep>
-        get() = drains.steps
+        get() = drains.activeSteps
 
     /** Machines of the step that are not deleted. */
     fun machinesOf(step: DrainStep): List<Machine> =
@@ -31,7 +31,7 @@
             val job = cluster.jobs[task.job] ?: return@filter false
             if (job.hasEnded || job.isTaskDone(task.index)) return@filter false
             val placement = job.placements.get(task.index) ?: return@filter true
-            placement.machine.value in step.machines || !budgets.isUp(placement)
+            placement.machine.value in step.machines || !budgets.isConfirmedRunning(placement)
         }
 
     /** The team of the task named [task], or null if its job is not known. */
@@ -44,8 +44,8 @@
         }
 
     private fun remainingRunTime(placement: Placement): Micros {
-        val whole = cluster.estimates.runTime(placement.job.spec)
-        val since = placement.runningSince ?: return whole
-        return whole - (context.now - since)
+        val expectedRunTime = cluster.estimates.runTime(placement.job.spec)
+        val since = placement.runningSince ?: return expectedRunTime
+        return expectedRunTime - (context.now - since)
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepPreparation.kt
+++ b/src/main/kotlin/wardmux/drain/StepPreparation.kt
@@ -20,39 +20,41 @@
             return DrainDecision.Wait(it)
         }
         val evicted = machines.flatMap { inspector.tasksToEvict(it, record.request) }
-        val withoutRoom = feasibility.withoutRoom(evicted)
-        if (withoutRoom.isEmpty()) return startEmptying(record, step)
+        val unplaceable = feasibility.unplaceableTasks(evicted)
+        if (unplaceable.isEmpty()) return startEmptying(record, step)
         val waited = context.wallTime - Micros(step.beganAt)
-        if (waited >= roomTimeout(machines)) return reduce(record, step, machines)
-        return replacements.awaitRoom(withoutRoom)
+        if (waited >= capacityTimeout(machines)) return reduceStep(record, step, machines)
+        return replacements.awaitCapacity(unplaceable)
     }
 
     /** By then a replacement is up, if the cloud has one and it boots as usual. */
-    private fun roomTimeout(machines: List<Machine>): Micros =
-        (machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * ROOM_TIMEOUT_BOOTS +
-            MIN_ROOM_TIMEOUT
+    private fun capacityTimeout(machines: List<Machine>): Micros =
+        (machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * CAPACITY_TIMEOUT_BOOTS +
+            CAPACITY_TIMEOUT_BASE
 
     /** Keeps the machines for which there is room; without any, another step is chosen. */
-    private fun reduce(
+    private fun reduceStep(
         record: DrainRecord,
         step: DrainStep,
         machines: List<Machine>,
     ): DrainDecision {
         val kept = ArrayList<Machine>()
         for (machine in machines.sortedBy { it.load }) {
-            if (hasRoom(kept + machine, machines, record.request)) kept.add(machine)
+            if (hasCapacity(kept + machine, machines, record.request)) kept.add(machine)
         }
         if (kept.isEmpty()) return DrainDecision.Write(record.copy(step = null))
         return startEmptying(record, step.copy(machines = kept.map { it.id.value }))
     }
 
-    private fun hasRoom(
+    private fun hasCapacity(
         leaving: List<Machine>,
         all: List<Machine>,
         request: DrainRequest,
     ): Boolean {
         val evicted = leaving.flatMap { inspector.tasksToEvict(it, request) }
-        return feasibility.withoutRoom(evicted, leaving.toSet(), staying = all.toSet()).isEmpty()
+        return feasibility
+            .unplaceableTasks(evicted, leaving.toSet(), staying = all.toSet())
+            .isEmpty()
     }
 
     private fun startEmptying(record: DrainRecord, step: DrainStep): DrainDecision {
@@ -61,7 +63,7 @@
     }
 
     private companion object {
-        const val ROOM_TIMEOUT_BOOTS = 3.0
-        val MIN_ROOM_TIMEOUT = 30.seconds
+        const val CAPACITY_TIMEOUT_BOOTS = 3.0
+        val CAPACITY_TIMEOUT_BASE = 30.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepStarter.kt
+++ b/src/main/kotlin/wardmux/drain/StepStarter.kt
@@ -15,7 +15,7 @@
     private val inventory: MachineInventory,
 ) {
     /** Machines that had no room for their tasks lately, and until when others go first. */
-    private val withoutRoomUntil = HashMap<String, Micros>()
+    private val backoffUntil = HashMap<String, Micros>()
 
     /** The next step of [record], which has none, as soon as it may start. */
     fun decide(record: DrainRecord): DrainDecision {
@@ -31,10 +31,11 @@
 
     private fun chooseStep(record: DrainRecord, targets: List<Machine>): DrainDecision {
         val inSteps = inspector.activeSteps.flatMapTo(HashSet()) { it.machines }
-        val free = targets.filter { it.id.value !in inSteps }
-        if (free.isEmpty()) return DrainDecision.Wait("another drain takes the same machines out")
+        val available = targets.filter { it.id.value !in inSteps }
+        if (available.isEmpty())
+            return DrainDecision.Wait("another drain takes the same machines out")
         val machines =
-            plans.nextStep(record.request, preferred(free))
+            plans.nextStep(record.request, preferred(available))
                 ?: return DrainDecision.Wait("a plan is worked out")
         return admission.stepRefusal(record, machines) ?: start(record, machines)
     }
@@ -51,20 +52,20 @@
     }
 
     /** Remembers machines that leave the step of [before] since their tasks have no room. */
-    fun noteWithoutRoom(before: DrainRecord, after: DrainRecord) {
+    fun backOffUnplaceable(before: DrainRecord, after: DrainRecord) {
         val step = before.step?.takeIf { it.phase == StepPhase.PREPARING } ?: return
         for (machine in step.machines - after.step?.machines.orEmpty().toSet()) {
-            withoutRoomUntil[machine] = context.now + WITHOUT_ROOM_BACKOFF
+            backoffUntil[machine] = context.now + UNPLACEABLE_BACKOFF
         }
     }
 
     /** The machines that were not without room lately, or all if there are no such. */
     private fun preferred(machines: List<Machine>): List<Machine> {
-        withoutRoomUntil.values.removeIf { it <= context.now }
-        return machines.filter { it.id.value !in withoutRoomUntil }.ifEmpty { machines }
+        backoffUntil.values.removeIf { it <= context.now }
+        return machines.filter { it.id.value !in backoffUntil }.ifEmpty { machines }
     }
 
     private companion object {
-        val WITHOUT_ROOM_BACKOFF = 180.seconds
+        val UNPLACEABLE_BACKOFF = 180.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/TaskEvictions.kt
+++ b/src/main/kotlin/wardmux/drain/TaskEvictions.kt
@@ -22,15 +22,15 @@
     private fun evict(placement: Placement) {
         val tasks = placement.evictedTogether
         // What counts as disrupted already takes nothing more of the budget.
-        val more = tasks.count { !budgets.isDisrupted(it) }
-        if (more > 0 && budgets.refusal(placement.job, more) != null) return
+        val undisrupted = tasks.count { !budgets.isDisrupted(it) }
+        if (undisrupted > 0 && budgets.refusal(placement.job, undisrupted) != null) return
         // Counted first: once the evictor has marked them they no longer count as up.
         for (task in tasks) budgets.recordEviction(task)
-        evictor.evict(placement, DRAINED)
+        evictor.evict(placement, EVICTION_REASON)
     }
 
     companion object {
         /** The reason of evictions and decommissions, for the log. */
-        const val DRAINED = "its machine is drained"
+        const val EVICTION_REASON = "its machine is drained"
     }
 }
--- a/src/main/kotlin/wardmux/drain/UrgentWork.kt
+++ b/src/main/kotlin/wardmux/drain/UrgentWork.kt
@@ -20,12 +20,12 @@
 
     private fun waitingFor(machines: List<Machine>): Job? =
         cluster.jobs.values.firstOrNull { job ->
-            val since = job.blockedSince
+            val blockedSince = job.blockedSince
             job.spec.priority <= PriorityClass.HIGH &&
                 job.waiting > 0 &&
                 !job.isFailing &&
-                since != null &&
-                context.now - since > URGENT_WAIT &&
+                blockedSince != null &&
+                context.now - blockedSince > MIN_URGENT_WAIT &&
                 machines.any { couldTake(it, job) }
         }
 
@@ -38,6 +38,6 @@
     }
 
     private companion object {
-        val URGENT_WAIT = 1.seconds
+        val MIN_URGENT_WAIT = 1.seconds
     }
 }
--- a/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
@@ -46,27 +46,27 @@
     private fun disruptedAfter(change: () -> Unit): Int {
         change()
         budgets.recount()
-        return budgets.disruptedOf("team-0")
+        return budgets.disruptedTasks("team-0")
     }
 
-    private fun allDisruptedBy(change: Machine.() -> Unit) =
+    private fun assertAllDisruptedBy(change: Machine.() -> Unit) =
         assertEquals(4, disruptedAfter { machine.change() })
 
     @Test
     fun `a task that is reported as running is up`() {
-        assertEquals(0, budgets.disruptedOf("team-0"))
-        assertEquals(2, budgets.limitOf("team-0"))
+        assertEquals(0, budgets.disruptedTasks("team-0"))
+        assertEquals(2, budgets.disruptionLimit("team-0"))
     }
 
     @Test
     fun `all tasks count on a machine that is silent, unconfirmed, preempted or decommissioned`() {
-        allDisruptedBy { lastHeartbeatAt = 93.seconds }
+        assertAllDisruptedBy { lastHeartbeatAt = 93.seconds }
         assertEquals(0, disruptedAfter { machine.lastHeartbeatAt = 100.seconds })
-        allDisruptedBy { hasAdoptedToken = false }
+        assertAllDisruptedBy { hasAdoptedToken = false }
         assertEquals(0, disruptedAfter { machine.hasAdoptedToken = true })
-        allDisruptedBy { preemptionNoticeAt = 99.seconds }
+        assertAllDisruptedBy { preemptionNoticeAt = 99.seconds }
         assertEquals(0, disruptedAfter { machine.preemptionNoticeAt = null })
-        allDisruptedBy { isDecommissioned = true }
+        assertAllDisruptedBy { isDecommissioned = true }
     }
 
     @Test
@@ -81,9 +81,9 @@
     @Test
     fun `an eviction counts from when it was sent, whatever is reported later`() {
         budgets.recordEviction(first)
-        assertEquals(1, budgets.disruptedOf("team-0"))
+        assertEquals(1, budgets.disruptedTasks("team-0"))
         budgets.recordEviction(first)
-        assertEquals(1, budgets.disruptedOf("team-0"), "counted once")
+        assertEquals(1, budgets.disruptedTasks("team-0"), "counted once")
         assertEquals(1, disruptedAfter { first.status = TaskStatus.RUNNING })
     }
 
@@ -108,31 +108,37 @@
         budgets.recordEviction(first)
         assertNull(budgets.refusal(job, 1))
         assertIs<BudgetRefusal.Temporary>(budgets.refusal(job, 2))
-        val small = harness.job(plainJob(2, "job-000002").copy(kind = JobKind.SERVICE))
-        assertIs<BudgetRefusal.Permanent>(budgets.refusal(small, 1), "two replicas must stay up")
+        val smallService = harness.job(plainJob(2, "job-000002").copy(kind = JobKind.SERVICE))
+        assertIs<BudgetRefusal.Permanent>(
+            budgets.refusal(smallService, 1),
+            "two replicas must stay up",
+        )
     }
 
     @Test
     fun `a share is rounded up, and the smaller of number and share holds`() {
-        fun limit(share: Double): Int {
+        fun limitForShare(share: Double): Int {
             val settings = DrainSettings(budget = budget.copy(maxDisruptedShare = share))
             val own = DisruptionBudgets(harness.context, harness.cluster, settings, 6.seconds)
             own.recount()
-            return own.limitOf("team-0")
+            return own.disruptionLimit("team-0")
         }
-        assertEquals(1, limit(0.1))
-        assertEquals(2, limit(0.5))
-        assertEquals(2, limit(1.0))
-        assertEquals(0, limit(0.0))
+        assertEquals(1, limitForShare(0.1))
+        assertEquals(2, limitForShare(0.5))
+        assertEquals(2, limitForShare(1.0))
+        assertEquals(0, limitForShare(0.0))
     }
 
     @Test
     fun `replicas of one service are limited beside the team`() {
-        val other: Job = harness.job(plainJob(3, "job-000003").copy(kind = JobKind.SERVICE))
-        repeat(3) { harness.run(other, it, harness.machine(2 + it, type)) }
+        val otherService: Job = harness.job(plainJob(3, "job-000003").copy(kind = JobKind.SERVICE))
+        repeat(3) { harness.run(otherService, it, harness.machine(2 + it, type)) }
         budgets.recount()
-        budgets.recordEviction(other.placements.get(0))
-        assertIs<BudgetRefusal.Temporary>(budgets.refusal(other, 1), "one of three may be down")
+        budgets.recordEviction(otherService.placements.get(0))
+        assertIs<BudgetRefusal.Temporary>(
+            budgets.refusal(otherService, 1),
+            "one of three may be down",
+        )
         assertNull(budgets.refusal(job, 1))
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -28,11 +28,11 @@
 class DrainLoopbackTest {
     @TempDir lateinit var directory: File
 
-    private val machines = System.getProperty("drain.machines")?.toInt() ?: SHORT
-    private val isLong = machines > SHORT
+    private val machines = System.getProperty("drain.machines")?.toInt() ?: SHORT_RUN_MACHINES
+    private val isLong = machines > SHORT_RUN_MACHINES
     private val budget = maxOf(4, machines / 15)
 
-    private val operators =
+    private val operatorSettings =
         """
         [drain]
         address = "127.0.0.1:PORT"
@@ -45,8 +45,8 @@
             .trimIndent()
 
     private fun services(): List<JobSpec> =
-        (0 until machines / MACHINES_A_SERVICE).map { number ->
-            plainJob(REPLICAS, "job-%06d".format(number + 1))
+        (0 until machines / MACHINES_PER_SERVICE).map { number ->
+            plainJob(REPLICAS_PER_SERVICE, "job-%06d".format(number + 1))
                 .copy(
                     team = "team-${number % 3}",
                     kind = JobKind.SERVICE,
@@ -56,42 +56,46 @@
                 )
         }
 
-    private class Told(val code: Int, val text: String)
+    private class CommandResult(val code: Int, val text: String)
 
-    private fun LoopbackCluster.command(vararg arguments: String): Told {
+    private fun LoopbackCluster.command(vararg arguments: String): CommandResult {
         val out = StringWriter()
         val line = CommandLine(WardmuxCommand())
         line.setOut(PrintWriter(out, true)).setErr(PrintWriter(out, true))
         val addresses = operatorAddresses.flatMap { listOf("--controller", it) }
-        val all = listOf("drain") + arguments + addresses + listOf("--timeout", "60")
-        return Told(line.execute(*all.toTypedArray()), out.toString())
+        val fullCommand = listOf("drain") + arguments + addresses + listOf("--timeout", "60")
+        return CommandResult(line.execute(*fullCommand.toTypedArray()), out.toString())
     }
 
-    private fun LoopbackCluster.await(what: String, most: Micros, reached: () -> Boolean) {
-        val deadline = System.nanoTime() + most.value * 1_000
-        while (!reached()) {
+    private fun LoopbackCluster.await(event: String, timeout: Micros, condition: () -> Boolean) {
+        val deadline = System.nanoTime() + timeout.value * 1_000
+        while (!condition()) {
             if (System.nanoTime() > deadline)
-                error("not in time: $what; ${stored("d1")}\n${logs()}")
+                error("not in time: $event; ${stored("d1")}\n${logs()}")
             Thread.sleep(200)
         }
     }
 
     @Test
     fun `a drain continues within the budgets after a crash of its leader and of a machine`() {
-        LoopbackCluster(directory, operators, machines, teamCpus = machines * 16.0).use { cluster ->
+        LoopbackCluster(directory, operatorSettings, machines, cpusPerTeam = machines * 16.0).use {
+            cluster ->
             val services = services()
             services.forEach { cluster.submit(it) }
-            val all = services.sumOf { it.tasks }
-            cluster.await("all services run", 300.seconds) { cluster.running(services) == all }
-            val before = cluster.machines(ZONE)
-            val began = cluster.now()
-            val upBefore = cluster.machines().size
-            val secondsBefore = cluster.machineSeconds()
-
-            val selection =
-                if (isLong) arrayOf("--type", "mid", "--ordinary") else arrayOf("--zone", ZONE)
-            val size = System.getProperty("drain.step") ?: if (isLong) "20" else "8"
-            val options = selection + arrayOf("--grace", "5", "--step-size", size)
+            val replicaCount = services.sumOf { it.tasks }
+            cluster.await("all services run", 300.seconds) {
+                cluster.running(services) == replicaCount
+            }
+            val machinesToDrain = cluster.machines(DRAINED_ZONE)
+            val startedAt = cluster.now()
+            val machineCountBefore = cluster.machines().size
+            val machineSecondsBefore = cluster.machineSeconds()
+
+            val selectionOptions =
+                if (isLong) arrayOf("--type", "mid", "--ordinary")
+                else arrayOf("--zone", DRAINED_ZONE)
+            val stepSize = System.getProperty("drain.step") ?: if (isLong) "20" else "8"
+            val options = selectionOptions + arrayOf("--grace", "5", "--step-size", stepSize)
             val check = cluster.command("check", "--id", "d1", *options)
             assertEquals(DrainExit.OK, check.code, check.text)
             assertTrue("step 1" in check.text, check.text)
@@ -99,52 +103,57 @@
             assertEquals(DrainExit.OK, started.code, started.text)
             assertEquals(DrainExit.OK, cluster.command("start", "--id", "d1", *options).code)
 
-            cluster.await("the first step", 120.seconds) { cluster.isEmptying() }
+            cluster.await("the first step", 120.seconds) { cluster.isEmptyingStep() }
             val leader = checkNotNull(cluster.leader())
             cluster.kill(leader)
-            val during = cluster.command("status", "d1")
-            assertEquals(DrainExit.OK, during.code, during.text)
+            val statusDuringFailover = cluster.command("status", "d1")
+            assertEquals(DrainExit.OK, statusDuringFailover.code, statusDuringFailover.text)
             cluster.start(leader)
-            val other = cluster.busyMachines(OTHER_ZONE).firstOrNull()
-            other?.let { cluster.crash(it) }
+            val crashedMachine = cluster.busyMachines(OTHER_ZONE).firstOrNull()
+            crashedMachine?.let { cluster.crash(it) }
 
-            val most = if (isLong) 3600.seconds else 400.seconds
-            cluster.await("done", most) { cluster.stored("d1")?.state == DrainState.DONE }
-            val took = cluster.now() - began
+            val timeout = if (isLong) 3600.seconds else 400.seconds
+            cluster.await("done", timeout) { cluster.stored("d1")?.state == DrainState.DONE }
+            val duration = cluster.now() - startedAt
             cluster.await("all services run again", 300.seconds) {
-                cluster.running(services) == all
+                cluster.running(services) == replicaCount
             }
-            assertEquals(emptyList(), cluster.machines(ZONE).filter { it in before })
+            assertEquals(
+                emptyList(),
+                cluster.machines(DRAINED_ZONE).filter { it in machinesToDrain },
+            )
             assertEquals(emptyList(), cluster.problems(budget, noticedAfter = 30.seconds))
             val list = cluster.command("list")
             assertTrue("d1  done" in list.text, list.text)
-            val extra =
-                cluster.machineSeconds() - secondsBefore - upBefore * took.inSeconds.toLong()
-            if (isLong) println(figures(cluster, took, extra))
+            val extraMachineSeconds =
+                cluster.machineSeconds() -
+                    machineSecondsBefore -
+                    machineCountBefore * duration.inSeconds.toLong()
+            if (isLong) println(summary(cluster, duration, extraMachineSeconds))
             assertEquals(DrainExit.CONFLICT, cluster.command("cancel", "d1").code)
             assertEquals(DrainExit.UNKNOWN_DRAIN, cluster.command("status", "d2").code)
-            val unknown = cluster.command("start", "--id", "d3", "--type", "none")
-            assertEquals(DrainExit.BAD_REQUEST, unknown.code)
-            assertEquals(1, unknown.text.trim().lines().size, unknown.text)
+            val unknownType = cluster.command("start", "--id", "d3", "--type", "none")
+            assertEquals(DrainExit.BAD_REQUEST, unknownType.code)
+            assertEquals(1, unknownType.text.trim().lines().size, unknownType.text)
         }
     }
 
-    private fun LoopbackCluster.isEmptying() = stored("d1")?.step?.phase == StepPhase.EMPTYING
+    private fun LoopbackCluster.isEmptyingStep() = stored("d1")?.step?.phase == StepPhase.EMPTYING
 
-    private fun figures(cluster: LoopbackCluster, took: Micros, extraSeconds: Long): String {
+    private fun summary(cluster: LoopbackCluster, duration: Micros, extraSeconds: Long): String {
         val record = cluster.stored("d1")
         return "machines $machines, budget $budget, lost at most ${cluster.peaks()}, " +
-            "took ${took.inSeconds.toInt()} s, steps ${record?.stepsDone}, " +
+            "took ${duration.inSeconds.toInt()} s, steps ${record?.stepsDone}, " +
             "returned ${record?.returned}, moved ${record?.moved}, " +
             "machine hours beyond those before ${"%.2f".format(extraSeconds / 3600.0)}"
     }
 
     private companion object {
         /** Some 40 machines in three zones. */
-        const val SHORT = 40
-        const val REPLICAS = 8
-        const val MACHINES_A_SERVICE = 4
-        const val ZONE = "a"
+        const val SHORT_RUN_MACHINES = 40
+        const val REPLICAS_PER_SERVICE = 8
+        const val MACHINES_PER_SERVICE = 4
+        const val DRAINED_ZONE = "a"
         const val OTHER_ZONE = "b"
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -10,7 +10,7 @@
 
 /** Plans keep every limit; the solver's is never worse than the greedy one. */
 class DrainPlanTest {
-    private fun load(number: Int, zone: String, vararg tasks: Pair<String, Int>) =
+    private fun machineLoad(number: Int, zone: String, vararg tasks: Pair<String, Int>) =
         MachineLoad(
             MachineId("i-%06d".format(number)),
             zone,
@@ -28,7 +28,7 @@
         order: StepOrder = StepOrder.FEWEST_STEPS,
     ) = DrainProblem(loads, limits, emptyMap(), stepSize, order)
 
-    private fun DrainPlan.isSound(problem: DrainProblem) =
+    private fun DrainPlan.isValid(problem: DrainProblem) =
         steps.all { problem.allows(it) } &&
             steps.flatten().map { it.machine }.sortedBy { it.value } ==
                 problem.machines.map { it.machine }.sortedBy { it.value }
@@ -39,27 +39,27 @@
         // With two teams it packs worse than need be.
         val loads =
             listOf(
-                load(1, "a", "x" to 3, "y" to 1),
-                load(2, "a", "x" to 1, "y" to 3),
-                load(3, "a", "x" to 2, "y" to 1),
-                load(4, "a", "x" to 1, "y" to 2),
-                load(5, "a", "x" to 2, "y" to 2),
-                load(6, "a", "x" to 3),
+                machineLoad(1, "a", "x" to 3, "y" to 1),
+                machineLoad(2, "a", "x" to 1, "y" to 3),
+                machineLoad(3, "a", "x" to 2, "y" to 1),
+                machineLoad(4, "a", "x" to 1, "y" to 2),
+                machineLoad(5, "a", "x" to 2, "y" to 2),
+                machineLoad(6, "a", "x" to 3),
             )
         val problem = problem(loads, mapOf("x" to 4, "y" to 4))
         val greedy = GreedyPlanner.plan(problem)
-        val solved = solve(problem)
-        assertTrue(solved.isSound(problem))
-        assertTrue(solved.measure <= greedy.measure)
-        assertTrue(solved.isOptimal)
-        assertEquals(3, solved.steps.size)
+        val solverPlan = solve(problem)
+        assertTrue(solverPlan.isValid(problem))
+        assertTrue(solverPlan.cost <= greedy.cost)
+        assertTrue(solverPlan.isOptimal)
+        assertEquals(3, solverPlan.steps.size)
     }
 
-    private fun seeded(seed: Int, machines: Int): DrainProblem {
+    private fun randomProblem(seed: Int, machines: Int): DrainProblem {
         val random = Random(seed)
         val loads =
             List(machines) {
-                load(
+                machineLoad(
                     it,
                     listOf("a", "b").random(random),
                     "x" to random.nextInt(4),
@@ -72,49 +72,55 @@
     }
 
     /** Sizes of the problems; others, such as `20,60,120`, with the time that settings allow. */
-    private val sizes = System.getProperty("drain.plans")?.split(',')?.map { it.toInt() }
+    private val requestedSizes = System.getProperty("drain.plans")?.split(',')?.map { it.toInt() }
 
     /** All plans are sound, and the solver's never worse; gives what they measure together. */
-    private fun compare(machines: Int): String {
+    private fun comparePlanners(machines: Int): String {
         var greedySteps = 0
         var solvedSteps = 0
-        var optimal = 0
-        var maxCpus = 0.0
-        val began = System.nanoTime()
-        for (seed in 1..SEEDS) {
-            val problem = seeded(seed, machines)
+        var provenOptimal = 0
+        var maxStepCpusDifference = 0.0
+        val startNanos = System.nanoTime()
+        for (seed in 1..SEED_COUNT) {
+            val problem = randomProblem(seed, machines)
             val greedy = GreedyPlanner.plan(problem)
-            val solved =
-                if (sizes == null) solve(problem) else SolverPlanner.plan(problem, 300.milliseconds)
-            assertTrue(greedy.isSound(problem), "greedy, seed $seed")
-            assertTrue(solved.isSound(problem), "solved, seed $seed")
-            assertTrue(solved.measure <= greedy.measure, "seed $seed")
-            greedySteps += greedy.measure.steps
-            solvedSteps += solved.measure.steps
-            maxCpus += solved.measure.maxCpus - greedy.measure.maxCpus
-            if (solved.isOptimal) optimal++
+            val solverPlan =
+                if (requestedSizes == null) solve(problem)
+                else SolverPlanner.plan(problem, 300.milliseconds)
+            assertTrue(greedy.isValid(problem), "greedy, seed $seed")
+            assertTrue(solverPlan.isValid(problem), "solved, seed $seed")
+            assertTrue(solverPlan.cost <= greedy.cost, "seed $seed")
+            greedySteps += greedy.cost.steps
+            solvedSteps += solverPlan.cost.steps
+            maxStepCpusDifference += solverPlan.cost.maxStepCpus - greedy.cost.maxStepCpus
+            if (solverPlan.isOptimal) provenOptimal++
         }
-        val milliseconds = (System.nanoTime() - began) / 1_000_000 / SEEDS
+        val milliseconds = (System.nanoTime() - startNanos) / 1_000_000 / SEED_COUNT
         assertTrue(solvedSteps < greedySteps, "the solver never found fewer steps")
         return "$machines machines: greedy $greedySteps steps, solver $solvedSteps, " +
-            "$optimal of $SEEDS proven, CPUs at once by $maxCpus, $milliseconds ms each"
+            "$provenOptimal of $SEED_COUNT proven, CPUs at once by $maxStepCpusDifference, $milliseconds ms each"
     }
 
     @Test
     fun `plans of seeded problems are within all limits, and the solver is never worse`() {
-        for (size in sizes ?: listOf(8, 14)) {
-            val figures = compare(size)
-            if (sizes != null) println(figures)
+        for (size in requestedSizes ?: listOf(8, 14)) {
+            val summary = comparePlanners(size)
+            if (requestedSizes != null) println(summary)
         }
     }
 
     @Test
     fun `a machine beyond a limit is a step of its own, and steps by zone do not mix zones`() {
         val loads =
-            listOf(load(1, "b", "x" to 9), load(2, "a", "x" to 1), load(3, "b"), load(4, "a"))
+            listOf(
+                machineLoad(1, "b", "x" to 9),
+                machineLoad(2, "a", "x" to 1),
+                machineLoad(3, "b"),
+                machineLoad(4, "a"),
+            )
         val problem = problem(loads, mapOf("x" to 2), order = StepOrder.BY_ZONE)
         val plan = solve(problem)
-        assertTrue(plan.isSound(problem))
+        assertTrue(plan.isValid(problem))
         assertEquals(listOf("a", "b", "b"), plan.steps.map { it.first().zone })
         assertTrue(plan.steps.any { step -> step.map { it.machine.value } == listOf("i-000001") })
     }
@@ -132,6 +138,6 @@
     }
 
     private companion object {
-        const val SEEDS = 25
+        const val SEED_COUNT = 25
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -47,12 +47,13 @@
         scenario.start()
         scenario.simulation.lostPlans = 0.3
         val clock = scenario.clock
-        val faults = FaultInjector(scenario.simulation) { scenario.submit(calmJob(scenario)) }
+        val faults =
+            FaultInjector(scenario.simulation) { scenario.submit(nonPreemptingJob(scenario)) }
         val kinds = faults.basicFaults + faults.networkFaults + faults.partitionFaults
         for (at in 45..170 step 12) {
             clock.after(at.seconds - clock.now) { kinds[clock.random.nextInt(kinds.size)]() }
             if (at % 3 == 0)
-                clock.after(at.seconds - clock.now) { scenario.submit(calmJob(scenario)) }
+                clock.after(at.seconds - clock.now) { scenario.submit(nonPreemptingJob(scenario)) }
         }
         scenario.simulation.run(230.seconds)
         for (worker in scenario.workers()) worker.sick = false
@@ -62,12 +63,13 @@
     }
 
     /** Of a priority class that preempts nothing: only the drain evicts work. */
-    private fun calmJob(scenario: DrainScenario) =
+    private fun nonPreemptingJob(scenario: DrainScenario) =
         scenario.simulation.randomJob().let { job ->
             val isEndless = job.estimateS == 0.0
             val spec = if (isEndless) job.copy(estimateS = 8.0) else job
-            val plain = spec.copy(priority = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
-            if (isEndless) plain.copy(kind = JobKind.ARRAY) else plain
+            val normalPriority =
+                spec.copy(priority = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
+            if (isEndless) normalPriority.copy(kind = JobKind.ARRAY) else normalPriority
         }
 
     private companion object {
--- a/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -37,44 +37,50 @@
     private val directory: File,
     private val operators: String,
     machines: Int,
-    private val teamCpus: Double,
+    private val cpusPerTeam: Double,
 ) : AutoCloseable {
     private val group = NioEventLoopGroup(1)
     private val acceptors = NioEventLoopGroup(1)
-    private val loop = group.next()
+    private val eventLoop = group.next()
     private val clock = SimulatedClock(1)
     private val zones = listOf("a", "b", "c")
     private val nodes = listOf("n0", "n1", "n2")
-    private val teams = List(TEAMS) { TeamQuota("team-$it", teamCpus, teamCpus) }
+    private val teams = List(TEAM_COUNT) { TeamQuota("team-$it", cpusPerTeam, cpusPerTeam) }
     private val workerTiming = WorkerTiming(heartbeatPeriodS = 1.0, leaseS = 16.0, cancelS = 36.0)
     private val storeLimits =
         StoreLimits(rps = 600.0, writeRps = 300.0, valueKb = 16.0, txnOps = 48)
-    private val state = FakeKeyValueStore(clock, storeLimits)
+    private val keyValueStore = FakeKeyValueStore(clock, storeLimits)
     private val invariants = Invariants(teams, workerTiming.cancelS.seconds + Invariants.SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
     private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
     private val processes = HashMap<String, Process>()
-    private val clients = HashMap<Pair<String, String>, HttpClient>()
-    private val users = nodes.associateWith { client(addresses.getValue(it).api) }
-    private val statePort = serve { arrival, answer ->
-        state.handle("all", arrival.method, arrival.path, arrival.body.decodeToString(), answer)
+    private val heartbeatClients = HashMap<Pair<String, String>, HttpClient>()
+    private val submissionClients = nodes.associateWith { client(addresses.getValue(it).api) }
+    private val storePort = serve { request, answer ->
+        keyValueStore.handle(
+            "all",
+            request.method,
+            request.path,
+            request.body.decodeToString(),
+            answer,
+        )
     }
-    private val cloudPort = serve { arrival, answer ->
-        cloud.handle(arrival.method, arrival.path, arrival.body.decodeToString(), answer)
+    private val cloudPort = serve { request, answer ->
+        cloud.handle(request.method, request.path, request.body.decodeToString(), answer)
     }
 
     private class Addresses(val api: Int, val peer: Int, val operators: Int)
 
     init {
         val start = System.nanoTime()
-        loop.scheduleWithFixedDelay(
+        eventLoop.scheduleWithFixedDelay(
             {
                 clock.run(Micros((System.nanoTime() - start) / NANOS_PER_MICRO)) {}
                 invariants.check(clock.now)
             },
             0,
-            PUMP_MILLIS,
+            CLOCK_ADVANCE_PERIOD_MILLIS,
             TimeUnit.MILLISECONDS,
         )
         clock.every(1.seconds) { machineSeconds += cloud.workers().size }
@@ -85,40 +91,42 @@
     private var machineSeconds = 0L
 
     /** The sum of the seconds for which machines have been up until now. */
-    fun machineSeconds(): Long = onLoop { machineSeconds }
+    fun machineSeconds(): Long = onEventLoop { machineSeconds }
 
     /** The operators' listeners of the controllers. */
     val operatorAddresses: List<String>
         get() = addresses.values.map { "$HOST:${it.operators}" }
 
     /** The state of the fakes is read and changed on their loop only. */
-    private fun <T> onLoop(action: () -> T): T = loop.submit(Callable { action() }).get()
+    private fun <T> onEventLoop(action: () -> T): T = eventLoop.submit(Callable { action() }).get()
 
     private fun freePort() = ServerSocket(0, 1, InetAddress.getByName(HOST)).use { it.localPort }
 
-    private fun client(port: Int) = HttpClient(group, InetSocketAddress(HOST, port), 1, MAX_BYTES)
+    private fun client(port: Int) =
+        HttpClient(group, InetSocketAddress(HOST, port), 1, MAX_RESPONSE_BYTES)
 
     /** Listens on another thread and handles requests on the loop; returns the port. */
     private fun serve(handle: (Input.Request, (Int, String) -> Unit) -> Unit): Int {
         lateinit var server: HttpServer
-        val onArrival: (Input.Request) -> Unit = { arrival ->
-            loop.execute {
-                handle(arrival) { status, body ->
+        val onRequest: (Input.Request) -> Unit = { request ->
+            eventLoop.execute {
+                handle(request) { status, body ->
                     acceptors.next().execute {
-                        server.answer(arrival.id, status, body.encodeToByteArray(), null)
+                        server.answer(request.id, status, body.encodeToByteArray(), null)
                     }
                 }
             }
         }
-        server = HttpServer(acceptors, MANY, MANY, IDLE_S, onArrival)
+        server =
+            HttpServer(acceptors, MAX_CONNECTIONS, MAX_CONNECTIONS, CONNECTION_IDLE_S, onRequest)
         val channel = server.listen(InetSocketAddress(HOST, 0), ListenerKind.PEER)
         return (channel.localAddress() as InetSocketAddress).port
     }
 
     private fun worker(id: String, type: String, zone: String, spot: Boolean): FakeWorker {
         lateinit var worker: FakeWorker
-        val port = serve { arrival, answer ->
-            direct(worker, arrival)?.let { (status, body) -> answer(status, body) }
+        val port = serve { request, answer ->
+            handleWorkerRequest(worker, request)?.let { (status, body) -> answer(status, body) }
         }
         worker =
             FakeWorker(
@@ -133,21 +141,29 @@
                 specs::get,
                 endpoint = "$HOST:$port",
             ) { node, body, answer ->
-                report(id, node, body, answer)
+                sendHeartbeat(id, node, body, answer)
             }
         return worker
     }
 
-    private fun direct(worker: FakeWorker, arrival: Input.Request): Pair<Int, String>? =
+    private fun handleWorkerRequest(
+        worker: FakeWorker,
+        request: Input.Request,
+    ): Pair<Int, String>? =
         when {
             !worker.alive || worker.hanging -> null
-            arrival.path == "/status" -> 200 to worker.reportBody()
-            else -> worker.direct(arrival.body.decodeToString())
+            request.path == "/status" -> 200 to worker.reportBody()
+            else -> worker.direct(request.body.decodeToString())
         }
 
-    private fun report(id: String, node: String, body: String, answer: (Int, String) -> Unit) {
-        val client = clients.getOrPut(id to node) { client(addresses.getValue(node).api) }
-        client.send("POST", "/hello", body.encodeToByteArray(), REPORT_TIMEOUT) { outcome ->
+    private fun sendHeartbeat(
+        id: String,
+        node: String,
+        body: String,
+        answer: (Int, String) -> Unit,
+    ) {
+        val client = heartbeatClients.getOrPut(id to node) { client(addresses.getValue(node).api) }
+        client.send("POST", "/hello", body.encodeToByteArray(), HEARTBEAT_TIMEOUT) { outcome ->
             val response = outcome as? Outcome.Response
             answer(response?.status ?: 0, response?.text.orEmpty())
         }
@@ -177,82 +193,85 @@
     }
 
     /** The leader, by the stored record. */
-    fun leader(): String? = onLoop {
-        state.value("leader")?.let {
+    fun leader(): String? = onEventLoop {
+        keyValueStore.value("leader")?.let {
             lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it).member
         }
     }
 
     /** The stored record of a drain. */
-    fun stored(id: String): DrainRecord? = onLoop {
-        state.value(DrainRecord.key(id))?.let {
+    fun stored(id: String): DrainRecord? = onEventLoop {
+        keyValueStore.value(DrainRecord.key(id))?.let {
             lenientJson.decodeFromJsonElement(DrainRecord.serializer(), it)
         }
     }
 
     /** Submits a job until a controller accepts it. */
     fun submit(spec: JobSpec) {
-        onLoop {
+        onEventLoop {
             specs[spec.id] = spec
             invariants.submitted(spec)
         }
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
-        repeat(MAX_TRIES) {
+        repeat(MAX_SUBMISSION_ATTEMPTS) {
             val reply = CompletableFuture<Outcome>()
-            loop.execute {
-                users.values
+            eventLoop.execute {
+                submissionClients.values
                     .toList()[it % nodes.size]
                     .send("POST", "/submissions", body, 5.seconds, reply::complete)
             }
             val status = (reply.get() as? Outcome.Response)?.status
             if (status == 200 || status == 201) return
-            Thread.sleep(RETRY_MILLIS)
+            Thread.sleep(SUBMISSION_RETRY_MILLIS)
         }
         error("${spec.id} was not accepted")
     }
 
     /** Machines that are up, by their ids. */
-    fun machines(zone: String? = null): List<String> = onLoop {
+    fun machines(zone: String? = null): List<String> = onEventLoop {
         cloud.workers().filter { zone == null || it.zone == zone }.map { it.id }
     }
 
     /** Machines that run tasks. */
-    fun busyMachines(zone: String): List<String> = onLoop {
+    fun busyMachines(zone: String): List<String> = onEventLoop {
         cloud.workers().filter { it.zone == zone && it.tasksThere > 0 }.map { it.id }
     }
 
     /** Crashes a machine with its tasks. */
-    fun crash(machine: String) = onLoop {
+    fun crash(machine: String) = onEventLoop {
         cloud.workers().filter { it.id == machine }.forEach(cloud::kill)
     }
 
     /** How many replicas run. */
-    fun running(jobs: List<JobSpec>): Int = onLoop {
+    fun running(jobs: List<JobSpec>): Int = onEventLoop {
         jobs.sumOf { invariants.machinesOf(it.id).size }
     }
 
     /** Invariants that the controllers broke, by the records of the fakes. */
-    fun problems(limit: Int, noticedAfter: Micros): List<String> = onLoop {
+    fun problems(limit: Int, noticedAfter: Micros): List<String> = onEventLoop {
         invariants.broken +
-            state.problems +
+            keyValueStore.problems +
             cloud.problems +
             invariants.losses.beyond({ limit }, noticedAfter)
     }
 
     /** The most tasks of each team that were disrupted at once. */
-    fun peaks(): Map<String, Int> = onLoop {
+    fun peaks(): Map<String, Int> = onEventLoop {
         teams.associate { it.name to invariants.losses.peakOf(it.name) }
     }
 
     /** Time since the cluster was started. */
-    fun now(): Micros = onLoop { clock.now }
+    fun now(): Micros = onEventLoop { clock.now }
 
     /** The last lines that a controller logged. */
     fun logs(): String =
         nodes.joinToString("\n") { node ->
             node +
                 ":\n" +
-                File(directory, "$node.log").readLines().takeLast(LOG_LINES).joinToString("\n")
+                File(directory, "$node.log")
+                    .readLines()
+                    .takeLast(LOG_LINES_PER_CONTROLLER)
+                    .joinToString("\n")
         }
 
     override fun close() {
@@ -280,7 +299,7 @@
 $peers
 [services]
 cloud = "$HOST:$cloudPort"
-state = "$HOST:$statePort"
+state = "$HOST:$storePort"
 
 [facts]
 nodes = ${nodes.size}
@@ -312,15 +331,15 @@
 
     private companion object {
         const val HOST = "127.0.0.1"
-        const val TEAMS = 3
-        const val PUMP_MILLIS = 5L
+        const val TEAM_COUNT = 3
+        const val CLOCK_ADVANCE_PERIOD_MILLIS = 5L
         const val NANOS_PER_MICRO = 1_000
-        const val MAX_BYTES = 16 * 1024 * 1024
-        const val MANY = 10_000
-        const val IDLE_S = 90L
-        const val MAX_TRIES = 60
-        const val RETRY_MILLIS = 500L
-        const val LOG_LINES = 30
-        val REPORT_TIMEOUT = 4.seconds
+        const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+        const val MAX_CONNECTIONS = 10_000
+        const val CONNECTION_IDLE_S = 90L
+        const val MAX_SUBMISSION_ATTEMPTS = 60
+        const val SUBMISSION_RETRY_MILLIS = 500L
+        const val LOG_LINES_PER_CONTROLLER = 30
+        val HEARTBEAT_TIMEOUT = 4.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -179,7 +179,7 @@
         private fun compute(effect: Effect.Compute) {
             if (lostPlans > 0 && clock.chance(lostPlans)) return
             val planning = effect.task as DrainPlanning
-            val plan = SolverPlanner.plan(planning.problem, 60.seconds, nodes = 2_000)
+            val plan = SolverPlanner.plan(planning.problem, 60.seconds, maxNodes = 2_000)
             clock.after(200.milliseconds) { feed(Input.Computed(effect.id, plan)) }
         }
 
