--- a/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
@@ -15,37 +15,45 @@
 
 /** Why a budget does not allow an eviction. */
 sealed interface BudgetRefusal {
-    /** For the operators. */
+    /** The explanation that operators see. */
     val reason: String
 
-    /** The budget is too small for this, whatever runs again. */
+    /** The eviction exceeds the budget even if no other task is disrupted. */
     data class Permanent(override val reason: String) : BudgetRefusal
 
-    /** Tasks that are disrupted now have to run again first. */
+    /** The budget is in use: tasks that are disrupted now have to run again first. */
     data class Temporary(override val reason: String) : BudgetRefusal
 }
 
 /**
- * The disruption budgets of the teams, and how much of them is in use. A task counts from its first
- * start until it is done: as up only while a healthy machine reports it as running under this
- * leader's fencing token, and otherwise as disrupted. So evictions by a drain count, losses by a
- * crash or a preemption, and whatever is in doubt, such as all that has not been reported to a new
- * leader yet.
+ * Tracks the disruption budgets of the teams and how much of each budget is in use.
+ *
+ * A task counts towards its team's budget from its first start until it is done. It counts as
+ * running only while a healthy machine reports it as running under this leader's fencing token;
+ * otherwise it counts as disrupted. Disrupted tasks are therefore those that a drain evicted, those
+ * lost in a crash or preemption, and those whose state is unknown, such as every task that has not
+ * been reported to a new leader yet.
  */
 class DisruptionBudgets(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val settings: DrainSettings,
-    /** A machine without a heartbeat for this long is in doubt. */
+    /** The tasks of a machine without a heartbeat for this long count as disrupted. */
     private val heartbeatTimeout: Micros,
 ) {
-    /** Evictions of this term: the task may still be reported as running for a while. */
+    /**
+     * Task attempts that were evicted in this term. They count as disrupted at once, although their
+     * machine may still report them as running for a while.
+     */
     private val evictionsSent = HashSet<TaskAttempt>()
     private val runningByTeam = HashMap<String, Int>()
     private val disruptedByTeam = HashMap<String, Int>()
     private val disruptedByService = HashMap<JobId, Int>()
 
-    /** Counts all tasks again; until the next call [recordEviction] updates the counts. */
+    /**
+     * Counts the tasks of all jobs that have not ended. Between two calls only [recordEviction]
+     * updates the counts.
+     */
     fun recount() {
         runningByTeam.clear()
         disruptedByTeam.clear()
@@ -74,7 +82,9 @@
         evictionsSent.retainAll(currentAttempts)
     }
 
-    /** True if the task is known to run, and was not sent a stop. */
+    /**
+     * True if a healthy machine reports the task as running and no controller has told it to stop.
+     */
     fun isConfirmedRunning(placement: Placement): Boolean {
         val machine = cluster.machines[placement.machine] ?: return false
         return placement.status == TaskStatus.RUNNING &&
@@ -92,8 +102,9 @@
     }
 
     /**
-     * False for a first start by this leader that does not run yet. A first start that an earlier
-     * leader recorded may have run.
+     * True unless this is the task's first attempt, started by this leader and not reported as
+     * running yet. A first attempt that was restored from the store may have run under an earlier
+     * leader, so it counts as started.
      */
     private fun mayHaveStarted(placement: Placement) =
         placement.isRestored ||
@@ -101,11 +112,11 @@
             placement.runningSince != null ||
             placement.taskAttempt in evictionsSent
 
-    /** True if the task counts as disrupted already, so that its eviction takes nothing more. */
+    /** True if the task already counts as disrupted, so that evicting it uses no more budget. */
     fun isDisrupted(placement: Placement) =
         !isConfirmedRunning(placement) && mayHaveStarted(placement)
 
-    /** Counts the task as disrupted from now, since its stop is being sent. */
+    /** Counts the task as disrupted from now on, because its stop command is about to be sent. */
     fun recordEviction(placement: Placement) {
         val spec = placement.job.spec
         val wasDisrupted = isDisrupted(placement)
@@ -116,21 +127,24 @@
         if (spec.kind == JobKind.SERVICE) disruptedByService.merge(placement.job.id, 1, Int::plus)
     }
 
-    /** How many tasks of the team are disrupted or may be. */
+    /** The number of tasks of [team] that are disrupted or whose state is unknown. */
     fun disruptedTasks(team: String): Int = disruptedByTeam[team] ?: 0
 
-    /** How many tasks of the team may be disrupted at once, by number and share of its budget. */
+    /**
+     * The number of tasks of [team] that may be disrupted at once: the smaller of the budget's
+     * number and its share of the team's started tasks, rounded up.
+     */
     fun disruptionLimit(team: String): Int {
         val budget = settings.budgetOf(team)
         val tasks = (runningByTeam[team] ?: 0) + disruptedTasks(team)
         return minOf(budget.maxDisrupted, ceil(tasks * budget.maxDisruptedShare).toInt())
     }
 
-    /** How many replicas of the service may be down at once. */
+    /** The number of replicas of the service [job] that may be down at once. */
     fun maxDownReplicas(job: Job): Int =
         (job.spec.tasks - settings.budgetOf(job.spec.team).minReplicas).coerceAtLeast(0)
 
-    /** Why [count] more tasks of the job may not be evicted now, or null if they may. */
+    /** Why [count] more tasks of [job] may not be evicted now; null if they may be evicted. */
     fun refusal(job: Job, count: Int): BudgetRefusal? {
         val team = job.spec.team
         val budget = settings.budgetOf(team)
@@ -166,6 +180,8 @@
     }
 
     private companion object {
+        /** Above this number, evictions of attempts that are no longer placed are forgotten. */
+        /** Above this number, evictions of attempts that are no longer placed are forgotten. */
         const val EVICTIONS_BEFORE_PRUNING = 1_000
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -10,27 +10,28 @@
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
 
-/** Finds the controller that leads. */
+/** Finds the controller that is the elected leader. */
 interface DrainLeaderLocator {
-    /** The drains of this controller's term, or null if it does not lead. */
+    /** The drain service of this controller's term; null if this controller is not the leader. */
     val local: DrainService?
 
-    /** The member name of another controller that leads, or null if none is known. */
+    /** The member name of another controller that is the leader; null if none is known. */
     val remote: String?
 }
 
 /**
- * The operators' interface on every controller. The leader handles requests itself; any other
- * controller forwards them to it, and if that fails answers reads from the key-value store, saying
- * so. Forwarded requests are not forwarded again, so that there is no loop between controllers that
- * take each other for the leader.
+ * The operators' HTTP interface for drains, which runs on every controller. The leader handles
+ * requests itself. Any other controller forwards them to the leader; if that fails, it answers
+ * reads from the key-value store and marks the response with [Source.STORE]. A forwarded request is
+ * never forwarded again, which prevents a loop between controllers that take each other for the
+ * leader.
  */
 class DrainApi(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val leader: DrainLeaderLocator,
 ) {
-    /** Handles a request on the operators' listener. */
+    /** Handles a request that arrived on the operators' listener. */
     fun handle(call: Input.Request) {
         val path = call.path.substringBefore('?')
         if (path != DrainPaths.DRAINS && !path.startsWith("${DrainPaths.DRAINS}/"))
@@ -44,7 +45,10 @@
         forward(call.id, member, request)
     }
 
-    /** Handles a request that another controller forwards; answered with 409 without a term. */
+    /**
+     * Handles a request that another controller forwarded. The response is 409 if this controller
+     * is not the leader.
+     */
     fun handleForwarded(call: Input.Request) {
         val request =
             CborFormat.decode(ForwardedRequest.serializer(), call.body)
@@ -86,7 +90,10 @@
         else answer(call, response)
     }
 
-    /** Answers a read from the key-value store, and any other request with [fallback]. */
+    /**
+     * Answers a read from the key-value store. Other requests, and reads for which the store does
+     * not answer, get [fallback].
+     */
     private fun answerFromStore(call: Long, request: ForwardedRequest, fallback: OperatorResponse) {
         if (request.method != "GET") return answer(call, fallback)
         val readAt = context.now
--- a/src/main/kotlin/wardmux/drain/DrainDecision.kt
+++ b/src/main/kotlin/wardmux/drain/DrainDecision.kt
@@ -1,13 +1,16 @@
 package wardmux.drain
 
-/** What to do next for a drain. */
+/** What the leader does next for a drain. */
 sealed interface DrainDecision {
-    /** Nothing, until what [reason] names has changed. */
+    /**
+     * Do nothing for now. [reason] names what the drain waits for; operators see it as `waits_for`,
+     * and it is not stored.
+     */
     data class Wait(val reason: String) : DrainDecision
 
-    /** Write the record; only then is it acted on. */
+    /** Write [record] to the store. The leader acts on it only once it is stored. */
     data class Write(val record: DrainRecord) : DrainDecision
 
-    /** Pause the drain; [note] is for the operators. */
+    /** Pause the drain. [note] is stored with the drain and explains the pause to operators. */
     data class Pause(val reason: PauseReason, val note: String) : DrainDecision
 }
--- a/src/main/kotlin/wardmux/drain/DrainDryRun.kt
+++ b/src/main/kotlin/wardmux/drain/DrainDryRun.kt
@@ -2,7 +2,7 @@
 
 import wardmux.model.Machine
 
-/** Shows what a drain would do, without starting it. */
+/** Computes what a drain would do, without starting it. */
 class DrainDryRun(
     private val drains: DrainStore,
     private val selection: DrainSelection,
@@ -11,7 +11,10 @@
     private val admission: StepAdmission,
     private val statuses: DrainStatusReader,
 ) {
-    /** The steps by the greedy plan, the budgets, and the first obstacle for [targets]. */
+    /**
+     * The greedy plan's steps for draining [targets], the budgets of the affected teams, and the
+     * first obstacle that would delay the drain.
+     */
     fun check(request: DrainRequest, targets: List<Machine>): DrainCheck {
         val plan = GreedyPlanner.plan(plans.problem(request, targets))
         val record = drains.newRecord(request, selection.newest)
--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -7,9 +7,10 @@
 import wardmux.model.seconds
 
 /**
- * Carries out the drains while this controller leads. A decision is written first and acted on only
- * once it is stored, and all actions follow from what is stored, so that the next leader continues
- * in the middle of any step. Several drains run side by side and share the budgets.
+ * Advances the drains while this controller is the leader. Each decision is written to the store
+ * first and acted on only once it is stored. Every action is derived from the stored records, so a
+ * new leader can continue in the middle of any step. Several drains may run concurrently; they
+ * share the disruption budgets.
  */
 class DrainManager(
     private val context: CoreContext,
@@ -23,10 +24,13 @@
     private val waitsFor = HashMap<String, String>()
     private var nextAdvanceAt = Micros.LONG_AGO
 
-    /** What the drain [id] waits for, for the operators; empty if nothing. */
+    /** What the drain [id] waits for, as shown to operators; empty if it waits for nothing. */
     fun waitsFor(id: String): String = waitsFor[id].orEmpty()
 
-    /** Advances all drains; only for a leader that may decide. */
+    /**
+     * Advances all drains. Must be called only while the leader may decide, see
+     * [DrainTerm.mayDecide].
+     */
     fun tick() {
         drains.tick()
         if (!drains.isRead || context.now < nextAdvanceAt) return
@@ -57,7 +61,7 @@
         return if (next.state.isFinal) next else next.copy(state = DrainState.RUNNING)
     }
 
-    /** Null for a drain that waits for its operators. */
+    /** The next decision for [record]; null if the drain is paused until an operator resumes it. */
     private fun decide(record: DrainRecord): DrainDecision? {
         if (record.state == DrainState.PAUSED && !record.isPausedAutomatically) return null
         if (isOverdue(record))
@@ -79,7 +83,7 @@
         waitsFor[record.request.id] = decision.note
         if (record.state == DrainState.PAUSED && record.reason == decision.reason) return
         if (isRecentlyChanged(record) && decision.reason.resumesAutomatically) return
-        log.info("drain {} pauses: {}", record.request.id, decision.note)
+        log.info("drain {} is being paused: {}", record.request.id, decision.note)
         write(
             record.copy(
                 state = DrainState.PAUSED,
@@ -94,7 +98,10 @@
         write(record.resumed())
     }
 
-    /** Pauses that come and go with single losses are not written each time. */
+    /**
+     * True if the record changed less than [MIN_PAUSE_CHANGE_INTERVAL] ago. Automatic pauses and
+     * resumes are then not written, because losses of single tasks can alternate quickly.
+     */
     private fun isRecentlyChanged(record: DrainRecord) =
         context.wallTime - Micros(record.changedAt) < MIN_PAUSE_CHANGE_INTERVAL
 
@@ -110,7 +117,7 @@
     private fun onWritten(record: DrainRecord) {
         val step = record.step
         log.info(
-            "drain {} is {}: step {} {}, {} machines returned, {} tasks evicted",
+            "drain {} was stored as {}: step {} {}, {} machines returned, {} tasks evicted",
             record.request.id,
             record.state,
             step?.number ?: record.stepsDone,
@@ -118,7 +125,8 @@
             record.returned,
             record.moved,
         )
-        // At once, so that machines of a cancelled drain take tasks again and a new step starts.
+        // The next tick advances the drains at once, so that the machines of a cancelled drain take
+        // tasks again and a new step starts without delay.
         nextAdvanceAt = Micros.LONG_AGO
     }
 
--- a/src/main/kotlin/wardmux/drain/DrainPaths.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPaths.kt
@@ -1,22 +1,25 @@
 package wardmux.drain
 
-/** Paths of the operators' interface. */
+/** HTTP paths and path segments of the operators' interface for drains. */
 object DrainPaths {
-    /** All drains; below it each has its id. */
+    /** The path of all drains. The path of one drain is this path, a slash and its id. */
     const val DRAINS = "/drains"
 
-    /** Below [DRAINS]: a dry run. */
+    /** The segment after [DRAINS] that requests a dry run. */
     const val CHECK = "check"
 
-    /** Below a drain: pauses it until it is resumed. */
+    /** The segment after the path of a drain that pauses it until an operator resumes it. */
     const val PAUSE = "pause"
 
-    /** Below a drain: resumes it. */
+    /** The segment after the path of a drain that resumes it. */
     const val RESUME = "resume"
 
-    /** Below a drain: ends it; its machines take tasks again. */
+    /**
+     * The segment after the path of a drain that cancels it. Machines that it has not returned take
+     * tasks again.
+     */
     const val CANCEL = "cancel"
 
-    /** On the peers' listener: requests that another controller forwards to the leader. */
+    /** The path on the peers' listener for requests that a controller forwards to the leader. */
     const val FORWARDED = "/operate"
 }
--- a/src/main/kotlin/wardmux/drain/DrainPlan.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPlan.kt
@@ -2,34 +2,40 @@
 
 import wardmux.model.MachineId
 
-/** The tasks to be evicted from one machine. */
+/** The tasks that draining [machine] evicts. */
 class MachineLoad(
     val machine: MachineId,
     val zone: String,
-    /** CPUs of the tasks that are evicted. */
+    /** The number of CPUs that the evicted tasks use. */
     val cpus: Double,
-    /** Number of tasks that are evicted, by team. */
+    /** The number of evicted tasks by team name. */
     val tasksByTeam: Map<String, Int>,
-    /** Number of replicas that are evicted, by service. */
+    /** The number of evicted replicas by the job id of their service. */
     val replicasByService: Map<String, Int>,
 ) {
-    /** Number of all tasks that are evicted. */
+    /** The number of evicted tasks of all teams. */
     val tasks: Int
         get() = tasksByTeam.values.sum()
 }
 
-/** The planning problem: divide machines into steps, each within all budgets. */
+/**
+ * The planning problem of a drain: divide [machines] into steps so that each step is within all
+ * limits.
+ */
 class DrainProblem(
     val machines: List<MachineLoad>,
-    /** How many tasks of each team one step may evict. */
+    /** The number of tasks of each team that one step may evict, by team name. */
     val teamLimits: Map<String, Int>,
-    /** How many replicas of each service one step may evict. */
+    /** The number of replicas of each service that one step may evict, by job id. */
     val serviceLimits: Map<String, Int>,
+    /** The largest number of machines in one step. */
+    /** The largest number of machines in one step. */
     val stepSize: Int,
     val order: StepOrder,
 ) {
     /**
-     * True if [step] is within all limits; a machine beyond them by itself is a step of its own.
+     * True if [step] is within all limits. A single machine is always allowed: a machine that
+     * exceeds a limit by itself is drained in its own step.
      */
     fun allows(step: List<MachineLoad>): Boolean =
         step.size <= 1 ||
@@ -45,7 +51,7 @@
         tasksByTeam.all { (team, n) -> n <= limitFor(teamLimits, team) } &&
             replicasByService.all { (service, n) -> n <= limitFor(serviceLimits, service) }
 
-    /** True if [load] is beyond the limits by itself, and so has to be a step of its own. */
+    /** True if [load] exceeds a limit by itself and therefore needs its own step. */
     fun needsOwnStep(load: MachineLoad): Boolean = !load.isWithinLimits()
 
     private fun total(step: List<MachineLoad>, counts: (MachineLoad) -> Map<String, Int>) =
@@ -54,31 +60,38 @@
         }
 
     companion object {
-        /** The limit for [name], or [Int.MAX_VALUE] if it has none. */
+        /** The limit for the team or service [name]; [Int.MAX_VALUE] if it has none. */
         fun limitFor(limits: Map<String, Int>, name: String): Int = limits[name] ?: Int.MAX_VALUE
     }
 }
 
-/** The steps of a drain, in their order. */
+/** The steps of a drain, in the order in which they are carried out. */
 class DrainPlan(
     val steps: List<List<MachineLoad>>,
-    /** The number of steps is proven to be the smallest. */
+    /** True if the solver proved that no plan has fewer steps. */
     val isOptimal: Boolean = false,
 ) {
-    /** The cost: fewer steps first, then fewer CPUs evicted at once. */
+    /** The cost of the plan, by which plans are compared. */
     val cost: PlanCost
         get() = PlanCost(steps.size, steps.maxOfOrNull { step -> step.sumOf { it.cpus } } ?: 0.0)
 }
 
-/** The number of steps, and the largest number of CPUs that one of them evicts. */
+/**
+ * The cost of a plan: its number of steps, and the largest number of CPUs that one step evicts.
+ * Fewer steps are better; with equal steps, fewer CPUs are better.
+ */
 data class PlanCost(val steps: Int, val maxStepCpus: Double) : Comparable<PlanCost> {
     override fun compareTo(other: PlanCost) =
         compareValuesBy(this, other, { it.steps }, { it.maxStepCpus })
 }
 
-/** First-fit planning, largest machines first: the fallback, and the solver's upper bound. */
+/**
+ * Plans by first fit: each machine goes into the first step whose limits allow it. Machines with
+ * the most tasks come first unless the order asks for the emptiest first. The plan is the fallback
+ * if the solver has none, and the solver's upper bound on the number of steps.
+ */
 object GreedyPlanner {
-    /** A plan within all limits. */
+    /** A plan in which each step is allowed by [problem]. */
     fun plan(problem: DrainProblem): DrainPlan {
         val steps = ArrayList<MutableList<MachineLoad>>()
         for (load in problem.machines.sortedWith(placementOrder(problem))) {
@@ -95,7 +108,7 @@
             StepOrder.BY_ZONE -> compareBy<MachineLoad> { it.zone }.thenByDescending { it.tasks }
         }.thenBy { it.machine.value }
 
-    /** Sorts [steps] by zone if the problem asks for it, then by the number of evicted tasks. */
+    /** Sorts [steps] by zone if the order is [StepOrder.BY_ZONE], then by evicted tasks. */
     fun orderSteps(problem: DrainProblem, steps: List<List<MachineLoad>>): List<List<MachineLoad>> {
         val fewestTasksFirst = compareBy<List<MachineLoad>> { step -> step.sumOf { it.tasks } }
         val order =
--- a/src/main/kotlin/wardmux/drain/DrainRecord.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRecord.kt
@@ -5,35 +5,38 @@
 import kotlinx.serialization.json.JsonElement
 import wardmux.serialization.lenientJson
 
-/** Selects the machines of a drain; an empty or null field does not restrict it. */
+/**
+ * Selects the machines of a drain: those that match all fields. An empty or null field matches
+ * every machine.
+ */
 @Serializable
 data class DrainSelector(
     @SerialName("machines") val machines: List<String> = emptyList(),
     @SerialName("types") val types: List<String> = emptyList(),
     @SerialName("zones") val zones: List<String> = emptyList(),
-    /** Spot machines only, ordinary ones only, or both. */
+    /** True for spot machines only, false for ordinary machines only, null for both. */
     @SerialName("spot") val spot: Boolean? = null,
-    /** Only machines rented before this time (ISO 8601 with an offset). */
+    /** Only machines rented before this time, in ISO 8601 with an offset. */
     @SerialName("older_than") val olderThan: String? = null,
 )
 
-/** What to do once the deadline of a drain has passed. */
+/** What the leader does with a drain whose deadline has passed. */
 @Serializable
 enum class DeadlineAction {
     @SerialName("pause") PAUSE,
     @SerialName("continue") CONTINUE,
 }
 
-/** In which order machines are taken out where the budgets allow several. */
+/** The order in which machines are drained where the budgets allow several orders. */
 @Serializable
 enum class StepOrder {
-    /** As few steps as possible. */
+    /** In as few steps as possible. */
     @SerialName("fewest_steps") FEWEST_STEPS,
 
-    /** The emptiest machines first. */
+    /** Machines with the fewest tasks to evict first. */
     @SerialName("emptiest_first") EMPTIEST_FIRST,
 
-    /** One zone after the other. */
+    /** One zone after the other; no step has machines of two zones. */
     @SerialName("by_zone") BY_ZONE,
 }
 
@@ -46,9 +49,12 @@
     /** The largest number of machines in one step. */
     @SerialName("step_size") val stepSize: Int = 4,
     /**
-     * How long tasks may run on before they are evicted, in seconds; services are evicted at once.
+     * How long tasks of a machine that is being emptied may continue before they are evicted, in
+     * seconds. Replicas of services are evicted at once, because they never end by themselves.
      */
     @SerialName("grace_s") val graceS: Double = 60.0,
+    /** When [atDeadline] takes effect, in ISO 8601 with an offset; null for no deadline. */
+    /** When [atDeadline] takes effect, in ISO 8601 with an offset; null for no deadline. */
     @SerialName("deadline") val deadline: String? = null,
     @SerialName("at_deadline") val atDeadline: DeadlineAction = DeadlineAction.PAUSE,
 )
@@ -56,7 +62,7 @@
 /** The state of a drain. */
 @Serializable
 enum class DrainState(
-    /** The drain is over. */
+    /** True if the drain has ended and can't be resumed. */
     val isFinal: Boolean
 ) {
     @SerialName("planned") PLANNED(false),
@@ -65,36 +71,39 @@
     @SerialName("done") DONE(true),
     @SerialName("cancelled") CANCELLED(true),
 
-    /** This version can't carry out what is stored. */
+    /** This version can't decode the stored record. */
     @SerialName("failed") FAILED(true),
 }
 
 /** Why a drain is paused. */
 @Serializable
 enum class PauseReason(
-    /** The drain resumes as soon as the cause is gone, without an operator. */
+    /** True if the drain resumes without an operator as soon as the cause is gone. */
     val resumesAutomatically: Boolean
 ) {
     @SerialName("operator") OPERATOR(false),
     @SerialName("deadline") DEADLINE(false),
 
-    /** Tasks were lost otherwise, and the budget allows no eviction beside them. */
+    /**
+     * Tasks were disrupted by something other than the drains, and the budget allows no further
+     * eviction until they run again.
+     */
     @SerialName("loss") LOSS(true),
 
-    /** The budget does not allow the remaining evictions at all. */
+    /** The budget is too small for the remaining evictions, even if no task is disrupted. */
     @SerialName("budget") BUDGET(true),
 }
 
-/** The phase of a step. */
+/** The phase of a step, in the order in which a step goes through them. */
 @Serializable
 enum class StepPhase {
-    /** Capacity for the tasks to be evicted is being found or rented. */
+    /** The leader finds or rents capacity for the tasks that the step will evict. */
     @SerialName("preparing") PREPARING,
 
-    /** The machines take no tasks; theirs end or are evicted. */
+    /** The machines take no tasks, except urgent ones, while their own tasks end or are evicted. */
     @SerialName("emptying") EMPTYING,
 
-    /** The machines are returned; the evicted tasks have to run again. */
+    /** The machines have been returned, and the evicted tasks have to run again. */
     @SerialName("settling") SETTLING,
 }
 
@@ -104,15 +113,15 @@
     @SerialName("number") val number: Int,
     @SerialName("phase") val phase: StepPhase,
     @SerialName("machines") val machines: List<String>,
-    /** Tasks that were or are about to be evicted, and do not run again yet. */
+    /** Names of tasks that were or will be evicted and do not run elsewhere yet. */
     @SerialName("moved") val moved: List<String> = emptyList(),
     @SerialName("began_at") val beganAt: Long,
     @SerialName("emptying_since") val emptyingSince: Long = 0,
 )
 
 /**
- * A drain as it is stored; written only by the leader, with its fencing token. Times are in
- * microseconds since 1970.
+ * A drain as stored in the key-value store. Only the leader writes it, together with its fencing
+ * token. Times are in microseconds since 1970.
  */
 @Serializable
 data class DrainRecord(
@@ -121,29 +130,38 @@
     @SerialName("token") val token: Long,
     @SerialName("started_at") val startedAt: Long,
     @SerialName("changed_at") val changedAt: Long,
-    /** The newest machine when the drain started: later ones are not drained. */
+    /**
+     * The id of the newest machine when the drain started. Newer machines are not drained unless
+     * the request names them, because the replacements are among them.
+     */
     @SerialName("newest") val newest: String,
     @SerialName("reason") val reason: PauseReason? = null,
     @SerialName("note") val note: String = "",
     @SerialName("step") val step: DrainStep? = null,
     @SerialName("steps_done") val stepsDone: Int = 0,
+    /** The number of machines in the finished steps. */
+    /** The number of machines in the finished steps. */
     @SerialName("returned") val returned: Int = 0,
+    /** The number of tasks that were selected for eviction so far. */
+    /** The number of tasks that were selected for eviction so far. */
     @SerialName("moved") val moved: Int = 0,
+    /** When the last step finished; 0 if none has. */
+    /** When the last step finished; 0 if none has. */
     @SerialName("step_ended_at") val stepEndedAt: Long = 0,
-    /** The duration of the last step, in microseconds. */
+    /** The duration of the last finished step, in microseconds. */
     @SerialName("last_step") val lastStep: Long = 0,
 ) {
-    /** The record after the end of a pause. */
+    /** A copy of this record that is not paused. */
     fun resumed(): DrainRecord {
         val state = if (step == null) DrainState.PLANNED else DrainState.RUNNING
         return copy(state = state, reason = null, note = "")
     }
 
-    /** The stored form. */
+    /** The JSON that is written to the key-value store. */
     fun toJson(): JsonElement = lenientJson.encodeToJsonElement(serializer(), this)
 
     companion object {
-        /** The prefix of the keys of drains; versions without drains do not read it. */
+        /** The key prefix of drains. Versions that do not support drains never read these keys. */
         const val PREFIX = "d/"
 
         /** The key of the drain [id]. */
--- a/src/main/kotlin/wardmux/drain/DrainRequestCheck.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRequestCheck.kt
@@ -7,17 +7,20 @@
 import wardmux.model.MachineTypes
 import wardmux.model.Micros
 
-/** A drain can't be as requested; [problem] is one line that names the field. */
+/** Thrown if a drain request is invalid; [problem] is one line that names the field. */
 class InvalidDrainRequestException(val problem: String) : Exception(problem)
 
-/** Decodes and validates requests for drains; throws [InvalidDrainRequestException]. */
+/**
+ * Decodes and validates requests to start a drain. Its functions throw
+ * [InvalidDrainRequestException] for an invalid request.
+ */
 class DrainRequestCheck(
     private val context: CoreContext,
     private val selection: DrainSelection,
     private val types: MachineTypes,
     private val zones: List<String>,
 ) {
-    /** The request in [body], not validated yet. */
+    /** Decodes the JSON in [body] without validating the values. */
     fun decode(body: ByteArray): DrainRequest =
         try {
             operatorJson.decodeFromString(DrainRequest.serializer(), body.decodeToString())
@@ -25,7 +28,7 @@
             throw InvalidDrainRequestException(e.message.orEmpty().lineSequence().first())
         }
 
-    /** Throws for the first field of the request that is wrong. */
+    /** Throws for the first field of [request] that is invalid. */
     fun check(request: DrainRequest) {
         val problem =
             problem(request, context.wallTime)
@@ -33,10 +36,10 @@
         if (problem != null) throw InvalidDrainRequestException(problem)
     }
 
-    /** The machines that a new drain would take out; throws if there are none. */
+    /** The machines that a new drain would return to the cloud; throws if there are none. */
     fun targets(request: DrainRequest): List<Machine> =
         selection.targets(request, selection.newest).ifEmpty {
-            throw InvalidDrainRequestException("select: no machine is selected")
+            throw InvalidDrainRequestException("select: matches no machine")
         }
 
     private fun problem(request: DrainRequest, now: Micros): String? =
@@ -48,28 +51,30 @@
 
     private fun idProblem(id: String): String? =
         when {
-            !ID_PATTERN.matches(id) -> "id: letters, digits, '.', '_' and '-', at most 64: $id"
-            id == DrainPaths.CHECK -> "id: $id is a word of the interface"
+            !ID_PATTERN.matches(id) ->
+                "id: must be 1 to 64 letters, digits, '.', '_' or '-', and start with a letter or digit, " +
+                    "but is $id"
+            id == DrainPaths.CHECK -> "id: $id is reserved for a path of the interface"
             else -> null
         }
 
     private fun stepProblem(size: Int): String? =
         if (size in 1..MAX_STEP_SIZE) null
-        else "step_size must be from 1 to $MAX_STEP_SIZE, but is $size"
+        else "step_size: must be from 1 to $MAX_STEP_SIZE, but is $size"
 
     private fun deadlineProblem(deadline: String?, now: Micros): String? {
         val time =
             DrainSelection.parseTime(deadline ?: return null)
-                ?: return "deadline: no time with an offset: $deadline"
-        return if (time <= now) "deadline: is past: $deadline" else null
+                ?: return "deadline: must be an ISO 8601 time with an offset, but is $deadline"
+        return if (time <= now) "deadline: must be in the future, but is $deadline" else null
     }
 
     private fun selectProblem(select: DrainSelector): String? {
         val olderThan = select.olderThan
         return when {
-            select == DrainSelector() -> "select: names nothing"
+            select == DrainSelector() -> "select: at least one field must be set"
             olderThan != null && DrainSelection.parseTime(olderThan) == null ->
-                "select.older_than: no time with an offset: $olderThan"
+                "select.older_than: must be an ISO 8601 time with an offset, but is $olderThan"
             else -> null
         }
     }
--- a/src/main/kotlin/wardmux/drain/DrainSelection.kt
+++ b/src/main/kotlin/wardmux/drain/DrainSelection.kt
@@ -10,17 +10,21 @@
 
 /** Resolves the selectors of drains to machines. */
 class DrainSelection(private val cluster: ClusterState) {
-    /** The newest known machine: ids are ordered by creation. */
+    /**
+     * The id of the newest known machine, empty if there is none. Machine ids are ordered by the
+     * time of creation, so it is the largest id.
+     */
     val newest: String
         get() = cluster.machines.keys.maxOfOrNull { it.value }.orEmpty()
 
-    /** Machines that the drain still has to take out; none if it is over. */
+    /** Machines that the drain still has to return; none if the drain has ended. */
     fun remaining(record: DrainRecord): List<Machine> =
         if (record.state.isFinal) emptyList() else targets(record.request, record.newest)
 
     /**
-     * Machines that [request] selects. Those newer than [newest] are left out unless they are
-     * named, since the replacements are among them.
+     * Machines that [request] selects and that are not decommissioned. Machines newer than the id
+     * [newest] are left out unless the request names them, because the replacements for drained
+     * machines are among them.
      */
     fun targets(request: DrainRequest, newest: String): List<Machine> {
         val latestRental = request.select.olderThan?.let { parseTime(it) }
@@ -38,18 +42,23 @@
             (select.zones.isEmpty() || machine.zone in select.zones) &&
             (select.spot == null || machine.spot == select.spot)
 
-    /** The first selected name that does not exist, in one line with its field, or null. */
+    /**
+     * One line with the field and value of the first selected type, zone or machine that does not
+     * exist; null if all exist.
+     */
     fun unknownNameProblem(
         select: DrainSelector,
         types: List<MachineType>,
         zones: List<String>,
     ): String? {
         val labels = types.map { it.label }
-        return select.types.firstOrNull { it !in labels }?.let { "select.types: unknown: $it" }
-            ?: select.zones.firstOrNull { it !in zones }?.let { "select.zones: unknown: $it" }
+        return select.types
+            .firstOrNull { it !in labels }
+            ?.let { "select.types: unknown machine type: $it" }
+            ?: select.zones.firstOrNull { it !in zones }?.let { "select.zones: unknown zone: $it" }
             ?: select.machines
                 .firstOrNull { MachineId(it) !in cluster.machines }
-                ?.let { "select.machines: unknown: $it" }
+                ?.let { "select.machines: unknown machine: $it" }
     }
 
     companion object {
--- a/src/main/kotlin/wardmux/drain/DrainService.kt
+++ b/src/main/kotlin/wardmux/drain/DrainService.kt
@@ -3,7 +3,7 @@
 import wardmux.core.HttpStatus
 import wardmux.serialization.jsonBytes
 
-/** The leader's side of the operators' interface: starts, checks, reports and controls drains. */
+/** Handles operators' requests on the leader: starts, checks, reports and controls drains. */
 class DrainService(
     private val term: DrainTerm,
     private val drains: DrainStore,
@@ -14,7 +14,10 @@
     private val dryRun: DrainDryRun,
     private val inventory: MachineInventory,
 ) {
-    /** Handles a request; [respond] is called once, as a rule after a write of the drain. */
+    /**
+     * Handles [request] and calls [respond] once. If the request changes a drain, that is after the
+     * write of the drain has finished.
+     */
     fun handle(request: ForwardedRequest, respond: (OperatorResponse) -> Unit) {
         if (!term.mayDecide || !drains.isRead) return respond(OperatorResponses.UNAVAILABLE)
         budgets.recount()
@@ -46,26 +49,37 @@
         return OperatorResponses.status(HttpStatus.OK, statuses.of(record))
     }
 
-    private fun unreadable() = OperatorResponses.conflict("can't be read", DrainState.FAILED)
+    private fun unreadable() =
+        OperatorResponses.conflict(
+            "the stored record of the drain can't be decoded",
+            DrainState.FAILED,
+        )
 
     private fun start(request: DrainRequest, respond: (OperatorResponse) -> Unit) {
-        // A repeated start is idempotent, also when the machines have been deleted since.
+        // A repeated start returns the existing drain before the selection is validated, because
+        // the selected machines may have been deleted since the first request.
         drains[request.id]?.let {
             return respond(OperatorResponses.status(HttpStatus.OK, statuses.of(it)))
         }
         requestCheck.check(request)
-        // Machines that are not listed yet would never be drained.
+        // The drain only selects known machines. Before the cloud's list is read, machines may be
+        // unknown, and those would never be drained.
         if (!inventory.isListed) return respond(OperatorResponses.UNAVAILABLE)
         if (request.id in drains.unreadableIds) return respond(unreadable())
         requestCheck.targets(request)
         val record = drains.newRecord(request, selection.newest)
         if (jsonBytes(record.toJson()) > drains.maxBytes / RECORD_PARTS)
-            throw InvalidDrainRequestException("select.machines: too many to be stored")
+            throw InvalidDrainRequestException(
+                "select.machines: too many machines for one stored record"
+            )
         removeOldestFinished()
         write(record, HttpStatus.CREATED, respond)
     }
 
-    /** Finished drains are kept for a while; the one that finished first is removed first. */
+    /**
+     * Removes the drain that finished first if there are more than [MAX_FINISHED_DRAINS] finished
+     * drains.
+     */
     private fun removeOldestFinished() {
         val finished = drains.all.filter { it.state.isFinal }.sortedBy { it.changedAt }
         finished.dropLast(MAX_FINISHED_DRAINS).firstOrNull()?.let { drains.remove(it.request.id) }
@@ -91,7 +105,7 @@
         when {
             isRepeat -> respond(OperatorResponses.status(HttpStatus.OK, statuses.of(record)))
             record.state.isFinal ->
-                respond(OperatorResponses.conflict("drain $id is over", record.state))
+                respond(OperatorResponses.conflict("drain $id has ended", record.state))
             else -> write(next, HttpStatus.OK, respond)
         }
     }
@@ -99,7 +113,10 @@
     private fun pausedByOperator(record: DrainRecord) =
         record.copy(state = DrainState.PAUSED, reason = PauseReason.OPERATOR, note = "")
 
-    /** A drain that is past its deadline continues without one. */
+    /**
+     * The record after an operator's resume. A drain that was paused at its deadline continues
+     * without a deadline, because it would be paused again at once otherwise.
+     */
     private fun resumedByOperator(record: DrainRecord): DrainRecord {
         if (record.state != DrainState.PAUSED && !record.state.isFinal) return record
         val isOverdue = record.reason == PauseReason.DEADLINE
@@ -118,7 +135,10 @@
     private companion object {
         const val MAX_FINISHED_DRAINS = 20
 
-        /** A third of a stored record is for the request, the rest for the step under way. */
+        /**
+         * A request may use one of this many equal parts of the maximum record size. The rest is
+         * reserved for the current step.
+         */
         const val RECORD_PARTS = 3
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainStatusReader.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStatusReader.kt
@@ -2,7 +2,7 @@
 
 import wardmux.config.DrainSettings
 
-/** Reports drains as the leader knows them. */
+/** Builds the status responses for drains from the state that the leader holds. */
 class DrainStatusReader(
     private val drains: DrainStore,
     private val manager: DrainManager,
@@ -10,14 +10,17 @@
     private val budgets: DisruptionBudgets,
     private val settings: DrainSettings,
 ) {
-    /** All drains, without their machines and budgets. */
+    /** All drains, without the number of remaining machines and the budgets. */
     fun list() =
         DrainList(
             drains.all.map { DrainStatus(it, Source.LEADER, waitsFor = waitsFor(it)) },
             drains.unreadableIds.toList(),
         )
 
-    /** One drain with its remaining machines, and the budgets of the teams on them. */
+    /**
+     * One drain with the number of its remaining machines and the budgets of the teams that have
+     * tasks on them.
+     */
     fun of(record: DrainRecord): DrainStatus {
         val remaining = selection.remaining(record)
         val teams =
@@ -31,7 +34,7 @@
         )
     }
 
-    /** How much of the team's disruption budget is in use. */
+    /** How much of the disruption budget of [team] is in use. */
     fun budgetOf(team: String) =
         BudgetStatus(
             team,
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -14,24 +14,28 @@
 import wardmux.store.VersionCondition
 import wardmux.store.WriteOperation
 
-/** A drain as this leader last read or wrote it, with the version of its key. */
+/** A drain as this leader last read or wrote it, and the version of its key then. */
 class StoredDrain(val record: DrainRecord, val version: KeyVersion)
 
-/** The outcome of a write of a drain. */
+/** The outcome of writing a drain to the key-value store. */
 enum class DrainWriteOutcome {
     WRITTEN,
 
-    /** Not written; the write may be repeated. */
+    /** The drain was not written; the write may be repeated. */
     REFUSED,
 
-    /** Perhaps written: all drains are read again before anything else is decided. */
+    /**
+     * It is not known whether the drain was written. All drains are read again before the leader
+     * decides anything else about drains.
+     */
     UNKNOWN,
 }
 
 /**
  * The leader's access to the drains in the key-value store. Each write is conditional on the
- * versions of the leader's key and the drain's own key, so that a write by an earlier leader, or
- * one that is applied late, changes nothing. After a write without an answer all are read again.
+ * versions of the leader's key and the drain's own key, so a write by an earlier leader, or one
+ * that the store applies late, has no effect. All drains are read again after a write that got no
+ * answer or failed on the version of the drain's own key.
  */
 class DrainStore(
     private val context: CoreContext,
@@ -46,36 +50,42 @@
     private var nextReadAt = Micros.LONG_AGO
     private var isReading = false
 
-    /** Counts reads: the outcome of a write that began before a read is unknown. */
+    /**
+     * Incremented whenever a read starts or becomes necessary. The outcome of a write that was sent
+     * in an earlier generation is unknown.
+     */
     private var readGeneration = 0
 
-    /** All drains have been read, and no write since had an unknown outcome. */
+    /** True if all drains have been read and no write since then had an unknown outcome. */
     var isRead = false
         private set
 
-    /** The drains by their ids. */
+    /** All drains that this version can decode, ordered by id. */
     val all: List<DrainRecord>
         get() = drains.values.map { it.record }
 
-    /** Ids of drains whose records this version can't read. */
+    /** The ids of drains whose stored records this version can't decode. */
     val unreadableIds: Set<String>
         get() = unreadable
 
-    /** The largest size of a record, in bytes. */
+    /** The maximum size of a stored record, in bytes. */
     val maxBytes: Int
         get() = store.maxValueBytes
 
-    /** The drain [id], or null. */
+    /** The drain [id]; null if it does not exist or its record can't be decoded. */
     operator fun get(id: String): DrainRecord? = drains[id]?.record
 
-    /** True while a write of this drain is under way. */
+    /** True while a write or removal of the drain [id] has no outcome yet. */
     fun isBusy(id: String): Boolean = id in pendingWrites
 
-    /** The steps of drains that are not final, stored or being written. */
+    /**
+     * The current steps of all drains that have not ended, both as stored and as in the writes that
+     * have no outcome yet.
+     */
     val activeSteps: List<DrainStep>
         get() = (all + pendingWrites.values).filter { !it.state.isFinal }.mapNotNull { it.step }
 
-    /** Reads all drains if they are not known. */
+    /** Starts reading all drains if they are not known and no read is in progress. */
     fun tick() {
         if (!isRead && !isReading && context.now >= nextReadAt) read()
     }
@@ -100,19 +110,26 @@
                 else drains[id] = StoredDrain(record, item.version)
             }
             isRead = true
-            log.info("read {} drains, {} more can't be decoded", drains.size, unreadable.size)
+            log.info(
+                "read {} drains from the store; the records of {} others can't be decoded",
+                drains.size,
+                unreadable.size,
+            )
         }
     }
 
-    /** A new drain of this leader; [newest] is the newest machine that it may take out. */
+    /**
+     * A record for a new drain, not stored yet. [newest] is the id of the newest machine that it
+     * drains without being named in [request].
+     */
     fun newRecord(request: DrainRequest, newest: String): DrainRecord {
         val now = context.wallTime.value
         return DrainRecord(request, DrainState.PLANNED, role.token.value, now, now, newest)
     }
 
     /**
-     * Writes [changed] with this leader's token and the time; [then] is called with the record as
-     * written and the outcome.
+     * Writes [changed] with this leader's fencing token and the current time. [then] is called with
+     * the record as sent to the store and the outcome.
      */
     fun write(changed: DrainRecord, then: (DrainRecord, DrainWriteOutcome) -> Unit) {
         val record = changed.copy(token = role.token.value, changedAt = context.wallTime.value)
@@ -132,7 +149,7 @@
         }
     }
 
-    /** Removes a drain from the store. */
+    /** Removes the drain [id] from the store, if it exists. */
     fun remove(id: String) {
         val stored = drains[id] ?: return
         val startGeneration = readGeneration
--- a/src/main/kotlin/wardmux/drain/DrainTerm.kt
+++ b/src/main/kotlin/wardmux/drain/DrainTerm.kt
@@ -2,14 +2,14 @@
 
 import wardmux.model.Machine
 
-/** The leader's term, as far as its drains need it. */
+/** What the drains need from the leader's term. */
 interface DrainTerm {
-    /** The leader's lease is valid, and what is stored has been read. */
+    /** True if the leader's lease is valid and the stored state has been read. */
     val mayDecide: Boolean
 
-    /** Returns [machine] to the cloud; nothing is placed there any more. */
+    /** Returns [machine] to the cloud for [reason]; no task is placed on it from now on. */
     fun decommission(machine: Machine, reason: String)
 
-    /** Ends the term: another controller leads. */
+    /** Ends the term, because another controller has become the leader. */
     fun fenced()
 }
--- a/src/main/kotlin/wardmux/drain/DrainWire.kt
+++ b/src/main/kotlin/wardmux/drain/DrainWire.kt
@@ -4,11 +4,11 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** The response to a request that is refused. */
+/** The body of the response to a refused request. */
 @Serializable
 data class DrainError(
     @SerialName("error") val error: String,
-    /** The final state of the drain, if that is the reason. */
+    /** The final state of the drain if the request was refused because of it, otherwise null. */
     @SerialName("state") val state: DrainState? = null,
 )
 
@@ -16,31 +16,37 @@
 @Serializable
 data class BudgetStatus(
     @SerialName("team") val team: String,
+    /** The number of tasks that may be disrupted at once. */
+    /** The number of tasks that may be disrupted at once. */
     @SerialName("limit") val limit: Int,
+    /** The number of tasks that are disrupted or whose state is unknown. */
+    /** The number of tasks that are disrupted or whose state is unknown. */
     @SerialName("disrupted") val disrupted: Int,
+    /** The number of replicas of each service that must stay up. */
+    /** The number of replicas of each service that must stay up. */
     @SerialName("least_replicas") val minReplicas: Int,
 )
 
-/** Where a response comes from. */
+/** Where the data of a response comes from. */
 @Serializable
 enum class Source {
-    /** The leader: what is stored and what it observes. */
+    /** The leader, which knows the stored records and the observed cluster. */
     @SerialName("leader") LEADER,
 
-    /** The key-value store, since no leader could be reached. */
+    /** The key-value store, because no leader could be reached. */
     @SerialName("store") STORE,
 }
 
-/** A drain as operators see it. */
+/** The status of a drain in a response to an operator. */
 @Serializable
 data class DrainStatus(
     @SerialName("drain") val record: DrainRecord,
     @SerialName("source") val source: Source,
-    /** The age of the response, in seconds. */
+    /** The age of the data, in seconds; 0 if the leader answered. */
     @SerialName("age_s") val ageS: Double = 0.0,
-    /** What the drain waits for; known to the leader only. */
+    /** What the drain waits for; empty if nothing, or if the leader did not answer. */
     @SerialName("waits_for") val waitsFor: String = "",
-    /** Machines still to be taken out; known to the leader only. */
+    /** The number of machines still to be returned; null if the leader did not answer. */
     @SerialName("remaining") val remaining: Int? = null,
     @SerialName("budgets") val budgets: List<BudgetStatus> = emptyList(),
 )
@@ -49,23 +55,25 @@
 @Serializable
 data class DrainList(
     @SerialName("drains") val drains: List<DrainStatus>,
-    /** Ids of drains whose record this version can't read: they count as failed. */
+    /** The ids of drains whose record this version can't decode; they count as failed. */
     @SerialName("unreadable") val unreadable: List<String> = emptyList(),
 )
 
 /** The result of a dry run. */
 @Serializable
 data class DrainCheck(
+    /** The number of machines that the drain would return. */
+    /** The number of machines that the drain would return. */
     @SerialName("machines") val machines: Int,
-    /** The machines of each step. */
+    /** The machine ids of each step. */
     @SerialName("steps") val steps: List<List<String>>,
     @SerialName("tasks_to_move") val tasksToMove: Int,
     @SerialName("budgets") val budgets: List<BudgetStatus>,
-    /** The first obstacle to the drain, or null. */
+    /** The first obstacle that would delay the drain now; null if there is none. */
     @SerialName("stopped_by") val stoppedBy: String? = null,
 )
 
-/** An operator's request, forwarded to the leader. */
+/** An operator's request as it is forwarded to the leader. */
 @Serializable
 class ForwardedRequest(
     @SerialName("method") val method: String,
@@ -81,10 +89,16 @@
     @SerialName("retryAfterS") val retryAfterS: Int? = null,
 )
 
-/** A response to an operator; [retryAfterS] in seconds. */
+/**
+ * A response to an operator. [retryAfterS] is the number of seconds after which the operator may
+ * retry; null if a retry is not useful.
+ */
 class OperatorResponse(val status: Int, val body: String, val retryAfterS: Int? = null)
 
-/** JSON between operators and controllers: unknown fields are errors, to detect typos. */
+/**
+ * The JSON format between operators and controllers. Unknown fields are errors, so that typing
+ * errors in requests are detected.
+ */
 val operatorJson = Json {
     encodeDefaults = true
     explicitNulls = false
--- a/src/main/kotlin/wardmux/drain/EvictionSelector.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionSelector.kt
@@ -6,28 +6,34 @@
 import wardmux.model.Placement
 import wardmux.model.seconds
 
-/** Tasks that may be evicted now; if others may not, why, and of which team they are. */
+/**
+ * The tasks that may be evicted now. If the budgets do not allow other candidates, [refusal] is the
+ * reason and [refusedTeam] their team; otherwise [refusal] is null and [refusedTeam] empty.
+ */
 class EvictionSelection(
     val selected: List<Placement>,
     val refusal: BudgetRefusal?,
     val refusedTeam: String,
 )
 
-/** A task of a service, which never ends by itself. */
+/** True for a task of a service, which never ends by itself. */
 val Placement.isReplica: Boolean
     get() = job.spec.kind == JobKind.SERVICE
 
-/** The tasks that an eviction of this one stops: all of a gang. */
+/** The tasks that an eviction of this task stops: all tasks of a gang, otherwise only this one. */
 val Placement.evictedTogether: List<Placement>
     get() = if (job.spec.isGang) job.placements.values.toList() else listOf(this)
 
-/** The task runs, its placement is stored, and it is not being stopped. */
+/**
+ * True if the placement is stored, the task was reported by its machine, and neither the task is
+ * being stopped nor its job has ended.
+ */
 internal val Placement.isEvictable: Boolean
     get() = isCommitted && status != null && !isStopping && !job.hasEnded
 
 /** Selects which tasks of a step are evicted next. */
 class EvictionSelector(private val context: CoreContext, private val budgets: DisruptionBudgets) {
-    /** As many as the budgets allow, those that lose least run time first. */
+    /** Selects as many tasks as the budgets allow, those that lose the least run time first. */
     fun select(candidates: List<Placement>): EvictionSelection {
         val selected = ArrayList<Placement>()
         val selectedByTeam = HashMap<String, Int>()
@@ -41,7 +47,8 @@
             val candidateRefusal =
                 refusalWithSelected(candidate, tasks, selected, selectedByTeam[team] ?: 0)
             if (candidateRefusal != null) {
-                // A refused replica is reported first: other tasks end by themselves.
+                // The refusal of a replica takes precedence in the report, because other tasks
+                // end by themselves.
                 if (refusal == null || candidate.isReplica) {
                     refusal = candidateRefusal
                     refusedTeam = team
@@ -54,7 +61,10 @@
         return EvictionSelection(selected, refusal, refusedTeam)
     }
 
-    /** Why the budgets do not allow [candidate] beside what is [selected] already, or null. */
+    /**
+     * Why the budgets do not allow evicting [candidate] and its [tasks] in addition to those
+     * already [selected]; null if they do.
+     */
     private fun refusalWithSelected(
         candidate: Placement,
         tasks: Int,
@@ -71,7 +81,10 @@
         return budgets.refusal(candidate.job, ofJob + tasks)
     }
 
-    /** Run time that is lost by an eviction. */
+    /**
+     * The run time that an eviction loses: the time to save for replicas and tasks with
+     * checkpoints, otherwise all run time so far.
+     */
     private fun lostRunTime(placement: Placement): Micros {
         val since = placement.runningSince ?: return Micros.ZERO
         val spec = placement.job.spec
--- a/src/main/kotlin/wardmux/drain/LeaderDrains.kt
+++ b/src/main/kotlin/wardmux/drain/LeaderDrains.kt
@@ -14,7 +14,7 @@
 import wardmux.scheduling.TaskEvictor
 import wardmux.store.KeyValueStore
 
-/** What a leader's term provides for its drains. */
+/** The components of a leader's term that its drains use. */
 class DrainEnvironment(
     val store: KeyValueStore,
     val role: Role.Leader,
@@ -26,7 +26,7 @@
     val types: MachineTypes,
 )
 
-/** The drains of one leader's term: creates and connects their parts. */
+/** Creates and connects the components that carry out drains in one leader's term. */
 class LeaderDrains(
     private val context: CoreContext,
     private val environment: DrainEnvironment,
@@ -69,10 +69,10 @@
             stepExecutor(),
         )
 
-    /** Handles the requests of operators. */
+    /** Handles operators' requests. */
     val service = service(settings)
 
-    /** Advances the drains; called several times a second. */
+    /** Advances the drains if the leader may decide; called several times a second. */
     fun tick() {
         if (environment.term.mayDecide) manager.tick()
     }
@@ -113,7 +113,10 @@
         override val isListed: Boolean
             get() = environment.provisioner.isListRead
 
-        /** Lists lag behind, and a list may be older than the one before it. */
+        /**
+         * The cloud's lists lag behind, and a list may be older than the one read before it. The
+         * list therefore counts as complete only once several lags have passed since the election.
+         */
         override val isComplete: Boolean
             get() = isListed && context.now - electedAt > listCompletenessDelay
 
@@ -125,12 +128,16 @@
     }
 
     private companion object {
+        /** The number of list lags after the election from which the list counts as complete. */
         const val LIST_COMPLETENESS_LAGS = 3
 
-        /** A third of a record is for the request, a third for machines and notes. */
+        /**
+         * The names of evicted tasks may use one of this many equal parts of the maximum record
+         * size. One part is reserved for the request and one for machine ids and notes.
+         */
         const val RECORD_PARTS = 3
 
-        /** A task's name with its quotes and comma. */
+        /** The maximum length of a task's name in JSON, with its quotes and comma, in bytes. */
         const val MAX_TASK_NAME_BYTES = 34
     }
 }
--- a/src/main/kotlin/wardmux/drain/MachineInventory.kt
+++ b/src/main/kotlin/wardmux/drain/MachineInventory.kt
@@ -2,14 +2,14 @@
 
 import wardmux.model.Machine
 
-/** The machines as the leader knows them from the cloud. */
+/** The machines that the leader knows from the cloud's list. */
 interface MachineInventory {
-    /** The cloud's list of machines was read in this term. */
+    /** True if the cloud's list of machines has been read in this term. */
     val isListed: Boolean
 
-    /** The list is recent enough for a machine that is not known to have been deleted. */
+    /** True if a machine that is not in the list can be assumed to be deleted. */
     val isComplete: Boolean
 
-    /** Returns [machine] to the cloud. */
+    /** Returns [machine] to the cloud for [reason]. */
     fun decommission(machine: Machine, reason: String)
 }
--- a/src/main/kotlin/wardmux/drain/MaintenanceUpdater.kt
+++ b/src/main/kotlin/wardmux/drain/MaintenanceUpdater.kt
@@ -4,7 +4,10 @@
 import wardmux.model.Maintenance
 import wardmux.scheduling.ClusterState
 
-/** Cordons the machines of steps, as follows from the records alone. */
+/**
+ * Sets the maintenance mode of the machines in the current steps, for example to cordon them. The
+ * mode is derived from the drain records and from waiting urgent work.
+ */
 class MaintenanceUpdater(
     private val cluster: ClusterState,
     private val inspector: StepInspector,
@@ -12,7 +15,7 @@
 ) {
     private val machinesInSteps = HashSet<Machine>()
 
-    /** Sets what each machine may take by the drains that are [active]. */
+    /** Sets the maintenance mode of each machine according to the drains that have not ended. */
     fun update(active: List<DrainRecord>) {
         cluster.hasDrains = active.isNotEmpty()
         if (active.isEmpty()) clear() else setForSteps(active)
--- a/src/main/kotlin/wardmux/drain/OperatorResponses.kt
+++ b/src/main/kotlin/wardmux/drain/OperatorResponses.kt
@@ -3,13 +3,19 @@
 import kotlinx.serialization.KSerializer
 import wardmux.core.HttpStatus
 
-/** The responses to operators, by their HTTP status. */
+/** Creates the responses to operators, each with its HTTP status. */
 object OperatorResponses {
     private const val RETRY_AFTER_S = 1
 
-    /** No leader can decide now; the operator may retry after [RETRY_AFTER_S]. */
+    /**
+     * No leader can handle the request now. The operator may retry after [RETRY_AFTER_S] seconds.
+     */
     val UNAVAILABLE =
-        error(HttpStatus.SERVICE_UNAVAILABLE, DrainError("no leader can decide now"), RETRY_AFTER_S)
+        error(
+            HttpStatus.SERVICE_UNAVAILABLE,
+            DrainError("no leader can handle the request now"),
+            RETRY_AFTER_S,
+        )
 
     /** The status of one drain. */
     fun status(code: Int, status: DrainStatus) = of(code, DrainStatus.serializer(), status)
@@ -17,24 +23,25 @@
     /** All drains. */
     fun list(list: DrainList) = of(HttpStatus.OK, DrainList.serializer(), list)
 
-    /** What a drain would do. */
+    /** The result of a dry run. */
     fun check(check: DrainCheck) = of(HttpStatus.OK, DrainCheck.serializer(), check)
 
-    /** The request is invalid; [problem] names the field. */
+    /** The request is invalid; [problem] is one line that names the field. */
     fun malformed(problem: String) = error(HttpStatus.BAD_REQUEST, DrainError(problem))
 
-    /** There is no drain with this id. */
-    fun unknown(id: String) = error(HttpStatus.NOT_FOUND, DrainError("no such drain: $id"))
+    /** There is no drain with the id [id]. */
+    fun unknown(id: String) = error(HttpStatus.NOT_FOUND, DrainError("drain $id does not exist"))
 
-    /** The drain's [state] does not allow the request. */
+    /** The state of the drain does not allow the request. */
     fun conflict(reason: String, state: DrainState) =
         error(HttpStatus.CONFLICT, DrainError(reason, state))
 
-    /** There is no such path. */
-    fun noSuchPath() = error(HttpStatus.NOT_FOUND, DrainError("no such path"))
+    /** The path of the request does not exist. */
+    fun noSuchPath() = error(HttpStatus.NOT_FOUND, DrainError("the path does not exist"))
 
-    /** The path does not take this method. */
-    fun wrongMethod() = error(HttpStatus.METHOD_NOT_ALLOWED, DrainError("use GET or POST"))
+    /** The path does not support the method of the request. */
+    fun wrongMethod() =
+        error(HttpStatus.METHOD_NOT_ALLOWED, DrainError("the method must be GET or POST"))
 
     private fun error(code: Int, error: DrainError, retryAfterS: Int? = null) =
         OperatorResponse(
--- a/src/main/kotlin/wardmux/drain/PlanScheduler.kt
+++ b/src/main/kotlin/wardmux/drain/PlanScheduler.kt
@@ -11,8 +11,9 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * Provides the next step of each drain. Plans are computed in the background, and no more often
- * than the settings' share of a processor allows; if none comes in time, the greedy plan is used.
+ * Provides the next step of each drain. The solver computes plans in the background, and no more
+ * often than the configured share of a processor allows. The greedy plan is used if the solver is
+ * off, not due yet, or does not answer in time.
  */
 class PlanScheduler(
     private val context: CoreContext,
@@ -21,6 +22,7 @@
     private val settings: DrainSettings,
     private val inspector: StepInspector,
 ) {
+    /** A plan that was requested from the solver and not used yet. */
     private class PendingPlan(val requestedAt: Micros) {
         var isAnswered = false
         var plan: DrainPlan? = null
@@ -30,7 +32,10 @@
     private val pending = HashMap<String, PendingPlan>()
     private var nextPlanAt = Micros.LONG_AGO
 
-    /** The planning problem of the drain for [machines]. */
+    /**
+     * The planning problem of the drain for [machines]. Each limit is at least 1, because a step
+     * must be able to evict something.
+     */
     fun problem(request: DrainRequest, machines: List<Machine>): DrainProblem {
         val teams = cluster.teams.keys.associateWith { maxOf(1, budgets.disruptionLimit(it)) }
         val services =
@@ -52,7 +57,7 @@
         )
     }
 
-    /** The machines of the next step, or null while a plan is being computed. */
+    /** The machines of the next step; null while the solver computes a plan. */
     fun nextStep(request: DrainRequest, machines: List<Machine>): List<Machine>? {
         val machinesById = machines.associateBy { it.id }
         val pendingPlan = pending[request.id]
@@ -75,7 +80,10 @@
         return step.map { machinesById.getValue(it.machine) }
     }
 
-    /** The first step of [plan] if all its machines are still to be drained. */
+    /**
+     * The machines of the first step of [plan]; null if the plan has no step or some of its
+     * machines are no longer to be drained.
+     */
     private fun firstStep(plan: DrainPlan, machinesById: Map<MachineId, Machine>): List<Machine>? {
         val step = plan.steps.firstOrNull() ?: return null
         val machines = step.mapNotNull { machinesById[it.machine] }
@@ -85,7 +93,10 @@
     private val timeout: Micros
         get() = settings.solverTimeS.seconds + PLAN_RESULT_MARGIN
 
-    /** False if no plan may be computed now. */
+    /**
+     * Requests a plan from the solver. Returns false if the solver is off, its next plan is not due
+     * yet, or there is only one machine.
+     */
     private fun requestPlan(request: DrainRequest, problem: DrainProblem): Boolean {
         if (settings.solverTimeS <= 0 || settings.solverShare <= 0) return false
         if (context.now < nextPlanAt || problem.machines.size <= 1) return false
@@ -95,12 +106,13 @@
         context.compute(DrainPlanning(problem, settings.solverTimeS.seconds)) { plan ->
             pendingPlan.isAnswered = true
             pendingPlan.plan = plan
-            log.debug("plan for {}: {} steps", request.id, plan?.steps?.size)
+            log.debug("solver plan for drain {}: {} steps", request.id, plan?.steps?.size)
         }
         return true
     }
 
     private companion object {
+        /** How long to wait for the solver's result after its time limit. */
         val PLAN_RESULT_MARGIN = 2.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -8,7 +8,7 @@
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 
-/** Checks whether evicted tasks fit on the machines that are up and are not drained. */
+/** Checks whether evicted tasks fit on the schedulable machines that are not being drained. */
 class RelocationFeasibility(
     private val cluster: ClusterState,
     private val eligibility: Eligibility,
@@ -16,9 +16,9 @@
     private class FreeResources(var cpus: Double, var gpus: Double, var memoryGb: Double)
 
     /**
-     * The tasks of [evicted] for which there is no room now, if the largest are placed first. No
-     * task goes to a machine that is being drained, unless it is [staying], nor to one of
-     * [leaving].
+     * The tasks of [evicted] for which there is no free capacity now, if the tasks with the most
+     * CPUs are placed first. No task is placed on a machine in [leaving], nor on a machine that is
+     * being drained unless it is in [staying].
      */
     fun unplaceableTasks(
         evicted: List<Placement>,
--- a/src/main/kotlin/wardmux/drain/ReplacementCapacity.kt
+++ b/src/main/kotlin/wardmux/drain/ReplacementCapacity.kt
@@ -7,19 +7,22 @@
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 
-/** Requests machines for tasks that a drain has to relocate and that fit nowhere else. */
+/** Rents machines for evicted tasks that fit on no existing machine. */
 class ReplacementCapacity(
     private val cluster: ClusterState,
     private val eligibility: Eligibility,
     private val provisioner: JobProvisioner,
     private val types: MachineTypes,
 ) {
-    /** Requests a machine for the first of [tasks] unless one is coming, and waits for it. */
+    /**
+     * Decides to wait for capacity for [tasks]. Requests a machine for the first of them unless one
+     * that suits it is already requested or booting.
+     */
     fun awaitCapacity(tasks: List<Placement>): DrainDecision {
         val first = tasks.first()
         requestMachine(first.job)
         return DrainDecision.Wait(
-            "room for ${tasks.size} tasks, first ${first.name}, is not up yet"
+            "capacity for ${tasks.size} tasks, first ${first.name}, to be rented and up"
         )
     }
 
--- a/src/main/kotlin/wardmux/drain/SolverPlanner.kt
+++ b/src/main/kotlin/wardmux/drain/SolverPlanner.kt
@@ -6,14 +6,15 @@
 import wardmux.model.Micros
 
 /**
- * Finds a plan with the fewest steps by constraint programming (Choco): a variable for each machine
- * is the number of its step, and each limit is a bin packing over the steps. The greedy plan is the
- * upper bound; the result is the best plan found within the limits on time and search nodes.
+ * Finds a plan with the fewest steps by constraint programming (Choco). The model has a variable
+ * for each machine, which is the number of the machine's step, and a bin-packing constraint over
+ * the steps for each limit. The greedy plan is the upper bound on the number of steps. The result
+ * is the best plan found within the limits on time and search nodes.
  */
 object SolverPlanner {
     /**
-     * The best plan found within [timeLimit] and [maxNodes] search nodes; never worse than the
-     * greedy one.
+     * The best plan found within [timeLimit] and [maxNodes] search nodes. It never costs more than
+     * the greedy plan.
      */
     fun plan(
         problem: DrainProblem,
@@ -58,7 +59,7 @@
             return search(timeLimit, maxNodes)
         }
 
-        /** The sum of [counts] in each step is at most [limit]. */
+        /** Requires that the sum of [counts] in each step is at most [limit]. */
         private fun limitPerStep(counts: List<Int>, limit: Int) {
             val max = minOf(limit, counts.sum())
             if (max == counts.sum()) return
@@ -86,7 +87,7 @@
         }
     }
 
-    /** Beyond this the model takes too long to build. */
+    /** With more machines than this, building the model takes too long. */
     private const val MAX_SOLVER_MACHINES = 300
     private const val MAX_SEARCH_NODES = 200_000L
     private const val MICROS_PER_MILLI = 1_000L
--- a/src/main/kotlin/wardmux/drain/StepAdmission.kt
+++ b/src/main/kotlin/wardmux/drain/StepAdmission.kt
@@ -10,7 +10,10 @@
 import wardmux.model.Placement
 import wardmux.model.seconds
 
-/** Decides whether a step may start: maintenance windows, urgent work, pauses and budgets. */
+/**
+ * Decides whether a step may start, depending on maintenance windows, urgent work, the pause
+ * between steps and the disruption budgets.
+ */
 class StepAdmission(
     private val context: CoreContext,
     private val drains: DrainStore,
@@ -20,16 +23,21 @@
     private val feasibility: RelocationFeasibility,
     private val settings: DrainSettings,
 ) {
-    /** Lazy, since a holiday calendar takes long to read and a new leader has no time for it. */
+    /**
+     * Created lazily, because reading a holiday calendar takes long and would delay a new leader.
+     */
     private val windows by lazy {
         MaintenanceWindows(ZoneId.of(settings.timeZone), settings.holidays, settings.windows)
     }
 
-    /** Why no step with any of [targets] may start now, or null. */
+    /** Why no step with any of [targets] may start now; null if one may. */
     fun refusal(record: DrainRecord, targets: List<Machine>): DrainDecision? =
         reasonToWait(record, targets)?.let { DrainDecision.Wait(it) }
 
-    /** Why a step with exactly [machines] may not start now, by what it evicts, or null. */
+    /**
+     * Why a step with exactly [machines] may not start now, considering the tasks that it evicts;
+     * null if it may.
+     */
     fun stepRefusal(record: DrainRecord, machines: List<Machine>): DrainDecision? {
         val evicted = machines.flatMap { inspector.tasksToEvict(it, record.request) }
         reasonForStepPause(teamsOf(evicted))?.let {
@@ -43,7 +51,7 @@
         return null
     }
 
-    /** The first thing that would keep the drain from starting a step now, or null. */
+    /** The first reason that would delay a step of the drain now; null if there is none. */
     fun firstObstacle(record: DrainRecord, targets: List<Machine>): String? {
         reasonToWait(record, targets)?.let {
             return it
@@ -63,10 +71,13 @@
         }
         val at = MaintenanceWindows.instantOf(context.wallTime)
         if (windows.isOpenFor(at, expectedDuration(record))) return null
-        return "a maintenance window; the next is from ${windows.next(at)?.from}"
+        return "a maintenance window; the next one opens at ${windows.next(at)?.from}"
     }
 
-    /** As long as the step before, or the grace period and the usual time beside it. */
+    /**
+     * The expected duration of the next step: that of the last step, but at least the grace period
+     * plus [USUAL_STEP_DURATION].
+     */
     private fun expectedDuration(record: DrainRecord): Duration {
         val usualDuration = record.request.graceS.seconds + USUAL_STEP_DURATION
         return Duration.ofSeconds(maxOf(usualDuration, Micros(record.lastStep)).inSeconds.toLong())
@@ -77,15 +88,15 @@
         for (team in teams) {
             val pause = settings.budgetOf(team).stepPauseS.seconds
             if (pause == Micros.ZERO) continue
-            if (isInActiveStep(team)) return "another step that disrupts $team is under way"
+            if (isInActiveStep(team)) return "another step that evicts tasks of team $team"
             val elapsed = context.wallTime - Micros(lastStepEndedAt)
             if (lastStepEndedAt > 0 && elapsed < pause)
-                return "the pause between two steps of $team, ${(pause - elapsed).inSeconds.toInt()} s"
+                return "the pause between steps of team $team, ${(pause - elapsed).inSeconds.toInt()} s left"
         }
         return null
     }
 
-    /** A step that is under way holds tasks of [team]. */
+    /** True if a current step has tasks of [team] that are still placed or do not run again yet. */
     private fun isInActiveStep(team: String): Boolean =
         inspector.activeSteps.any { step ->
             inspector.unsettledTasks(step).any { inspector.teamOf(it) == team } ||
@@ -97,11 +108,12 @@
     private fun missingCapacity(evicted: List<Placement>, leaving: Set<Machine>): String? {
         val unplaceable = feasibility.unplaceableTasks(evicted, leaving)
         return if (unplaceable.isEmpty()) null
-        else "no room yet for ${unplaceable.size} of ${evicted.size} tasks; it is rented first"
+        else
+            "no capacity yet for ${unplaceable.size} of ${evicted.size} tasks; machines are rented first"
     }
 
     private companion object {
-        /** Boot of a replacement and restart of what was evicted. */
+        /** Time to boot a replacement and restart the evicted tasks. */
         val USUAL_STEP_DURATION = 120.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepExecutor.kt
+++ b/src/main/kotlin/wardmux/drain/StepExecutor.kt
@@ -6,8 +6,8 @@
 
 /**
  * Carries out one step: prepares capacity, empties and returns the machines within the budgets, and
- * waits until the evicted tasks run again. It has no state of its own: what it does follows from
- * the record and the observed cluster, so that the next leader can continue at any point.
+ * waits until the evicted tasks run again. It is stateless: its decisions depend only on the stored
+ * record and the observed cluster, so the next leader can continue at any point.
  */
 class StepExecutor(
     private val context: CoreContext,
@@ -18,7 +18,7 @@
     private val evictionPlanner: EvictionPlanner,
     private val inventory: MachineInventory,
 ) {
-    /** What to do next for [step], the current one of [record]. */
+    /** What to do next for [step], the current step of [record]. */
     fun decide(record: DrainRecord, step: DrainStep): DrainDecision =
         when (step.phase) {
             StepPhase.PREPARING -> preparation.decide(record, step)
@@ -34,7 +34,7 @@
         if (machines.isEmpty()) return startSettling(record, step)
         val activeMachines = machines.filter { !it.isDecommissioned }
         if (activeMachines.isEmpty())
-            return DrainDecision.Wait("${machines.size} machines are being returned")
+            return DrainDecision.Wait("${machines.size} returned machines to be deleted")
         urgentWork.reasonToYield(activeMachines)?.let {
             return DrainDecision.Wait(it)
         }
@@ -43,8 +43,9 @@
     }
 
     /**
-     * Nothing is placed or reported there, and no start is in flight. The ends of its last tasks
-     * are recorded within [TASK_END_RECORDING_TIME], until which the machine is kept.
+     * True if no task is placed or reported on the machine and no start is in flight. The machine
+     * must also have been idle for [TASK_END_RECORDING_TIME], because the ends of its last tasks
+     * are recorded within that time.
      */
     private fun isEmptied(machine: Machine) =
         machine.isEmpty &&
@@ -53,7 +54,8 @@
             context.now - machine.idleSince > TASK_END_RECORDING_TIME
 
     private fun startSettling(record: DrainRecord, step: DrainStep): DrainDecision {
-        if (!inventory.isComplete) return DrainDecision.Wait("the list of machines")
+        if (!inventory.isComplete)
+            return DrainDecision.Wait("a complete list of machines from the cloud")
         return DrainDecision.Write(record.copy(step = step.copy(phase = StepPhase.SETTLING)))
     }
 
@@ -61,7 +63,7 @@
         val unsettled = inspector.unsettledTasks(step)
         if (unsettled.isNotEmpty())
             return DrainDecision.Wait(
-                "${unsettled.size} moved tasks do not run again yet: ${unsettled.first()}"
+                "${unsettled.size} evicted tasks to run again, first ${unsettled.first()}"
             )
         val now = context.wallTime.value
         return DrainDecision.Write(
--- a/src/main/kotlin/wardmux/drain/StepInspector.kt
+++ b/src/main/kotlin/wardmux/drain/StepInspector.kt
@@ -9,22 +9,22 @@
 import wardmux.model.seconds
 import wardmux.scheduling.ClusterState
 
-/** Relates the recorded steps of drains to the machines and tasks of the cluster. */
+/** Looks up the machines and tasks that the stored steps of drains name. */
 class StepInspector(
     private val context: CoreContext,
     private val cluster: ClusterState,
     private val budgets: DisruptionBudgets,
     private val drains: DrainStore,
 ) {
-    /** The steps of all drains that are under way. */
+    /** The current steps of all drains that have not ended. */
     val activeSteps: List<DrainStep>
         get() = drains.activeSteps
 
-    /** Machines of the step that are not deleted. */
+    /** The machines of [step] that are not deleted. */
     fun machinesOf(step: DrainStep): List<Machine> =
         step.machines.mapNotNull { cluster.machines[MachineId(it)] }
 
-    /** Names of tasks that the step evicted and that neither run elsewhere nor have ended. */
+    /** The names of tasks that [step] evicts and that neither run elsewhere nor have ended. */
     fun unsettledTasks(step: DrainStep): List<String> =
         step.moved.filter { name ->
             val task = TaskId.parse(name) ?: return@filter false
@@ -34,10 +34,10 @@
             placement.machine.value in step.machines || !budgets.isConfirmedRunning(placement)
         }
 
-    /** The team of the task named [task], or null if its job is not known. */
+    /** The team of the task named [task]; null if the name is invalid or its job is unknown. */
     fun teamOf(task: String): String? = TaskId.parse(task)?.let { cluster.jobs[it.job]?.spec?.team }
 
-    /** Tasks on the machine that will not end by themselves within the grace period. */
+    /** The tasks on [machine] that are not expected to end within the grace period. */
     fun tasksToEvict(machine: Machine, request: DrainRequest): List<Placement> =
         machine.placements.values.filter {
             !it.job.hasEnded && (it.isReplica || remainingRunTime(it) > request.graceS.seconds)
--- a/src/main/kotlin/wardmux/drain/StepPreparation.kt
+++ b/src/main/kotlin/wardmux/drain/StepPreparation.kt
@@ -5,7 +5,7 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** The first phase of a step: capacity for the tasks that it evicts. */
+/** The first phase of a step, which provides capacity for the tasks that the step evicts. */
 class StepPreparation(
     private val context: CoreContext,
     private val inspector: StepInspector,
@@ -13,7 +13,10 @@
     private val feasibility: RelocationFeasibility,
     private val replacements: ReplacementCapacity,
 ) {
-    /** Goes on to emptying once every task has room, or with fewer machines after a timeout. */
+    /**
+     * Starts emptying once there is capacity for every task. After a timeout the step continues
+     * with those of its machines for whose tasks there is capacity.
+     */
     fun decide(record: DrainRecord, step: DrainStep): DrainDecision {
         val machines = inspector.machinesOf(step)
         urgentWork.reasonToYield(machines)?.let {
@@ -27,12 +30,18 @@
         return replacements.awaitCapacity(unplaceable)
     }
 
-    /** By then a replacement is up, if the cloud has one and it boots as usual. */
+    /**
+     * The time after which a replacement is expected to be up, if the cloud has one and it boots in
+     * the usual time.
+     */
     private fun capacityTimeout(machines: List<Machine>): Micros =
         (machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * CAPACITY_TIMEOUT_BOOTS +
             CAPACITY_TIMEOUT_BASE
 
-    /** Keeps the machines for which there is room; without any, another step is chosen. */
+    /**
+     * Reduces the step to the machines for whose tasks there is capacity. If there is no such
+     * machine, the step is removed and the drain chooses another one.
+     */
     private fun reduceStep(
         record: DrainRecord,
         step: DrainStep,
--- a/src/main/kotlin/wardmux/drain/StepStarter.kt
+++ b/src/main/kotlin/wardmux/drain/StepStarter.kt
@@ -5,7 +5,7 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** Starts the next step of a drain, or finishes the drain if no machine is left. */
+/** Starts the next step of a drain, or finishes the drain if no selected machine is left. */
 class StepStarter(
     private val context: CoreContext,
     private val inspector: StepInspector,
@@ -14,10 +14,13 @@
     private val plans: PlanScheduler,
     private val inventory: MachineInventory,
 ) {
-    /** Machines that had no room for their tasks lately, and until when others go first. */
+    /**
+     * Ids of machines whose tasks recently had no capacity elsewhere, with the time until which
+     * other machines are preferred.
+     */
     private val backoffUntil = HashMap<String, Micros>()
 
-    /** The next step of [record], which has none, as soon as it may start. */
+    /** What to do next for [record], which has no current step. */
     fun decide(record: DrainRecord): DrainDecision {
         val targets = selection.remaining(record)
         if (targets.isEmpty()) return finish(record)
@@ -25,18 +28,18 @@
     }
 
     private fun finish(record: DrainRecord): DrainDecision {
-        if (!inventory.isComplete) return DrainDecision.Wait("the list of machines")
+        if (!inventory.isComplete)
+            return DrainDecision.Wait("a complete list of machines from the cloud")
         return DrainDecision.Write(record.copy(state = DrainState.DONE))
     }
 
     private fun chooseStep(record: DrainRecord, targets: List<Machine>): DrainDecision {
         val inSteps = inspector.activeSteps.flatMapTo(HashSet()) { it.machines }
         val available = targets.filter { it.id.value !in inSteps }
-        if (available.isEmpty())
-            return DrainDecision.Wait("another drain takes the same machines out")
+        if (available.isEmpty()) return DrainDecision.Wait("another drain of the same machines")
         val machines =
             plans.nextStep(record.request, preferred(available))
-                ?: return DrainDecision.Wait("a plan is worked out")
+                ?: return DrainDecision.Wait("the plan of the next step to be computed")
         return admission.stepRefusal(record, machines) ?: start(record, machines)
     }
 
@@ -51,7 +54,10 @@
         return DrainDecision.Write(record.copy(step = step))
     }
 
-    /** Remembers machines that leave the step of [before] since their tasks have no room. */
+    /**
+     * Starts a backoff for the machines that are in the step of [before] but not in that of
+     * [after]: they were removed in the preparation because there is no capacity for their tasks.
+     */
     fun backOffUnplaceable(before: DrainRecord, after: DrainRecord) {
         val step = before.step?.takeIf { it.phase == StepPhase.PREPARING } ?: return
         for (machine in step.machines - after.step?.machines.orEmpty().toSet()) {
@@ -59,7 +65,7 @@
         }
     }
 
-    /** The machines that were not without room lately, or all if there are no such. */
+    /** The [machines] that have no backoff, or all of them if each has one. */
     private fun preferred(machines: List<Machine>): List<Machine> {
         backoffUntil.values.removeIf { it <= context.now }
         return machines.filter { it.id.value !in backoffUntil }.ifEmpty { machines }
--- a/src/main/kotlin/wardmux/drain/TaskEvictions.kt
+++ b/src/main/kotlin/wardmux/drain/TaskEvictions.kt
@@ -3,13 +3,13 @@
 import wardmux.model.Placement
 import wardmux.scheduling.TaskEvictor
 
-/** Evicts tasks that are recorded for it. */
+/** Evicts the tasks that the stored record of a step names. */
 class TaskEvictions(
     private val inspector: StepInspector,
     private val budgets: DisruptionBudgets,
     private val evictor: TaskEvictor,
 ) {
-    /** Evicts what the step's record names, as far as the budgets allow it at this moment. */
+    /** Evicts the tasks that [step] names, as far as the budgets allow it now. */
     fun evictRecorded(step: DrainStep) {
         for (machine in inspector.machinesOf(step)) {
             if (machine.isDecommissioned || !machine.hasAdoptedToken) continue
@@ -21,16 +21,17 @@
 
     private fun evict(placement: Placement) {
         val tasks = placement.evictedTogether
-        // What counts as disrupted already takes nothing more of the budget.
+        // Tasks that already count as disrupted use no more of the budget.
         val undisrupted = tasks.count { !budgets.isDisrupted(it) }
         if (undisrupted > 0 && budgets.refusal(placement.job, undisrupted) != null) return
-        // Counted first: once the evictor has marked them they no longer count as up.
+        // The evictions are counted before they are sent. Once the evictor has marked the tasks as
+        // stopping, they would no longer count as running, and the counts would not change.
         for (task in tasks) budgets.recordEviction(task)
         evictor.evict(placement, EVICTION_REASON)
     }
 
     companion object {
-        /** The reason of evictions and decommissions, for the log. */
+        /** The reason that is given for evictions and decommissions by a drain. */
         const val EVICTION_REASON = "its machine is drained"
     }
 }
--- a/src/main/kotlin/wardmux/drain/UrgentWork.kt
+++ b/src/main/kotlin/wardmux/drain/UrgentWork.kt
@@ -7,15 +7,21 @@
 import wardmux.model.seconds
 import wardmux.scheduling.ClusterState
 
-/** Detects urgent jobs that wait for capacity on machines of a drain: they have precedence. */
+/**
+ * Detects urgent jobs that wait for capacity which machines of a drain could provide. These jobs
+ * take precedence over the drain.
+ */
 class UrgentWork(private val context: CoreContext, private val cluster: ClusterState) {
-    /** True if an urgent job waits that one of [machines] could take. */
+    /** True if an urgent job is waiting that could run on one of [machines]. */
     fun isWaitingFor(machines: List<Machine>): Boolean = waitingFor(machines) != null
 
-    /** Why a drain must leave [machines] to urgent work, for the operators; null if it need not. */
+    /**
+     * The urgent job to which a drain must leave [machines], as shown to operators; null if there
+     * is none.
+     */
     fun reasonToYield(machines: List<Machine>): String? =
         waitingFor(machines)?.let {
-            "urgent ${it.id} of ${it.spec.team} waits for room and goes first"
+            "urgent job ${it.id} of ${it.spec.team}, which takes precedence over the drain"
         }
 
     private fun waitingFor(machines: List<Machine>): Job? =
@@ -38,6 +44,7 @@
     }
 
     private companion object {
+        /** How long a job must have been blocked before drains yield to it. */
         val MIN_URGENT_WAIT = 1.seconds
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -172,7 +172,7 @@
         scenario.start()
         var said = false
         while (scenario.simulation.invariants.finalOf(urgent.id) == null) {
-            if ("goes first" in scenario.status().waitsFor) said = true
+            if ("takes precedence" in scenario.status().waitsFor) said = true
             scenario.simulation.run(scenario.clock.now + 5.seconds)
             assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
         }
