--- a/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
@@ -18,7 +18,11 @@
 import wardmux.scheduling.PlannerHarness
 import wardmux.sim.plainJob
 
-/** What counts as disrupted: all that is not known to run, and nothing that never ran. */
+/**
+ * Guards against evictions beyond a team's budget. They happen if a task that is not known to be
+ * running is not counted as disrupted, or if the limits of a team or service are computed wrongly.
+ * A task that has never run must not count, because it would use up the budget needlessly.
+ */
 class DisruptionBudgetsTest {
     private val type = MachineType("mid", 16.0, memoryGb = 64.0, zones = listOf("a"))
     private val harness =
@@ -53,13 +57,13 @@
         assertEquals(4, disruptedAfter { machine.change() })
 
     @Test
-    fun `a task that is reported as running is up`() {
+    fun `a task that is reported as running is not disrupted`() {
         assertEquals(0, budgets.disruptedTasks("team-0"))
         assertEquals(2, budgets.disruptionLimit("team-0"))
     }
 
     @Test
-    fun `all tasks count on a machine that is silent, unconfirmed, preempted or decommissioned`() {
+    fun `tasks on a silent, unconfirmed, preempted or decommissioned machine count as disrupted`() {
         assertAllDisruptedBy { lastHeartbeatAt = 93.seconds }
         assertEquals(0, disruptedAfter { machine.lastHeartbeatAt = 100.seconds })
         assertAllDisruptedBy { hasAdoptedToken = false }
@@ -70,7 +74,7 @@
     }
 
     @Test
-    fun `a first start that does not run yet does not count, one of an earlier leader does`() {
+    fun `a first attempt counts as disrupted before it runs only if an earlier leader started it`() {
         first.runningSince = null
         assertEquals(0, disruptedAfter { first.status = TaskStatus.FETCHING })
         assertEquals(1, disruptedAfter { first.isRestored = true })
@@ -79,16 +83,20 @@
     }
 
     @Test
-    fun `an eviction counts from when it was sent, whatever is reported later`() {
+    fun `an evicted task counts as disrupted at once, whatever is reported later`() {
         budgets.recordEviction(first)
         assertEquals(1, budgets.disruptedTasks("team-0"))
         budgets.recordEviction(first)
-        assertEquals(1, budgets.disruptedTasks("team-0"), "counted once")
+        assertEquals(
+            1,
+            budgets.disruptedTasks("team-0"),
+            "expected a repeated eviction of the task to count once",
+        )
         assertEquals(1, disruptedAfter { first.status = TaskStatus.RUNNING })
     }
 
     @Test
-    fun `an interrupted task counts until it runs again`() {
+    fun `an interrupted task counts as disrupted until it runs again`() {
         harness.cluster.release(first, "test")
         assertEquals(1, disruptedAfter {})
         harness.run(job, 0, machine)
@@ -96,13 +104,13 @@
     }
 
     @Test
-    fun `jobs that have ended do not count`() {
+    fun `tasks of an ended job do not count as disrupted`() {
         machine.hasAdoptedToken = false
         assertEquals(0, disruptedAfter { job.phase = JobPhase.CANCELLED })
     }
 
     @Test
-    fun `a budget refuses what exceeds it, for now or permanently`() {
+    fun `an eviction beyond the budget is refused, temporarily or permanently`() {
         assertNull(budgets.refusal(job, 2))
         assertIs<BudgetRefusal.Permanent>(budgets.refusal(job, 3))
         budgets.recordEviction(first)
@@ -111,12 +119,12 @@
         val smallService = harness.job(plainJob(2, "job-000002").copy(kind = JobKind.SERVICE))
         assertIs<BudgetRefusal.Permanent>(
             budgets.refusal(smallService, 1),
-            "two replicas must stay up",
+            "expected a refusal, because two replicas must stay up",
         )
     }
 
     @Test
-    fun `a share is rounded up, and the smaller of number and share holds`() {
+    fun `the share of a budget is rounded up, and the smaller of number and share is the limit`() {
         fun limitForShare(share: Double): Int {
             val settings = DrainSettings(budget = budget.copy(maxDisruptedShare = share))
             val own = DisruptionBudgets(harness.context, harness.cluster, settings, 6.seconds)
@@ -130,14 +138,14 @@
     }
 
     @Test
-    fun `replicas of one service are limited beside the team`() {
+    fun `replicas of one service have a limit in addition to that of their team`() {
         val otherService: Job = harness.job(plainJob(3, "job-000003").copy(kind = JobKind.SERVICE))
         repeat(3) { harness.run(otherService, it, harness.machine(2 + it, type)) }
         budgets.recount()
         budgets.recordEviction(otherService.placements.get(0))
         assertIs<BudgetRefusal.Temporary>(
             budgets.refusal(otherService, 1),
-            "one of three may be down",
+            "expected a refusal, because only one of three replicas may be down",
         )
         assertNull(budgets.refusal(job, 1))
     }
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -17,13 +17,15 @@
 import wardmux.sim.plainJob
 
 /**
- * A drain driven by the command line over real sockets, with three controllers as processes of
- * their own, while a leader and a worker are killed. What each team lost is counted from the
- * stand-in workers' own records. The long form takes the number of machines from `drain.machines`:
+ * Guards against a drain that stops or exceeds a disruption budget after a crash of its leader and
+ * of a machine. The drain is controlled with the command line over real sockets. Three controllers
+ * run as separate processes. The disruptions of each team are counted from the records of the fake
+ * workers. The long form takes the number of machines from the system property `drain.machines`:
  *
  *     mvn -q test -Dtest=DrainLoopbackTest -Ddrain.machines=240
  *
- * `drain.step` sets the size of steps, and `drain.solver` the solver's time: 0 for greedy plans.
+ * The property `drain.step` sets the number of machines in a step, and `drain.solver` the solver's
+ * time limit in seconds; with 0 all plans are greedy.
  */
 class DrainLoopbackTest {
     @TempDir lateinit var directory: File
@@ -56,6 +58,7 @@
                 )
         }
 
+    /** The exit code and the output of a command. */
     private class CommandResult(val code: Int, val text: String)
 
     private fun LoopbackCluster.command(vararg arguments: String): CommandResult {
@@ -71,7 +74,7 @@
         val deadline = System.nanoTime() + timeout.value * 1_000
         while (!condition()) {
             if (System.nanoTime() > deadline)
-                error("not in time: $event; ${stored("d1")}\n${logs()}")
+                error("not within ${timeout.inSeconds} s: $event; ${stored("d1")}\n${logs()}")
             Thread.sleep(200)
         }
     }
@@ -103,7 +106,9 @@
             assertEquals(DrainExit.OK, started.code, started.text)
             assertEquals(DrainExit.OK, cluster.command("start", "--id", "d1", *options).code)
 
-            cluster.await("the first step", 120.seconds) { cluster.isEmptyingStep() }
+            cluster.await("the first step empties its machines", 120.seconds) {
+                cluster.isEmptyingStep()
+            }
             val leader = checkNotNull(cluster.leader())
             cluster.kill(leader)
             val statusDuringFailover = cluster.command("status", "d1")
@@ -113,7 +118,9 @@
             crashedMachine?.let { cluster.crash(it) }
 
             val timeout = if (isLong) 3600.seconds else 400.seconds
-            cluster.await("done", timeout) { cluster.stored("d1")?.state == DrainState.DONE }
+            cluster.await("the drain is done", timeout) {
+                cluster.stored("d1")?.state == DrainState.DONE
+            }
             val duration = cluster.now() - startedAt
             cluster.await("all services run again", 300.seconds) {
                 cluster.running(services) == replicaCount
@@ -142,14 +149,14 @@
 
     private fun summary(cluster: LoopbackCluster, duration: Micros, extraSeconds: Long): String {
         val record = cluster.stored("d1")
-        return "machines $machines, budget $budget, lost at most ${cluster.peaks()}, " +
+        return "machines $machines, budget $budget, disrupted at most ${cluster.peaks()}, " +
             "took ${duration.inSeconds.toInt()} s, steps ${record?.stepsDone}, " +
-            "returned ${record?.returned}, moved ${record?.moved}, " +
-            "machine hours beyond those before ${"%.2f".format(extraSeconds / 3600.0)}"
+            "returned ${record?.returned}, evicted ${record?.moved}, " +
+            "additional machine hours ${"%.2f".format(extraSeconds / 3600.0)}"
     }
 
     private companion object {
-        /** Some 40 machines in three zones. */
+        /** The default number of machines, in three zones. */
         const val SHORT_RUN_MACHINES = 40
         const val REPLICAS_PER_SERVICE = 8
         const val MACHINES_PER_SERVICE = 4
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -8,7 +8,10 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Plans keep every limit; the solver's is never worse than the greedy one. */
+/**
+ * Guards against plans that evict more in one step than the limits allow, that leave out a machine
+ * or drain it twice, and against solver plans that cost more than the greedy plan.
+ */
 class DrainPlanTest {
     private fun machineLoad(number: Int, zone: String, vararg tasks: Pair<String, Int>) =
         MachineLoad(
@@ -28,6 +31,7 @@
         order: StepOrder = StepOrder.FEWEST_STEPS,
     ) = DrainProblem(loads, limits, emptyMap(), stepSize, order)
 
+    /** True if [problem] allows each step and each of its machines is in exactly one step. */
     private fun DrainPlan.isValid(problem: DrainProblem) =
         steps.all { problem.allows(it) } &&
             steps.flatten().map { it.machine }.sortedBy { it.value } ==
@@ -35,8 +39,9 @@
 
     @Test
     fun `the solver finds fewer steps where first fit is not optimal`() {
-        // By tasks: 5 4 3 3 2 1 under 9; first fit decreasing takes (5 4) (3 3 2 1): two steps.
-        // With two teams it packs worse than need be.
+        // With one team, first fit decreasing is optimal for task counts such as 5 4 3 3 2 1 and a
+        // limit of 9: it needs two steps, (5 4) and (3 3 2 1). With the limits of two teams it can
+        // need more steps than necessary.
         val loads =
             listOf(
                 machineLoad(1, "a", "x" to 3, "y" to 1),
@@ -71,10 +76,16 @@
         return problem(loads, limits, stepSize = 4, StepOrder.entries[seed % 3])
     }
 
-    /** Sizes of the problems; others, such as `20,60,120`, with the time that settings allow. */
+    /**
+     * Numbers of machines from the system property `drain.plans`, such as `20,60,120`; null if it
+     * is not set. With the property the solver has a time limit of 300 ms instead of a node limit.
+     */
     private val requestedSizes = System.getProperty("drain.plans")?.split(',')?.map { it.toInt() }
 
-    /** All plans are sound, and the solver's never worse; gives what they measure together. */
+    /**
+     * Checks for each seed that both plans are valid and that the solver's plan costs no more than
+     * the greedy plan. Returns a summary of the plans for problems with [machines] machines.
+     */
     private fun comparePlanners(machines: Int): String {
         var greedySteps = 0
         var solvedSteps = 0
@@ -87,22 +98,29 @@
             val solverPlan =
                 if (requestedSizes == null) solve(problem)
                 else SolverPlanner.plan(problem, 300.milliseconds)
-            assertTrue(greedy.isValid(problem), "greedy, seed $seed")
-            assertTrue(solverPlan.isValid(problem), "solved, seed $seed")
-            assertTrue(solverPlan.cost <= greedy.cost, "seed $seed")
+            assertTrue(greedy.isValid(problem), "seed $seed: expected a valid greedy plan")
+            assertTrue(solverPlan.isValid(problem), "seed $seed: expected a valid solver plan")
+            assertTrue(
+                solverPlan.cost <= greedy.cost,
+                "seed $seed: expected at most ${greedy.cost}, but was ${solverPlan.cost}",
+            )
             greedySteps += greedy.cost.steps
             solvedSteps += solverPlan.cost.steps
             maxStepCpusDifference += solverPlan.cost.maxStepCpus - greedy.cost.maxStepCpus
             if (solverPlan.isOptimal) provenOptimal++
         }
         val milliseconds = (System.nanoTime() - startNanos) / 1_000_000 / SEED_COUNT
-        assertTrue(solvedSteps < greedySteps, "the solver never found fewer steps")
+        assertTrue(
+            solvedSteps < greedySteps,
+            "expected fewer than $greedySteps steps in total, but the solver has $solvedSteps",
+        )
         return "$machines machines: greedy $greedySteps steps, solver $solvedSteps, " +
-            "$provenOptimal of $SEED_COUNT proven, CPUs at once by $maxStepCpusDifference, $milliseconds ms each"
+            "$provenOptimal of $SEED_COUNT proven optimal, largest step differs by " +
+            "$maxStepCpusDifference CPUs in total, $milliseconds ms per problem"
     }
 
     @Test
-    fun `plans of seeded problems are within all limits, and the solver is never worse`() {
+    fun `plans of random problems are within all limits, and the solver is never worse`() {
         for (size in requestedSizes ?: listOf(8, 14)) {
             val summary = comparePlanners(size)
             if (requestedSizes != null) println(summary)
@@ -110,7 +128,7 @@
     }
 
     @Test
-    fun `a machine beyond a limit is a step of its own, and steps by zone do not mix zones`() {
+    fun `a machine that exceeds a limit has its own step, and steps by zone do not mix zones`() {
         val loads =
             listOf(
                 machineLoad(1, "b", "x" to 9),
@@ -126,7 +144,7 @@
     }
 
     @Test
-    fun `replicas of a service have a limit of their own`() {
+    fun `a step evicts no more replicas of a service than the limit of the service`() {
         val loads =
             List(4) {
                 MachineLoad(MachineId("i-$it"), "a", 1.0, mapOf("x" to 1), mapOf("job-1" to 1))
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -13,21 +13,28 @@
 import wardmux.model.seconds
 import wardmux.sim.FaultInjector
 
-/** Drains in seeded scenarios: without faults, and with faults of every kind. */
+/**
+ * Guards against drains that never finish or exceed a disruption budget, in simulated clusters with
+ * fixed seeds: without faults, and with faults of machines, controllers, networks and the store.
+ * The disruptions are counted from the records of the simulated workers, not from the controllers'.
+ */
 class DrainSimulationTest {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `all machines are replaced within the budgets`(seed: Long) {
+    fun `a drain returns all selected machines within the budgets`(seed: Long) {
         val scenario = DrainScenario(seed).begin().start()
         assertTrue(scenario.drained.isNotEmpty())
         scenario.runUntilDone()
         scenario.check()
-        assertTrue(scenario.losses.stops.isNotEmpty(), "nothing was moved")
+        assertTrue(
+            scenario.losses.stops.isNotEmpty(),
+            "expected at least one evicted task, but none was stopped",
+        )
         assertEquals(scenario.drained.size, scenario.stored()?.returned)
     }
 
     @Test
-    fun `a drain that exceeds a budget is detected by the workers' records`() {
+    fun `disruptions beyond a lower limit are found in the workers' records`() {
         val scenario = DrainScenario(4, DrainSettings(budget = BudgetSettings(3, stepPauseS = 1.0)))
         scenario.begin(scenario.service(0, 6)).start()
         scenario.runUntilDone()
@@ -38,7 +45,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no invariant is broken and no budget exceeded, whatever fails`(seed: Long) {
+    fun `a drain during random faults breaks no invariant and exceeds no budget`(seed: Long) {
         val budget = BudgetSettings(maxDisrupted = 2, stepPauseS = 1.0)
         val scenario =
             DrainScenario(seed, DrainSettings(budget = budget), forwarding = seed % 2 == 0L)
@@ -58,11 +65,15 @@
         scenario.simulation.run(230.seconds)
         for (worker in scenario.workers()) worker.sick = false
         scenario.runUntilDone(1500.seconds)
-        // Commands may be 40 s on their way: what was lost meanwhile could not be known.
+        // Commands may be delivered up to 40 s late. The leader can't know about tasks that were
+        // lost in the meantime, so these don't count against the budget.
         scenario.check(noticedAfter = 45.seconds)
     }
 
-    /** Of a priority class that preempts nothing: only the drain evicts work. */
+    /**
+     * A random job that ends by itself, with a priority class that preempts no other task, so that
+     * only the drain evicts tasks.
+     */
     private fun nonPreemptingJob(scenario: DrainScenario) =
         scenario.simulation.randomJob().let { job ->
             val isEndless = job.estimateS == 0.0
--- a/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -29,9 +29,9 @@
 import wardmux.worker.Redirect
 
 /**
- * Controllers as processes of their own in real time, over sockets on loopback, with the
- * simulation's fakes of all other services. The clock of the fakes follows the real one, and one
- * event loop owns them.
+ * A cluster in real time with controllers as separate processes, connected by sockets on the
+ * loopback interface. Workers, cloud and key-value store are the fakes of the simulation. The clock
+ * of the fakes follows the real clock, and all access to the fakes runs on one event loop.
  */
 class LoopbackCluster(
     private val directory: File,
@@ -87,17 +87,17 @@
         nodes.forEach(::start)
     }
 
-    /** The sum of the seconds for which machines were up. */
+    /** The sum over all machines of the seconds for which each was up; owned by the event loop. */
     private var machineSeconds = 0L
 
-    /** The sum of the seconds for which machines have been up until now. */
+    /** The sum over all machines of the seconds for which each has been up until now. */
     fun machineSeconds(): Long = onEventLoop { machineSeconds }
 
-    /** The operators' listeners of the controllers. */
+    /** The addresses of the operators' listeners of all controllers. */
     val operatorAddresses: List<String>
         get() = addresses.values.map { "$HOST:${it.operators}" }
 
-    /** The state of the fakes is read and changed on their loop only. */
+    /** Runs [action] on the event loop, which alone accesses the fakes, and returns its result. */
     private fun <T> onEventLoop(action: () -> T): T = eventLoop.submit(Callable { action() }).get()
 
     private fun freePort() = ServerSocket(0, 1, InetAddress.getByName(HOST)).use { it.localPort }
@@ -105,7 +105,10 @@
     private fun client(port: Int) =
         HttpClient(group, InetSocketAddress(HOST, port), 1, MAX_RESPONSE_BYTES)
 
-    /** Listens on another thread and handles requests on the loop; returns the port. */
+    /**
+     * Starts a server that listens on another thread and calls [handle] on the event loop. Returns
+     * the port of the server.
+     */
     private fun serve(handle: (Input.Request, (Int, String) -> Unit) -> Unit): Int {
         lateinit var server: HttpServer
         val onRequest: (Input.Request) -> Unit = { request ->
@@ -169,7 +172,7 @@
         }
     }
 
-    /** Starts the process of a controller. */
+    /** Starts the process of the controller [node]. */
     fun start(node: String) {
         val config = File(directory, "$node.toml").also { it.writeText(config(node)) }
         val own = operators.replace("PORT", "${addresses.getValue(node).operators}")
@@ -187,26 +190,26 @@
                 .start()
     }
 
-    /** Kills the process of a controller. */
+    /** Kills the process of the controller [node] and waits for its end. */
     fun kill(node: String) {
         processes.remove(node)?.destroyForcibly()?.waitFor()
     }
 
-    /** The leader, by the stored record. */
+    /** The name of the leader in the stored leader record; null if there is no record. */
     fun leader(): String? = onEventLoop {
         keyValueStore.value("leader")?.let {
             lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it).member
         }
     }
 
-    /** The stored record of a drain. */
+    /** The stored record of the drain [id]; null if there is none. */
     fun stored(id: String): DrainRecord? = onEventLoop {
         keyValueStore.value(DrainRecord.key(id))?.let {
             lenientJson.decodeFromJsonElement(DrainRecord.serializer(), it)
         }
     }
 
-    /** Submits a job until a controller accepts it. */
+    /** Submits a job, and retries with each controller in turn until one accepts it. */
     fun submit(spec: JobSpec) {
         onEventLoop {
             specs[spec.id] = spec
@@ -224,30 +227,34 @@
             if (status == 200 || status == 201) return
             Thread.sleep(SUBMISSION_RETRY_MILLIS)
         }
-        error("${spec.id} was not accepted")
+        error("no controller accepted ${spec.id} in $MAX_SUBMISSION_ATTEMPTS attempts")
     }
 
-    /** Machines that are up, by their ids. */
+    /** The ids of the machines that are up, in [zone] or in all zones. */
     fun machines(zone: String? = null): List<String> = onEventLoop {
         cloud.workers().filter { zone == null || it.zone == zone }.map { it.id }
     }
 
-    /** Machines that run tasks. */
+    /** The ids of the machines in [zone] that run tasks. */
     fun busyMachines(zone: String): List<String> = onEventLoop {
         cloud.workers().filter { it.zone == zone && it.tasksThere > 0 }.map { it.id }
     }
 
-    /** Crashes a machine with its tasks. */
+    /** Crashes the machine with the id [machine] and its tasks. */
     fun crash(machine: String) = onEventLoop {
         cloud.workers().filter { it.id == machine }.forEach(cloud::kill)
     }
 
-    /** How many replicas run. */
+    /** The number of running replicas of [jobs]. */
     fun running(jobs: List<JobSpec>): Int = onEventLoop {
         jobs.sumOf { invariants.machinesOf(it.id).size }
     }
 
-    /** Invariants that the controllers broke, by the records of the fakes. */
+    /**
+     * Descriptions of the invariants that the controllers broke, and of evictions that took a team
+     * beyond [limit] disrupted tasks. Tasks that were lost otherwise less than [noticedAfter]
+     * before an eviction do not count, because the controllers could not know of them.
+     */
     fun problems(limit: Int, noticedAfter: Micros): List<String> = onEventLoop {
         invariants.broken +
             keyValueStore.problems +
@@ -255,15 +262,15 @@
             invariants.losses.beyond({ limit }, noticedAfter)
     }
 
-    /** The most tasks of each team that were disrupted at once. */
+    /** The largest number of tasks that were disrupted at once, by team. */
     fun peaks(): Map<String, Int> = onEventLoop {
         teams.associate { it.name to invariants.losses.peakOf(it.name) }
     }
 
-    /** Time since the cluster was started. */
+    /** The time since the cluster was started. */
     fun now(): Micros = onEventLoop { clock.now }
 
-    /** The last lines that a controller logged. */
+    /** The last lines of the log of each controller. */
     fun logs(): String =
         nodes.joinToString("\n") { node ->
             node +
