--- a/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/wardmux/drain/DisruptionBudgets.kt
@@ -180,7 +180,6 @@
     }
 
     private companion object {
-        /** Above this number, evictions of attempts that are no longer placed are forgotten. */
         /** Above this number, evictions of attempts that are no longer placed are forgotten. */
         const val EVICTIONS_BEFORE_PRUNING = 1_000
     }
--- a/src/main/kotlin/wardmux/drain/DrainPlan.kt
+++ b/src/main/kotlin/wardmux/drain/DrainPlan.kt
@@ -29,7 +29,6 @@
     /** The number of replicas of each service that one step may evict, by job id. */
     val serviceLimits: Map<String, Int>,
     /** The largest number of machines in one step. */
-    /** The largest number of machines in one step. */
     val stepSize: Int,
     val order: StepOrder,
 ) {
--- a/src/main/kotlin/wardmux/drain/DrainRecord.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRecord.kt
@@ -54,7 +54,6 @@
      */
     @SerialName("grace_s") val graceS: Double = 60.0,
     /** When [atDeadline] takes effect, in ISO 8601 with an offset; null for no deadline. */
-    /** When [atDeadline] takes effect, in ISO 8601 with an offset; null for no deadline. */
     @SerialName("deadline") val deadline: String? = null,
     @SerialName("at_deadline") val atDeadline: DeadlineAction = DeadlineAction.PAUSE,
 )
@@ -140,13 +139,10 @@
     @SerialName("step") val step: DrainStep? = null,
     @SerialName("steps_done") val stepsDone: Int = 0,
     /** The number of machines in the finished steps. */
-    /** The number of machines in the finished steps. */
     @SerialName("returned") val returned: Int = 0,
     /** The number of tasks that were selected for eviction so far. */
-    /** The number of tasks that were selected for eviction so far. */
     @SerialName("moved") val moved: Int = 0,
     /** When the last step finished; 0 if none has. */
-    /** When the last step finished; 0 if none has. */
     @SerialName("step_ended_at") val stepEndedAt: Long = 0,
     /** The duration of the last finished step, in microseconds. */
     @SerialName("last_step") val lastStep: Long = 0,
--- a/src/main/kotlin/wardmux/drain/DrainRequestCheck.kt
+++ b/src/main/kotlin/wardmux/drain/DrainRequestCheck.kt
@@ -52,8 +52,8 @@
     private fun idProblem(id: String): String? =
         when {
             !ID_PATTERN.matches(id) ->
-                "id: must be 1 to 64 letters, digits, '.', '_' or '-', and start with a letter or digit, " +
-                    "but is $id"
+                "id: must be 1 to 64 letters, digits, '.', '_' or '-', " +
+                    "and start with a letter or digit, but is $id"
             id == DrainPaths.CHECK -> "id: $id is reserved for a path of the interface"
             else -> null
         }
--- a/src/main/kotlin/wardmux/drain/DrainWire.kt
+++ b/src/main/kotlin/wardmux/drain/DrainWire.kt
@@ -17,13 +17,10 @@
 data class BudgetStatus(
     @SerialName("team") val team: String,
     /** The number of tasks that may be disrupted at once. */
-    /** The number of tasks that may be disrupted at once. */
     @SerialName("limit") val limit: Int,
     /** The number of tasks that are disrupted or whose state is unknown. */
-    /** The number of tasks that are disrupted or whose state is unknown. */
     @SerialName("disrupted") val disrupted: Int,
     /** The number of replicas of each service that must stay up. */
-    /** The number of replicas of each service that must stay up. */
     @SerialName("least_replicas") val minReplicas: Int,
 )
 
@@ -62,7 +59,6 @@
 /** The result of a dry run. */
 @Serializable
 data class DrainCheck(
-    /** The number of machines that the drain would return. */
     /** The number of machines that the drain would return. */
     @SerialName("machines") val machines: Int,
     /** The machine ids of each step. */
--- a/src/main/kotlin/wardmux/drain/EvictionSelector.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionSelector.kt
@@ -93,6 +93,7 @@
     }
 
     private companion object {
+        /** The maximum number of tasks and gangs in one selection. */
         const val MAX_EVICTIONS_AT_ONCE = 64
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepAdmission.kt
+++ b/src/main/kotlin/wardmux/drain/StepAdmission.kt
@@ -91,7 +91,8 @@
             if (isInActiveStep(team)) return "another step that evicts tasks of team $team"
             val elapsed = context.wallTime - Micros(lastStepEndedAt)
             if (lastStepEndedAt > 0 && elapsed < pause)
-                return "the pause between steps of team $team, ${(pause - elapsed).inSeconds.toInt()} s left"
+                return "the pause between steps of team $team, " +
+                    "${(pause - elapsed).inSeconds.toInt()} s left"
         }
         return null
     }
@@ -109,7 +110,8 @@
         val unplaceable = feasibility.unplaceableTasks(evicted, leaving)
         return if (unplaceable.isEmpty()) null
         else
-            "no capacity yet for ${unplaceable.size} of ${evicted.size} tasks; machines are rented first"
+            "no capacity yet for ${unplaceable.size} of ${evicted.size} tasks; " +
+                "machines are rented first"
     }
 
     private companion object {
--- a/src/main/kotlin/wardmux/drain/StepPreparation.kt
+++ b/src/main/kotlin/wardmux/drain/StepPreparation.kt
@@ -72,7 +72,9 @@
     }
 
     private companion object {
+        /** The timeout includes this many times the longest boot time of the drained machines. */
         const val CAPACITY_TIMEOUT_BOOTS = 3.0
+        /** The part of the timeout that does not depend on boot times. */
         val CAPACITY_TIMEOUT_BASE = 30.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/UrgentWork.kt
+++ b/src/main/kotlin/wardmux/drain/UrgentWork.kt
@@ -13,18 +13,18 @@
  */
 class UrgentWork(private val context: CoreContext, private val cluster: ClusterState) {
     /** True if an urgent job is waiting that could run on one of [machines]. */
-    fun isWaitingFor(machines: List<Machine>): Boolean = waitingFor(machines) != null
+    fun isWaitingFor(machines: List<Machine>): Boolean = firstWaitingJob(machines) != null
 
     /**
      * The urgent job to which a drain must leave [machines], as shown to operators; null if there
      * is none.
      */
     fun reasonToYield(machines: List<Machine>): String? =
-        waitingFor(machines)?.let {
+        firstWaitingJob(machines)?.let {
             "urgent job ${it.id} of ${it.spec.team}, which takes precedence over the drain"
         }
 
-    private fun waitingFor(machines: List<Machine>): Job? =
+    private fun firstWaitingJob(machines: List<Machine>): Job? =
         cluster.jobs.values.firstOrNull { job ->
             val blockedSince = job.blockedSince
             job.spec.priority <= PriorityClass.HIGH &&
--- a/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DisruptionBudgetsTest.kt
@@ -47,12 +47,14 @@
     private val first: Placement
         get() = job.placements.get(0)
 
+    /** Applies [change], recounts, and returns the number of disrupted tasks. */
     private fun disruptedAfter(change: () -> Unit): Int {
         change()
         budgets.recount()
         return budgets.disruptedTasks("team-0")
     }
 
+    /** Asserts that all four tasks count as disrupted after [change] of their machine. */
     private fun assertAllDisruptedBy(change: Machine.() -> Unit) =
         assertEquals(4, disruptedAfter { machine.change() })
 
@@ -74,7 +76,7 @@
     }
 
     @Test
-    fun `a first attempt counts as disrupted before it runs only if an earlier leader started it`() {
+    fun `a first attempt that does not run yet counts only if an earlier leader started it`() {
         first.runningSince = null
         assertEquals(0, disruptedAfter { first.status = TaskStatus.FETCHING })
         assertEquals(1, disruptedAfter { first.isRestored = true })
--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -61,6 +61,7 @@
     /** The exit code and the output of a command. */
     private class CommandResult(val code: Int, val text: String)
 
+    /** Runs `drain` with [arguments] in this process against all controllers. */
     private fun LoopbackCluster.command(vararg arguments: String): CommandResult {
         val out = StringWriter()
         val line = CommandLine(WardmuxCommand())
@@ -70,6 +71,7 @@
         return CommandResult(line.execute(*fullCommand.toTypedArray()), out.toString())
     }
 
+    /** Waits until [condition] holds; fails after [timeout] and reports [event] and the logs. */
     private fun LoopbackCluster.await(event: String, timeout: Micros, condition: () -> Boolean) {
         val deadline = System.nanoTime() + timeout.value * 1_000
         while (!condition()) {
--- a/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainPlanTest.kt
@@ -13,6 +13,7 @@
  * or drain it twice, and against solver plans that cost more than the greedy plan.
  */
 class DrainPlanTest {
+    /** A machine from which [tasks] of one CPU each are evicted, given as team and number. */
     private fun machineLoad(number: Int, zone: String, vararg tasks: Pair<String, Int>) =
         MachineLoad(
             MachineId("i-%06d".format(number)),
@@ -22,6 +23,7 @@
             emptyMap(),
         )
 
+    /** The solver's plan with a limit of 5,000 search nodes. */
     private fun solve(problem: DrainProblem) = SolverPlanner.plan(problem, 30.seconds, 5_000)
 
     private fun problem(
@@ -60,6 +62,7 @@
         assertEquals(3, solverPlan.steps.size)
     }
 
+    /** A problem with random tasks of three teams in two zones; [seed] also selects the order. */
     private fun randomProblem(seed: Int, machines: Int): DrainProblem {
         val random = Random(seed)
         val loads =
--- a/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
+++ b/src/test/kotlin/wardmux/drain/LoopbackCluster.kt
@@ -35,8 +35,11 @@
  */
 class LoopbackCluster(
     private val directory: File,
-    private val operators: String,
+    /** The operators' settings in TOML, in which `PORT` stands for the port of their listener. */
+    private val operatorSettings: String,
+    /** The number of machines of each zone and kind that the fake cloud can provide. */
     machines: Int,
+    /** The guaranteed and the maximum number of CPUs of each team. */
     private val cpusPerTeam: Double,
 ) : AutoCloseable {
     private val group = NioEventLoopGroup(1)
@@ -53,10 +56,10 @@
     private val invariants = Invariants(teams, workerTiming.cancelS.seconds + Invariants.SLACK)
     private val cloud = FakeCloud(clock, zones, machines, ::worker)
     private val specs = HashMap<String, JobSpec>()
-    private val addresses = nodes.associateWith { Addresses(freePort(), freePort(), freePort()) }
+    private val ports = nodes.associateWith { ControllerPorts(freePort(), freePort(), freePort()) }
     private val processes = HashMap<String, Process>()
     private val heartbeatClients = HashMap<Pair<String, String>, HttpClient>()
-    private val submissionClients = nodes.associateWith { client(addresses.getValue(it).api) }
+    private val submissionClients = nodes.associateWith { client(ports.getValue(it).api) }
     private val storePort = serve { request, answer ->
         keyValueStore.handle(
             "all",
@@ -70,7 +73,8 @@
         cloud.handle(request.method, request.path, request.body.decodeToString(), answer)
     }
 
-    private class Addresses(val api: Int, val peer: Int, val operators: Int)
+    /** The ports on which a controller listens. */
+    private class ControllerPorts(val api: Int, val peer: Int, val operators: Int)
 
     init {
         val start = System.nanoTime()
@@ -93,9 +97,9 @@
     /** The sum over all machines of the seconds for which each has been up until now. */
     fun machineSeconds(): Long = onEventLoop { machineSeconds }
 
-    /** The addresses of the operators' listeners of all controllers. */
+    /** The addresses of the operators' listeners of all controllers, each with host and port. */
     val operatorAddresses: List<String>
-        get() = addresses.values.map { "$HOST:${it.operators}" }
+        get() = ports.values.map { "$HOST:${it.operators}" }
 
     /** Runs [action] on the event loop, which alone accesses the fakes, and returns its result. */
     private fun <T> onEventLoop(action: () -> T): T = eventLoop.submit(Callable { action() }).get()
@@ -149,6 +153,7 @@
         return worker
     }
 
+    /** The status and body that [worker] answers; null if it does not answer. */
     private fun handleWorkerRequest(
         worker: FakeWorker,
         request: Input.Request,
@@ -159,13 +164,14 @@
             else -> worker.direct(request.body.decodeToString())
         }
 
+    /** Sends a heartbeat to a controller. [answer] gets the status, 0 if there is no response. */
     private fun sendHeartbeat(
         id: String,
         node: String,
         body: String,
         answer: (Int, String) -> Unit,
     ) {
-        val client = heartbeatClients.getOrPut(id to node) { client(addresses.getValue(node).api) }
+        val client = heartbeatClients.getOrPut(id to node) { client(ports.getValue(node).api) }
         client.send("POST", "/hello", body.encodeToByteArray(), HEARTBEAT_TIMEOUT) { outcome ->
             val response = outcome as? Outcome.Response
             answer(response?.status ?: 0, response?.text.orEmpty())
@@ -175,8 +181,8 @@
     /** Starts the process of the controller [node]. */
     fun start(node: String) {
         val config = File(directory, "$node.toml").also { it.writeText(config(node)) }
-        val own = operators.replace("PORT", "${addresses.getValue(node).operators}")
-        val settings = File(directory, "$node-settings.toml").also { it.writeText(own) }
+        val ownSettings = operatorSettings.replace("PORT", "${ports.getValue(node).operators}")
+        val settings = File(directory, "$node-settings.toml").also { it.writeText(ownSettings) }
         val java = File(System.getProperty("java.home"), "bin/java").path
         val command =
             listOf(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx160m") +
@@ -267,7 +273,7 @@
         teams.associate { it.name to invariants.losses.peakOf(it.name) }
     }
 
-    /** The time since the cluster was started. */
+    /** The time since the cluster was created. */
     fun now(): Micros = onEventLoop { clock.now }
 
     /** The last lines of the log of each controller. */
@@ -288,10 +294,10 @@
     }
 
     private fun config(node: String): String {
-        val own = addresses.getValue(node)
+        val own = ports.getValue(node)
         val peers =
             (nodes - node).joinToString("\n") {
-                "[[siblings]]\nmember = \"$it\"\naddr = \"$HOST:${addresses.getValue(it).peer}\"\n"
+                "[[siblings]]\nmember = \"$it\"\naddr = \"$HOST:${ports.getValue(it).peer}\"\n"
             }
         val teams =
             teams.joinToString("\n") {
