--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -12,30 +12,36 @@
 import wardmux.worker.WorkerHeartbeat
 
 /**
- * Decides for each response to a heartbeat, of a leader or of a forwarder, whether it renews the
- * lease.
+ * Decides for each heartbeat, on the leader and on a forwarder, whether the response renews the
+ * lease of the machine.
  *
- * A response that renews either rests on a recent enough view of the cancellations by which nothing
- * cancelled is on this machine, or carries the stops itself. The heartbeat lists what is on the
- * machine, so the same response stops each task of a cancelled job in it. A task that it does not
- * list may still be started by a command in flight: then the lease has to run out in time.
+ * A response may renew the lease in two cases. Either a recent view of the cancellations shows that
+ * no cancelled task is on the machine, or the response itself stops the cancelled tasks. The
+ * heartbeat lists the tasks on the machine, so the response can stop each one whose job is
+ * cancelled. A cancelled task that the heartbeat does not list may still be started by a command in
+ * flight. In that case the response does not renew the lease, so that the lease runs out before the
+ * deadline of the cancellation.
  */
 class LeaseRenewals(private val context: CoreContext, private val counters: RenewalCounters) {
     private val log = logger<LeaseRenewals>()
 
-    /** The response without commands under [cachedToken], which most heartbeats get. */
+    /** The response without commands under [cachedToken], which answers most heartbeats. */
     private var cachedResponse = ByteArray(0)
     private var cachedToken: FencingToken? = null
 
-    /** Machines whose lease was not renewed last time, so that each change is logged once. */
+    /**
+     * Machines whose last heartbeat did not renew the lease, so that each change is logged once.
+     */
     private val withheldMachines = HashSet<String>()
-    private var isOutdated = false
-    private val checked = CheckedHeartbeats()
+    private var areCancellationsOutdated = false
+    private val checkedHeartbeats = CheckedHeartbeats()
 
-    /** Whether the response to [heartbeat] may renew the lease, by what [cancellations] knows. */
+    /**
+     * Decides whether the response to [heartbeat] may renew the lease, based on [cancellations].
+     */
     fun decide(heartbeat: WorkerHeartbeat, cancellations: CancellationView): RenewalDecision {
         if (context.now >= cancellations.usableUntil) return withholdOutdated(cancellations)
-        if (isOutdated) logUpToDate(cancellations)
+        if (areCancellationsOutdated) markCancellationsCurrent(cancellations)
         val tasksToStop = cancellations.tasksToStop(MachineId(heartbeat.machine))
         val listed = tasksToStop.count { heartbeat.lists(it) }
         if (listed < tasksToStop.size) {
@@ -46,7 +52,7 @@
         }
         val responseWithoutCommands = responseWithoutCommands(cancellations.token)
         val stops = requiredStops(heartbeat, tasksToStop, cancellations)
-        counters.renewed(stops.size)
+        counters.countRenewal(stops.size)
         if (tasksToStop.isNotEmpty()) logStops(heartbeat, stops, cancellations)
         return RenewalDecision.Renew(
             LeaseRenewal(cancellations.token, stops, responseWithoutCommands)
@@ -59,7 +65,11 @@
         cancellations: CancellationView,
     ): List<WorkerCommand> {
         val count = cancellations.cancellationCount
-        if (tasksToStop.isEmpty() && checked.isKnownFree(heartbeat, count)) return emptyList()
+        if (
+            tasksToStop.isEmpty() &&
+                checkedHeartbeats.isKnownWithoutCancelledTasks(heartbeat, count)
+        )
+            return emptyList()
         var stops: ArrayList<WorkerCommand>? = null
         for (task in heartbeat.tasks) {
             if (task.status == TaskStatus.ENDED) continue
@@ -68,7 +78,7 @@
             stops = (stops ?: ArrayList()).also { it.add(stop) }
         }
         if (stops != null) return stops
-        checked.recordFree(heartbeat, count)
+        checkedHeartbeats.recordWithoutCancelledTasks(heartbeat, count)
         return emptyList()
     }
 
@@ -86,24 +96,24 @@
         if (cachedToken != token) {
             cachedToken = token
             cachedResponse = LeaseRenewal(token, emptyList(), null).response(emptyList())
-            // Another leader: what it withholds is logged anew.
+            // The renewals that another leader withholds are logged again.
             withheldMachines.clear()
-            checked.clear()
+            checkedHeartbeats.clear()
         }
         return cachedResponse
     }
 
     private fun withholdOutdated(cancellations: CancellationView): RenewalDecision {
-        counters.withheld(WithholdingReason.CANCELLATIONS_OUTDATED)
-        if (!isOutdated) {
-            isOutdated = true
+        counters.countWithheld(WithholdingReason.CANCELLATIONS_OUTDATED)
+        if (!areCancellationsOutdated) {
+            areCancellationsOutdated = true
             log.info("renewal=withheld reason=cancellations-outdated token={}", cancellations.token)
         }
         return RenewalDecision.Withhold(WithholdingReason.CANCELLATIONS_OUTDATED)
     }
 
-    private fun logUpToDate(cancellations: CancellationView) {
-        isOutdated = false
+    private fun markCancellationsCurrent(cancellations: CancellationView) {
+        areCancellationsOutdated = false
         log.info("renewal=resumed reason=cancellations-current token={}", cancellations.token)
     }
 
@@ -112,7 +122,7 @@
         tasksToStop: List<TaskAttempt>,
         cancellations: CancellationView,
     ): RenewalDecision {
-        counters.withheld(WithholdingReason.ABSENCE_UNVERIFIED)
+        counters.countWithheld(WithholdingReason.ABSENCE_UNVERIFIED)
         if (withheldMachines.add(heartbeat.machine)) {
             log.info(
                 "renewal=withheld reason=absence-unverified machine={} token={} tasks={}",
