--- a/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainLoopbackTest.kt
@@ -108,9 +108,7 @@
             assertEquals(DrainExit.OK, started.code, started.text)
             assertEquals(DrainExit.OK, cluster.command("start", "--id", "d1", *options).code)
 
-            cluster.await("the first step empties its machines", 120.seconds) {
-                cluster.isEmptyingStep()
-            }
+            cluster.await("the first step is emptying", 120.seconds) { cluster.isEmptyingStep() }
             val leader = checkNotNull(cluster.leader())
             cluster.kill(leader)
             val statusDuringFailover = cluster.command("status", "d1")
@@ -120,9 +118,7 @@
             crashedMachine?.let { cluster.crash(it) }
 
             val timeout = if (isLong) 3600.seconds else 400.seconds
-            cluster.await("the drain is done", timeout) {
-                cluster.stored("d1")?.state == DrainState.DONE
-            }
+            cluster.await("drain done", timeout) { cluster.stored("d1")?.state == DrainState.DONE }
             val duration = cluster.now() - startedAt
             cluster.await("all services run again", 300.seconds) {
                 cluster.running(services) == replicaCount
