--- a/src/main/kotlin/wardmux/drain/DrainManager.kt
+++ b/src/main/kotlin/wardmux/drain/DrainManager.kt
@@ -7,32 +7,36 @@
 import wardmux.model.seconds
 
 /**
- * Carries out the drains while this controller leads. A decision is written first and acted on only
- * once it is stored, and all actions follow from what is stored, so that the next leader continues
- * in the middle of any step. Several drains run side by side and share the budgets.
+ * Advances the drains while this controller is the leader. Each decision is written to the store
+ * first and acted on only once it is stored. Every action is derived from the stored records, so a
+ * new leader can continue in the middle of any step. Several drains may run concurrently; they
+ * share the disruption budgets.
  */
 class DrainManager(
     private val context: CoreContext,
     private val drains: DrainStore,
     private val budgets: DisruptionBudgets,
-    private val marks: MaintenanceMarks,
+    private val maintenanceUpdater: MaintenanceUpdater,
     private val starter: StepStarter,
     private val executor: StepExecutor,
 ) {
     private val log = logger<DrainManager>()
     private val waitsFor = HashMap<String, String>()
-    private var nextAt = Micros.LONG_AGO
+    private var nextAdvanceAt = Micros.LONG_AGO
 
-    /** What the drain [id] waits for, for the operators; empty if nothing. */
+    /** What the drain [id] waits for, as shown to operators; empty if it waits for nothing. */
     fun waitsFor(id: String): String = waitsFor[id].orEmpty()
 
-    /** Advances all drains; only for a leader that may decide. */
+    /**
+     * Advances all drains. Must be called only while the leader may decide, see
+     * [DrainTerm.mayDecide].
+     */
     fun tick() {
         drains.tick()
-        if (!drains.isRead || context.now < nextAt) return
-        nextAt = context.now + PERIOD
+        if (!drains.isRead || context.now < nextAdvanceAt) return
+        nextAdvanceAt = context.now + ADVANCE_PERIOD
         val active = drains.all.filter { !it.state.isFinal }
-        marks.update(active)
+        maintenanceUpdater.update(active)
         if (active.isEmpty()) return
         budgets.recount()
         for (record in active) if (!drains.isBusy(record.request.id)) advance(record)
@@ -44,20 +48,20 @@
         when (decision) {
             is DrainDecision.Wait -> if (record.isPausedAutomatically) resume(record)
             is DrainDecision.Write -> {
-                starter.noteWithoutRoom(record, decision.record)
-                write(running(decision.record))
+                starter.backOffUnplaceable(record, decision.record)
+                write(withRunningState(decision.record))
             }
             is DrainDecision.Pause -> pause(record, decision)
             null -> Unit
         }
     }
 
-    private fun running(record: DrainRecord): DrainRecord {
+    private fun withRunningState(record: DrainRecord): DrainRecord {
         val next = record.copy(reason = null, note = "")
         return if (next.state.isFinal) next else next.copy(state = DrainState.RUNNING)
     }
 
-    /** Null for a drain that waits for its operators. */
+    /** The next decision for [record]; null if the drain is paused until an operator resumes it. */
     private fun decide(record: DrainRecord): DrainDecision? {
         if (record.state == DrainState.PAUSED && !record.isPausedAutomatically) return null
         if (isOverdue(record))
@@ -78,8 +82,8 @@
     private fun pause(record: DrainRecord, decision: DrainDecision.Pause) {
         waitsFor[record.request.id] = decision.note
         if (record.state == DrainState.PAUSED && record.reason == decision.reason) return
-        if (isTooSoon(record) && decision.reason.resumesAutomatically) return
-        log.info("drain {} pauses: {}", record.request.id, decision.note)
+        if (isRecentlyChanged(record) && decision.reason.resumesAutomatically) return
+        log.info("drain {} is being paused: {}", record.request.id, decision.note)
         write(
             record.copy(
                 state = DrainState.PAUSED,
@@ -90,25 +94,30 @@
     }
 
     private fun resume(record: DrainRecord) {
-        if (isTooSoon(record)) return
+        if (isRecentlyChanged(record)) return
         write(record.resumed())
     }
 
-    /** Pauses that come and go with single losses are not written each time. */
-    private fun isTooSoon(record: DrainRecord) =
-        context.wallTime - Micros(record.changedAt) < MIN_BETWEEN_PAUSE_CHANGES
+    /**
+     * True if the record changed less than [MIN_PAUSE_CHANGE_INTERVAL] ago. Automatic pauses and
+     * resumes are then not written, because losses of single tasks can alternate quickly.
+     */
+    private fun isRecentlyChanged(record: DrainRecord) =
+        context.wallTime - Micros(record.changedAt) < MIN_PAUSE_CHANGE_INTERVAL
 
     private val DrainRecord.isPausedAutomatically: Boolean
         get() = state == DrainState.PAUSED && reason?.resumesAutomatically == true
 
     private fun write(record: DrainRecord) {
-        drains.write(record) { next, outcome -> if (outcome == DrainWrite.WRITTEN) written(next) }
+        drains.write(record) { next, outcome ->
+            if (outcome == DrainWriteOutcome.WRITTEN) onWritten(next)
+        }
     }
 
-    private fun written(record: DrainRecord) {
+    private fun onWritten(record: DrainRecord) {
         val step = record.step
         log.info(
-            "drain {} is {}: step {} {}, {} machines returned, {} tasks evicted",
+            "drain {} was stored as {}: step {} {}, {} machines returned, {} tasks evicted",
             record.request.id,
             record.state,
             step?.number ?: record.stepsDone,
@@ -116,13 +125,14 @@
             record.returned,
             record.moved,
         )
-        // At once, so that machines of a cancelled drain take tasks again and a new step starts.
-        nextAt = Micros.LONG_AGO
+        // The next tick advances the drains at once, so that the machines of a cancelled drain take
+        // tasks again and a new step starts without delay.
+        nextAdvanceAt = Micros.LONG_AGO
     }
 
     private companion object {
-        val PERIOD = 500.milliseconds
-        val MIN_BETWEEN_PAUSE_CHANGES = 3.seconds
+        val ADVANCE_PERIOD = 500.milliseconds
+        val MIN_PAUSE_CHANGE_INTERVAL = 3.seconds
         const val MAX_NOTE_CHARS = 200
     }
 }
--- a/src/main/kotlin/wardmux/drain/StepPreparation.kt
+++ b/src/main/kotlin/wardmux/drain/StepPreparation.kt
@@ -5,7 +5,7 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** The first phase of a step: capacity for the tasks that it evicts. */
+/** The first phase of a step, which provides capacity for the tasks that the step evicts. */
 class StepPreparation(
     private val context: CoreContext,
     private val inspector: StepInspector,
@@ -13,46 +13,57 @@
     private val feasibility: RelocationFeasibility,
     private val replacements: ReplacementCapacity,
 ) {
-    /** Goes on to emptying once every task has room, or with fewer machines after a timeout. */
+    /**
+     * Starts emptying once there is capacity for every task. After a timeout the step continues
+     * with those of its machines for whose tasks there is capacity.
+     */
     fun decide(record: DrainRecord, step: DrainStep): DrainDecision {
         val machines = inspector.machinesOf(step)
         urgentWork.reasonToYield(machines)?.let {
             return DrainDecision.Wait(it)
         }
         val evicted = machines.flatMap { inspector.tasksToEvict(it, record.request) }
-        val withoutRoom = feasibility.withoutRoom(evicted)
-        if (withoutRoom.isEmpty()) return startEmptying(record, step)
+        val unplaceable = feasibility.unplaceableTasks(evicted)
+        if (unplaceable.isEmpty()) return startEmptying(record, step)
         val waited = context.wallTime - Micros(step.beganAt)
-        if (waited >= roomTimeout(machines)) return reduce(record, step, machines)
-        return replacements.awaitRoom(withoutRoom)
+        if (waited >= capacityTimeout(machines)) return reduceStep(record, step, machines)
+        return replacements.awaitCapacity(unplaceable)
     }
 
-    /** By then a replacement is up, if the cloud has one and it boots as usual. */
-    private fun roomTimeout(machines: List<Machine>): Micros =
-        (machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * ROOM_TIMEOUT_BOOTS +
-            MIN_ROOM_TIMEOUT
+    /**
+     * The time after which a replacement is expected to be up, if the cloud has one and it boots in
+     * the usual time.
+     */
+    private fun capacityTimeout(machines: List<Machine>): Micros =
+        (machines.maxOfOrNull { it.type.bootS } ?: 0.0).seconds * CAPACITY_TIMEOUT_BOOTS +
+            CAPACITY_TIMEOUT_BASE
 
-    /** Keeps the machines for which there is room; without any, another step is chosen. */
-    private fun reduce(
+    /**
+     * Reduces the step to the machines for whose tasks there is capacity. If there is no such
+     * machine, the step is removed and the drain chooses another one.
+     */
+    private fun reduceStep(
         record: DrainRecord,
         step: DrainStep,
         machines: List<Machine>,
     ): DrainDecision {
         val kept = ArrayList<Machine>()
         for (machine in machines.sortedBy { it.load }) {
-            if (hasRoom(kept + machine, machines, record.request)) kept.add(machine)
+            if (hasCapacity(kept + machine, machines, record.request)) kept.add(machine)
         }
         if (kept.isEmpty()) return DrainDecision.Write(record.copy(step = null))
         return startEmptying(record, step.copy(machines = kept.map { it.id.value }))
     }
 
-    private fun hasRoom(
+    private fun hasCapacity(
         leaving: List<Machine>,
         all: List<Machine>,
         request: DrainRequest,
     ): Boolean {
         val evicted = leaving.flatMap { inspector.tasksToEvict(it, request) }
-        return feasibility.withoutRoom(evicted, leaving.toSet(), staying = all.toSet()).isEmpty()
+        return feasibility
+            .unplaceableTasks(evicted, leaving.toSet(), staying = all.toSet())
+            .isEmpty()
     }
 
     private fun startEmptying(record: DrainRecord, step: DrainStep): DrainDecision {
@@ -61,7 +72,9 @@
     }
 
     private companion object {
-        const val ROOM_TIMEOUT_BOOTS = 3.0
-        val MIN_ROOM_TIMEOUT = 30.seconds
+        /** The timeout includes this many times the longest boot time of the drained machines. */
+        const val CAPACITY_TIMEOUT_BOOTS = 3.0
+        /** The part of the timeout that does not depend on boot times. */
+        val CAPACITY_TIMEOUT_BASE = 30.seconds
     }
 }
