--- a/src/main/kotlin/wardmux/forwarding/StoredBatchClient.kt
+++ b/src/main/kotlin/wardmux/forwarding/StoredBatchClient.kt
@@ -12,62 +12,73 @@
 import wardmux.store.WriteOperation
 
 /**
- * The follower's side of forwarding through the key-value store, for a leader that it can't connect
- * to: compressed, and less often than directly. Without it all workers would go to the leader when
- * the grants expire.
+ * The follower's side of forwarding through the key-value store, which is used while the leader
+ * can't be reached directly. Batches are compressed and sent less often than directly. Without this
+ * path, all workers would be redirected to the leader when the grants expire.
  *
- * The guarantees are the same as on the direct way: a batch or a response that is written late is a
- * late copy, and a response counts only for the batch that it names.
+ * The guarantees are the same as for direct requests: a batch or response that is written late is
+ * handled like a delayed message, and a response is accepted only for the batch that it identifies.
  */
 class StoredBatchClient(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val member: String,
 ) {
-    /** The most bytes that a compressed batch may take. */
+    /** The maximum size of a compressed batch, in bytes. */
     val maxPackedBytes: Int
         get() = store.maxValueBytes - VALUE_OVERHEAD_BYTES
 
-    /** Stores [batch], [packed] already; [then] gets the response, or null if none came in time. */
-    fun send(batch: HeartbeatBatch, packed: String, then: (HeartbeatBatchResponse?) -> Unit) {
+    /**
+     * Writes [packed], which is the compressed [batch], to the key-value store. [onResponse] is
+     * called with the response, or with null if the write failed or no response arrived in time.
+     */
+    fun send(batch: HeartbeatBatch, packed: String, onResponse: (HeartbeatBatchResponse?) -> Unit) {
         val deadline = context.now + RESPONSE_TIMEOUT
-        val operation = WriteOperation(put = BATCHES + member, data = JsonPrimitive(packed))
+        val operation =
+            WriteOperation(put = BATCH_KEY_PREFIX + member, data = JsonPrimitive(packed))
         store.compareAndSwap(emptyList(), listOf(operation), RequestPriority.LEASE) { written ->
-            if (written is StoreResult.Ok) awaitResponse(batch, written.value, deadline, then)
-            else then(null)
+            if (written is StoreResult.Ok) awaitResponse(batch, written.value, deadline, onResponse)
+            else onResponse(null)
         }
     }
 
     private fun awaitResponse(
         batch: HeartbeatBatch,
-        from: Revision,
+        fromRevision: Revision,
         deadline: Micros,
-        then: (HeartbeatBatchResponse?) -> Unit,
+        onResponse: (HeartbeatBatchResponse?) -> Unit,
     ) {
-        if (context.now >= deadline) return then(null)
-        store.watch(ANSWERS, from, deadline - context.now, RequestPriority.LEASE) { result ->
-            if (result !is StoreResult.Ok) return@watch then(null)
-            val response = result.value.events.firstNotNullOfOrNull { responseIn(it, batch) }
-            if (response != null) then(response)
-            else awaitResponse(batch, maxOf(from, result.value.revision), deadline, then)
+        if (context.now >= deadline) return onResponse(null)
+        store.watch(RESPONSES_KEY, fromRevision, deadline - context.now, RequestPriority.LEASE) {
+            result ->
+            if (result !is StoreResult.Ok) return@watch onResponse(null)
+            val response = result.value.events.firstNotNullOfOrNull { findResponse(it, batch) }
+            if (response != null) onResponse(response)
+            else
+                awaitResponse(
+                    batch,
+                    maxOf(fromRevision, result.value.revision),
+                    deadline,
+                    onResponse,
+                )
         }
     }
 
-    private fun responseIn(event: WatchEvent, batch: HeartbeatBatch): HeartbeatBatchResponse? {
-        val all = event.data?.let { ForwardingCodec.decodeStoredResponses(it) } ?: return null
-        return all.byMember[member]?.takeIf {
+    private fun findResponse(event: WatchEvent, batch: HeartbeatBatch): HeartbeatBatchResponse? {
+        val stored = event.data?.let { ForwardingCodec.decodeStoredResponses(it) } ?: return null
+        return stored.byMember[member]?.takeIf {
             it.processIncarnation == batch.processIncarnation && it.number == batch.number
         }
     }
 
     companion object {
-        /** Prefix of the keys of batches; the member follows. */
-        const val BATCHES = "r/"
+        /** Prefix of the keys of batches. It is followed by the name of the sending member. */
+        const val BATCH_KEY_PREFIX = "r/"
 
-        /** Key of the responses to all members. */
-        const val ANSWERS = "a/relays"
+        /** Key of the value that holds the responses to all members. */
+        const val RESPONSES_KEY = "a/relays"
 
-        /** For the quotes and what else a value is wrapped in. */
+        /** Bytes reserved in a value for the quotes and the rest of its encoding. */
         const val VALUE_OVERHEAD_BYTES = 256
         private val RESPONSE_TIMEOUT = 4.seconds
     }
--- a/src/main/kotlin/wardmux/jobs/JobCancellation.kt
+++ b/src/main/kotlin/wardmux/jobs/JobCancellation.kt
@@ -12,7 +12,7 @@
 import wardmux.store.VersionCondition
 import wardmux.store.WriteOperation
 
-/** Cancels jobs for their users: records it, and answers after that. */
+/** Cancels jobs on request of users. The answer is sent after the cancellation is recorded. */
 class JobCancellation(
     private val store: KeyValueStore,
     private val finalStates: FinalJobStates,
@@ -20,17 +20,17 @@
 ) {
     private val log = logger<JobCancellation>()
 
-    /** Cancels [job] and answers [call]; a job that is over stays as it is. */
-    fun cancel(call: Long, job: JobId) = attempt(call, job, MAX_RETRIES)
+    /** Cancels [job] and answers [call]. The state of a completed or cancelled job is kept. */
+    fun cancel(call: Long, job: JobId) = attemptCancellation(call, job, MAX_RETRIES)
 
-    private fun attempt(call: Long, job: JobId, retries: Int) {
+    private fun attemptCancellation(call: Long, job: JobId, remainingRetries: Int) {
         if (responder.answerIfFinal(call, job)) return
         store.get(JobRecord.key(job)) { result ->
             when (result) {
                 is StoreResult.Ok -> {
                     val record = JobRecord.decode(result.value.data)
                     if (record?.state == JobState.ACCEPTED)
-                        write(call, job, result.value, record, retries)
+                        writeCancellation(call, job, result.value, record, remainingRetries)
                     else responder.answerRecord(call, job, result.value)
                 }
                 is StoreResult.NotFound -> responder.answerUnknownJob(call)
@@ -39,7 +39,13 @@
         }
     }
 
-    private fun write(call: Long, job: JobId, item: KeyValue, record: JobRecord, retries: Int) {
+    private fun writeCancellation(
+        call: Long,
+        job: JobId,
+        item: KeyValue,
+        record: JobRecord,
+        remainingRetries: Int,
+    ) {
         val cancelled = record.toCancelled(store.maxValueBytes).toJson()
         val changes =
             listOf(
@@ -47,23 +53,25 @@
                 WriteOperation(put = JobRecord.cancelledKey(job), data = cancelled),
                 WriteOperation(remove = JobRecord.openKey(job)),
             )
-        val unchanged = listOf(VersionCondition(JobRecord.key(job), item.version))
-        store.compareAndSwap(unchanged, changes, RequestPriority.USER_WRITE) { result ->
+        val conditions = listOf(VersionCondition(JobRecord.key(job), item.version))
+        store.compareAndSwap(conditions, changes, RequestPriority.USER_WRITE) { result ->
             when {
                 result is StoreResult.Ok -> {
-                    log.info("{} is cancelled by its user", job)
+                    log.info("job {} cancelled by its user", job)
                     finalStates.record(job, JobState.CANCELLED)
                     responder.answerState(call, HttpStatus.OK, job, JobState.CANCELLED)
                 }
-                // Changed meanwhile, or perhaps written: the record tells.
+                // The record has changed since the read, or the cancellation may have been written.
+                // The next attempt reads the record again.
                 (result is StoreResult.Conflict || result is StoreResult.Indeterminate) &&
-                    retries > 0 -> attempt(call, job, retries - 1)
+                    remainingRetries > 0 -> attemptCancellation(call, job, remainingRetries - 1)
                 else -> responder.answerUnavailable(call)
             }
         }
     }
 
     private companion object {
+        /** Retries after a conflict or a write with an unknown result. */
         const val MAX_RETRIES = 3
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/FairQueue.kt
+++ b/src/main/kotlin/wardmux/scheduling/FairQueue.kt
@@ -16,7 +16,7 @@
 
 @Serializable
 private class StoredTags(
-    @SerialName("clock") val clock: Long,
+    @SerialName("clock") val virtualTime: Long,
     @SerialName("at") val at: Long,
     @SerialName("teams") val teams: Map<String, StoredAccount>,
 )
@@ -28,128 +28,149 @@
 )
 
 /**
- * Start-time fair queuing over teams. A dispatch starts at max(clock, the team's finish tag); its
- * cost divided by the team's weight is added to the tag; the clock rises to the start tag and never
- * goes back. Usage lowers the weight, and decays with a half-life.
+ * Start-time fair queuing over teams. A dispatch starts at the virtual time or at its team's finish
+ * tag, whichever is later; this is its start tag. The cost divided by the team's weight is added to
+ * the start tag to give the new finish tag. The virtual time advances to the start tag and never
+ * goes back. A team's usage lowers its weight, and decays with a half-life.
  */
 class FairQueue(
     /** The guaranteed share of each team, in CPUs. */
     private val guaranteedCpus: Map<String, Double>,
     private val halfLife: Micros,
-    /** Usage that halves the weight, in CPU-seconds for each guaranteed CPU. */
+    /** The usage that halves the weight of a team, in CPU-seconds for each guaranteed CPU. */
     private val normSeconds: Double,
 ) {
     private class Account {
         var finishTag = 0L
 
-        /** In CPU-microseconds, decayed up to [usageAt]. */
+        /** The usage in CPU-microseconds, decayed up to [usageAt]. */
         var usage = 0.0
         var usageAt = Micros.ZERO
     }
 
     private val accounts = HashMap<String, Account>()
 
-    /** The virtual time of the queue. */
-    var clock = 0L
+    /** The virtual time of the queue, in CPU-microseconds divided by weight. */
+    var virtualTime = 0L
         private set
 
     private fun baseWeight(team: String) = maxOf(1.0, guaranteedCpus[team] ?: 1.0)
 
-    private fun account(team: String, wall: Micros): Account {
-        val account = accounts.getOrPut(team) { Account().also { it.usageAt = wall } }
-        val elapsed = wall - account.usageAt
+    private fun account(team: String, wallTime: Micros): Account {
+        val account = accounts.getOrPut(team) { Account().also { it.usageAt = wallTime } }
+        val elapsed = wallTime - account.usageAt
         if (elapsed > Micros.ZERO) {
             account.usage *= 2.0.pow(-elapsed.value.toDouble() / halfLife.value)
-            account.usageAt = wall
+            account.usageAt = wallTime
         }
         return account
     }
 
-    /** The decayed usage of [team] at time of day [wall], in CPU-microseconds. */
-    fun usage(team: String, wall: Micros): Double = account(team, wall).usage
+    /** The decayed usage of [team] at time of day [wallTime], in CPU-microseconds. */
+    fun usage(team: String, wallTime: Micros): Double = account(team, wallTime).usage
 
-    /** The weight of [team] at time of day [wall]. */
-    fun weight(team: String, wall: Micros): Double {
+    /** The weight of [team] at time of day [wallTime]. */
+    fun weight(team: String, wallTime: Micros): Double {
         val norm = normSeconds * MICROS_PER_SECOND * baseWeight(team)
-        val weight = baseWeight(team) * 2.0.pow(-account(team, wall).usage / norm)
+        val weight = baseWeight(team) * 2.0.pow(-account(team, wallTime).usage / norm)
         return roundToThreeDigits(weight.coerceAtLeast(MIN_WEIGHT))
     }
 
-    /** So that tasks placed together are charged alike and their record says it once. */
+    /**
+     * Rounds to three significant digits, so that tasks placed together are charged with the same
+     * weight and their record stores that charge only once.
+     */
     private fun roundToThreeDigits(value: Double): Double {
         val unit = 10.0.pow(2 - floor(log10(value)))
         return (value * unit).roundToLong() / unit
     }
 
-    /** The tag at which the next dispatch of [team] would start; the lowest goes first. */
-    fun startTag(team: String): Long = maxOf(clock, accounts[team]?.finishTag ?: 0L)
+    /**
+     * The start tag that the next dispatch of [team] would get; the team with the lowest one is
+     * served first.
+     */
+    fun startTag(team: String): Long = maxOf(virtualTime, accounts[team]?.finishTag ?: 0L)
 
-    /** Charges [team] for a dispatch at time of day [wall] that is expected to cost [cost]. */
-    fun charge(team: String, cost: Cost, wall: Micros): Charge {
-        val weight = weight(team, wall)
-        val account = account(team, wall)
+    /** Charges [team] for a dispatch at time of day [wallTime] that is expected to cost [cost]. */
+    fun charge(team: String, cost: Cost, wallTime: Micros): Charge {
+        val weight = weight(team, wallTime)
+        val account = account(team, wallTime)
         val start = startTag(team)
         account.finishTag = start + (cost.value / weight).roundToLong()
         account.usage += cost.value
-        clock = maxOf(clock, start)
+        virtualTime = maxOf(virtualTime, start)
         return Charge(cost, weight)
     }
 
-    /** Corrects [charge] by the [actual] cost, with the weight that the dispatch was charged at. */
-    fun settle(team: String, charge: Charge, actual: Cost, wall: Micros) {
+    /**
+     * Corrects [charge] to the [actual] cost, using the weight that the dispatch was charged with.
+     */
+    fun settle(team: String, charge: Charge, actual: Cost, wallTime: Micros) {
         val difference = (actual.value - charge.cost.value) / charge.weight
-        account(team, wall).finishTag += difference.roundToLong()
+        account(team, wallTime).finishTag += difference.roundToLong()
     }
 
-    /** Takes back the whole [charge] of a dispatch that never left this controller. */
-    fun refund(team: String, charge: Charge, wall: Micros) {
-        val account = account(team, wall)
+    /** Reverts the whole [charge] of a dispatch that never left this controller. */
+    fun refund(team: String, charge: Charge, wallTime: Micros) {
+        val account = account(team, wallTime)
         account.finishTag -= (charge.cost.value / charge.weight).roundToLong()
         account.usage = (account.usage - charge.cost.value).coerceAtLeast(0.0)
     }
 
-    /** With nothing to run the clock rises to the highest tag: nobody saves up credit. */
+    /**
+     * Advances the virtual time to the highest finish tag. Called when there is nothing to run, so
+     * that no team saves up credit while it is idle.
+     */
     fun advanceToHighestTag() {
-        clock = maxOf(clock, accounts.values.maxOfOrNull { it.finishTag } ?: clock)
+        virtualTime =
+            maxOf(virtualTime, accounts.values.maxOfOrNull { it.finishTag } ?: virtualTime)
     }
 
     /**
-     * The stored form at time of day [wall]. Teams that neither lead the clock nor have usage left
-     * are as new, and are left out; if the rest takes more than [maxBytes], so are those that lead
-     * the least.
+     * The form to store at time of day [wallTime]. Teams whose finish tag is not ahead of the
+     * virtual time and that have no usage left are in the same state as new teams, and are left
+     * out. If the remaining teams take more than [maxBytes], those with the lowest finish tags are
+     * left out as well.
      */
-    fun toJson(wall: Micros, maxBytes: Int = Int.MAX_VALUE): JsonElement {
-        val kept =
+    fun toJson(wallTime: Micros, maxBytes: Int = Int.MAX_VALUE): JsonElement {
+        val storedAccounts =
             accounts
-                .filter { (_, a) -> a.finishTag > clock || a.usage > NEGLIGIBLE_USAGE }
-                .mapValues { (team, a) -> StoredAccount(a.finishTag, usage(team, wall)) }
-        val whole = toJson(kept, wall)
-        if (jsonBytes(whole) <= maxBytes) return whole
-        val left = kept.entries.sortedBy { it.value.tag }.toMutableList()
-        while (left.isNotEmpty()) {
-            left.removeFirst()
-            val json = toJson(left.associate { it.key to it.value }, wall)
+                .filter { (_, a) -> a.finishTag > virtualTime || a.usage > NEGLIGIBLE_USAGE }
+                .mapValues { (team, a) -> StoredAccount(a.finishTag, usage(team, wallTime)) }
+        val complete = toJson(storedAccounts, wallTime)
+        if (jsonBytes(complete) <= maxBytes) return complete
+        val remaining = storedAccounts.entries.sortedBy { it.value.tag }.toMutableList()
+        while (remaining.isNotEmpty()) {
+            remaining.removeFirst()
+            val json = toJson(remaining.associate { it.key to it.value }, wallTime)
             if (jsonBytes(json) <= maxBytes) return json
         }
-        return toJson(emptyMap(), wall)
+        return toJson(emptyMap(), wallTime)
     }
 
-    private fun toJson(kept: Map<String, StoredAccount>, wall: Micros): JsonElement =
+    private fun toJson(storedAccounts: Map<String, StoredAccount>, wallTime: Micros): JsonElement =
         lenientJson.encodeToJsonElement(
             StoredTags.serializer(),
-            StoredTags(clock, wall.value, kept),
+            StoredTags(virtualTime, wallTime.value, storedAccounts),
         )
 
-    /** Replaces all accounts by what [json] holds; by none, which is logged, if it is no such. */
+    /**
+     * Replaces the virtual time and all accounts by those in [json]. If it cannot be decoded, an
+     * error is logged, all accounts are removed, and the virtual time stays as it is.
+     */
     fun load(json: JsonElement) {
         val stored =
             try {
                 lenientJson.decodeFromJsonElement(StoredTags.serializer(), json)
             } catch (e: IllegalArgumentException) {
-                logger<FairQueue>().error("the stored tags can't be decoded: {}", e.message)
-                StoredTags(clock, 0, emptyMap())
+                logger<FairQueue>()
+                    .error(
+                        "value of key tags cannot be decoded, accounts of all teams are reset: {}",
+                        e.message,
+                    )
+                StoredTags(virtualTime, 0, emptyMap())
             }
-        clock = stored.clock
+        virtualTime = stored.virtualTime
         accounts.clear()
         for ((team, saved) in stored.teams) {
             accounts[team] =
@@ -167,7 +188,7 @@
         private const val MICROS_PER_SECOND = 1e6
         private const val MIN_WEIGHT = 1e-3
 
-        /** In CPU-microseconds. */
+        /** Usage below this is not stored, in CPU-microseconds. */
         private const val NEGLIGIBLE_USAGE = 1e6
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/GangReservations.kt
+++ b/src/main/kotlin/wardmux/scheduling/GangReservations.kt
@@ -10,8 +10,9 @@
 import wardmux.model.seconds
 
 /**
- * Reserves machines and quota for gangs that wait: a gang needs all of both at once, and small
- * tasks would take each bit that comes free.
+ * Reserves machines and quota for waiting gangs. A gang needs machines and quota for all its tasks
+ * at the same time. Without reservations, small tasks would take each bit of capacity as soon as it
+ * comes free.
  */
 class GangReservations(
     private val context: CoreContext,
@@ -20,29 +21,34 @@
     private val placement: GangPlacement,
     private val workers: WorkerTiming,
 ) {
-    /** Of each team the gang that has waited longest, if that is too long. */
+    /**
+     * For each team, the gang that has waited longest since its acceptance, among the gangs that
+     * have been blocked for long.
+     */
     private var quotaClaims: Map<String, Job> = emptyMap()
 
-    /** Machines that are reserved for one gang: nothing else is placed there. */
+    /** Machines that are reserved for one gang. Nothing else is placed on them. */
     private var reservedMachines: Set<MachineId> = emptySet()
     private var reservedFor: JobId? = null
 
-    /** Decides anew, before each plan, for the jobs that are [ready] to start. */
+    /**
+     * Recomputes all reservations for the jobs that are [ready] to start. Called before each plan.
+     */
     internal fun update(ready: List<Job>) {
-        abortHopelessAttempts(ready)
+        abortUnfinishableAttempts(ready)
         reserveMachines(ready)
         quotaClaims = quotaClaims(ready)
     }
 
     /**
-     * True if a task of [job] leaves the quota that its team's longest waiting gang needs, or comes
-     * before that gang by its priority.
+     * True if a task of [job] can start and still leave the quota that its team's longest waiting
+     * gang needs, or if [job] has a higher priority than that gang.
      */
-    fun leavesQuota(job: Job): Boolean {
+    fun leavesQuotaForGang(job: Job): Boolean {
         val gang = quotaClaims[job.spec.team] ?: return true
-        val comesFirst = gang === job || job.spec.priority < gang.spec.priority
-        if (comesFirst || gang.waiting == 0) return true
-        return cluster.headroom(gang.spec, beside = job.spec) >= gang.waiting
+        val hasPrecedence = gang === job || job.spec.priority < gang.spec.priority
+        if (hasPrecedence || gang.waiting == 0) return true
+        return cluster.quotaHeadroom(gang.spec, afterStarting = job.spec) >= gang.waiting
     }
 
     private fun quotaClaims(ready: List<Job>): Map<String, Job> =
@@ -56,19 +62,26 @@
             .sortedByDescending { it.acceptedAt.value }
             .associateBy { it.spec.team }
 
-    /** True if [machine] is reserved for another gang than [job]. */
+    /** True if [machine] is reserved for a gang other than [job]. */
     fun isReservedFromJob(job: Job, machine: Machine) =
         machine.id in reservedMachines && job.id != reservedFor
 
-    /** True if [machine] is reserved for [job], with others that together hold all of it. */
+    /**
+     * True if [machine] is one of the machines reserved for [job]. If they were empty, they would
+     * hold the whole gang.
+     */
     fun isReservedFor(job: Job, machine: Machine) =
         job.id == reservedFor && machine.id in reservedMachines
 
     /**
-     * Reserves machines for the gang that has waited longest, in one zone if it has to be: those
-     * with the most room and where the most tasks end. It is one gang at a time, so that two never
-     * hold what the other lacks. It gets them as soon as a plan found no room for it, and more than
-     * it needs, as its room comes the sooner the more tasks may end for it.
+     * Reserves machines for the gang that has waited longest, in one zone if the gang requires it.
+     * Machines with the most room for the gang's tasks are taken first, then those with the most
+     * running tasks.
+     *
+     * Only one gang has a reservation at a time, so that no two gangs hold machines that the other
+     * one needs. The gang gets its reservation as soon as one plan found no room for it. The
+     * reservation has more machines than the gang needs, because room comes free sooner where more
+     * tasks may end.
      */
     private fun reserveMachines(ready: List<Job>) {
         val waiting = ready.filter { it.spec.isGang && awaitsRoom(it) && hasMachinesFor(it) }
@@ -78,20 +91,23 @@
             reservedFor = null
             return
         }
-        val usable = usableFor(gang)
-        val kept = usable.filter { it.id in reservedMachines }
-        if (gang.id == reservedFor && placement.wouldHoldAll(gang, kept)) return
+        val usable = usableMachinesFor(gang)
+        val stillUsable = usable.filter { it.id in reservedMachines }
+        if (gang.id == reservedFor && placement.wouldFitWhenEmpty(gang, stillUsable)) return
         reservedFor = gang.id
-        // Where the least has to come free.
+        // Chooses the group of machines where the least additional room has to come free.
         reservedMachines =
-            groupsFor(gang, usable)
+            machineGroupsFor(gang, usable)
                 .mapNotNull { reservationAmong(gang, it) }
                 .maxByOrNull { chosen -> chosen.sumOf { it.roomFor(gang.spec) } }
                 .orEmpty()
                 .mapTo(HashSet()) { it.id }
     }
 
-    /** The machines of [group] to reserve, or null if all of them would not hold the gang. */
+    /**
+     * The machines of [group] to reserve, or null if the whole group would not hold the gang even
+     * if it were empty.
+     */
     private fun reservationAmong(gang: Job, group: List<Machine>): List<Machine>? {
         val sorted =
             group.sortedWith(
@@ -99,64 +115,80 @@
                     .thenByDescending { it.placements.size }
             )
         val count =
-            (1..sorted.size).firstOrNull { placement.wouldHoldAll(gang, sorted.take(it)) }
+            (1..sorted.size).firstOrNull { placement.wouldFitWhenEmpty(gang, sorted.take(it)) }
                 ?: return null
-        return sorted.take(count * RESERVATION_FACTOR)
+        return sorted.take(count * RESERVED_MACHINES_FACTOR)
     }
 
-    private fun usableFor(job: Job): List<Machine> =
+    private fun usableMachinesFor(job: Job): List<Machine> =
         cluster.machines.values.filter {
             eligibility.isSchedulable(it) && eligibility.satisfiesConstraints(job.spec, it)
         }
 
-    /** The machines among which all of the gang has to be. */
-    private fun groupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
+    /**
+     * The groups of machines within which a gang has to be placed as a whole: one group for each
+     * zone if the gang has to be in one zone, otherwise a single group.
+     */
+    private fun machineGroupsFor(job: Job, machines: List<Machine>): Collection<List<Machine>> =
         if (job.spec.oneZone) machines.groupBy { it.zone }.values else listOf(machines)
 
-    /** Where its pages hold only few machines, one that these can't serve lets the next come. */
+    /**
+     * True if some group of usable machines would hold the gang if it were empty. Checked only for
+     * gangs whose pages fit only few machines: one that no group can hold gets no reservation, so
+     * that the next gang can have it.
+     */
     private fun hasMachinesFor(job: Job): Boolean {
         if (!PageSizeEstimate.requiresDensePacking(job, placement.maxBytes)) return true
-        return groupsFor(job, usableFor(job)).any { placement.wouldHoldAll(job, it) }
+        return machineGroupsFor(job, usableMachinesFor(job)).any {
+            placement.wouldFitWhenEmpty(job, it)
+        }
     }
 
-    /** A gang that only the lack of room on machines holds back. */
+    /** True if only the lack of room on machines keeps the gang from starting. */
     private fun awaitsRoom(job: Job): Boolean {
         val mayPlace = job.placements.isEmpty() || canReplaceLostTasks(job)
         return mayPlace &&
             job.blockedSince != null &&
             !cluster.hasOrphans(job) &&
             !placement.canNeverBeStored(job) &&
-            cluster.headroom(job.spec) >= job.waiting
+            cluster.quotaHeadroom(job.spec) >= job.waiting
     }
 
     /**
-     * What is left of an attempt that can't be completed is stopped whether or not there is room or
-     * quota for the next: two gangs of a team that each hold what the other waits for would wait
-     * for ever.
+     * Stops the remaining tasks of attempts that cannot be completed, whether or not there is room
+     * or quota for the next attempt. Otherwise two gangs of a team that each hold what the other
+     * one waits for would wait indefinitely.
      */
-    private fun abortHopelessAttempts(ready: List<Job>) {
+    private fun abortUnfinishableAttempts(ready: List<Job>) {
         for (job in ready) {
             val isPlaced = job.spec.isGang && job.placements.isNotEmpty()
             if (isPlaced && !canReplaceLostTasks(job)) cluster.abortGangAttempt(job)
         }
     }
 
-    /** True if lost tasks of the gang's attempt can still be placed in time for the others. */
+    /**
+     * True if lost tasks of the gang's current attempt can still be replaced before its other tasks
+     * stop waiting.
+     */
     fun canReplaceLostTasks(job: Job) = job.gangAttempt?.let { canBeCompleted(it) } == true
 
     private fun canBeCompleted(attempt: GangAttempt): Boolean {
-        val maxAge = (workers.gangWaitS * REPLACEMENT_SHARE).seconds
+        val maxAge = (workers.gangWaitS * REPLACEMENT_SHARE_OF_GANG_WAIT).seconds
         return !attempt.isAborted && !attempt.hasRun && context.now - attempt.startedAt < maxAge
     }
 
     private companion object {
         /**
-         * The share of the time that a gang's tasks wait for each other in which lost ones are
-         * replaced: in the rest an image has to come.
+         * The share of the gang wait (the time that tasks of a gang wait for each other to start)
+         * in which lost tasks are replaced. The rest is left for fetching the image on the new
+         * machine.
          */
-        const val REPLACEMENT_SHARE = 0.4
+        const val REPLACEMENT_SHARE_OF_GANG_WAIT = 0.4
 
-        /** Machines that are reserved, in those that would hold the gang if they were empty. */
-        const val RESERVATION_FACTOR = 3
+        /**
+         * The number of reserved machines, as a multiple of the machines that would hold the gang
+         * if they were empty.
+         */
+        const val RESERVED_MACHINES_FACTOR = 3
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -9,21 +9,24 @@
 import wardmux.model.seconds
 
 /**
- * Stops tasks with a grace period, so that they can write a checkpoint. The stop commands go out
- * with the next commands to their machines.
+ * Stops tasks with a grace period in which they can write a checkpoint. The stop commands are sent
+ * with the next commands to the tasks' machines.
  */
 class TaskEvictor(private val cluster: ClusterState, private val workers: WorkerTiming) {
     private val log = logger<TaskEvictor>()
 
     /**
-     * Stops [victim] for [reason]. Of a gang all tasks are stopped: those not told in time would
-     * spoil what the others save.
+     * Stops [victim] for [reason]. If it belongs to a gang, all tasks of the gang are stopped:
+     * tasks that got the stop command too late would spoil the checkpoint of the others.
      */
     fun evict(victim: Placement, reason: String) {
         if (victim.job.spec.isGang) return evictGang(victim.job, reason)
         val spec = victim.job.spec
         val canSave = spec.isCheckpointable && victim.status == TaskStatus.RUNNING
-        requestStop(victim, if (canSave) (spec.saveS + SAVE_MARGIN_S).seconds else Micros.ZERO)
+        requestStop(
+            victim,
+            if (canSave) (spec.saveS + CHECKPOINT_MARGIN_S).seconds else Micros.ZERO,
+        )
         log.info("stopping {} on {}: {}", victim.task, victim.machine, reason)
     }
 
@@ -32,7 +35,7 @@
         val canSave =
             spec.isCheckpointable && job.placements.values.all { it.status == TaskStatus.RUNNING }
         if (canSave) {
-            val gracePeriod = (spec.saveS + SAVE_MARGIN_S + workers.gangPeerS).seconds
+            val gracePeriod = (spec.saveS + CHECKPOINT_MARGIN_S + workers.gangPeerS).seconds
             for (placement in job.placements.values) requestStop(placement, gracePeriod)
         } else {
             cluster.abortGangAttempt(job)
@@ -47,6 +50,7 @@
     }
 
     private companion object {
-        const val SAVE_MARGIN_S = 1.0
+        /** Added to the time that a task needs to write a checkpoint, in seconds. */
+        const val CHECKPOINT_MARGIN_S = 1.0
     }
 }
