--- a/src/test/kotlin/wardmux/sim/Invariants.kt
+++ b/src/test/kotlin/wardmux/sim/Invariants.kt
@@ -269,7 +269,7 @@
     /** Whether the user was told that [job] is accepted; before that no user polls its status. */
     private fun isAccepted(job: String) = reportedJobs[job]?.acceptedAt != null
 
-    /** Accepted jobs with tasks on machines that nobody asked to cancel. */
+    /** Accepted jobs that nobody asked to cancel and that have tasks on machines. */
     fun runningJobsNotCancelled(): List<String> =
         locations
             .filter { it.value.isNotEmpty() && it.key !in cancelRequests && isAccepted(it.key) }
@@ -401,6 +401,7 @@
             report("forgotten", "$call of accepted $job is answered $status")
         if (status != 200 && status != 201) return
         val before = known.finalState
+        // A state that is not final may come from an answer overtaken by that of the final state.
         val isCertain = known.finalAt <= askedAt || state == "cancelled" || state == "done"
         if (before != null && state != before && isCertain)
             report("went_back", "$call of $job is answered $state, was reported $before")
@@ -428,7 +429,7 @@
 
     /**
      * Checks at the end of a scenario without faults since [faultsEndedAt] that
-     * - every accepted job is still known, even if others starve;
+     * - every accepted job is still known, whatever happened to the others;
      * - of the jobs that nobody asked to cancel and that were accepted more than four minutes ago,
      *   at least half of each class, of each team and of the largest fifth of each class started;
      * - all of the largest fifth of each class started.
