--- a/src/test/kotlin/wardmux/sim/InvariantsTest.kt
+++ b/src/test/kotlin/wardmux/sim/InvariantsTest.kt
@@ -249,8 +249,14 @@
         submitAcceptedJob(6, 1)
         submitAcceptedJob(7, 1)
         checkAtEnd()
-        assertTrue(invariants.violations.any { "class c" in it }, "class c in ${invariants.violations}")
-        assertTrue(invariants.violations.any { "team t" in it }, "team t in ${invariants.violations}")
+        assertTrue(
+            invariants.violations.any { "class c" in it },
+            "class c in ${invariants.violations}",
+        )
+        assertTrue(
+            invariants.violations.any { "team t" in it },
+            "team t in ${invariants.violations}",
+        )
     }
 
     @Test
@@ -278,7 +284,10 @@
         submitAcceptedJob(12, 12)
         invariants.violations.clear()
         checkAtEnd()
-        assertTrue(invariants.violations.any { "largest of c" in it }, "largest of c in ${invariants.violations}")
+        assertTrue(
+            invariants.violations.any { "largest of c" in it },
+            "largest of c in ${invariants.violations}",
+        )
     }
 
     /** Machine m1 in zone a with [freeCpus], which holds [tasks]. */
