--- a/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
+++ b/src/test/kotlin/wardmux/sim/ClusterSimulation.kt
@@ -29,31 +29,46 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Real controllers among fakes of all that they deal with, in simulated time. */
+/**
+ * Runs real controllers in simulated time against fakes of the key-value store, the cloud, the
+ * workers, the users and the network. The seed determines the whole scenario.
+ */
 class ClusterSimulation(
     seed: Long,
+    /** The most changes in one transaction of the key-value store. */
     txnOps: Int = 8,
     private val operators: OperatorSettings = OperatorSettings(),
-    /** Some machines are up at the start. */
+    /** Whether one on-demand machine is rented in each zone at the start. */
     startWithMachines: Boolean = true,
+    /** The time in seconds that a gang's task waits for the other tasks before it ends. */
     gangWaitS: Double = 35.0,
+    /** The time in seconds within which a gang's tasks notice that one of them is lost. */
     gangPeerS: Double = 6.0,
-    /** The limits that controllers which start from now on are told of beforehand. */
+    /**
+     * Lower limits of the key-value store that the settings announce to controllers. A change
+     * applies to controllers that start afterwards.
+     */
     var announcedLimits: AnnouncedStoreLimits? = null,
-    /** Machines that the cloud has, in each zone, of spot and of ordinary ones. */
+    /** The most spot machines, and the most on-demand machines, that the cloud rents in a zone. */
     capacityPerZone: Int = 3,
-    /** Sockets that each controller may have open. */
+    /** The file descriptor limit of each controller, which also limits its connections. */
     fdLimit: Int = 1_000,
-    /** The most CPUs that a team may use. */
+    /** The most CPUs that the tasks of one team may use. */
     teamCpuLimit: Double = 40.0,
 ) {
-    /** The operators' settings of a controller that starts from now on, by its name. */
+    /**
+     * The operator settings of each controller, by its name. A change applies to controllers that
+     * start afterwards.
+     */
     var operatorSettingsOf: (member: String) -> OperatorSettings = { operators }
 
-    /** Plans of drains that are never worked out. */
+    /** The probability that the computation of a drain plan never returns a result. */
     var planLossProbability = 0.0
 
-    /** Of these limits a controller is told that starts from now on, by its name. */
+    /**
+     * The announced limits of the key-value store for each controller, by its name. A change
+     * applies to controllers that start afterwards.
+     */
     var announcedLimitsOf: (member: String) -> AnnouncedStoreLimits? = { announcedLimits }
     val clock = SimulatedClock(seed)
     val network = Network(clock)
@@ -78,15 +93,15 @@
     private val workers = HashMap<String, FakeWorker>()
     private val processes = HashMap<String, ControllerProcess>()
 
-    /** Those who submit jobs and ask about them. */
+    /** The users, who submit jobs, poll their status and cancel some of them. */
     val users = SimulatedUsers(clock, network, nodes, teams, invariants, ::call) { workers[it] }
 
-    /** By machine: how long direct commands are held up on their way to it. */
+    /** The extra delay of direct commands to a machine, by machine ID. */
     val commandDelays = HashMap<String, Micros>()
 
     /**
-     * Told of each command to start when it is decided: by which controller, to which machine if it
-     * is a direct one, and the task with its attempt.
+     * Called when a controller decides to send a start command, with the controller, the machine
+     * (null unless it is a direct command), the task and its attempt.
      */
     var onStartDecided:
         ((controller: String, machine: String?, task: String, attempt: Int) -> Unit)? =
@@ -96,9 +111,12 @@
     private var startedProcesses = 0L
     private var lastRequestId = 0L
 
-    /** One life of a controller. */
+    /** A controller process, from its start to its crash. */
     private inner class ControllerProcess(val member: String) {
-        /** Decisions to start are held against what users were told when they were made. */
+        /**
+         * Reports the start commands among [effects] to [onStartDecided] and to the invariants,
+         * which compare them with the cancellations that users had been told of by then.
+         */
         private fun recordStartCommands(effects: List<Effect>) {
             onStartDecided?.let { listener ->
                 for (effect in effects) notifyStartCommands(effect, listener)
@@ -142,14 +160,16 @@
         var alive = true
 
         /**
-         * Stands still while its clocks run on: what comes, and what was about to go out, waits.
+         * Whether the process is suspended. Its clocks advance, but its inputs and the effects that
+         * it had not yet performed wait until it resumes.
          */
         private var frozen = false
         private val deferred = ArrayList<() -> Unit>()
 
         fun freeze(duration: Micros) {
             if (frozen) return
-            // Once more it decides, and stands still before anything of that goes out.
+            // The process handles one more tick and is suspended before it performs the effects, so
+            // that it acts on an outdated decision when it resumes.
             val effects = handle(Input.Tick)
             frozen = true
             clock.after(duration) {
@@ -157,7 +177,7 @@
                 for (effect in effects) perform(effect)
                 val inputs = deferred.toList()
                 deferred.clear()
-                for (resume in inputs) resume()
+                for (feedInput in inputs) feedInput()
             }
         }
 
@@ -184,7 +204,10 @@
             }
         }
 
-        /** Bounded by nodes and not by time, so that a seed always gives the same scenario. */
+        /**
+         * Computes a drain plan. The search is bounded by its number of nodes and not by its time,
+         * so that a seed always produces the same scenario.
+         */
         private fun compute(effect: Effect.Compute) {
             if (planLossProbability > 0 && clock.chance(planLossProbability)) return
             val planning = effect.task as DrainPlanning
@@ -198,7 +221,7 @@
                 if (!completed) feed(Input.Response(effect.id, Outcome.NoResponse))
                 completed = true
             }
-            // As bytes: what controllers tell each other is no text.
+            // The body is passed as bytes because messages between controllers are binary.
             val respond = { status: Int, body: ByteArray ->
                 val complete = {
                     if (!completed) {
@@ -210,7 +233,7 @@
             }
             network.send(member, hostOf(effect.target)) {
                 deliver(effect, respond)
-                // A repeat of what was carried out.
+                // A duplicate arrives after the request was executed. Its response is dropped.
                 network.maybeDuplicate { deliver(effect) { _, _ -> } }
             }
         }
@@ -247,7 +270,10 @@
         }
     }
 
-    /** A hanging machine executes what has arrived when it goes on. */
+    /**
+     * Delivers a request to [worker]. An unresponsive worker executes it when it responds again; a
+     * crashed one loses it.
+     */
     private fun deliverToWorker(
         worker: FakeWorker?,
         path: String,
@@ -266,6 +292,7 @@
         }
     }
 
+    /** The name of the host in [network] that [target] stands for. */
     private fun hostOf(target: Target): String =
         when (target) {
             is Target.KeyValueStore -> "state"
@@ -360,10 +387,12 @@
         clock.after(100.milliseconds) { scheduleTicks(process) }
     }
 
+    /** Suspends the controller [member], if it is up, for [duration]. */
     fun freeze(member: String, duration: Micros) {
         processes[member]?.takeIf { it.alive }?.freeze(duration)
     }
 
+    /** Crashes the controller [member], which restarts after [downtime]. */
     fun crash(member: String, downtime: Micros) {
         val process = processes[member] ?: return
         process.alive = false
@@ -371,12 +400,19 @@
         clock.after(downtime) { if (processes[member] === process) startController(member) }
     }
 
+    /** The leader that the key-value store records, or null if there is none. */
     fun leader(): String? = store.value("leader")?.jsonObject?.get("member")?.jsonPrimitive?.content
 
-    /** The token of the leader: the revision of the write that took the key. */
+    /**
+     * The fencing token of the leader, which is the revision of the write that acquired the leader
+     * key, or null if there is no leader.
+     */
     fun leaderToken(): Long? = store.version("leader")
 
-    /** An operator asks the controller [by], or any; null if it never answers. */
+    /**
+     * Sends an operator's request to [controller], or to a random one if it is null. [onResponse]
+     * gets a null status if no response arrives in time.
+     */
     fun sendOperatorRequest(
         method: String,
         path: String,
@@ -405,13 +441,17 @@
     /** See [SimulatedUsers.randomJob]. */
     fun randomJob(): JobSpec = users.randomJob()
 
-    /** A service whose replicas run until it is cancelled, on any machine in any zone. */
+    /** A service without placement constraints, whose replicas run until it is cancelled. */
     fun unconstrainedService(team: String, tasks: Int): JobSpec =
         unconstrainedJob(JobKind.SERVICE, team, tasks, cpus = 2.0, estimateS = 0.0)
 
+    /** Runs the simulation to the time [until] and checks the invariants after each event. */
     fun run(until: Micros) = clock.run(until) { invariants.check(clock.now) }
 
-    /** From now, which is calm, no job may wait beside a machine that has room for it. */
+    /**
+     * From now on, checks every second that no job waits although a machine has room for it. All
+     * faults must be over when this is called.
+     */
     fun startWorkConservationChecks() = repeatWorkConservationCheck()
 
     private fun repeatWorkConservationCheck() {
@@ -421,14 +461,18 @@
         clock.after(1.seconds) { repeatWorkConservationCheck() }
     }
 
-    /** The checks at the end of a scenario whose troubles were over at [calm]. */
+    /** Runs the final checks of a scenario whose faults were over at [faultsEndedAt]. */
     fun checkAtEnd(faultsEndedAt: Micros) = invariants.checkAtEnd(clock.now, faultsEndedAt)
 
+    /** All violations of invariants and of the protocols of the key-value store and the cloud. */
     fun violations(): List<String> =
         invariants.broken + store.protocolViolations + cloud.protocolViolations
 
     private companion object {
+        /** Matches a start command and captures its task and attempt. */
         val startCommandTask = Regex("""\{"verb":"start","piece":"(job-\d+/\d+)","try":(\d+)""")
+
+        /** Matches a whole start command and captures its job. */
         val startCommandJob = Regex("""\{"verb":"start","piece":"(job-\d+)/\d+"[^}]*}""")
     }
 }
--- a/src/test/kotlin/wardmux/sim/ControllerHarness.kt
+++ b/src/test/kotlin/wardmux/sim/ControllerHarness.kt
@@ -33,12 +33,15 @@
 import wardmux.records.JobRecord
 import wardmux.records.MachineTypeList
 
-/** One controller whose key-value store answers at once, for situations set up by hand. */
+/**
+ * Runs one controller against a key-value store that responds immediately. Tests set up a situation
+ * by hand: they write records, send requests and heartbeats, and read what the controller sent.
+ */
 class ControllerHarness(
     peers: List<String> = emptyList(),
     operators: OperatorSettings = OperatorSettings(),
     platform: PlatformConfig = SETTINGS,
-    /** The limits of the key-value store that are to come. */
+    /** Lower limits of the key-value store that the settings announce, or null. */
     announcedLimits: AnnouncedStoreLimits? = platform.deployment.state.next,
 ) {
     private val settings =
@@ -54,39 +57,46 @@
     private val responseBodies = HashMap<Long, ByteArray>()
     private var requestCount = 0L
 
-    /** Direct commands, as they were sent to workers. */
+    /** The bodies of the direct commands that were sent to workers. */
     val directCommands = ArrayList<String>()
 
-    /** What becomes of direct commands: as a rule they get no connection. */
+    /** The outcome of every request to a worker; by default no connection is established. */
     var directCommandOutcome: Outcome = Outcome.NotSent
 
-    /** What a peer answers to the bytes it is sent on a path: as a rule it gets none. */
+    /**
+     * Computes the response body of a peer to a request body on a path. Null, the default, means
+     * that no connection to the peer is established.
+     */
     var peerResponse: (path: String, body: ByteArray) -> ByteArray? = { _, _ -> null }
 
-    /** Requests to the cloud, which nobody answers. */
+    /** The path and body of each request to the cloud, which is never reachable. */
     val cloudRequests = ArrayList<String>()
 
-    /** Requests to the key-value store, and whether their answers are held back for now. */
+    /** The method and path of each request to the key-value store that was not refused. */
     val storeRequests = ArrayList<String>()
+
+    /** Whether responses of the key-value store are held until [releaseStoreResponses]. */
     var holdStoreResponses = false
     private val heldResponses = ArrayList<() -> Unit>()
 
+    /** Delivers the held responses of the key-value store and holds no more. */
     fun releaseStoreResponses() {
         holdStoreResponses = false
-        val all = heldResponses.toList()
+        val responsesToDeliver = heldResponses.toList()
         heldResponses.clear()
-        for (reply in all) reply()
+        for (deliver in responsesToDeliver) deliver()
     }
 
-    /** The key-value store serves nobody, and no lease ends. */
+    /** Starts an outage of the key-value store: it refuses all requests, and no lease expires. */
     fun startStoreOutage() = store.startOutage(null)
 
+    /** Ends the outage. All leases start again with their full duration. */
     fun endStoreOutage() = store.endOutage(null)
 
-    /** The limits are lower from now on. */
+    /** Lowers the limits that the key-value store enforces. */
     fun lowerStoreLimits(limits: AnnouncedStoreLimits) = store.lowerLimits(limits)
 
-    /** Requests to the key-value store that get 503. */
+    /** Whether a request to the key-value store on this path gets a 503 response. */
     var refusesStoreRequest: (String) -> Boolean = { false }
 
     init {
@@ -98,16 +108,19 @@
         put("data", data)
     }
 
+    /** Writes [key] as another client of the key-value store. */
     fun write(key: String, data: JsonElement) = commit(putOperation(key, data))
 
+    /** Removes [key] as another client of the key-value store. */
     fun remove(key: String) = commit(JsonObject(mapOf("remove" to JsonPrimitive(key))))
 
-    /** All in one transaction, so that all keys get the same stamp. */
+    /** Commits [changes] in one transaction, so that all their keys get the same revision. */
     private fun commit(vararg changes: JsonObject) {
         val body = buildJsonObject { put("then", JsonArray(changes.toList())) }
         store.handle("test", "POST", "/multi", body.toString()) { _, _ -> }
     }
 
+    /** Writes the records of a job that was accepted and not yet placed. */
     fun writeAcceptedJob(spec: JobSpec) {
         val record = JobRecord(JobState.ACCEPTED, 0, spec).toJson()
         commit(
@@ -116,6 +129,7 @@
         )
     }
 
+    /** Advances the time by [duration], with a tick of the controller every 100 ms. */
     fun run(duration: Micros) {
         val until = clock.now + duration
         while (clock.now < until) {
@@ -124,6 +138,10 @@
         }
     }
 
+    /**
+     * Sends a request to the controller. Returns the status and body of the response, or null if
+     * the controller has not responded yet.
+     */
     fun call(
         method: String,
         path: String,
@@ -135,19 +153,21 @@
         return responses[id]
     }
 
+    /** The ID of the most recent request that was sent with [call]. */
     val lastRequestId: Long
         get() = requestCount
 
+    /** The body of the response to the request [id], for binary responses. */
     fun responseBodyOf(id: Long): ByteArray = responseBodies.getValue(id)
 
-    /** This controller's steady clock. */
+    /** The time on the monotonic clock of the controller. */
     val now: Micros
         get() = clock.now
 
-    /** The status and body of a call that was answered later. */
+    /** The status and body of the response to the request [id], or null if there is none yet. */
     fun responseTo(id: Long): Pair<Int, String>? = responses[id]
 
-    /** A lease of somebody else's, with a key bound to it. */
+    /** Writes [key] bound to a lease of 600 s that another client holds. */
     fun writeWithOtherLease(key: String, data: JsonElement) {
         store.handle("test", "POST", "/leases", """{"life_ms":600000}""") { _, body ->
             val permit = Regex("\\d+").find(body)!!.value.toLong()
@@ -161,6 +181,7 @@
         }
     }
 
+    /** The value of [key] in the key-value store, or null if it does not exist. */
     fun storedValue(key: String): JsonElement? = store.value(key)
 
     private fun feed(input: Input) {
@@ -171,7 +192,7 @@
                     responseBodies[effect.id] = effect.body
                 }
                 is Effect.SendRequest -> send(effect)
-                // No plan comes: the greedy one has to serve.
+                // The drain plan is never computed, so the controller uses its greedy plan.
                 is Effect.Compute -> Unit
             }
         }
@@ -231,7 +252,7 @@
     }
 }
 
-/** A plain array job, for situations set up by hand. */
+/** An array job of team-0 without deadline and checkpoints; its tasks need two CPUs each. */
 fun plainJob(tasks: Int, id: String = "job-000001", oneZone: Boolean = false) =
     JobSpec(
         id,
@@ -255,7 +276,7 @@
         saveS = 0.0,
     )
 
-/** A machine of the harness that reports by hand. */
+/** A machine of [harness] that sends a heartbeat only when the test tells it to. */
 class ManualWorker(
     private val harness: ControllerHarness,
     private val id: String,
@@ -264,6 +285,10 @@
     var tick = 0
     var incarnation = 1
 
+    /**
+     * Sends a heartbeat with [token] and the JSON of [tasks]. Returns the status and body of the
+     * response, or null if the controller has not responded yet.
+     */
     fun sendHeartbeat(
         token: Long,
         tasks: String = "",
@@ -271,17 +296,19 @@
     ): Pair<Int, String>? {
         val body =
             """{"box":"$id","endpoint":"10.0.0.9:9","boxkind":"mid","ward":"$zone","loaners":""" +
-                """false,"shift":$incarnation,"tick":$heartbeatTick,"baton":$token,"pieces":[$tasks]}"""
+                """false,"shift":$incarnation,"tick":$heartbeatTick,"baton":$token,""" +
+                """"pieces":[$tasks]}"""
         return harness.call("POST", "/hello", body.encodeToByteArray())
     }
 
+    /** Sends a heartbeat, requires a response with status 200 and returns its body. */
     fun heartbeatResponse(token: Long, tasks: String = ""): String {
         val answer = sendHeartbeat(token, tasks)
-        check(answer?.first == 200) { "answered $answer" }
+        check(answer?.first == 200) { "expected status 200 for the heartbeat of $id, got $answer" }
         return answer.second
     }
 
-    /** The leader's token, as a first report learns it. */
+    /** Sends a heartbeat without a known token and returns the leader's token in the response. */
     fun fetchLeaderToken(): Long =
         Regex("\"baton\":(\\d+)").find(heartbeatResponse(0))!!.groupValues[1].toLong()
 }
--- a/src/test/kotlin/wardmux/sim/EffectDigest.kt
+++ b/src/test/kotlin/wardmux/sim/EffectDigest.kt
@@ -8,13 +8,14 @@
 
 /**
  * The number and the SHA-256 hash of all effects of one simulated cluster, in their order. Two
- * versions that decide alike have the same digests; `tools/compare-effects` compares them.
+ * versions of the controller that make the same decisions have the same digests;
+ * `tools/compare-effects` compares them.
  */
 class EffectDigest private constructor() {
     private val hash = MessageDigest.getInstance("SHA-256")
     private var count = 0L
 
-    /** Adds what the controller [member] asked for when it handled one input at the time [now]. */
+    /** Adds the effects that the controller [member] returned for one input at the time [now]. */
     fun record(now: Micros, member: String, effects: List<Effect>) {
         for (effect in effects) {
             count++
@@ -55,7 +56,8 @@
         private val digests = ArrayList<EffectDigest>()
 
         /**
-         * The digest of a new cluster, or null unless the property `wardmux.effects` names a file.
+         * The digest of a new cluster, or null unless the system property `wardmux.effects` names
+         * the file to which all digests are written when the process exits.
          */
         fun start(): EffectDigest? {
             val path = System.getProperty("wardmux.effects") ?: return null
@@ -65,7 +67,10 @@
             return EffectDigest().also { digests += it }
         }
 
-        /** Sorted, as the order of the tests depends on their names. */
+        /**
+         * Writes one line per cluster. The lines are sorted because the order in which tests run
+         * depends on their names.
+         */
         private fun write(file: File) =
             file.writeText(
                 digests.map { it.toString() }.sorted().joinToString("\n", postfix = "\n")
--- a/src/test/kotlin/wardmux/sim/FakeCloud.kt
+++ b/src/test/kotlin/wardmux/sim/FakeCloud.kt
@@ -15,11 +15,11 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** The cloud, written from PROTOCOL; its list is always late. */
+/** A fake of the cloud, written from the protocol. Its list of machines is always outdated. */
 class FakeCloud(
     private val clock: SimulatedClock,
     private val zones: List<String>,
-    /** Machines of each zone and kind. */
+    /** The most spot machines, and the most on-demand machines, that are rented in a zone. */
     private val capacityPerZone: Int,
     private val newWorker: (id: String, type: String, zone: String, spot: Boolean) -> FakeWorker,
 ) {
@@ -37,16 +37,20 @@
     private val rentalResponses = HashMap<String, String>()
     private val recentListings = ArrayDeque<String>()
     private var nextMachineNumber = 0
+
+    /** Whether every request gets a 503 response. */
     var unavailable = false
 
-    /** It answers all but deletions. */
+    /** Whether deletions get a 503 response while all other requests succeed. */
     var refusesDeletions = false
 
-    /** Chance that a machine never comes up. */
+    /** The probability that a rented machine never starts. */
     var startFailureProbability = 0.0
 
-    /** Machines that come up fail every task. */
+    /** Whether machines that start from now on fail every task. */
     var newMachinesFailTasks = false
+
+    /** Requests of controllers that violate the protocol. */
     val protocolViolations = ArrayList<String>()
 
     init {
@@ -56,8 +60,10 @@
         }
     }
 
+    /** The workers of all machines that have started and not crashed. */
     fun workers(): List<FakeWorker> = machines.values.mapNotNull { it.worker }.filter { it.alive }
 
+    /** Rents a machine, which starts 1 to 6 s later, and returns its ID. */
     fun rent(zone: String, spot: Boolean): String {
         val id = "i-%06d".format(nextMachineNumber++)
         val machine = RentedMachine(id, zone, spot, clock.now)
@@ -74,13 +80,13 @@
         return id
     }
 
-    /** The machine stops by itself. */
+    /** Crashes the machine. The cloud still lists it, with the status failed after 30 s. */
     fun crash(worker: FakeWorker) {
         worker.crash()
         machines[worker.id]?.crashedAt = clock.now
     }
 
-    /** A spot machine is taken. */
+    /** Reclaims a spot machine: it crashes and disappears from the list. */
     fun reclaimSpot(worker: FakeWorker) {
         worker.crash()
         machines.remove(worker.id)
@@ -112,11 +118,11 @@
             .toString()
 
     fun handle(method: String, path: String, body: String, answer: (Int, String) -> Unit) {
-        if (unavailable) return answer(503, """{"error":"trouble"}""")
+        if (unavailable) return answer(503, """{"error":"unavailable"}""")
         when ("$method ${path.substringBefore('?')}") {
             "GET /machine_types" -> answer(200, machineTypes())
             "GET /machines" ->
-                // At times older than the one before.
+                // A response can be older than the previous one.
                 answer(
                     200,
                     if (recentListings.isEmpty()) """{"boxes":[],"truncated":false}"""
@@ -124,12 +130,12 @@
                 )
             "POST /machines" -> rent(body, answer)
             "POST /machines/delete" -> {
-                if (refusesDeletions) return answer(503, """{"error":"trouble"}""")
+                if (refusesDeletions) return answer(503, """{"error":"unavailable"}""")
                 val ids = Json.parseToJsonElement(body).jsonObject.getValue("boxes").jsonArray
                 for (id in ids) machines.remove(id.jsonPrimitive.content)?.worker?.crash()
                 answer(200, "{}")
             }
-            else -> protocolViolations.add("unknown call $method $path")
+            else -> protocolViolations.add("request to the cloud with unknown route: $method $path")
         }
     }
 
@@ -137,7 +143,8 @@
         val json = Json.parseToJsonElement(body).jsonObject
         val name = json.getValue("hire").jsonPrimitive.content
         rentalResponses[name]?.let {
-            if (!it.startsWith(body)) protocolViolations.add("$name is used twice")
+            if (!it.startsWith(body))
+                protocolViolations.add("rental name $name is reused for a different request")
             return answer(200, it.removePrefix(body))
         }
         val zone = json.getValue("ward").jsonPrimitive.content
@@ -173,6 +180,11 @@
 
     companion object {
         const val MACHINE_TYPE_NAME = "mid"
+
+        /**
+         * The number of listings that are retained, one per second. Responses use the older half of
+         * them.
+         */
         private const val RETAINED_LISTINGS = 6
     }
 }
--- a/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
+++ b/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
@@ -21,34 +21,42 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** A transaction that got no answer, with what its sender changed before it was carried out. */
+/**
+ * A transaction that got no response and was executed later, with the transactions that its sender
+ * committed in the meantime.
+ */
 class DelayedTransaction(
     private val transaction: JsonObject,
     private val newerTransactions: List<JsonObject>,
-    /** The keys that it puts and that were there when it was carried out. */
+    /** The keys that it puts and that existed when it was executed. */
     private val existingKeys: Set<String>,
     val status: Int,
 ) {
+    /** Whether the store committed the transaction; its conditions can have failed. */
     val committed: Boolean
         get() = status == 200
 
-    /** It took the place of what was there. */
+    /** Whether the transaction overwrote an existing value of [key]. */
     fun replacedExisting(key: String) = committed && key in existingKeys
 
+    /** Whether the transaction puts or removes a key under [prefix]. */
     fun changesKeyUnder(prefix: String) = changesKeyUnder(transaction, prefix)
 
-    /** A newer one of the same sender that changed such a key was carried out before it. */
+    /**
+     * Whether a newer transaction of the same sender that changed a key under [prefix] was
+     * committed first.
+     */
     fun overtakenByChangeUnder(prefix: String) =
         newerTransactions.any { changesKeyUnder(it, prefix) }
 
-    private fun changesKeyUnder(operations: JsonObject, prefix: String) =
-        operations["then"]?.jsonArray.orEmpty().any { change ->
+    private fun changesKeyUnder(candidate: JsonObject, prefix: String) =
+        candidate["then"]?.jsonArray.orEmpty().any { change ->
             val key = change.jsonObject.let { it["put"] ?: it.getValue("remove") }
             key.jsonPrimitive.content.startsWith(prefix)
         }
 }
 
-/** The key-value store, written from PROTOCOL. */
+/** A fake of the key-value store, written from the protocol. */
 class FakeKeyValueStore(private val clock: SimulatedClock, private val limits: StoreLimits) {
     private class Entry(val data: JsonElement, val version: Long, val lease: Long?)
 
@@ -72,42 +80,58 @@
     private var revision = 0L
     private var lastLease = 0L
 
-    /** Members that get 503; null stands for all. */
+    /** Members whose requests get a 503 response; null stands for all members. */
     private val refusedMembers = HashSet<String?>()
 
-    /** Part of the transactions that get no answer and are carried out after newer ones. */
+    /**
+     * The probability that a transaction gets no response and is executed 2 to 12 s later, after
+     * newer ones.
+     */
     var delayProbability = 0.0
 
-    /** The open watches of a member that is refused alone wait, as PROTOCOL has it. */
+    /**
+     * Whether the open watches of a refused member get no response until the refusal ends, as the
+     * protocol specifies.
+     */
     var holdsRefusedWatches = false
+
+    /** Requests of controllers that violate the protocol. */
     val protocolViolations = ArrayList<String>()
 
-    /** Told of every request. */
+    /** Called for every request, also for one that is refused. */
     var onRequest: ((path: String, body: String) -> Unit)? = null
 
-    /** Lower limits than those it began with, or null. */
+    /** The limits that are enforced instead of the original ones, or null. */
     private var loweredLimits: AnnouncedStoreLimits? = null
     private val recentWriteTimes = ArrayDeque<Micros>()
 
-    /** What was refused for its size under the lower limits. */
+    /**
+     * One description of each transaction that was rejected because it or a value in it was larger
+     * than the lowered limits allow.
+     */
     val rejectedForSize = ArrayList<String>()
 
-    /** How often changes were refused for their rate under the lower limits. */
+    /** The number of transactions that exceeded the lowered write rate and were rejected. */
     var rejectedForRate = 0
         private set
 
-    /** Which transactions get no answer and are carried out 2 to 12 s later. */
+    /** Whether a transaction gets no response and is executed 2 to 12 s later. */
     var isDelayed: (from: String, transaction: JsonObject) -> Boolean = { _, _ -> false }
+
+    /** The delayed transactions, in the order in which they were executed. */
     val delayedTransactions = ArrayList<DelayedTransaction>()
 
-    /** What was changed for each member, in order. */
+    /** The committed transactions of each sender, in order. */
     private val committedBySender = HashMap<String, ArrayList<JsonObject>>()
 
     init {
         clock.every(50.milliseconds) { expireLeases() }
     }
 
-    /** If [endsWatches], what the member watches tells it nothing more either. */
+    /**
+     * Refuses all requests of [member], or of all members if it is null, with 503. If [endWatches]
+     * is true, their open watches also end with 503.
+     */
     fun startOutage(member: String?, endWatches: Boolean = false) {
         refusedMembers.add(member)
         if (!endWatches) return
@@ -118,21 +142,24 @@
         }
     }
 
+    /** Ends an outage that began with [startOutage] for the same [member]. */
     fun endOutage(member: String?) {
         refusedMembers.remove(member)
-        // After an outage all leases have their full time again.
+        // After an outage of the whole store, all leases start again with their full duration.
         if (member == null)
             for (lease in leases.values) lease.expiresAt = clock.now + lease.duration
         if (holdsRefusedWatches) notifyWatches()
     }
 
-    /** Written by nobody who is played here. */
+    /** Writes [key] as a client outside the simulation. Watches do not report this write. */
     fun write(key: String, data: JsonElement) {
         keys[key] = Entry(data, ++revision, null)
     }
 
+    /** The value of [key], or null if it does not exist. */
     fun value(key: String): JsonElement? = keys[key]?.data
 
+    /** The revision of the last write of [key], or null if it does not exist. */
     fun version(key: String): Long? = keys[key]?.version
 
     private fun expireLeases() {
@@ -197,11 +224,13 @@
                 endLease(route.split('/')[2].toLong())
                 answer(200, "{}")
             }
-            else -> protocolViolations.add("unknown call $method $path")
+            else ->
+                protocolViolations.add(
+                    "request to the key-value store with unknown route: $method $path"
+                )
         }
     }
 
-    /** Carried out as soon as the service works again; whether the sender is refused is all one. */
     private fun get(key: String, answer: (Int, String) -> Unit) {
         val entry = keys[key] ?: return answer(404, """{"epoch":$revision}""")
         answer(200, item(key, entry).toString())
@@ -217,7 +246,7 @@
     private fun listKeys(query: Map<String, String>, answer: (Int, String) -> Unit) {
         val prefix = query.getValue("under")
         val from = query["from"] ?: ""
-        // Small pages, so that reading on is tried too.
+        // Pages are small so that tests exercise reading the following pages.
         val limit = minOf(query["limit"]?.toInt() ?: 1000, 5)
         val found =
             keys.tailMap(prefix).entries.filter { it.key.startsWith(prefix) && it.key > from }
@@ -229,7 +258,7 @@
         answer(200, body.toString())
     }
 
-    /** Nobody hears what becomes of it. */
+    /** Executes [transaction] 2 to 12 s later. Its sender gets no response. */
     private fun commitDelayed(from: String, transaction: JsonObject) {
         val committedBefore = committedBySender[from].orEmpty().size
         clock.after(clock.randomBetween(2_000.milliseconds, 12_000.milliseconds)) {
@@ -237,8 +266,12 @@
         }
     }
 
+    /**
+     * Executes [transaction] as soon as the whole store is available. It does not matter whether
+     * its sender alone is refused.
+     */
     private fun commitAfterOutage(from: String, transaction: JsonObject, committedBefore: Int) {
-        // It arrived before the outage began, and is carried out after it.
+        // The transaction arrived before the outage and is executed after it.
         if (null in refusedMembers)
             clock.after(500.milliseconds) { commitAfterOutage(from, transaction, committedBefore) }
         else {
@@ -260,11 +293,18 @@
         val conditions = json["if"]?.jsonArray ?: JsonArray(emptyList())
         val operations = json["then"]?.jsonArray ?: JsonArray(emptyList())
         if (operations.size > limits.txnOps)
-            protocolViolations.add("${operations.size} changes in a transaction")
+            protocolViolations.add(
+                "transaction from $from has ${operations.size} changes, limit ${limits.txnOps}"
+            )
         if (conditions.size > limits.txnOps * 4)
-            protocolViolations.add("${conditions.size} conditions")
+            protocolViolations.add(
+                "transaction from $from has ${conditions.size} conditions, " +
+                    "limit 4 * ${limits.txnOps}"
+            )
         if (json.toString().length > 65_536)
-            protocolViolations.add("a transaction of ${json.toString().length}")
+            protocolViolations.add(
+                "transaction from $from has ${json.toString().length} characters, limit 65536"
+            )
         loweredLimits?.let { lower ->
             val large = operations.map { it.jsonObject }.firstOrNull { tooLarge(it, lower) }
             if (large != null || operations.size > (lower.txnOps ?: Int.MAX_VALUE)) {
@@ -306,7 +346,9 @@
             if ("put" in change) {
                 val data = change.getValue("data")
                 if (data.toString().length > maxValueLength)
-                    protocolViolations.add("$key holds too much")
+                    protocolViolations.add(
+                        "value of $key is longer than $maxValueLength characters"
+                    )
                 keys[key] = Entry(data, revision, change["permit"]?.jsonPrimitive?.long)
                 changes.add(KeyChange(revision, key, data))
             } else {
@@ -320,12 +362,12 @@
     private fun tooLarge(change: JsonObject, lower: AnnouncedStoreLimits) =
         change["data"].toString().length > (lower.valueKb ?: Double.MAX_VALUE) * 1024
 
-    /** In force from now on, though nobody is told. */
+    /** Enforces lower limits from now on. Controllers get no notice. */
     fun lowerLimits(limits: AnnouncedStoreLimits) {
         loweredLimits = limits
     }
 
-    /** The largest value of those that are stored under [prefix]. */
+    /** The length in characters of the largest value under [prefix], or 0 if there is none. */
     fun largestValueLength(prefix: String): Int =
         keys
             .tailMap(prefix)
@@ -339,7 +381,7 @@
 
     private fun watch(member: String, query: Map<String, String>, answer: (Int, String) -> Unit) {
         val from = query.getValue("from").toLong()
-        // Few changes are kept, so that 410 is tried too.
+        // Few changes are retained so that tests exercise the 410 response to an outdated watch.
         if (
             changes.size > RETAINED_CHANGES &&
                 changes[changes.size - RETAINED_CHANGES].revision > from
@@ -353,6 +395,7 @@
         notifyWatches()
     }
 
+    /** Whether [watch] gets no response for now because its member is refused. */
     private fun isHeld(watch: Watch) =
         holdsRefusedWatches && (null in refusedMembers || watch.member in refusedMembers)
 
--- a/src/test/kotlin/wardmux/sim/FakeWorker.kt
+++ b/src/test/kotlin/wardmux/sim/FakeWorker.kt
@@ -20,10 +20,16 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** How a worker reaches a controller: status and body, or null for no response. */
+/**
+ * Sends the heartbeat `body` to the controller `node`. `answer` gets the status and body of the
+ * response and is never called if there is none.
+ */
 typealias HeartbeatSender = (node: String, body: String, answer: (Int, String) -> Unit) -> Unit
 
-/** A worker, written from PROTOCOL. */
+/**
+ * A fake of a worker on its machine, written from the protocol. It sends heartbeats, executes
+ * commands and reports what it does to [invariants].
+ */
 class FakeWorker(
     val id: String,
     val type: String,
@@ -35,7 +41,7 @@
     private val invariants: Invariants,
     private val specOf: (String) -> JobSpec?,
     private val gangs: FakeGangs = FakeGangs(clock, invariants),
-    /** Where it takes direct commands. */
+    /** The address at which the worker accepts direct commands. */
     private val endpoint: String = "$id:9000",
     private val send: HeartbeatSender,
 ) {
@@ -46,7 +52,7 @@
         val job = name.substringBefore('/')
         val index = name.substringAfter('/').toInt()
 
-        /** Of a gang's task that has its image. */
+        /** This task as its gang sees it. Null outside gangs and until the image is fetched. */
         var gangTask: GangTask? = null
     }
 
@@ -68,27 +74,27 @@
     private val tasks = LinkedHashMap<Pair<String, Int>, Task>()
     private val storedResults = HashSet<String>()
 
-    /** Tasks that have not ended. */
+    /** The number of tasks on this machine that have not ended. */
     val activeTasks: Int
         get() = tasks.values.count { it.status != "ended" }
 
-    /** How each task of [job] that has not ended is here, by its number. */
+    /** The status of each task of [job] on this machine that has not ended, by task index. */
     fun taskStatusesOf(job: String): Map<Int, String> =
         tasks.values
             .filter { it.job == job && it.status != "ended" }
             .associate { it.index to it.status }
 
-    /** Tasks that began to run here. */
+    /** The number of tasks that began to run on this machine. */
     var startedTasks = 0
         private set
 
     private var incarnation = 1L
 
-    /** Sessions that it has had. */
+    /** The number of sessions this worker has had, including the current one. */
     val sessions: Long
         get() = incarnation
 
-    /** It has taken this token. */
+    /** Whether this worker's token is [leaderToken]. */
     fun hasToken(leaderToken: Long?): Boolean = token == leaderToken
 
     private var tick = 0L
@@ -102,14 +108,22 @@
     var alive = true
         private set
 
-    /** It executes nothing, but may go on at any time. */
+    /** Whether the machine executes nothing for now. It may respond again at any time. */
     var unresponsive = false
 
-    /** Every task that it starts fails. */
+    /** Whether every task that starts on this machine fails. */
     var failsEveryTask = false
 
-    /** Its connections do not last: each report goes to another controller. */
+    /**
+     * Whether each heartbeat goes to another controller, as if the connection were closed after
+     * each response.
+     */
     var rotatesControllers = false
+
+    /**
+     * The time in seconds after which the cloud reclaims this spot machine, as the worker reports
+     * it, or null if no reclaim is announced.
+     */
     var recallS: Double? = null
         set(value) {
             field = value
@@ -120,7 +134,7 @@
         clock.every(100.milliseconds) { if (alive && !unresponsive) step() }
     }
 
-    /** What this machine has and holds, fetching tasks included. */
+    /** The free CPUs and the tasks of this machine, including tasks that fetch their image. */
     fun view(): MachineView {
         val heldTasks = tasks.values.filter { it.status != "ended" }
         return MachineView(
@@ -133,24 +147,26 @@
         )
     }
 
-    /** The machine stops with all that is on it. */
+    /** Crashes the machine and loses all tasks on it. */
     fun crash() {
         alive = false
         for (task in tasks.values) loseTask(task)
         tasks.clear()
     }
 
-    /** It ends with its machine or its incarnation. */
+    /** Records that [task] was lost because its machine crashed or its session ended. */
     private fun loseTask(task: Task) {
         removeFromMachine(task, done = false)
         if (task.status != "ended") invariants.losses.lost(clock.now, task.name, LossCause.CRASHED)
     }
 
+    /** Records that [task] is no longer on this machine, and whether it was [done]. */
     private fun removeFromMachine(task: Task, done: Boolean) {
         if (task.status in statusesOnMachine) invariants.ended(task.job, task.index, id, done)
         task.gangTask?.let(gangs::gone)
     }
 
+    /** Starts a new session if the lease has expired, and sends a heartbeat if one is due. */
     private fun step() {
         if (clock.now - lastAnsweredHeartbeatAt > timing.leaseS.seconds) {
             for (task in tasks.values) loseTask(task)
@@ -166,6 +182,7 @@
         if (!awaitingResponse && due) sendHeartbeat()
     }
 
+    /** The body of a heartbeat with the next tick number. */
     fun heartbeatBody() =
         buildJsonObject {
                 put("box", id)
@@ -189,7 +206,7 @@
             }
             .toString()
 
-    /** Its connection breaks, and it reports to [controller] at once. */
+    /** Closes the current connection and sends the next heartbeat to [controller] immediately. */
     fun reconnectTo(controller: String) {
         heartbeatNumber++
         awaitingResponse = false
@@ -197,7 +214,7 @@
         nextHeartbeatAt = clock.now
     }
 
-    /** Counts its reports: an answer to an earlier one is not waited for any more. */
+    /** The number of the most recent heartbeat. A response to an earlier heartbeat is ignored. */
     private var heartbeatNumber = 0
 
     private fun sendHeartbeat() {
@@ -226,7 +243,8 @@
             if (!completed && number == heartbeatNumber) finishExchange(tryNextController = true)
         }
         send(nodes[node], heartbeatBody()) { status, body ->
-            // Dropped after four seconds: commands in such a response are not executed.
+            // The exchange is dropped after 4 s. Commands in a response that arrives later are not
+            // executed.
             if (completed || number != heartbeatNumber || !alive || unresponsive) return@send
             when (status) {
                 200 -> {
@@ -236,14 +254,14 @@
                         applyResponse(Json.parseToJsonElement(body).jsonObject, sentAt)
                 }
                 421 -> {
-                    val steward =
+                    val redirectTarget =
                         if (body.isEmpty()) null
                         else
                             Json.parseToJsonElement(body)
                                 .jsonObject["steward"]
                                 ?.jsonPrimitive
                                 ?.content
-                    val index = nodes.indexOf(steward)
+                    val index = nodes.indexOf(redirectTarget)
                     finishExchange(tryNextController = index < 0 || index == node)
                     if (index >= 0 && index != node) {
                         node = index
@@ -256,6 +274,7 @@
         }
     }
 
+    /** Takes the token, renews the lease as of [sentAt] and executes the commands of a response. */
     private fun applyResponse(answer: JsonObject, sentAt: Micros) {
         val receivedToken = answer["baton"]?.jsonPrimitive?.long ?: return
         if (receivedToken < token) return
@@ -265,7 +284,10 @@
         answer["orders"]?.jsonArray?.forEach { executeCommand(it.jsonObject) }
     }
 
-    /** POST /do; status and body. */
+    /**
+     * Handles the direct command in [body] (POST /do). Returns the status and body of the response,
+     * or null if the machine has crashed.
+     */
     fun executeDirect(body: String): Pair<Int, String>? {
         if (!alive) return null
         val json = Json.parseToJsonElement(body).jsonObject
@@ -297,6 +319,9 @@
         hasUnreportedChange = true
     }
 
+    /**
+     * Fetches the image of [task] and then runs it. A task that cannot run here ends immediately.
+     */
     private fun startTask(task: Task) {
         val spec = specOf(task.job)
         val otherTasks = tasks.values.filter { it !== task && it.status != "ended" }
@@ -315,6 +340,7 @@
         task.cause = cause
     }
 
+    /** Whether this machine is up and still has this attempt of the task. */
     private fun isPresent(task: Task) = alive && tasks[task.name to task.attempt] === task
 
     private fun runTask(task: Task, spec: JobSpec) {
@@ -342,7 +368,7 @@
         }
     }
 
-    /** All of its gang have their images. */
+    /** Runs [task], now that all tasks of its gang have their images. */
     private fun beginGangTask(task: Task) {
         task.status = "running"
         hasUnreportedChange = true
@@ -374,6 +400,10 @@
         hasUnreportedChange = true
     }
 
+    /**
+     * Stops [task]. A running task of a job with checkpoints saves one first if [withinS] seconds
+     * suffice for that.
+     */
     private fun haltTask(task: Task, withinS: Double) {
         val spec = specOf(task.job) ?: return
         val gangTask = task.gangTask
@@ -397,7 +427,7 @@
     companion object {
         const val CPUS = 16.0
 
-        /** States in which a task is on its machine. */
+        /** Statuses in which a task counts as present on its machine. */
         private val statusesOnMachine = setOf("gathering", "running", "saving")
     }
 }
--- a/src/test/kotlin/wardmux/sim/JobFixtures.kt
+++ b/src/test/kotlin/wardmux/sim/JobFixtures.kt
@@ -4,11 +4,11 @@
 import wardmux.model.JobSpec
 import wardmux.model.PriorityClass
 
-/** This job without placement constraints: any machine in any zone may take its tasks. */
+/** A copy of this job without placement constraints: its tasks may run on any machine. */
 fun JobSpec.unconstrained(): JobSpec =
     copy(zone = null, oneZone = false, spread = false, spot = true)
 
-/** A job without placement constraints whose tasks are alike and save no checkpoints. */
+/** A job without placement constraints and without checkpoints. */
 fun ClusterSimulation.unconstrainedJob(
     kind: JobKind,
     team: String,
@@ -30,7 +30,7 @@
             saveS = 0.0,
         )
 
-/** A gang without placement constraints whose tasks save checkpoints. */
+/** A gang without placement constraints whose tasks save a checkpoint every 5 s. */
 fun ClusterSimulation.unconstrainedGang(
     team: String,
     tasks: Int,
--- a/src/test/kotlin/wardmux/sim/OperatorFixtures.kt
+++ b/src/test/kotlin/wardmux/sim/OperatorFixtures.kt
@@ -2,6 +2,9 @@
 
 import wardmux.config.OperatorSettings
 
-/** Settings under which all controllers take heartbeats, or the leader alone does. */
+/**
+ * Operator settings under which all controllers accept heartbeats and forward them to the leader,
+ * or, if not [forwarding], only the leader accepts them.
+ */
 fun forwardingSettings(forwarding: Boolean = true): OperatorSettings =
     if (forwarding) OperatorSettings(heartbeatsPerCore = 0.0) else OperatorSettings()
--- a/src/test/kotlin/wardmux/sim/SimulatedClock.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedClock.kt
@@ -5,7 +5,10 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Simulated time: what is due is done in order, and all chance comes from one seed. */
+/**
+ * Simulated time. Scheduled actions run in the order of their time, and those of the same time in
+ * the order in which they were scheduled. All random values come from one seed.
+ */
 class SimulatedClock(seed: Long) {
     private class ScheduledAction(val at: Micros, val sequence: Long, val action: () -> Unit)
 
@@ -16,10 +19,12 @@
     private var sequence = 0L
     private val queue = PriorityQueue(compareBy<ScheduledAction>({ it.at.value }, { it.sequence }))
 
+    /** Runs [action] once, [delay] from now. */
     fun after(delay: Micros, action: () -> Unit) {
         queue.add(ScheduledAction(now + delay, sequence++, action))
     }
 
+    /** Runs [action] every [period], for the first time one [period] from now. */
     fun every(period: Micros, action: () -> Unit) {
         after(period) {
             action()
@@ -27,6 +32,7 @@
         }
     }
 
+    /** Runs all actions that are due up to [until], and [afterEach] after each of them. */
     fun run(until: Micros, afterEach: () -> Unit) {
         while (queue.isNotEmpty() && queue.peek().at <= until) {
             val next = queue.poll()
@@ -37,73 +43,95 @@
         now = until
     }
 
+    /** A random time from [low] to [high], both inclusive. */
     fun randomBetween(low: Micros, high: Micros): Micros =
         Micros(random.nextLong(low.value, high.value + 1))
 
+    /** Returns true with the given [probability]. */
     fun chance(probability: Double) = random.nextDouble() < probability
 }
 
-/** What may happen to a message on its way. */
+/** Delivers messages between named hosts, with the faults that are currently set. */
 class Network(private val clock: SimulatedClock) {
-    /** Part of the messages that are lost. */
+    /** The probability that a message is lost. */
     var lossProbability = 0.0
 
-    /** Part of the requests that are carried out long after the asker has decommissioned. */
+    /**
+     * The probability that a message arrives 2 to 40 s late, when the sender of a request has long
+     * given up on it.
+     */
     var longDelayProbability = 0.0
 
-    /** Part of the messages of which a copy arrives once more, long after. */
+    /** The probability that a duplicate of a request arrives up to 45 s later. */
     var duplicateProbability = 0.0
 
-    /** Part of the workers' reports of which a copy arrives again, up to long after their lease. */
+    /**
+     * The probability that a duplicate of a heartbeat arrives 2 to 45 s later, which can be long
+     * after the worker's lease has expired.
+     */
     var duplicateHeartbeatProbability = 0.0
 
-    /** Machines that open no connection to any controller; direct commands still reach them. */
+    /**
+     * Machines that cannot open a connection to any controller, so that their heartbeats are lost.
+     * Direct commands still reach them.
+     */
     val outboundBlocked = HashSet<String>()
 
-    /** What messages to a host take longer. */
+    /** The extra latency of messages to a host, by host name. */
     val extraLatency = HashMap<String, Micros>()
 
-    /** Pairs of hosts of which the first does not reach the second; what is sent is lost. */
+    /** Pairs of sender and receiver whose messages are lost in this direction. */
     private val blockedPaths = HashSet<Pair<String, String>>()
 
-    /** Names of hosts that nobody reaches; what is sent to them is held until they are back. */
+    /** Isolated hosts. Messages from and to them are held until they are reconnected. */
     private val isolated = HashSet<String>()
     private val heldMessages = HashMap<String, MutableList<() -> Unit>>()
 
+    /** Isolates [host]: messages from and to it are held until [reconnect]. */
     fun isolate(host: String) {
         isolated.add(host)
     }
 
+    /** Ends the isolation of [host] and delivers the messages that were held meanwhile. */
     fun reconnect(host: String) {
         isolated.remove(host)
         heldMessages.remove(host)?.forEach { clock.after(randomLatency(), it) }
     }
 
-    /** What [from] sends no longer reaches [to]; the other way it still does. */
+    /** Loses all messages from [from] to [to]; the opposite direction still works. */
     fun blockPath(from: String, to: String) {
         blockedPaths.add(from to to)
     }
 
+    /** Ends [blockPath] for this direction. */
     fun unblockPath(from: String, to: String) {
         blockedPaths.remove(from to to)
     }
 
-    /** Again, from seconds to well over a lease later; nobody hears the answer. */
+    /**
+     * Runs [action] a second time with [duplicateProbability], 0.2 to 45 s from now, which can be
+     * well over the length of a lease. The caller drops the response.
+     */
     fun maybeDuplicate(action: () -> Unit) {
         if (duplicateProbability > 0 && clock.chance(duplicateProbability)) {
             clock.after(clock.randomBetween(200.milliseconds, 45_000.milliseconds), action)
         }
     }
 
-    /** A report, from 2 s to well over a lease later; nobody hears the answer. */
+    /**
+     * Delivers a heartbeat a second time with [duplicateHeartbeatProbability], 2 to 45 s from now,
+     * which can be well over the length of a lease. The caller drops the response.
+     */
     fun maybeDuplicateHeartbeat(action: () -> Unit) {
         if (duplicateHeartbeatProbability > 0 && clock.chance(duplicateHeartbeatProbability)) {
             clock.after(clock.randomBetween(2_000.milliseconds, 45_000.milliseconds), action)
         }
     }
 
+    /** The latency of an undisturbed message. */
     fun randomLatency(): Micros = clock.randomBetween(1.milliseconds, 8.milliseconds)
 
+    /** Runs [action] when a message from [from] arrives at [to], unless the message is lost. */
     fun send(from: String, to: String, action: () -> Unit) {
         when {
             from to to in blockedPaths -> Unit
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -14,9 +14,9 @@
 import wardmux.model.seconds
 import wardmux.serialization.lenientJson
 
-/** Reaches a controller process, as the users' load balancer does. */
+/** Delivers requests to a controller process, as the users' load balancer does. */
 fun interface ControllerCalls {
-    /** Calls [member] on [port]; [answer] is never called if it is down. */
+    /** Sends a request to [member] on [port]. [answer] is never called if the process is down. */
     fun call(
         member: String,
         port: ListenerKind,
@@ -28,8 +28,8 @@
 }
 
 /**
- * Users who submit jobs, ask for their status and cancel some, as PROTOCOL says; what they are told
- * is held against [invariants].
+ * Users who submit jobs, poll their status and cancel some, as the protocol specifies. Every
+ * response they get is checked against [invariants].
  */
 class SimulatedUsers(
     private val clock: SimulatedClock,
@@ -42,15 +42,15 @@
 ) {
     private val specs = HashMap<String, JobSpec>()
 
-    /** Jobs that their users have begun to ask about. */
+    /** Jobs whose status is polled. */
     private val polledJobs = HashSet<String>()
     private var lastJob = 0
 
-    /** Submissions that were accepted, repeated ones among them. */
+    /** The number of submissions that were accepted, including repeated ones. */
     var acceptedSubmissions = 0
         private set
 
-    /** What was submitted as [job], or null. */
+    /** The submitted spec of [job], or null if it was never submitted. */
     fun specOf(job: String): JobSpec? = specs[job]
 
     private fun request(
@@ -61,7 +61,10 @@
         onResponse: (status: Int?, text: String) -> Unit,
     ) = request(ListenerKind.API, method, path, body, controller, onResponse)
 
-    /** Asks the controller [by], or any; [then] gets no status if it never answers. */
+    /**
+     * Sends a request to [controller], or to a random one if it is null. [onResponse] gets a null
+     * status if no response arrives within 5 s.
+     */
     fun request(
         port: ListenerKind,
         method: String,
@@ -91,7 +94,7 @@
             Json.parseToJsonElement(text).jsonObject["status"]?.jsonPrimitive?.content
         else null
 
-    /** Submits [spec], and again until it is accepted; then asks for its status now and again. */
+    /** Submits [spec] until it is accepted, for at most 60 s, and then polls its status. */
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
         invariants.submitted(spec)
@@ -106,7 +109,7 @@
                 invariants.told(clock.now, spec.id, "POST", status, statusIn(text), requestedAt)
             if (status == 200 || status == 201) {
                 acceptedSubmissions++
-                // Some repeat a request that was carried out.
+                // Some users repeat a submission that was already accepted.
                 if (clock.chance(0.2))
                     clock.after(clock.randomBetween(1.seconds, 40.seconds)) {
                         submitUntilAccepted(spec, clock.now)
@@ -121,7 +124,7 @@
         }
     }
 
-    /** Asks for the status of [job] every few seconds from now. */
+    /** Polls the status of [job] every few seconds from now on. */
     fun poll(job: String) {
         val requestedAt = clock.now
         request("GET", "/submissions/$job", ByteArray(0)) { status, text ->
@@ -132,7 +135,10 @@
         }
     }
 
-    /** Cancels [job] through the controller [by], or any, and again until it is confirmed. */
+    /**
+     * Cancels [job] through [controller], or through a random one if it is null, and repeats the
+     * request until it is confirmed.
+     */
     fun cancel(job: String, controller: String? = null) {
         invariants.askedToCancel(job)
         val requestedAt = clock.now
@@ -140,15 +146,17 @@
             if (status != null)
                 invariants.told(clock.now, job, "abort", status, statusIn(text), requestedAt)
             if (status != 200) clock.after(1.seconds) { cancel(job, controller) }
-            // Its submission was never answered, so this is the first that its user hears of it.
+            // The submission was never answered, so polling starts with this first response about
+            // the job.
             else if (polledJobs.add(job)) poll(job)
         }
     }
 
-    // Troubles that users make.
+    // Faults and unusual load that users cause.
 
     /**
-     * Up to [count] jobs that run and have long to go are called off within a fifth of a second.
+     * Cancels up to [count] running jobs within 0.2 s, those with the longest estimate first. Their
+     * machines, at most [MAX_UNRESPONSIVE_MACHINES], are unresponsive for [unresponsiveFor].
      */
     fun cancelRunningJobs(count: Int, unresponsiveFor: Micros) {
         val running =
@@ -171,18 +179,22 @@
         }
     }
 
-    /** Part of the jobs whose last task ends that are called off at that moment. */
+    /** The probability that a job is cancelled around the time when its last task ends. */
     var cancelAtEndProbability = 0.0
 
-    /** The last task of [job] has ended. */
+    /** Called when the last task of [job] has ended. */
     fun onJobEnded(job: String) {
         if (cancelAtEndProbability > 0 && clock.chance(cancelAtEndProbability)) {
-            // From before the report of the end to after the record of it.
+            // The cancellation arrives before the end is reported, after it is recorded, or in
+            // between.
             clock.after(clock.randomBetween(Micros.ZERO, 1_200.milliseconds)) { cancel(job) }
         }
     }
 
-    /** One of the requests that users seldom make; the answers to all of them are checked. */
+    /**
+     * Sends one request that users rarely make: a repeated submission of an open or ended job, a
+     * cancellation of a completed job, or an invalid submission. The response is checked.
+     */
     fun sendUnusualRequest() {
         when (clock.random.nextInt(5)) {
             0 -> invariants.open().randomOrNull(clock.random)?.let(::resubmit)
@@ -227,7 +239,7 @@
             2 -> randomArrayJob().copy(types = listOf("none"))
             3 -> randomArrayJob().copy(gpus = 1.0)
             4 -> randomArrayJob().copy(zone = "z")
-            // More than the team's limit, all tasks together.
+            // All replicas together need more CPUs than the team's limit.
             else ->
                 randomArrayJob()
                     .copy(kind = JobKind.SERVICE, tasks = 6, cpus = 8.0, estimateS = 0.0)
@@ -243,7 +255,7 @@
         val job = body.getValue("name_id").jsonPrimitive.content
         request("POST", "/submissions", body.toString().encodeToByteArray()) { status, _ ->
             if (status != null) invariants.answeredBad(job, expected, status, body.toString())
-            // Nor is it known afterwards.
+            // The rejected job must stay unknown.
             request("GET", "/submissions/$job", ByteArray(0)) { laterStatus, text ->
                 if (laterStatus != null)
                     invariants.told(clock.now, job, "GET", laterStatus, statusIn(text))
@@ -251,7 +263,7 @@
         }
     }
 
-    /** A job as any user might submit it. */
+    /** A random valid job with the next unused ID. */
     fun randomJob(): JobSpec {
         val random = clock.random
         val urgent = random.nextBoolean()
@@ -283,7 +295,8 @@
                 saveS = if (urgent) 0.0 else 2.0,
                 deadlineS = 60.0,
             )
-        // Tasks that need each other and may not all be in the one zone can never run.
+        // A service or gang that is bound to one zone and must spread its tasks over zones could
+        // never run.
         val unplaceable = kind != JobKind.ARRAY && job.zone != null
         return if (unplaceable) job.copy(spread = false) else job
     }
--- a/src/test/kotlin/wardmux/sim/WorkerConnections.kt
+++ b/src/test/kotlin/wardmux/sim/WorkerConnections.kt
@@ -1,11 +1,14 @@
 package wardmux.sim
 
-/** Which worker is connected to which controller; each controller takes so many and no more. */
+/** Tracks which worker is connected to which controller, and limits connections per controller. */
 class WorkerConnections(private val maxPerController: Int) {
     private val controllerOf = HashMap<String, String>()
     private val connectionCounts = HashMap<String, Int>()
 
-    /** Connects a worker, which leaves the controller that it was connected to; false if full. */
+    /**
+     * Connects [worker] to [controller] and closes its connection to any other controller. Returns
+     * false if [controller] already has the most connections that it accepts.
+     */
     fun tryConnect(worker: String, controller: String): Boolean {
         if (controllerOf[worker] == controller) return true
         controllerOf.remove(worker)?.let { connectionCounts.merge(it, -1, Int::plus) }
@@ -15,7 +18,7 @@
         return true
     }
 
-    /** The controller's process ended. */
+    /** Closes all connections of [controller], whose process has ended. */
     fun closeAll(controller: String) {
         controllerOf.values.removeAll { it == controller }
         connectionCounts.remove(controller)
