--- a/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
+++ b/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
@@ -95,7 +95,10 @@
      */
     var holdsRefusedWatches = false
 
-    /** Requests of controllers that violate the protocol. */
+    /**
+     * Violations of the protocol by controllers. For a transaction that is too large, its sender
+     * and the exceeded limit.
+     */
     val protocolViolations = ArrayList<String>()
 
     /** Called for every request, also for one that is refused. */
@@ -293,18 +296,11 @@
         val conditions = json["if"]?.jsonArray ?: JsonArray(emptyList())
         val operations = json["then"]?.jsonArray ?: JsonArray(emptyList())
         if (operations.size > limits.txnOps)
-            protocolViolations.add(
-                "transaction from $from has ${operations.size} changes, limit ${limits.txnOps}"
-            )
+            protocolViolations.add("$from: ${operations.size} changes, limit ${limits.txnOps}")
         if (conditions.size > limits.txnOps * 4)
-            protocolViolations.add(
-                "transaction from $from has ${conditions.size} conditions, " +
-                    "limit 4 * ${limits.txnOps}"
-            )
+            protocolViolations.add("$from: ${conditions.size} conditions, limit 4*${limits.txnOps}")
         if (json.toString().length > 65_536)
-            protocolViolations.add(
-                "transaction from $from has ${json.toString().length} characters, limit 65536"
-            )
+            protocolViolations.add("$from: ${json.toString().length} characters, limit 65536")
         loweredLimits?.let { lower ->
             val large = operations.map { it.jsonObject }.firstOrNull { tooLarge(it, lower) }
             if (large != null || operations.size > (lower.txnOps ?: Int.MAX_VALUE)) {
@@ -346,9 +342,7 @@
             if ("put" in change) {
                 val data = change.getValue("data")
                 if (data.toString().length > maxValueLength)
-                    protocolViolations.add(
-                        "value of $key is longer than $maxValueLength characters"
-                    )
+                    protocolViolations.add("value of $key exceeds $maxValueLength characters")
                 keys[key] = Entry(data, revision, change["permit"]?.jsonPrimitive?.long)
                 changes.add(KeyChange(revision, key, data))
             } else {
