--- a/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingCoordinator.kt
@@ -14,9 +14,11 @@
 import wardmux.worker.WorkerHeartbeatReader
 
 /**
- * The leader's side of heartbeat forwarding: takes in the batches of followers, and grants them
- * time to answer workers. It lasts for one term: the next leader has another token, and assumes
- * nothing of a machine whose worker has not taken that.
+ * The leader's side of heartbeat forwarding: applies the batches of followers and grants them a
+ * limited time in which they may answer workers.
+ *
+ * An instance lives for one term of the leader. The next leader has another fencing token and makes
+ * no assumption about a machine until its worker has accepted that token.
  */
 class ForwardingCoordinator(
     private val context: CoreContext,
@@ -31,44 +33,56 @@
     private val workers = platform.deployment.workers
     private val grantDuration = ForwardingGrant.duration(workers)
     private val grants =
-        ForwardingGrants(context, grantDuration, workers.leaseS.seconds * RETENTION_LEASES)
+        ForwardingGrants(
+            context,
+            grantDuration,
+            workers.leaseS.seconds * FORWARDER_RETENTION_LEASES,
+        )
     private val switch = ForwardingSwitch(context, cluster, platform, operators)
     private val rebalancer =
         WorkerRebalancer(cluster, platform.member, platform.deployment.limits.sockets.workers)
     private var nextDecisionAt = Micros.LONG_AGO
 
-    /** Whether followers answer workers too. */
+    /** Whether followers answer the heartbeats of workers in addition to the leader. */
     val forwardingEnabled: Boolean
         get() = switch.isEnabled
 
-    /** What the response to one batch says of single machines. */
+    /** The parts of the response to one batch that concern individual machines. */
     private class MachineResponses {
         val undelivered = ArrayList<UndeliveredCommands>()
         val rejectedMachines = ArrayList<String>()
         val unknownNumbers = ArrayList<Long>()
     }
 
-    /** Applies the heartbeats of [batch], and grants its sender more time if that is wanted. */
+    /**
+     * Applies the heartbeats of [batch], extends the grant of its sender if forwarding is enabled,
+     * and returns the response.
+     */
     fun handleBatch(batch: HeartbeatBatch): HeartbeatBatchResponse {
-        val forwarder = grants.receive(batch)
-        val sentAt = sentAt(forwarder, batch)
+        val forwarder = grants.forwarderOf(batch)
+        val sentAt = estimateSentAt(forwarder, batch)
         val responses = MachineResponses()
-        applyFull(forwarder, batch, sentAt, responses)
-        applyUnchanged(forwarder, batch, sentAt, responses)
+        applyFullHeartbeats(forwarder, batch, sentAt, responses)
+        applyUnchangedHeartbeats(forwarder, batch, sentAt, responses)
         if (forwardingEnabled) grants.extend(forwarder)
         return respond(forwarder, batch, responses)
     }
 
-    /** When [batch] was sent, or somewhat earlier: it may have been delayed on its way. */
-    private fun sentAt(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
-        // It is this leader's own clock; one that it can't have sent is ignored.
+    /**
+     * Estimates when [batch] was sent, by this leader's clock, and records up to when [forwarder]
+     * has forwarded everything. The estimate is never later than the time of sending, which matters
+     * for a delayed batch. Without a valid echo of this leader's clock it is the time of receipt.
+     */
+    private fun estimateSentAt(forwarder: Forwarder, batch: HeartbeatBatch): Micros {
+        // The echo is a former value of this leader's clock. This leader can't have sent a value
+        // that lies in the future, so such a value is ignored.
         val echoed = Micros(batch.echoedClock).takeIf { batch.echoedClock > 0 && it <= context.now }
         if (echoed == null) return context.now
-        forwarder.reportedAll(echoed)
+        forwarder.recordAllReportedUntil(echoed)
         return minOf(context.now, echoed + Micros(batch.sinceEcho.coerceAtLeast(0)))
     }
 
-    private fun applyFull(
+    private fun applyFullHeartbeats(
         forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
@@ -76,12 +90,12 @@
     ) {
         for (full in batch.fullHeartbeats) {
             val heartbeat = reader.read(full.body) ?: continue
-            forwarder.store(full.number, heartbeat)
-            apply(forwarder, heartbeat, sentAt, responses)
+            forwarder.storeHeartbeat(full.number, heartbeat)
+            applyHeartbeat(forwarder, heartbeat, sentAt, responses)
         }
     }
 
-    private fun applyUnchanged(
+    private fun applyUnchangedHeartbeats(
         forwarder: Forwarder,
         batch: HeartbeatBatch,
         sentAt: Micros,
@@ -92,12 +106,12 @@
             if (heartbeat == null) responses.unknownNumbers.add(batch.unchanged[i])
             else {
                 val latest = heartbeat.copy(tick = batch.unchanged[i + 1])
-                apply(forwarder, latest, sentAt, responses)
+                applyHeartbeat(forwarder, latest, sentAt, responses)
             }
         }
     }
 
-    private fun apply(
+    private fun applyHeartbeat(
         forwarder: Forwarder,
         heartbeat: WorkerHeartbeat,
         sentAt: Micros,
@@ -106,7 +120,7 @@
         val commands = heartbeats.handleForwarded(heartbeat, forwarder.member, sentAt)
         if (commands == null) {
             responses.rejectedMachines.add(heartbeat.machine)
-            forwarder.remove(heartbeat.machine)
+            forwarder.removeHeartbeat(heartbeat.machine)
         } else if (commands.isNotEmpty()) {
             val undelivered =
                 UndeliveredCommands(heartbeat.machine, heartbeat.incarnation, commands)
@@ -120,8 +134,9 @@
         responses: MachineResponses,
     ): HeartbeatBatchResponse {
         val mustHalt = cancellationView.tasksToStop()
-        // Too many to name: then no lease may be renewed before some have surely ended.
-        val tooMany = mustHalt.sumOf { it.tasks.size } > MAX_NAMED_TASKS
+        // If there are too many tasks to list, followers renew no lease until enough of the tasks
+        // have certainly ended.
+        val exceedsTaskLimit = mustHalt.sumOf { it.tasks.size } > MAX_LISTED_TASKS
         return HeartbeatBatchResponse(
             processIncarnation = batch.processIncarnation,
             number = batch.number,
@@ -135,41 +150,50 @@
             rebalanceCount = forwarder.takeRebalanceCount(),
             rebalanceTarget = forwarder.rebalanceTarget,
             redirectsWorkers = heartbeats.isRedirecting,
-            renewalAllowed = context.now < cancellationView.usableUntil && !tooMany,
+            renewalAllowed = context.now < cancellationView.usableUntil && !exceedsTaskLimit,
             cancelledJobs = cancellationView.cancelledJobs(),
-            mustHalt = if (tooMany) emptyList() else mustHalt,
+            mustHalt = if (exceedsTaskLimit) emptyList() else mustHalt,
         )
     }
 
     /**
-     * The latest that the lease of a machine last known to be renewed at [renewedAt] may have been
-     * renewed, by this leader or by a follower.
+     * The latest time at which this leader or a follower may have renewed the lease of a machine,
+     * given that its last known renewal was at [renewedAt].
      */
     fun latestPossibleRenewal(renewedAt: Micros, leaseDuration: Micros): Micros =
         grants.latestPossibleRenewal(renewedAt, leaseDuration)
 
     /**
-     * Decides once a second whether followers answer workers, and how workers are rebalanced;
-     * [isLoaded] says whether this leader knows what is stored.
+     * Decides once a second whether followers answer workers, and how many workers are redirected
+     * to balance the controllers. [isLoaded] says whether this leader has loaded the stored state.
      */
     fun tick(isLoaded: Boolean) {
         if (context.now < nextDecisionAt) return
         nextDecisionAt = context.now + DECISION_PERIOD
-        grants.removeOld()
+        grants.removeExpired()
         switch.update(isLoaded)
         rebalancer.stop()
-        if (forwardingEnabled) rebalancer.rebalance(grants.active())
+        if (forwardingEnabled) rebalancer.rebalance(grants.activeForwarders())
     }
 
-    /** The member to redirect a worker of this controller to, or null to answer it. */
-    fun takeRedirect(): String? = rebalancer.takeRedirect()
+    /**
+     * The member to which the next worker of this controller is redirected, or null if the worker
+     * is to be answered. Each non-null result counts as one redirected worker.
+     */
+    fun takeRedirectTarget(): String? = rebalancer.takeRedirectTarget()
 
     private companion object {
-        /** Some 100 KB in a response; a fleet of thousands of machines rarely has so many. */
-        const val MAX_NAMED_TASKS = 5_000
+        /**
+         * The maximum number of tasks to stop that a response lists. They take about 100 KB; a
+         * cluster of thousands of machines rarely has more.
+         */
+        const val MAX_LISTED_TASKS = 5_000
 
-        /** In leases of workers. */
-        const val RETENTION_LEASES = 3.0
+        /**
+         * How long a forwarder is kept after its grant and its last batch, in durations of a
+         * worker's lease.
+         */
+        const val FORWARDER_RETENTION_LEASES = 3.0
         val DECISION_PERIOD = 1.seconds
     }
 }
--- a/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachineCandidates.kt
@@ -76,7 +76,7 @@
                 continue
             }
             val rescored = candidate(machine)
-            if (rescored.score <= candidate.score + MachineType.EPSILON) return machine
+            if (rescored.score <= candidate.score + MachineType.RESOURCE_TOLERANCE) return machine
             queue.poll()
             queue.add(rescored)
         }
--- a/src/main/kotlin/wardmux/store/PrefixScan.kt
+++ b/src/main/kotlin/wardmux/store/PrefixScan.kt
@@ -8,54 +8,62 @@
 import wardmux.model.Revision
 import wardmux.serialization.lenientJson
 
-/** Reads all keys under [prefix], page by page; [then] gets them, or null if a page failed. */
+/**
+ * Reads all keys under [prefix], page by page. [onResult] gets the keys, or null if the request for
+ * a page failed.
+ */
 internal class PrefixScan<T : Any>(
     private val client: StoreClient,
     private val prefix: String,
-    private val values: KSerializer<T>,
+    private val valueSerializer: KSerializer<T>,
     private val priority: RequestPriority,
     private val timeout: Micros,
-    private val then: (ScanResult<T>?) -> Unit,
+    private val onResult: (ScanResult<T>?) -> Unit,
 ) {
     private val log = logger<PrefixScan<*>>()
     private val items = ArrayList<ScannedKey<T>>()
     private var firstRevision = Revision.ZERO
 
-    /** Reads the first page, and from there all others. */
+    /** Requests the first page. Each further page is requested when the previous one arrives. */
     fun start() = readPage(null)
 
-    private fun readPage(from: String?) {
-        val path = "/keys?under=$prefix&limit=$PAGE_SIZE" + if (from == null) "" else "&from=$from"
+    private fun readPage(fromKey: String?) {
+        val path =
+            "/keys?under=$prefix&limit=$PAGE_SIZE" + if (fromKey == null) "" else "&from=$fromKey"
         val request =
             StoreRequest(priority, "GET", path, timeout) { status, text ->
-                if (status == HttpStatus.OK) StoreResult.Ok(decode(text))
+                if (status == HttpStatus.OK) StoreResult.Ok(decodePage(text))
                 else StoreClient.failure(status)
             }
         client.submit(request) { result ->
-            if (result is StoreResult.Ok) add(result.value, isFirst = from == null) else then(null)
+            if (result is StoreResult.Ok) addPage(result.value, isFirst = fromKey == null)
+            else onResult(null)
         }
     }
 
-    private fun add(page: KeyPageWire<T>, isFirst: Boolean) {
+    private fun addPage(page: KeyPageWire<T>, isFirst: Boolean) {
         if (isFirst) firstRevision = page.revision
         items.addAll(page.items)
         if (page.truncated && page.items.isNotEmpty()) readPage(page.items.last().key)
-        else then(ScanResult(items, firstRevision))
+        else onResult(ScanResult(items, firstRevision))
     }
 
-    private fun decode(text: String): KeyPageWire<T> =
+    private fun decodePage(text: String): KeyPageWire<T> =
         try {
-            lenientJson.decodeFromString(KeyPageWire.serializer(values), text)
+            lenientJson.decodeFromString(KeyPageWire.serializer(valueSerializer), text)
         } catch (e: IllegalArgumentException) {
             log.error(
-                "a value under {} can't be decoded: {}",
+                "failed to decode a value under the key prefix {}: {}",
                 prefix,
                 e.message?.lineSequence()?.first(),
             )
             decodeEach(text)
         }
 
-    /** Value by value: one that can't be decoded must not keep the others from being read. */
+    /**
+     * Decodes the values of a page one by one. A value that cannot be decoded becomes null, so that
+     * it does not prevent the others from being read.
+     */
     private fun decodeEach(text: String): KeyPageWire<T> {
         val page =
             lenientJson.decodeFromString(KeyPageWire.serializer(JsonElement.serializer()), text)
@@ -63,7 +71,7 @@
             page.items.map { item ->
                 val value =
                     try {
-                        item.data?.let { lenientJson.decodeFromJsonElement(values, it) }
+                        item.data?.let { lenientJson.decodeFromJsonElement(valueSerializer, it) }
                     } catch (e: IllegalArgumentException) {
                         null
                     }
