--- a/src/test/kotlin/wardmux/sim/FakeCloud.kt
+++ b/src/test/kotlin/wardmux/sim/FakeCloud.kt
@@ -118,7 +118,7 @@
             .toString()
 
     fun handle(method: String, path: String, body: String, answer: (Int, String) -> Unit) {
-        if (unavailable) return answer(503, """{"error":"unavailable"}""")
+        if (unavailable) return answer(503, """{"error":"trouble"}""")
         when ("$method ${path.substringBefore('?')}") {
             "GET /machine_types" -> answer(200, machineTypes())
             "GET /machines" ->
@@ -130,7 +130,7 @@
                 )
             "POST /machines" -> rent(body, answer)
             "POST /machines/delete" -> {
-                if (refusesDeletions) return answer(503, """{"error":"unavailable"}""")
+                if (refusesDeletions) return answer(503, """{"error":"trouble"}""")
                 val ids = Json.parseToJsonElement(body).jsonObject.getValue("boxes").jsonArray
                 for (id in ids) machines.remove(id.jsonPrimitive.content)?.worker?.crash()
                 answer(200, "{}")
