--- a/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
@@ -145,7 +145,7 @@
                         "wardmux.leader..",
                         "wardmux.app..",
                     ),
-                "wardmux\\.cloud\\.(RentalOrder|ListedMachine|ListWire)(\\$.*)?" to
+                "wardmux\\.cloud\\.(RentalRequest|ListedMachine|MachineListResponse|MachineIds|MachineTypesResponse)(\\$.*)?" to
                     arrayOf("wardmux.cloud.."),
                 "wardmux\\.store\\..*(Wire|Message)(\\$.*)?" to arrayOf("wardmux.store.."),
             )
