--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -46,6 +46,7 @@
         }
     }
 
+    /** True if a machine that [job] may use stays in service and has room now or later. */
     private fun hasSuitableMachine(job: Job) =
         cluster.machines.values.any {
             !it.isDecommissioned &&
--- a/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
+++ b/src/main/kotlin/wardmux/maintenance/MaintenanceWindows.kt
@@ -43,7 +43,7 @@
 
     /**
      * The first occurrence of any window that ends later than [after]; null if there is none within
-     * [SEARCH_HORIZON_YEARS].
+     * two years ([SEARCH_HORIZON_YEARS]).
      */
     fun nextOccurrence(after: Instant): WindowOccurrence? =
         windows.mapNotNull { nextOccurrenceOf(it, after) }.minByOrNull { it.from }
@@ -89,7 +89,7 @@
             null
         }
 
-    /** The next day of [days]; null if there is none or lib-recur finds none. */
+    /** The next day of [days]; null if there is none, also if lib-recur throws an exception. */
     private fun nextDay(days: RecurrenceRuleIterator): LocalDate? =
         try {
             if (!days.hasNext()) null
--- a/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
+++ b/src/test/kotlin/wardmux/maintenance/MaintenanceWindowsTest.kt
@@ -50,9 +50,9 @@
         )
     }
 
-    // 15 March 2027 is a public holiday in Hungary.
     @Test
     fun `no window opens on a public holiday`() {
+        // 15 March 2027 is a public holiday in Hungary.
         val daily = windows("FREQ=DAILY", "10:00", 3600.0, holidays = "hu")
         assertFalse(daily.isOpenFor(instant("2027-03-15T09:30:00Z"), Duration.ofMinutes(1)))
         assertTrue(daily.isOpenFor(instant("2027-03-16T09:30:00Z"), Duration.ofMinutes(1)))
@@ -66,8 +66,7 @@
     fun `a window in the hour that summer time skips opens an hour later for its whole length`() {
         val early = windows("FREQ=DAILY", "02:30", 3600.0)
         // On 28 March 2027 the local time changes from 02:00 to 03:00, so that 02:30 does not
-        // exist.
-        // The window opens at 03:30 instead, which is 01:30 UTC.
+        // exist. The window opens at 03:30 instead, which is 01:30 UTC.
         val opening = assertNotNull(early.nextOccurrence(instant("2027-03-27T23:30:00Z")))
         assertEquals(instant("2027-03-28T01:30:00Z"), opening.from)
         assertEquals(instant("2027-03-28T02:30:00Z"), opening.until)
