--- a/src/main/kotlin/wardmux/app/BackgroundExecutor.kt
+++ b/src/main/kotlin/wardmux/app/BackgroundExecutor.kt
@@ -7,30 +7,36 @@
 import wardmux.core.BackgroundTask
 import wardmux.logging.logger
 
-/** Runs background tasks one at a time, on a thread that ends while there are none. */
+/** Runs background tasks one at a time. The thread ends when it has been idle for some seconds. */
 class BackgroundExecutor {
     private val log = logger<BackgroundExecutor>()
     private val executor: ExecutorService =
-        ThreadPoolExecutor(0, 1, IDLE_S, TimeUnit.SECONDS, LinkedBlockingQueue()) { work ->
-            Thread(work, "planner").apply { isDaemon = true }
+        ThreadPoolExecutor(0, 1, THREAD_IDLE_TIMEOUT_S, TimeUnit.SECONDS, LinkedBlockingQueue()) {
+            runnable ->
+            Thread(runnable, "planner").apply { isDaemon = true }
         }
 
-    /** Runs [task]; [then] is called on the background thread, with null if the task failed. */
-    fun execute(task: BackgroundTask<*>, then: (Any?) -> Unit) {
+    /** Runs [task]; [onResult] is called on the background thread, with null if the task failed. */
+    fun execute(task: BackgroundTask<*>, onResult: (Any?) -> Unit) {
         executor.execute {
             val result =
                 try {
                     task.run()
                 } catch (e: RuntimeException) {
-                    // The core goes on without the result: a fault in a task must not stop it.
-                    log.error("background task {} failed", task.javaClass.simpleName, e)
+                    // A fault in a background task must not stop the core: it continues without the
+                    // result.
+                    log.error(
+                        "background task {} failed; the core continues without its result",
+                        task.javaClass.simpleName,
+                        e,
+                    )
                     null
                 }
-            then(result)
+            onResult(result)
         }
     }
 
     private companion object {
-        const val IDLE_S = 5L
+        const val THREAD_IDLE_TIMEOUT_S = 5L
     }
 }
--- a/src/main/kotlin/wardmux/app/Daemon.kt
+++ b/src/main/kotlin/wardmux/app/Daemon.kt
@@ -18,40 +18,44 @@
 import wardmux.model.Micros
 import wardmux.model.milliseconds
 
-/** Connects a [Controller] to sockets and clocks; one event loop runs both. */
+/**
+ * Connects a [Controller] to sockets and clocks. One event loop runs the controller and its I/O.
+ */
 class Daemon(private val platform: PlatformConfig, private val operators: OperatorSettings) {
     private val log = logger<Daemon>()
     private val group = NioEventLoopGroup(1)
     private val controller = Controller(platform, operators, newProcessIncarnation())
     private val sockets = platform.deployment.limits.sockets
     private val server =
-        HttpServer(group, sockets.clients, sockets.workers, IDLE_SECONDS) { handle(it) }
+        HttpServer(group, sockets.clients, sockets.workers, CONNECTION_IDLE_TIMEOUT_S) {
+            handle(it)
+        }
     private val backgroundExecutor = BackgroundExecutor()
     private val clients = HashMap<Target, HttpClient>()
     private val workerClients = WorkerClients(group, sockets.workers, MAX_RESPONSE_BYTES)
 
     init {
-        addClient(Target.KeyValueStore, platform.services.state, STORE_CONNECTIONS)
-        addClient(Target.Cloud, platform.services.cloud, CLOUD_CONNECTIONS)
+        addClient(Target.KeyValueStore, platform.services.state, MAX_STORE_CONNECTIONS)
+        addClient(Target.Cloud, platform.services.cloud, MAX_CLOUD_CONNECTIONS)
         for (peer in platform.peers) {
-            addClient(Target.Peer(peer.member), peer.address, PEER_CONNECTIONS)
+            addClient(Target.Peer(peer.member), peer.address, MAX_CONNECTIONS_PER_PEER)
         }
     }
 
     private fun addClient(target: Target, address: String, maxConnections: Int) {
-        val socketAddress = requireNotNull(SettingsFiles.address(address))
+        val socketAddress = requireNotNull(SettingsFiles.parseAddress(address))
         clients[target] = HttpClient(group, socketAddress, maxConnections, MAX_RESPONSE_BYTES)
     }
 
     /**
-     * Listens for peers, users and operators, and blocks until the users' socket is closed. Throws
-     * [BindException] if the address for peers or users can't be listened on.
+     * Listens for peers, users and operators, and blocks until the listener for users is closed.
+     * Throws [BindException] if the address for peers or for users can't be bound.
      */
     fun run() {
-        val loop = group.next()
-        loop
+        val eventLoop = group.next()
+        eventLoop
             .submit {
-                loop.scheduleWithFixedDelay(
+                eventLoop.scheduleWithFixedDelay(
                     { handle(Input.Tick) },
                     0,
                     TICK_PERIOD.value,
@@ -60,56 +64,65 @@
             }
             .sync()
         bind(platform.peerAddress, ListenerKind.PEER)
-        val api = bind(platform.apiAddress, ListenerKind.API)
+        val apiChannel = bind(platform.apiAddress, ListenerKind.API)
         log.info("{} listens for users on {}", platform.member, platform.apiAddress)
-        listenForOperators(api)
+        listenForOperators(apiChannel)
     }
 
     /**
-     * Users are served also where the operators' address can't be listened on: that is tried again
-     * now and then. Blocks until [api] is closed.
+     * Binds the listener for operators, and blocks until [apiChannel] is closed. If the address
+     * can't be bound, users are served all the same, and binding is retried every
+     * [OPERATOR_LISTENER_RETRY_S] seconds.
      */
-    private fun listenForOperators(api: Channel) {
+    private fun listenForOperators(apiChannel: Channel) {
         var isBound = bindOperators(isRetry = false)
-        while (!api.closeFuture().await(OPERATORS_RETRY_S, TimeUnit.SECONDS)) {
+        while (!apiChannel.closeFuture().await(OPERATOR_LISTENER_RETRY_S, TimeUnit.SECONDS)) {
             if (!isBound) isBound = bindOperators(isRetry = true)
         }
     }
 
-    /** True if nothing is left to bind. */
+    /** Returns true if the listener for operators is bound or is not configured. */
     private fun bindOperators(isRetry: Boolean): Boolean {
-        val address = operators.drain?.listener ?: return true
+        val address = operators.drain?.listenerAddress ?: return true
         try {
             bind(address, ListenerKind.OPERATOR)
             log.info("{} listens for operators on {}", platform.member, address)
             return true
         } catch (e: BindException) {
-            if (!isRetry) log.warn("drain.address {} can't be listened on: {}", address, e.message)
+            if (!isRetry) {
+                log.warn(
+                    "can't listen for operators on drain.address {}, retrying every {} s: {}",
+                    address,
+                    OPERATOR_LISTENER_RETRY_S,
+                    e.message,
+                )
+            }
             return false
         }
     }
 
     /**
-     * Two processes may start at the same reading of a clock, or with the same random numbers; not
-     * with all of these alike.
+     * Returns an identifier that no other process has. Two processes may read the same time from a
+     * clock or draw the same random number, so the identifier combines the time of day, the
+     * monotonic time, the process id and a random UUID.
      */
     private fun newProcessIncarnation(): String {
         val wall = System.currentTimeMillis()
         return "$wall-${System.nanoTime()}-${ProcessHandle.current().pid()}-${UUID.randomUUID()}"
     }
 
-    private fun bind(address: String, port: ListenerKind) =
-        server.listen(requireNotNull(SettingsFiles.address(address)), port)
+    private fun bind(address: String, listener: ListenerKind) =
+        server.listen(requireNotNull(SettingsFiles.parseAddress(address)), listener)
 
     private fun handle(input: Input) {
         val effects =
             try {
                 val now = Micros(System.nanoTime() / NANOS_PER_MICRO)
-                val wall = Micros(System.currentTimeMillis() * MICROS_PER_MILLI)
-                controller.handle(now, wall, input)
+                val wallTime = Micros(System.currentTimeMillis() * MICROS_PER_MILLI)
+                controller.handle(now, wallTime, input)
             } catch (e: Exception) {
-                // A fault in handling one input must not end the controller for all users.
-                log.error("input dropped", e)
+                // A fault while handling one input must not stop the controller for all users.
+                log.error("the controller failed to handle an input, which is dropped", e)
                 controller.pendingEffects()
             }
         for (effect in effects) perform(effect)
@@ -140,12 +153,12 @@
 
     private companion object {
         val TICK_PERIOD = 100.milliseconds
-        const val IDLE_SECONDS = 90L
-        const val OPERATORS_RETRY_S = 30L
+        const val CONNECTION_IDLE_TIMEOUT_S = 90L
+        const val OPERATOR_LISTENER_RETRY_S = 30L
 
-        const val STORE_CONNECTIONS = 24
-        const val CLOUD_CONNECTIONS = 4
-        const val PEER_CONNECTIONS = 2
+        const val MAX_STORE_CONNECTIONS = 24
+        const val MAX_CLOUD_CONNECTIONS = 4
+        const val MAX_CONNECTIONS_PER_PEER = 2
         const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
         const val NANOS_PER_MICRO = 1_000
         const val MICROS_PER_MILLI = 1_000
--- a/src/main/kotlin/wardmux/config/SettingsFiles.kt
+++ b/src/main/kotlin/wardmux/config/SettingsFiles.kt
@@ -7,30 +7,30 @@
 import java.net.InetSocketAddress
 import kotlinx.serialization.SerializationException
 
-/** A setting is wrong, missing or unreadable; the message is one line that names it. */
+/** A setting is invalid, missing or unreadable. The message is one line that names it. */
 class InvalidSettingsException(message: String) : Exception(message)
 
 /** Reads and checks the platform's and the operators' settings files. */
 object SettingsFiles {
-    private val PORTS = 1..65_535
+    private val VALID_PORTS = 1..65_535
 
     /**
-     * The platform's configuration in [file]; throws [InvalidSettingsException] if it cannot be
-     * read or is wrong.
+     * Reads and checks the platform's configuration in [file]. Throws [InvalidSettingsException] if
+     * it cannot be read or is invalid.
      */
     fun platform(file: File): PlatformConfig {
-        val settings =
+        val config =
             parse(file) { text ->
                 Toml(TomlInputConfig(ignoreUnknownNames = true))
                     .decodeFromString(PlatformConfig.serializer(), text)
             }
-        PlatformConfigCheck(file.name).check(settings)
-        return settings
+        PlatformConfigCheck(file.name).check(config)
+        return config
     }
 
     /**
-     * The operators' settings in [file], or the defaults if it is null; throws
-     * [InvalidSettingsException] if they cannot be read or are wrong.
+     * Reads and checks the operators' settings in [file]; returns the defaults if it is null.
+     * Throws [InvalidSettingsException] if they cannot be read or are invalid.
      */
     fun operators(file: File?): OperatorSettings {
         if (file == null) return OperatorSettings()
@@ -43,11 +43,14 @@
         return settings
     }
 
-    /** The address that HOST:PORT stands for, resolved or not; null if it is malformed. */
-    fun address(text: String): InetSocketAddress? {
+    /**
+     * The address that [text] of the form HOST:PORT stands for, or null if it is malformed. The
+     * address is unresolved if the host is not known.
+     */
+    fun parseAddress(text: String): InetSocketAddress? {
         val colon = text.lastIndexOf(':')
         val port = text.substring(colon + 1).toIntOrNull() ?: return null
-        if (colon <= 0 || port !in PORTS) return null
+        if (colon <= 0 || port !in VALID_PORTS) return null
         return InetSocketAddress(text.substring(0, colon), port)
     }
 
--- a/src/main/kotlin/wardmux/drain/DrainApi.kt
+++ b/src/main/kotlin/wardmux/drain/DrainApi.kt
@@ -10,27 +10,28 @@
 import wardmux.store.KeyValueStore
 import wardmux.store.RequestPriority
 
-/** Finds the controller that leads. */
+/** Finds the controller that is the elected leader. */
 interface DrainLeaderLocator {
-    /** The drains of this controller's term, or null if it does not lead. */
+    /** The drain service of this controller's term; null if this controller is not the leader. */
     val local: DrainService?
 
-    /** The member name of another controller that leads, or null if none is known. */
+    /** The member name of another controller that is the leader; null if none is known. */
     val remote: String?
 }
 
 /**
- * The operators' interface on every controller. The leader handles requests itself; any other
- * controller forwards them to it, and if that fails answers reads from the key-value store, saying
- * so. Forwarded requests are not forwarded again, so that there is no loop between controllers that
- * take each other for the leader.
+ * The operators' HTTP interface for drains, which runs on every controller. The leader handles
+ * requests itself. Any other controller forwards them to the leader; if that fails, it answers
+ * reads from the key-value store and marks the response with [Source.STORE]. A forwarded request is
+ * never forwarded again, which prevents a loop between controllers that take each other for the
+ * leader.
  */
 class DrainApi(
     private val context: CoreContext,
     private val store: KeyValueStore,
     private val leader: DrainLeaderLocator,
 ) {
-    /** Handles a request on the operators' listener. */
+    /** Handles a request that arrived on the operators' listener. */
     fun handle(call: Input.Request) {
         val path = call.path.substringBefore('?')
         if (path != DrainPaths.DRAINS && !path.startsWith("${DrainPaths.DRAINS}/"))
@@ -44,22 +45,26 @@
         forward(call.id, member, request)
     }
 
-    /** Handles a request that another controller forwards; answered with 409 without a term. */
+    /**
+     * Handles a request that another controller forwarded. The response is 409 if this controller
+     * is not the leader.
+     */
     fun handleForwarded(call: Input.Request) {
         val request =
             CborFormat.decode(ForwardedRequest.serializer(), call.body)
                 ?: return context.answer(call.id, HttpStatus.BAD_REQUEST)
         val service = leader.local ?: return context.answer(call.id, HttpStatus.CONFLICT)
         service.handle(request) { response ->
-            val wire = ForwardedResponse(response.status, response.body, response.retryAfterS)
-            val bytes = CborFormat.encode(ForwardedResponse.serializer(), wire)
+            val forwarded = ForwardedResponse(response.status, response.body, response.retryAfterS)
+            val bytes = CborFormat.encode(ForwardedResponse.serializer(), forwarded)
             context.answerBytes(call.id, HttpStatus.OK, bytes)
         }
     }
 
     private fun forward(call: Long, member: String, request: ForwardedRequest) {
         val body = CborFormat.encode(ForwardedRequest.serializer(), request)
-        context.send(Target.Peer(member), "POST", DrainPaths.FORWARDED, body, TIMEOUT) { outcome ->
+        context.send(Target.Peer(member), "POST", DrainPaths.FORWARDED, body, FORWARD_TIMEOUT) {
+            outcome ->
             val response = outcome as? Outcome.Response
             val forwarded =
                 response
@@ -85,12 +90,15 @@
         else answer(call, response)
     }
 
-    /** Answers a read from the key-value store, and any other request with [refused]. */
-    private fun answerFromStore(call: Long, request: ForwardedRequest, refused: OperatorResponse) {
-        if (request.method != "GET") return answer(call, refused)
+    /**
+     * Answers a read from the key-value store. Other requests, and reads for which the store does
+     * not answer, get [fallback].
+     */
+    private fun answerFromStore(call: Long, request: ForwardedRequest, fallback: OperatorResponse) {
+        if (request.method != "GET") return answer(call, fallback)
         val readAt = context.now
         store.scan(DrainRecord.PREFIX, DrainRecord.serializer(), RequestPriority.READ) { found ->
-            if (found == null) return@scan answer(call, refused)
+            if (found == null) return@scan answer(call, fallback)
             val age = (context.now - readAt).inSeconds
             val readable = found.items.mapNotNull { it.data }
             val drains = readable.map { DrainStatus(it, Source.STORE, ageS = age) }
@@ -99,12 +107,12 @@
                     .filter { it.data == null }
                     .map { it.key.removePrefix(DrainRecord.PREFIX) }
             val id = request.path.removePrefix(DrainPaths.DRAINS).trim('/')
-            val one = drains.firstOrNull { it.record.request.id == id }
+            val requested = drains.firstOrNull { it.record.request.id == id }
             answer(
                 call,
                 when {
                     id.isEmpty() -> OperatorResponses.list(DrainList(drains, unreadable))
-                    one != null -> OperatorResponses.status(HttpStatus.OK, one)
+                    requested != null -> OperatorResponses.status(HttpStatus.OK, requested)
                     else -> OperatorResponses.unknown(id)
                 },
             )
@@ -115,6 +123,6 @@
         context.answer(call, response.status, response.body, response.retryAfterS)
 
     private companion object {
-        val TIMEOUT = 3.seconds
+        val FORWARD_TIMEOUT = 3.seconds
     }
 }
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -14,24 +14,28 @@
 import wardmux.store.VersionCondition
 import wardmux.store.WriteOperation
 
-/** A drain as this leader last read or wrote it, with the version of its key. */
+/** A drain as this leader last read or wrote it, and the version of its key then. */
 class StoredDrain(val record: DrainRecord, val version: KeyVersion)
 
-/** The outcome of a write of a drain. */
-enum class DrainWrite {
+/** The outcome of writing a drain to the key-value store. */
+enum class DrainWriteOutcome {
     WRITTEN,
 
-    /** Not written; the write may be repeated. */
+    /** The drain was not written; the write may be repeated. */
     REFUSED,
 
-    /** Perhaps written: all drains are read again before anything else is decided. */
+    /**
+     * It is not known whether the drain was written. All drains are read again before the leader
+     * decides anything else about drains.
+     */
     UNKNOWN,
 }
 
 /**
  * The leader's access to the drains in the key-value store. Each write is conditional on the
- * versions of the leader's key and the drain's own key, so that a write by an earlier leader, or
- * one that is applied late, changes nothing. After a write without an answer all are read again.
+ * versions of the leader's key and the drain's own key, so a write by an earlier leader, or one
+ * that the store applies late, has no effect. All drains are read again after a write that got no
+ * answer or failed on the version of the drain's own key.
  */
 class DrainStore(
     private val context: CoreContext,
@@ -42,57 +46,63 @@
     private val log = logger<DrainStore>()
     private val drains = sortedMapOf<String, StoredDrain>()
     private val unreadable = sortedSetOf<String>()
-    private val writing = HashMap<String, DrainRecord>()
+    private val pendingWrites = HashMap<String, DrainRecord>()
     private var nextReadAt = Micros.LONG_AGO
-    private var reading = false
+    private var isReading = false
 
-    /** Counts reads: the outcome of a write that began before a read is unknown. */
-    private var generation = 0
+    /**
+     * Incremented whenever a read starts or becomes necessary. The outcome of a write that was sent
+     * in an earlier generation is unknown.
+     */
+    private var readGeneration = 0
 
-    /** All drains have been read, and no write since had an unknown outcome. */
+    /** True if all drains have been read and no write since then had an unknown outcome. */
     var isRead = false
         private set
 
-    /** The drains by their ids. */
+    /** All drains that this version can decode, ordered by id. */
     val all: List<DrainRecord>
         get() = drains.values.map { it.record }
 
-    /** Ids of drains whose records this version can't read. */
+    /** The ids of drains whose stored records this version can't decode. */
     val unreadableIds: Set<String>
         get() = unreadable
 
-    /** The largest size of a record, in bytes. */
+    /** The maximum size of a stored record, in bytes. */
     val maxBytes: Int
         get() = store.maxValueBytes
 
-    /** The drain [id], or null. */
+    /** The drain [id]; null if it does not exist or its record can't be decoded. */
     operator fun get(id: String): DrainRecord? = drains[id]?.record
 
-    /** True while a write of this drain is under way. */
-    fun isBusy(id: String): Boolean = id in writing
+    /** True while a write or removal of the drain [id] has no outcome yet. */
+    fun isBusy(id: String): Boolean = id in pendingWrites
 
-    /** The steps of drains that are not final, stored or being written. */
-    val steps: List<DrainStep>
-        get() = (all + writing.values).filter { !it.state.isFinal }.mapNotNull { it.step }
+    /**
+     * The current steps of all drains that have not ended, both as stored and as in the writes that
+     * have no outcome yet.
+     */
+    val activeSteps: List<DrainStep>
+        get() = (all + pendingWrites.values).filter { !it.state.isFinal }.mapNotNull { it.step }
 
-    /** Reads all drains if they are not known. */
+    /** Starts reading all drains if they are not known and no read is in progress. */
     fun tick() {
-        if (!isRead && !reading && context.now >= nextReadAt) read()
+        if (!isRead && !isReading && context.now >= nextReadAt) read()
     }
 
     private fun read() {
-        reading = true
-        val started = ++generation
+        isReading = true
+        val startGeneration = ++readGeneration
         store.scan(DrainRecord.PREFIX, DrainRecord.serializer()) { found ->
-            if (started != generation) return@scan
-            reading = false
+            if (startGeneration != readGeneration) return@scan
+            isReading = false
             if (found == null) {
-                nextReadAt = context.now + RETRY
+                nextReadAt = context.now + READ_RETRY_DELAY
                 return@scan
             }
             drains.clear()
             unreadable.clear()
-            writing.clear()
+            pendingWrites.clear()
             for (item in found.items) {
                 val record = item.data
                 val id = item.key.removePrefix(DrainRecord.PREFIX)
@@ -100,42 +110,50 @@
                 else drains[id] = StoredDrain(record, item.version)
             }
             isRead = true
-            log.info("read {} drains, {} more can't be decoded", drains.size, unreadable.size)
+            log.info(
+                "read {} drains from the store; the records of {} others can't be decoded",
+                drains.size,
+                unreadable.size,
+            )
         }
     }
 
-    /** A new drain of this leader; [newest] is the newest machine that it may take out. */
+    /**
+     * A record for a new drain, not stored yet. [newest] is the id of the newest machine that it
+     * drains without being named in [request].
+     */
     fun newRecord(request: DrainRequest, newest: String): DrainRecord {
         val now = context.wallTime.value
         return DrainRecord(request, DrainState.PLANNED, role.token.value, now, now, newest)
     }
 
     /**
-     * Writes [changed] with this leader's token and the time; [then] is called with the record as
-     * written and the outcome.
+     * Writes [changed] with this leader's fencing token and the current time. [then] is called with
+     * the record as sent to the store and the outcome.
      */
-    fun write(changed: DrainRecord, then: (DrainRecord, DrainWrite) -> Unit) {
+    fun write(changed: DrainRecord, then: (DrainRecord, DrainWriteOutcome) -> Unit) {
         val record = changed.copy(token = role.token.value, changedAt = context.wallTime.value)
         val id = record.request.id
-        val started = generation
-        writing[id] = record
+        val startGeneration = readGeneration
+        pendingWrites[id] = record
         val version = drains[id]?.version ?: KeyVersion.ABSENT
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, version))
-        val change = WriteOperation(put = key, data = record.toJson())
-        store.compareAndSwap(conditions, listOf(change), RequestPriority.LEADER) { result ->
-            if (started != generation) return@compareAndSwap then(record, DrainWrite.UNKNOWN)
-            writing.remove(id)
+        val operation = WriteOperation(put = key, data = record.toJson())
+        store.compareAndSwap(conditions, listOf(operation), RequestPriority.LEADER) { result ->
+            if (startGeneration != readGeneration)
+                return@compareAndSwap then(record, DrainWriteOutcome.UNKNOWN)
+            pendingWrites.remove(id)
             if (result is StoreResult.Ok) drains[id] = StoredDrain(record, result.value.keyVersion)
             then(record, outcome(result))
         }
     }
 
-    /** Removes a drain from the store. */
+    /** Removes the drain [id] from the store, if it exists. */
     fun remove(id: String) {
         val stored = drains[id] ?: return
-        val started = generation
-        writing[id] = stored.record
+        val startGeneration = readGeneration
+        pendingWrites[id] = stored.record
         val key = DrainRecord.key(id)
         val conditions = listOf(role.condition, VersionCondition(key, stored.version))
         store.compareAndSwap(
@@ -143,34 +161,34 @@
             listOf(WriteOperation(remove = key)),
             RequestPriority.LEADER,
         ) { result ->
-            if (started != generation) return@compareAndSwap
-            writing.remove(id)
-            if (outcome(result) == DrainWrite.WRITTEN) drains.remove(id)
+            if (startGeneration != readGeneration) return@compareAndSwap
+            pendingWrites.remove(id)
+            if (outcome(result) == DrainWriteOutcome.WRITTEN) drains.remove(id)
         }
     }
 
-    private fun outcome(result: StoreResult<Revision>): DrainWrite =
+    private fun outcome(result: StoreResult<Revision>): DrainWriteOutcome =
         when (result) {
-            is StoreResult.Ok -> DrainWrite.WRITTEN
-            is StoreResult.NotExecuted -> DrainWrite.REFUSED
+            is StoreResult.Ok -> DrainWriteOutcome.WRITTEN
+            is StoreResult.NotExecuted -> DrainWriteOutcome.REFUSED
             is StoreResult.Conflict -> {
-                if (LeaderElection.KEY in result.failed) term.fenced() else readAgain()
-                DrainWrite.UNKNOWN
+                if (LeaderElection.KEY in result.failed) term.fenced() else scheduleReread()
+                DrainWriteOutcome.UNKNOWN
             }
             else -> {
-                readAgain()
-                DrainWrite.UNKNOWN
+                scheduleReread()
+                DrainWriteOutcome.UNKNOWN
             }
         }
 
-    private fun readAgain() {
-        generation++
-        reading = false
+    private fun scheduleReread() {
+        readGeneration++
+        isReading = false
         isRead = false
         nextReadAt = context.now
     }
 
     private companion object {
-        val RETRY = 400.milliseconds
+        val READ_RETRY_DELAY = 400.milliseconds
     }
 }
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -27,10 +27,11 @@
 import wardmux.model.Micros
 
 /**
- * Sends HTTP requests to one address, one at a time on each of at most [maxConnections]
- * connections. A request without a response within its timeout fails, and its connection is closed.
- * Responses may have up to [maxResponseBytes]. With [keepAlive] false each request has a connection
- * of its own, for addresses that are rarely asked.
+ * Sends HTTP requests to one address over at most [maxConnections] connections. Each connection
+ * carries one request at a time; further requests are queued. A request that gets no response
+ * within its timeout fails, and its connection is closed. A response body may have up to
+ * [maxResponseBytes]. If [keepAlive] is false, each request uses a new connection; this suits
+ * addresses that rarely receive requests.
  */
 class HttpClient(
     private val group: EventLoopGroup,
@@ -39,13 +40,13 @@
     private val maxResponseBytes: Int,
     private val keepAlive: Boolean = true,
 ) {
-    /** A request that has no outcome yet. */
+    /** A request whose outcome is not known yet. [channel] is null until the request is written. */
     private class PendingRequest(
         val method: String,
         val path: String,
         val body: ByteArray,
         val deadlineNanos: Long,
-        val then: (Outcome) -> Unit,
+        val onOutcome: (Outcome) -> Unit,
     ) {
         var isCompleted = false
         var timer: Future<*>? = null
@@ -55,13 +56,15 @@
             if (isCompleted) return
             isCompleted = true
             timer?.cancel(false)
-            then(outcome)
+            onOutcome(outcome)
         }
     }
 
-    private val idle = ArrayDeque<Channel>()
-    private val queue = ArrayDeque<PendingRequest>()
-    private var connections = 0
+    private val idleChannels = ArrayDeque<Channel>()
+    private val queuedRequests = ArrayDeque<PendingRequest>()
+
+    /** The number of connections that are open or being opened. */
+    private var openConnections = 0
     private val bootstrap =
         Bootstrap()
             .group(group)
@@ -75,49 +78,54 @@
                             .pipeline()
                             .addLast(HttpClientCodec())
                             .addLast(HttpObjectAggregator(maxResponseBytes))
-                            .addLast(Exchange())
+                            .addLast(ResponseHandler())
                     }
                 }
             )
 
-    /** Sends a request, or queues it; [then] gets its outcome within [timeout]. */
+    /**
+     * Sends a request, or queues it while all connections are in use. [onOutcome] is called once,
+     * after [timeout] at the latest.
+     */
     fun send(
         method: String,
         path: String,
         body: ByteArray,
         timeout: Micros,
-        then: (Outcome) -> Unit,
+        onOutcome: (Outcome) -> Unit,
     ) {
         val nanos = timeout.value * 1_000
-        val pending = PendingRequest(method, path, body, System.nanoTime() + nanos, then)
+        val pending = PendingRequest(method, path, body, System.nanoTime() + nanos, onOutcome)
         pending.timer = group.next().schedule({ expire(pending) }, nanos, TimeUnit.NANOSECONDS)
-        queue.addLast(pending)
-        startQueued()
+        queuedRequests.addLast(pending)
+        sendQueued()
     }
 
+    /** Ends [pending] after its timeout; it may have reached the server only if it was written. */
     private fun expire(pending: PendingRequest) {
         val channel = pending.channel
         channel?.close()
         pending.complete(if (channel == null) Outcome.NotSent else Outcome.NoResponse)
     }
 
-    private fun startQueued() {
-        while (queue.isNotEmpty()) {
-            if (queue.first().isCompleted) {
-                queue.removeFirst()
+    private fun sendQueued() {
+        while (queuedRequests.isNotEmpty()) {
+            if (queuedRequests.first().isCompleted) {
+                queuedRequests.removeFirst()
                 continue
             }
-            val channel = idle.removeLastOrNull()
+            val channel = idleChannels.removeLastOrNull()
             when {
-                channel != null -> if (channel.isActive) write(channel, queue.removeFirst())
-                connections < maxConnections -> connect(queue.removeFirst())
+                channel != null ->
+                    if (channel.isActive) write(channel, queuedRequests.removeFirst())
+                openConnections < maxConnections -> connect(queuedRequests.removeFirst())
                 else -> return
             }
         }
     }
 
     private fun connect(pending: PendingRequest) {
-        connections++
+        openConnections++
         bootstrap
             .connect(address)
             .addListener(
@@ -125,9 +133,9 @@
                     val channel = future.channel()
                     when {
                         !future.isSuccess -> {
-                            connections--
+                            openConnections--
                             pending.complete(Outcome.NotSent)
-                            startQueued()
+                            sendQueued()
                         }
                         pending.isCompleted -> if (keepAlive) release(channel) else channel.close()
                         else -> write(channel, pending)
@@ -138,7 +146,7 @@
 
     private fun write(channel: Channel, pending: PendingRequest) {
         pending.channel = channel
-        channel.pipeline().get(Exchange::class.java).pending = pending
+        channel.pipeline().get(ResponseHandler::class.java).pending = pending
         val request =
             DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -155,12 +163,14 @@
         channel.writeAndFlush(request)
     }
 
+    /** Makes the connection available to the next request. */
     private fun release(channel: Channel) {
-        if (channel.isActive) idle.addLast(channel)
-        startQueued()
+        if (channel.isActive) idleChannels.addLast(channel)
+        sendQueued()
     }
 
-    private inner class Exchange : ChannelInboundHandlerAdapter() {
+    /** Completes the request that is pending on one connection. */
+    private inner class ResponseHandler : ChannelInboundHandlerAdapter() {
         var pending: PendingRequest? = null
 
         override fun channelRead(context: ChannelHandlerContext, message: Any) {
@@ -180,15 +190,15 @@
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
-            connections--
-            idle.remove(context.channel())
+            openConnections--
+            idleChannels.remove(context.channel())
             val completed = pending
             pending = null
             completed?.complete(Outcome.NoResponse)
-            startQueued()
+            sendQueued()
         }
 
-        @Deprecated("Netty's own marking")
+        @Deprecated("Netty marks this method as deprecated")
         override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
             context.close()
         }
--- a/src/test/kotlin/wardmux/app/FormatTest.kt
+++ b/src/test/kotlin/wardmux/app/FormatTest.kt
@@ -41,72 +41,80 @@
 import wardmux.sim.plainJob
 
 /**
- * During an upgrade processes of the version in production and of this one work on each other's
- * data. The samples are what the version in production wrote of [FormatContents], which the last
- * landing writes alike; they are never made anew with this one. Each is read here as it is and with
- * unknown fields in it, and compared with what this version writes.
+ * Guards against stored data and messages that one version can't read from another: during an
+ * upgrade, processes of the version in production and of this version work on each other's data.
+ * The samples are what the version in production wrote for [FormatContents]; the version merged
+ * after it writes the same. They are never regenerated. Each sample is read as it is and with
+ * unknown fields, and is compared with what this version writes.
  */
 class FormatTest {
     private val samples = FormatSamples(FormatSamples.PRODUCTION)
     private val stored = samples.stored
     private val messages = samples.messages
 
-    /** As production wrote it, and as a later version might. */
-    private fun eachStored(key: String, check: (JsonElement) -> Unit) {
+    /** Runs [check] on a stored value as it is and with unknown fields, as of a later version. */
+    private fun checkStored(key: String, check: (JsonElement) -> Unit) {
         val value = stored.getValue(key)
         check(value)
         check(
             if (FormatSamples.isPacked(key))
-                FormatTree.packed(FormatTree.withMore(FormatTree.ofPacked(value)))
-            else FormatTree.withMore(value)
+                FormatTree.packed(FormatTree.withUnknownFields(FormatTree.parsePacked(value)))
+            else FormatTree.withUnknownFields(value)
         )
     }
 
-    private fun eachMessage(name: String, check: (ByteArray) -> Unit) {
+    /** Runs [check] on a message as it is and with unknown fields, as of a later version. */
+    private fun checkMessage(name: String, check: (ByteArray) -> Unit) {
         val bytes = messages.getValue(name)
         check(bytes)
-        check(FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes))))
+        check(FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes))))
     }
 
     // What this version writes.
 
     @Test
-    fun `what is stored is written as production writes it, under the same keys`() {
-        val now = FormatContents.stored()
-        assertEquals(stored.keys, now.keys)
-        val found =
+    fun `stored values have the keys and fields that production writes`() {
+        val current = FormatContents.storedValues()
+        assertEquals(stored.keys, current.keys)
+        val actual =
             stored.entries.flatMap { (key, value) ->
-                val written = now.getValue(key)
+                val written = current.getValue(key)
                 if (FormatSamples.isPacked(key)) {
-                    val production = FormatTree.ofPacked(value)
-                    FormatTree.differences(production, FormatTree.ofPacked(written), ADDED, key)
+                    val production = FormatTree.parsePacked(value)
+                    FormatTree.differences(
+                        production,
+                        FormatTree.parsePacked(written),
+                        ADDED_FIELDS,
+                        key,
+                    )
                 } else {
-                    FormatTree.differences(value, written, ADDED, key)
+                    FormatTree.differences(value, written, ADDED_FIELDS, key)
                 }
             }
-        assertEquals(emptyList(), found)
+        assertEquals(emptyList(), actual)
     }
 
     @Test
-    fun `messages are written as production writes them`() {
-        val now = FormatContents.messages()
-        assertEquals(messages.keys, now.keys)
-        val found =
+    fun `messages have the fields that production writes`() {
+        val current = FormatContents.messages()
+        assertEquals(messages.keys, current.keys)
+        val actual =
             messages.entries.flatMap { (name, bytes) ->
-                val written = FormatTree.ofCbor(now.getValue(name))
-                FormatTree.differences(FormatTree.ofCbor(bytes), written, ADDED, name)
+                val written = FormatTree.parseCbor(current.getValue(name))
+                FormatTree.differences(FormatTree.parseCbor(bytes), written, ADDED_FIELDS, name)
             }
-        assertEquals(emptyList(), found)
+        assertEquals(emptyList(), actual)
     }
 
-    /** Whoever reads bytes of this version finds those that the versions beside it write. */
+    /** A reader that compares bytes must find no difference between versions that run together. */
     @Test
-    fun `what is stored and sent is the same byte for byte`() {
-        val now = FormatContents.stored()
+    fun `stored values and messages match the samples byte for byte`() {
+        val current = FormatContents.storedValues()
         for ((key, value) in stored) {
-            val written = now.getValue(key)
+            val written = current.getValue(key)
             if (FormatSamples.isPacked(key)) {
-                // How well it is packed may depend on the Java version.
+                // The compressed bytes may depend on the Java version, so they are compared
+                // unpacked.
                 val production = FormatTree.unpacked(value).toHexString()
                 assertEquals(production, FormatTree.unpacked(written).toHexString(), key)
             } else {
@@ -119,92 +127,100 @@
         }
     }
 
-    /** So all that holds here beside production holds beside the last landing as well. */
+    /** Both versions write the same bytes, so compatibility with the samples covers both. */
     @Test
-    fun `the last landing writes the bytes that production writes`() {
-        val landing = FormatSamples(FormatSamples.LAST_LANDING)
+    fun `the version merged after production writes the bytes that production writes`() {
+        val successor = FormatSamples(FormatSamples.PRODUCTION_SUCCESSOR)
         for (name in listOf("stored", "messages")) {
-            assertEquals(samples.text(name), landing.text(name), name)
+            assertEquals(samples.text(name), successor.text(name), name)
         }
     }
 
-    /** A version that comes into production later needs samples of its own. */
+    /** When another version goes into production, samples of that version are needed. */
     @Test
     fun `the samples are those of the version that the deploy file names`() {
         val line = File("deploy/service.toml").readLines().single { it.startsWith("production") }
         val commit = line.substringAfter('"').substringBefore('"')
-        assertTrue(commit.startsWith(FormatSamples.PRODUCTION), commit)
+        assertTrue(
+            commit.startsWith(FormatSamples.PRODUCTION),
+            "expected production to be ${FormatSamples.PRODUCTION}, but was $commit",
+        )
     }
 
     @Test
-    fun `a field that is lost, changed or new is told as a difference`() {
+    fun `a missing, changed or new field is reported as a difference`() {
         val tree = Json.parseToJsonElement("""{"a":[{"b":1}],"c":"1"}""")
-        fun against(text: String, vararg additions: String) =
+        fun differencesTo(text: String, vararg additions: String) =
             FormatTree.differences(tree, Json.parseToJsonElement(text), additions.toSet())
-        assertEquals(emptyList(), against("""{"c":"1","a":[{"b":1}]}"""))
-        assertEquals(listOf(".c is not written"), against("""{"a":[{"b":1}]}"""))
-        assertEquals(1, against("""{"a":[{"b":1}],"c":1}""").size)
-        assertEquals(1, against("""{"a":[{"b":2}],"c":"1"}""").size)
-        assertEquals(1, against("""{"a":[],"c":"1"}""").size)
-        assertEquals(listOf(".a[].d is new"), against("""{"a":[{"b":1,"d":0}],"c":"1"}"""))
-        assertEquals(emptyList(), against("""{"a":[{"b":1,"d":0}],"c":"1"}""", ".a[].d"))
+        assertEquals(emptyList(), differencesTo("""{"c":"1","a":[{"b":1}]}"""))
+        assertEquals(listOf(".c is not written"), differencesTo("""{"a":[{"b":1}]}"""))
+        assertEquals(1, differencesTo("""{"a":[{"b":1}],"c":1}""").size)
+        assertEquals(1, differencesTo("""{"a":[{"b":2}],"c":"1"}""").size)
+        assertEquals(1, differencesTo("""{"a":[],"c":"1"}""").size)
+        assertEquals(listOf(".a[].d is new"), differencesTo("""{"a":[{"b":1,"d":0}],"c":"1"}"""))
+        assertEquals(emptyList(), differencesTo("""{"a":[{"b":1,"d":0}],"c":"1"}""", ".a[].d"))
     }
 
     // What this version reads.
 
     @Test
-    fun `the leader's record is read`() =
-        eachStored(LeaderElection.KEY) {
+    fun `the leader record is read`() =
+        checkStored(LeaderElection.KEY) {
             val record = lenientJson.decodeFromJsonElement(LeaderRecord.serializer(), it)
             assertEquals("n2", record.member)
             assertEquals("n2-5f3a", record.processIncarnation)
         }
 
     @Test
-    fun `the tags are read`() =
-        eachStored(FairQueue.KEY) {
-            val at = Micros(FormatContents.TAGS_AT)
-            val written = FormatContents.tags()
-            val read = FormatContents.queue()
+    fun `the tags and usage of the fair queue are read`() =
+        checkStored(FairQueue.KEY) {
+            val at = Micros(FormatContents.TAGS_SAVED_AT)
+            val written = FormatContents.chargedFairQueue()
+            val read = FormatContents.emptyFairQueue()
             read.load(it)
             assertEquals(written.virtualTime, read.virtualTime)
             assertTrue(read.virtualTime > 0)
             for (team in listOf("batch", "web")) {
-                assertTrue(read.startTag(team) > read.virtualTime, team)
+                assertTrue(
+                    read.startTag(team) > read.virtualTime,
+                    "the start tag of $team must be after the virtual time",
+                )
                 assertEquals(written.startTag(team), read.startTag(team), team)
-                assertTrue(read.usage(team, at) > 0, team)
+                assertTrue(read.usage(team, at) > 0, "the usage of $team must be positive")
                 assertEquals(written.usage(team, at), read.usage(team, at), team)
             }
-            // Usage goes on decaying from when it was written.
-            val halved = read.usage("web", Micros(FormatContents.TAGS_AT + 600_000_000))
+            // Usage decays from the time at which it was written; 600 s is the half-life.
+            val halved = read.usage("web", Micros(FormatContents.TAGS_SAVED_AT + 600_000_000))
             assertEquals(4_000_000.0, halved)
         }
 
     @Test
     fun `machine types are read`() =
-        eachStored(MachineTypeList.KEY) {
-            assertEquals(FormatContents.TYPES, MachineTypeList.decode(it))
+        checkStored(MachineTypeList.KEY) {
+            assertEquals(FormatContents.MACHINE_TYPES, MachineTypeList.decode(it))
         }
 
     @Test
-    fun `job records are read in each state and shape, under each of their keys`() {
+    fun `job records of each state and kind are read under each of their keys`() {
         for (spec in FormatContents.SPECS) {
             for (key in listOf("j/${spec.id}", "q/${spec.id}")) {
-                eachStored(key) {
-                    assertEquals(FormatContents.accepted(spec), JobRecord.decode(it))
+                checkStored(key) {
+                    assertEquals(FormatContents.acceptedRecord(spec), JobRecord.decode(it))
                 }
             }
-            eachStored("c/${spec.id}") {
-                assertEquals(FormatContents.cancelled(spec), JobRecord.decode(it))
+            checkStored("c/${spec.id}") {
+                assertEquals(FormatContents.cancelledRecord(spec), JobRecord.decode(it))
             }
         }
-        eachStored("j/job-000001") { assertEquals(FormatContents.DONE, JobRecord.decode(it)) }
+        checkStored("j/job-000001") {
+            assertEquals(FormatContents.DONE_RECORD, JobRecord.decode(it))
+        }
     }
 
-    /** Spelled out once, so that a field that is read in another's place is noticed. */
+    /** Compares each field with a literal, to detect a field that is read into another. */
     @Test
     fun `each field of a job record is read`() =
-        eachStored("c/job-000412") {
+        checkStored("c/job-000412") {
             val record = assertNotNull(JobRecord.decode(it))
             assertEquals(JobState.CANCELLED, record.state)
             assertEquals(1_790_000_000_123_456, record.acceptedAt)
@@ -235,24 +251,24 @@
         lenientJson.decodeFromJsonElement(StoredTaskPage.serializer(), json)
 
     @Test
-    fun `a page is read with its placements, their zones and charges`() =
-        eachStored("t/job-000412/1") { json ->
-            val job = FormatContents.emptyJob()
+    fun `a task page is read with its placements, their zones and charges`() =
+        checkStored("t/job-000412/1") { json ->
+            val job = FormatContents.newJob()
             val read =
                 TaskPageCodec.restore(job, 1, KeyVersion(99), page(json)).associateBy {
                     it.task.index
                 }
-            val wanted = FormatContents.placements(job).associateBy { it.task.index }
+            val expected = FormatContents.placements(job).associateBy { it.task.index }
             assertEquals(setOf(16, 17, 18, 22, 23), read.keys)
-            for ((task, placement) in wanted) {
-                val found = read.getValue(task)
-                assertEquals(job.id, found.task.job)
-                assertEquals(placement.attempt, found.attempt, "attempt of $task")
-                assertEquals(placement.machine, found.machine, "machine of $task")
-                assertEquals(placement.incarnation, found.incarnation, "session of $task")
-                assertEquals(placement.zone, found.zone, "zone of $task")
-                assertEquals(placement.charge, found.charge, "charge of $task")
-                assertTrue(found.isRestored && found.isCommitted)
+            for ((task, placement) in expected) {
+                val actual = read.getValue(task)
+                assertEquals(job.id, actual.task.job)
+                assertEquals(placement.attempt, actual.attempt, "attempt of $task")
+                assertEquals(placement.machine, actual.machine, "machine of $task")
+                assertEquals(placement.incarnation, actual.incarnation, "incarnation of $task")
+                assertEquals(placement.zone, actual.zone, "zone of $task")
+                assertEquals(placement.charge, actual.charge, "charge of $task")
+                assertTrue(actual.isRestored && actual.isCommitted)
             }
             assertEquals(9_000_000_000, read.getValue(23).incarnation)
             assertEquals(MachineId("i-000003"), read.getValue(23).machine)
@@ -261,61 +277,63 @@
         }
 
     @Test
-    fun `the runs of done tasks and the tried ones are read from all pages`() {
-        val more = { json: JsonElement -> FormatTree.withMore(json) }
-        for (form in listOf({ json: JsonElement -> json }, more)) {
-            val job = FormatContents.emptyJob()
+    fun `done tasks and the attempt numbers of waiting tasks are read from all pages`() {
+        val extended = { json: JsonElement -> FormatTree.withUnknownFields(json) }
+        for (transform in listOf({ json: JsonElement -> json }, extended)) {
+            val job = FormatContents.newJob()
             for (number in 0..2) {
-                val json = form(stored.getValue("t/job-000412/$number"))
+                val json = transform(stored.getValue("t/job-000412/$number"))
                 TaskPageCodec.restore(job, number, KeyVersion(99), page(json))
             }
             val tasks = 0 until job.spec.tasks
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isTaskDone(it) })
             assertEquals(FormatContents.DONE_TASKS, tasks.filter { job.isRecordedDone(it) })
             for (task in tasks) {
-                val last = FormatContents.TRIED[task] ?: job.placements.get(task)?.attempt ?: 0
+                val last =
+                    FormatContents.LAST_ATTEMPTS[task] ?: job.placements.get(task)?.attempt ?: 0
                 assertEquals(last + 1, job.nextAttempt(task), "next attempt of $task")
             }
-            // What came back waits behind what was never tried.
+            // Tasks that wait again after an attempt are behind those that were never attempted.
             val waiting = generateSequence { job.pollWaitingTask().takeIf { it >= 0 } }.toList()
-            assertEquals(FormatContents.TRIED.keys.toList(), waiting.takeLast(3))
+            assertEquals(FormatContents.LAST_ATTEMPTS.keys.toList(), waiting.takeLast(3))
             assertEquals(40 - 8 - 5, waiting.size)
         }
     }
 
     @Test
-    fun `the pages of gangs are read, with one attempt number for all tasks`() {
-        eachGangPages(FormatContents.GANG_SPEC, 0..2) { gang, read ->
-            val wanted = FormatContents.gangPlacements(gang).map { it.task to it.machine }
-            assertEquals(wanted, read.map { it.task to it.machine })
+    fun `the pages of gangs are read with one attempt number for all tasks`() {
+        checkGangPages(FormatContents.GANG_SPEC, 0..2) { gang, read ->
+            val expected = FormatContents.gangPlacements(gang).map { it.task to it.machine }
+            assertEquals(expected, read.map { it.task to it.machine })
             assertEquals(setOf(FormatContents.GANG_ATTEMPT), read.map { it.attempt }.toSet())
             assertEquals(setOf("east"), read.map { it.zone }.toSet())
             assertEquals(FormatContents.GANG_ATTEMPT, gang.gangAttempt?.number)
             assertEquals(0, gang.doneCount)
         }
-        eachGangPages(FormatContents.GANG_AGAIN_SPEC, 0..0) { gang, read ->
+        checkGangPages(FormatContents.WAITING_GANG_SPEC, 0..0) { gang, read ->
             assertEquals(0, read.size)
             assertEquals(8, gang.waiting)
             gang.startGangAttempt(Micros.ZERO)
             assertEquals(FormatContents.GANG_ATTEMPT + 1, gang.nextAttempt(0))
         }
-        eachGangPages(FormatContents.GANG_DONE_SPEC, 0..0) { gang, read ->
+        checkGangPages(FormatContents.DONE_GANG_SPEC, 0..0) { gang, read ->
             assertEquals((1..7).toList(), read.map { it.task.index })
             assertTrue(gang.allTasksDone)
         }
     }
 
-    private fun eachGangPages(
+    /** Runs [check] on a gang restored from its pages, as they are and with unknown fields. */
+    private fun checkGangPages(
         spec: JobSpec,
         pages: IntRange,
         check: (Job, List<Placement>) -> Unit,
     ) {
-        val more = { json: JsonElement -> FormatTree.withMore(json) }
-        for (form in listOf({ json: JsonElement -> json }, more)) {
-            val gang = FormatContents.emptyGang(spec)
+        val extended = { json: JsonElement -> FormatTree.withUnknownFields(json) }
+        for (transform in listOf({ json: JsonElement -> json }, extended)) {
+            val gang = FormatContents.newGang(spec)
             val read =
                 pages.flatMap { number ->
-                    val json = form(stored.getValue("t/${spec.id}/$number"))
+                    val json = transform(stored.getValue("t/${spec.id}/$number"))
                     TaskPageCodec.restore(gang, number, KeyVersion(99), page(json))
                 }
             check(gang, read.sortedBy { it.task.index })
@@ -325,49 +343,51 @@
     @Test
     fun `a decommissioned machine is recorded as production records it`() {
         val harness = ControllerHarness()
-        harness.accept(plainJob(1, "job-000001"))
-        harness.accept(plainJob(1, "job-000002"))
+        harness.writeAcceptedJob(plainJob(1, "job-000001"))
+        harness.writeAcceptedJob(plainJob(1, "job-000002"))
         harness.run(2.seconds)
         val machine = ManualWorker(harness, "i-000001")
-        val token = machine.token()
+        val token = machine.fetchLeaderToken()
         val failed = { job: Int ->
             """{"piece":"job-00000$job/0","try":1,"status":"ended","cause":"error"}"""
         }
         harness.run(1.seconds)
-        machine.handleHeartbeat(token)
+        machine.heartbeatResponse(token)
         harness.run(1.seconds)
-        machine.handleHeartbeat(token, "${failed(1)},${failed(2)}")
+        machine.heartbeatResponse(token, "${failed(1)},${failed(2)}")
         harness.run(1.seconds)
-        val sample = stored.getValue(FormatContents.CONDEMNED_KEY)
-        assertEquals(sample, harness.stored(FormatContents.CONDEMNED_KEY))
+        val sample = stored.getValue(FormatContents.DECOMMISSIONED_MACHINE_KEY)
+        assertEquals(sample, harness.storedValue(FormatContents.DECOMMISSIONED_MACHINE_KEY))
     }
 
     /**
-     * What the only machine in the job's zone is told under a leader that finds [decommissioned].
+     * Whether the only machine in the job's zone is commanded to start the task, under a leader
+     * that finds the value [decommissioned] stored for the machine; null stands for no value.
      */
-    private fun startsWith(decommissioned: JsonElement?): Boolean {
+    private fun startsTaskAfter(decommissioned: JsonElement?): Boolean {
         val harness = ControllerHarness()
-        if (decommissioned != null) harness.write(FormatContents.CONDEMNED_KEY, decommissioned)
-        harness.accept(plainJob(1).copy(zone = "a"))
+        if (decommissioned != null)
+            harness.write(FormatContents.DECOMMISSIONED_MACHINE_KEY, decommissioned)
+        harness.writeAcceptedJob(plainJob(1).copy(zone = "a"))
         harness.run(2.seconds)
-        val token = ManualWorker(harness, "i-000002", "b").token()
+        val token = ManualWorker(harness, "i-000002", "b").fetchLeaderToken()
         val machine = ManualWorker(harness, "i-000001", "a")
-        val answers =
-            List(4) { machine.report(token).toString().also { harness.run(0.5.seconds) } } +
-                harness.direct
-        return answers.any { "\"verb\":\"start\"" in it }
+        val responses =
+            List(4) { machine.sendHeartbeat(token).toString().also { harness.run(0.5.seconds) } } +
+                harness.directCommands
+        return responses.any { "\"verb\":\"start\"" in it }
     }
 
     @Test
-    fun `a machine that production decommissioned gets nothing more, whatever is said of it`() {
-        assertTrue(startsWith(decommissioned = null))
-        assertFalse(startsWith(stored.getValue(FormatContents.CONDEMNED_KEY)))
-        assertFalse(startsWith(JsonObject(mapOf("later" to JsonPrimitive(1)))))
+    fun `a machine with any stored decommissioning record gets no task`() {
+        assertTrue(startsTaskAfter(decommissioned = null))
+        assertFalse(startsTaskAfter(stored.getValue(FormatContents.DECOMMISSIONED_MACHINE_KEY)))
+        assertFalse(startsTaskAfter(JsonObject(mapOf("later" to JsonPrimitive(1)))))
     }
 
     @Test
-    fun `a heartbeat is read`() {
-        eachMessage("beat") {
+    fun `the heartbeat of a peer is read`() {
+        checkMessage("beat") {
             val heartbeat = assertNotNull(PeerHeartbeatCodec.decode(it))
             assertEquals("n1", heartbeat.member)
             assertEquals(4_711, heartbeat.token)
@@ -375,38 +395,38 @@
             val progress = listOf(JobProgress("job-000412", 8, 5), JobProgress("job-000413", 0, 0))
             assertEquals(progress, heartbeat.progress)
             assertTrue(heartbeat.forwardingEnabled)
-            val heard =
+            val cursors =
                 heartbeat.cancellationCursors.map { h ->
                     Triple(h.member, h.processIncarnation, h.count)
                 }
-            assertEquals(listOf(Triple("n2", "n2-5f3a", 12L), Triple("n3", "n3-1", 0L)), heard)
+            assertEquals(listOf(Triple("n2", "n2-5f3a", 12L), Triple("n3", "n3-1", 0L)), cursors)
         }
-        eachMessage("beat of a follower") {
-            assertEquals(FormatContents.FOLLOWER_BEAT, PeerHeartbeatCodec.decode(it))
+        checkMessage("beat of a follower") {
+            assertEquals(FormatContents.FOLLOWER_HEARTBEAT, PeerHeartbeatCodec.decode(it))
         }
     }
 
     @Test
-    fun `the answer to a heartbeat is read`() {
-        eachMessage("told") {
-            val told = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
-            assertEquals("n2-5f3a", told.processIncarnation)
-            assertEquals(86_400_000_000, told.uptime)
-            assertEquals(12, told.firstIndex)
-            assertEquals(listOf("job-000412", "job-000413"), told.jobs)
-            assertTrue(told.hasMore)
+    fun `the cancellation update that answers a heartbeat is read`() {
+        checkMessage("told") {
+            val update = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
+            assertEquals("n2-5f3a", update.processIncarnation)
+            assertEquals(86_400_000_000, update.uptime)
+            assertEquals(12, update.firstIndex)
+            assertEquals(listOf("job-000412", "job-000413"), update.jobs)
+            assertTrue(update.hasMore)
         }
-        eachMessage("nothing told") {
-            val told = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
-            assertEquals("n3-1", told.processIncarnation)
-            assertEquals(0, told.uptime)
-            assertEquals(0, told.firstIndex)
-            assertEquals(emptyList(), told.jobs)
-            assertFalse(told.hasMore)
+        checkMessage("nothing told") {
+            val update = assertNotNull(PeerHeartbeatCodec.decodeUpdate(it))
+            assertEquals("n3-1", update.processIncarnation)
+            assertEquals(0, update.uptime)
+            assertEquals(0, update.firstIndex)
+            assertEquals(emptyList(), update.jobs)
+            assertFalse(update.hasMore)
         }
     }
 
-    private fun assertWhole(batch: HeartbeatBatch?) {
+    private fun assertAllFields(batch: HeartbeatBatch?) {
         assertNotNull(batch)
         assertEquals("n3", batch.member)
         assertEquals("n3-1", batch.processIncarnation)
@@ -414,58 +434,62 @@
         assertEquals(4_711, batch.token)
         assertEquals(55_000_000, batch.echoedClock)
         assertEquals(250_000, batch.sinceEcho)
-        val report = batch.fullHeartbeats.single()
-        assertEquals(6, report.number)
-        assertContentEquals(FormatContents.REPORT_BODY.encodeToByteArray(), report.body)
+        val fullHeartbeat = batch.fullHeartbeats.single()
+        assertEquals(6, fullHeartbeat.number)
+        assertContentEquals(
+            FormatContents.WORKER_HEARTBEAT_BODY.encodeToByteArray(),
+            fullHeartbeat.body,
+        )
         assertEquals(listOf<Long>(4, 90, 5, 1_000_000), batch.unchanged)
     }
 
-    private fun assertWhole(answer: HeartbeatBatchResponse?) {
-        assertNotNull(answer)
-        assertEquals("n3-1", answer.processIncarnation)
-        assertEquals(41, answer.number)
-        assertEquals(4_711, answer.token)
-        assertEquals(55_500_000, answer.leaderClock)
-        assertFalse(answer.forwardingEnabled)
-        assertEquals(5_280_000, answer.grantDuration)
-        assertEquals(listOf<Long>(4, 5), answer.unknownNumbers)
-        val mail = answer.undelivered.map { Triple(it.machine, it.incarnation, it.commands) }
-        val orders = FormatContents.ORDERS
-        val wanted = listOf(Triple("i-000001", 3L, orders), Triple("i-000002", 1L, emptyList()))
-        assertEquals(wanted, mail)
-        assertEquals(listOf("i-000007"), answer.rejectedMachines)
-        assertEquals(3, answer.rebalanceCount)
-        assertEquals("n1", answer.rebalanceTarget)
-        assertTrue(answer.redirectsWorkers)
-        assertFalse(answer.renewalAllowed)
+    private fun assertAllFields(response: HeartbeatBatchResponse?) {
+        assertNotNull(response)
+        assertEquals("n3-1", response.processIncarnation)
+        assertEquals(41, response.number)
+        assertEquals(4_711, response.token)
+        assertEquals(55_500_000, response.leaderClock)
+        assertFalse(response.forwardingEnabled)
+        assertEquals(5_280_000, response.grantDuration)
+        assertEquals(listOf<Long>(4, 5), response.unknownNumbers)
+        val undelivered =
+            response.undelivered.map { Triple(it.machine, it.incarnation, it.commands) }
+        val commands = FormatContents.COMMANDS
+        val expected = listOf(Triple("i-000001", 3L, commands), Triple("i-000002", 1L, emptyList()))
+        assertEquals(expected, undelivered)
+        assertEquals(listOf("i-000007"), response.rejectedMachines)
+        assertEquals(3, response.rebalanceCount)
+        assertEquals("n1", response.rebalanceTarget)
+        assertTrue(response.redirectsWorkers)
+        assertFalse(response.renewalAllowed)
     }
 
-    private fun assertBare(answer: HeartbeatBatchResponse?) {
-        assertNotNull(answer)
-        assertEquals("n3-1", answer.processIncarnation)
-        assertEquals(4_711, answer.token)
-        assertEquals(5_280_000, answer.grantDuration)
-        assertEquals(emptyList(), answer.unknownNumbers)
-        assertEquals(emptyList(), answer.undelivered)
-        assertEquals(emptyList(), answer.rejectedMachines)
-        assertEquals(0, answer.rebalanceCount)
-        assertNull(answer.rebalanceTarget)
+    private fun assertWithoutCommands(response: HeartbeatBatchResponse?) {
+        assertNotNull(response)
+        assertEquals("n3-1", response.processIncarnation)
+        assertEquals(4_711, response.token)
+        assertEquals(5_280_000, response.grantDuration)
+        assertEquals(emptyList(), response.unknownNumbers)
+        assertEquals(emptyList(), response.undelivered)
+        assertEquals(emptyList(), response.rejectedMachines)
+        assertEquals(0, response.rebalanceCount)
+        assertNull(response.rebalanceTarget)
     }
 
-    private fun assertPlain(answer: HeartbeatBatchResponse?) {
-        assertBare(answer)
-        assertEquals(1, answer?.number)
-        assertEquals(55_000_000, answer?.leaderClock)
-        assertEquals(true, answer?.forwardingEnabled)
-        assertEquals(false, answer?.redirectsWorkers)
-        assertEquals(true, answer?.renewalAllowed)
+    private fun assertDefaultFields(response: HeartbeatBatchResponse?) {
+        assertWithoutCommands(response)
+        assertEquals(1, response?.number)
+        assertEquals(55_000_000, response?.leaderClock)
+        assertEquals(true, response?.forwardingEnabled)
+        assertEquals(false, response?.redirectsWorkers)
+        assertEquals(true, response?.renewalAllowed)
     }
 
     @Test
-    fun `batches are read`() {
-        eachMessage("batch") { assertWhole(ForwardingCodec.decodeBatch(it)) }
-        eachStored("r/n3") { assertWhole(ForwardingCodec.decodeBatch(it)) }
-        eachMessage("first batch") {
+    fun `batches of forwarded heartbeats are read`() {
+        checkMessage("batch") { assertAllFields(ForwardingCodec.decodeBatch(it)) }
+        checkStored("r/n3") { assertAllFields(ForwardingCodec.decodeBatch(it)) }
+        checkMessage("first batch") {
             val batch = assertNotNull(ForwardingCodec.decodeBatch(it))
             assertEquals("n3", batch.member)
             assertEquals("n3-1", batch.processIncarnation)
@@ -479,16 +503,16 @@
     }
 
     @Test
-    fun `the answers to batches are read`() {
-        eachMessage("answer") { assertWhole(ForwardingCodec.decodeResponse(it)) }
-        eachMessage("plain answer") { assertPlain(ForwardingCodec.decodeResponse(it)) }
-        eachStored("a/relays") {
-            val answers = assertNotNull(ForwardingCodec.decodeStoredResponses(it)).byMember
-            assertEquals(setOf("n1", "n3", "n4"), answers.keys)
-            assertPlain(answers["n1"])
-            assertWhole(answers["n4"])
-            val withoutCommands = answers["n3"]
-            assertBare(withoutCommands)
+    fun `the responses to batches are read`() {
+        checkMessage("answer") { assertAllFields(ForwardingCodec.decodeResponse(it)) }
+        checkMessage("plain answer") { assertDefaultFields(ForwardingCodec.decodeResponse(it)) }
+        checkStored("a/relays") {
+            val responses = assertNotNull(ForwardingCodec.decodeStoredResponses(it)).byMember
+            assertEquals(setOf("n1", "n3", "n4"), responses.keys)
+            assertDefaultFields(responses["n1"])
+            assertAllFields(responses["n4"])
+            val withoutCommands = responses["n3"]
+            assertWithoutCommands(withoutCommands)
             assertEquals(41, withoutCommands?.number)
             assertEquals(55_500_000, withoutCommands?.leaderClock)
             assertEquals(false, withoutCommands?.forwardingEnabled)
@@ -499,9 +523,10 @@
 
     private companion object {
         /**
-         * Fields that production does not write and passes over, each by the key or name of the
-         * sample and the path in it, with the reason why a process of production may be shown it.
+         * Fields that the version in production does not write and ignores when it reads them, each
+         * as the key or name of the sample followed by the path of the field. A comment on each
+         * entry gives the reason why a process of the version in production may receive it.
          */
-        val ADDED = emptySet<String>()
+        val ADDED_FIELDS = emptySet<String>()
     }
 }
--- a/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
+++ b/src/test/kotlin/wardmux/app/OperatorFormatTest.kt
@@ -35,21 +35,25 @@
 import wardmux.serialization.lenientJson
 
 /**
- * Drains outlive the version that began them, and controllers of two versions pass operators'
- * requests on to each other. The samples are read here; that they are written alike is seen in
- * [FormatAdditionsTest].
+ * Guards against drains and operators' messages that this version can't read from another version:
+ * a drain may continue under a later version than the one that started it, and controllers of two
+ * versions forward operators' requests to each other. This class tests that the samples are read;
+ * [FormatAdditionsTest] tests that they are written byte for byte.
  */
 class OperatorFormatTest {
     private val samples = FormatSamples(FormatSamples.ADDITIONS)
-    private val operators: Map<String, String> =
+    private val operatorMessages: Map<String, String> =
         Json.parseToJsonElement(samples.text("operators")).jsonObject.mapValues {
             it.value.jsonPrimitive.content
         }
 
-    /** As it was written, and as a later version might write it; each is written again alike. */
-    private fun eachDrain(id: String, check: (DrainRecord) -> Unit) {
+    /**
+     * Runs [check] on the stored drain as it is and with unknown fields, as a later version might
+     * write it. Both must be encoded again to the original text.
+     */
+    private fun checkDrain(id: String, check: (DrainRecord) -> Unit) {
         val value = samples.stored.getValue("d/$id")
-        for (stored in listOf(value, FormatTree.withMore(value))) {
+        for (stored in listOf(value, FormatTree.withUnknownFields(value))) {
             val record = drain(stored)
             check(record)
             assertEquals(value.toString(), record.toJson().toString(), id)
@@ -59,28 +63,30 @@
     private fun drain(stored: JsonElement): DrainRecord =
         lenientJson.decodeFromJsonElement(DrainRecord.serializer(), stored)
 
-    private fun <T : Any> eachMessage(
+    /** Does the same for a message between controllers. */
+    private fun <T : Any> checkMessage(
         name: String,
         serializer: KSerializer<T>,
         check: (T) -> Unit,
     ) {
         val bytes = samples.messages.getValue(name)
-        val more = FormatTree.toCbor(FormatTree.withMore(FormatTree.ofCbor(bytes)))
-        for (sent in listOf(bytes, more)) {
+        val extended = FormatTree.toCbor(FormatTree.withUnknownFields(FormatTree.parseCbor(bytes)))
+        for (sent in listOf(bytes, extended)) {
             val message = assertNotNull(CborFormat.decode(serializer, sent), name)
             check(message)
             assertContentEquals(bytes, CborFormat.encode(serializer, message), name)
         }
     }
 
-    private fun <T> ofOperators(name: String, serializer: KSerializer<T>): T {
-        val text = operators.getValue(name)
+    /** Decodes a message and asserts that it is encoded again to the original text. */
+    private fun <T> decodeOperatorMessage(name: String, serializer: KSerializer<T>): T {
+        val text = operatorMessages.getValue(name)
         return operatorJson.decodeFromString(serializer, text).also {
             assertEquals(text, operatorJson.encodeToString(serializer, it), name)
         }
     }
 
-    private fun assertSelects(select: DrainSelector) {
+    private fun assertSelector(select: DrainSelector) {
         assertEquals(listOf("i-000001", "i-000003"), select.machines)
         assertEquals(listOf("rackmid", "plain"), select.types)
         assertEquals(listOf("east"), select.zones)
@@ -88,9 +94,9 @@
         assertEquals("2026-09-01T06:30:00+02:00", select.olderThan)
     }
 
-    private fun assertWhole(request: DrainRequest) {
+    private fun assertAllFields(request: DrainRequest) {
         assertEquals("rack-7", request.id)
-        assertSelects(request.select)
+        assertSelector(request.select)
         assertEquals(StepOrder.BY_ZONE, request.order)
         assertEquals(2, request.stepSize)
         assertEquals(45.5, request.graceS)
@@ -98,7 +104,7 @@
         assertEquals(DeadlineAction.CONTINUE, request.atDeadline)
     }
 
-    private fun assertWhole(step: DrainStep?) {
+    private fun assertAllFields(step: DrainStep?) {
         assertNotNull(step)
         assertEquals(3, step.number)
         assertEquals(StepPhase.EMPTYING, step.phase)
@@ -108,8 +114,8 @@
         assertEquals(1_790_000_000_000_003, step.emptyingSince)
     }
 
-    private fun assertWhole(record: DrainRecord) {
-        assertWhole(record.request)
+    private fun assertAllFields(record: DrainRecord) {
+        assertAllFields(record.request)
         assertEquals(DrainState.PAUSED, record.state)
         assertEquals(4_711, record.token)
         assertEquals(1_790_000_000_000_001, record.startedAt)
@@ -117,7 +123,7 @@
         assertEquals("i-000042", record.newest)
         assertEquals(PauseReason.LOSS, record.reason)
         assertEquals("team web: 3 of 4", record.note)
-        assertWhole(record.step)
+        assertAllFields(record.step)
         assertEquals(5, record.stepsDone)
         assertEquals(6, record.returned)
         assertEquals(7, record.moved)
@@ -125,7 +131,7 @@
         assertEquals(9_000_000, record.lastStep)
     }
 
-    private fun assertPlain(request: DrainRequest) {
+    private fun assertDefaultFields(request: DrainRequest) {
         assertEquals("done", request.id)
         val all = DrainSelector(emptyList(), emptyList(), emptyList(), null, null)
         assertEquals(all, request.select)
@@ -136,8 +142,8 @@
         assertEquals(DeadlineAction.PAUSE, request.atDeadline)
     }
 
-    private fun assertPlain(record: DrainRecord) {
-        assertPlain(record.request)
+    private fun assertDefaultFields(record: DrainRecord) {
+        assertDefaultFields(record.request)
         assertEquals(DrainState.DONE, record.state)
         assertEquals(1, record.token)
         assertEquals(2, record.startedAt)
@@ -151,66 +157,66 @@
     }
 
     @Test
-    fun `a drain is read, with and without its optional fields`() {
-        eachDrain("rack-7") { assertWhole(it) }
-        eachDrain("done") { assertPlain(it) }
+    fun `a drain is read with and without its optional fields`() {
+        checkDrain("rack-7") { assertAllFields(it) }
+        checkDrain("done") { assertDefaultFields(it) }
     }
 
     @Test
     fun `a drain is read in each state and order`() {
-        eachDrain("planned") { assertEquals(DrainState.PLANNED, it.state) }
-        eachDrain("preparing") { assertEquals(DrainState.RUNNING, it.state) }
-        eachDrain("by-loss") { assertEquals(DrainState.PAUSED, it.state) }
-        eachDrain("done") { assertEquals(DrainState.DONE, it.state) }
-        eachDrain("cancelled") { assertEquals(DrainState.CANCELLED, it.state) }
-        eachDrain("failed") { assertEquals(DrainState.FAILED, it.state) }
-        eachDrain("planned") { assertEquals(StepOrder.FEWEST_STEPS, it.request.order) }
-        eachDrain("emptiest-first") { assertEquals(StepOrder.EMPTIEST_FIRST, it.request.order) }
-        eachDrain("rack-7") { assertEquals(StepOrder.BY_ZONE, it.request.order) }
+        checkDrain("planned") { assertEquals(DrainState.PLANNED, it.state) }
+        checkDrain("preparing") { assertEquals(DrainState.RUNNING, it.state) }
+        checkDrain("by-loss") { assertEquals(DrainState.PAUSED, it.state) }
+        checkDrain("done") { assertEquals(DrainState.DONE, it.state) }
+        checkDrain("cancelled") { assertEquals(DrainState.CANCELLED, it.state) }
+        checkDrain("failed") { assertEquals(DrainState.FAILED, it.state) }
+        checkDrain("planned") { assertEquals(StepOrder.FEWEST_STEPS, it.request.order) }
+        checkDrain("emptiest-first") { assertEquals(StepOrder.EMPTIEST_FIRST, it.request.order) }
+        checkDrain("rack-7") { assertEquals(StepOrder.BY_ZONE, it.request.order) }
     }
 
     @Test
-    fun `a drain is read in each phase of its step and paused for each reason`() {
-        eachDrain("preparing") { assertEquals(StepPhase.PREPARING, it.step?.phase) }
-        eachDrain("emptying") { assertEquals(StepPhase.EMPTYING, it.step?.phase) }
-        eachDrain("settling") { assertEquals(StepPhase.SETTLING, it.step?.phase) }
-        eachDrain("by-operator") { assertEquals(PauseReason.OPERATOR, it.reason) }
-        eachDrain("by-deadline") { assertEquals(PauseReason.DEADLINE, it.reason) }
-        eachDrain("by-loss") { assertEquals(PauseReason.LOSS, it.reason) }
-        eachDrain("by-budget") { assertEquals(PauseReason.BUDGET, it.reason) }
+    fun `a drain is read in each phase of its step and for each reason of a pause`() {
+        checkDrain("preparing") { assertEquals(StepPhase.PREPARING, it.step?.phase) }
+        checkDrain("emptying") { assertEquals(StepPhase.EMPTYING, it.step?.phase) }
+        checkDrain("settling") { assertEquals(StepPhase.SETTLING, it.step?.phase) }
+        checkDrain("by-operator") { assertEquals(PauseReason.OPERATOR, it.reason) }
+        checkDrain("by-deadline") { assertEquals(PauseReason.DEADLINE, it.reason) }
+        checkDrain("by-loss") { assertEquals(PauseReason.LOSS, it.reason) }
+        checkDrain("by-budget") { assertEquals(PauseReason.BUDGET, it.reason) }
     }
 
     @Test
-    fun `the names of all values of the enumerations`() {
-        assertNames(Source.serializer(), "leader", "store")
-        assertNames(DeadlineAction.serializer(), "pause", "continue")
-        assertNames(StepOrder.serializer(), "fewest_steps", "emptiest_first", "by_zone")
+    fun `the serialized names of all enum values are unchanged`() {
+        assertElementNames(Source.serializer(), "leader", "store")
+        assertElementNames(DeadlineAction.serializer(), "pause", "continue")
+        assertElementNames(StepOrder.serializer(), "fewest_steps", "emptiest_first", "by_zone")
         val states = arrayOf("planned", "running", "paused", "done", "cancelled", "failed")
-        assertNames(DrainState.serializer(), *states)
-        assertNames(PauseReason.serializer(), "operator", "deadline", "loss", "budget")
-        assertNames(StepPhase.serializer(), "preparing", "emptying", "settling")
+        assertElementNames(DrainState.serializer(), *states)
+        assertElementNames(PauseReason.serializer(), "operator", "deadline", "loss", "budget")
+        assertElementNames(StepPhase.serializer(), "preparing", "emptying", "settling")
     }
 
     @OptIn(ExperimentalSerializationApi::class)
-    private fun assertNames(serializer: KSerializer<*>, vararg names: String) {
+    private fun assertElementNames(serializer: KSerializer<*>, vararg names: String) {
         val descriptor = serializer.descriptor
         val found = List(descriptor.elementsCount) { descriptor.getElementName(it) }
         assertEquals(names.toList(), found)
     }
 
     @Test
-    fun `what is passed on to the leader is read, and its answer`() {
-        eachMessage("forwarded request", ForwardedRequest.serializer()) {
+    fun `forwarded requests and the leader's responses are read`() {
+        checkMessage("forwarded request", ForwardedRequest.serializer()) {
             assertEquals("POST", it.method)
             assertEquals("/drains/rack-7/pause", it.path)
             assertContentEquals(byteArrayOf(123, 0, 127, -128, -1, 125), it.body)
         }
-        eachMessage("forwarded answer", ForwardedResponse.serializer()) {
+        checkMessage("forwarded answer", ForwardedResponse.serializer()) {
             assertEquals(503, it.status)
             assertEquals("""{"error":"später"}""", it.body)
             assertEquals(2, it.retryAfterS)
         }
-        eachMessage("plain forwarded answer", ForwardedResponse.serializer()) {
+        checkMessage("plain forwarded answer", ForwardedResponse.serializer()) {
             assertEquals(200, it.status)
             assertEquals("{}", it.body)
             assertNull(it.retryAfterS)
@@ -218,33 +224,36 @@
     }
 
     @Test
-    fun `an operator's request is read, but not with a field that is unknown`() {
-        assertWhole(ofOperators("request", DrainRequest.serializer()))
-        val more = FormatTree.withMore(Json.parseToJsonElement(operators.getValue("request")))
+    fun `an operator's request is read unless it has an unknown field`() {
+        assertAllFields(decodeOperatorMessage("request", DrainRequest.serializer()))
+        val extended =
+            FormatTree.withUnknownFields(
+                Json.parseToJsonElement(operatorMessages.getValue("request"))
+            )
         assertFailsWith<SerializationException> {
-            operatorJson.decodeFromJsonElement(DrainRequest.serializer(), more)
+            operatorJson.decodeFromJsonElement(DrainRequest.serializer(), extended)
         }
     }
 
     @Test
-    fun `errors are read`() {
-        val error = ofOperators("error", DrainError.serializer())
+    fun `error responses are read with and without the state of a drain`() {
+        val error = decodeOperatorMessage("error", DrainError.serializer())
         assertEquals("no such drain: rack-8", error.error)
         assertNull(error.state)
-        val over = ofOperators("error of a drain that is over", DrainError.serializer())
+        val over = decodeOperatorMessage("error of a drain that is over", DrainError.serializer())
         assertEquals("rack-7 is over", over.error)
         assertEquals(DrainState.CANCELLED, over.state)
     }
 
-    private fun assertWeb(budget: BudgetStatus) {
+    private fun assertWebBudget(budget: BudgetStatus) {
         assertEquals("web", budget.team)
         assertEquals(4, budget.limit)
         assertEquals(3, budget.disrupted)
         assertEquals(2, budget.minReplicas)
     }
 
-    private fun assertStored(status: DrainStatus) {
-        assertPlain(status.record)
+    private fun assertStoredStatus(status: DrainStatus) {
+        assertDefaultFields(status.record)
         assertEquals(Source.STORE, status.source)
         assertEquals(0.0, status.ageS)
         assertEquals("", status.waitsFor)
@@ -253,33 +262,33 @@
     }
 
     @Test
-    fun `the status of a drain is read, from the leader and as it is stored`() {
-        val status = ofOperators("status", DrainStatus.serializer())
-        assertWhole(status.record)
+    fun `the status of a drain is read, both from the leader and from the store`() {
+        val status = decodeOperatorMessage("status", DrainStatus.serializer())
+        assertAllFields(status.record)
         assertEquals(Source.LEADER, status.source)
         assertEquals(0.25, status.ageS)
         assertEquals("the budget of web", status.waitsFor)
         assertEquals(11, status.remaining)
-        assertWeb(status.budgets.single())
-        assertStored(ofOperators("stored status", DrainStatus.serializer()))
+        assertWebBudget(status.budgets.single())
+        assertStoredStatus(decodeOperatorMessage("stored status", DrainStatus.serializer()))
     }
 
     @Test
-    fun `the list of drains is read`() {
-        val list = ofOperators("list", DrainList.serializer())
-        assertStored(list.drains.single())
+    fun `the list of drains is read with its unreadable drains`() {
+        val list = decodeOperatorMessage("list", DrainList.serializer())
+        assertStoredStatus(list.drains.single())
         assertEquals(listOf("rack-9"), list.unreadable)
     }
 
     @Test
-    fun `what a drain would do is read`() {
-        val check = ofOperators("check", DrainCheck.serializer())
+    fun `the result of checking a drain is read`() {
+        val check = decodeOperatorMessage("check", DrainCheck.serializer())
         assertEquals(3, check.machines)
         assertEquals(listOf(listOf("i-000001", "i-000003"), listOf("i-000002")), check.steps)
         assertEquals(17, check.tasksToMove)
-        assertWeb(check.budgets.single())
+        assertWebBudget(check.budgets.single())
         assertEquals("no room for job-000413", check.stoppedBy)
-        val plain = ofOperators("plain check", DrainCheck.serializer())
+        val plain = decodeOperatorMessage("plain check", DrainCheck.serializer())
         assertEquals(DrainCheck(0, emptyList(), 0, emptyList(), null), plain)
     }
 }
--- a/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
+++ b/src/test/kotlin/wardmux/app/SettingsKeysTest.kt
@@ -19,27 +19,28 @@
 import wardmux.maintenance.WindowSettings
 
 /**
- * Operators keep files of settings over many versions, so each key keeps its name and its place.
- * The file that is read here names every key, none with its default; it is never made anew.
+ * Guards against a settings key that is renamed, moved or read into the wrong field: operators keep
+ * their settings files over many versions. The sample file sets every key to a value that differs
+ * from its default. It is never regenerated, since it stands for the files that operators have.
  */
 class SettingsKeysTest {
-    private val settings by lazy { SettingsFiles.operators(File(SAMPLE)) }
+    private val settings by lazy { SettingsFiles.operators(File(SAMPLE_FILE)) }
     private val drain by lazy { assertNotNull(settings.drain) }
 
     @Test
     fun `each setting of a controller is read into its own field`() {
-        assertEquals(601.0, settings.halfLifeS)
+        assertEquals(601.0, settings.usageHalfLifeS)
         assertEquals(602.0, settings.usageNormS)
         assertEquals(4.5, settings.leaderLeaseS)
         assertEquals(0.5, settings.writePeriodS)
         assertEquals(1.5, settings.leaseMarginS)
-        assertEquals(3.5, settings.quietHeartbeats)
-        assertEquals(5.5, settings.lostHeartbeats)
+        assertEquals(3.5, settings.unresponsiveAfterHeartbeats)
+        assertEquals(5.5, settings.lostAfterHeartbeats)
         assertEquals(0.75, settings.idleKeepBoots)
         assertEquals(0.25, settings.spareShare)
         assertEquals(2.75, settings.preemptAfterS)
         assertEquals(41.0, settings.reclaimAfterS)
-        assertEquals(16.0, settings.refusedPauseS)
+        assertEquals(16.0, settings.noCapacityBackoffS)
         assertEquals(121.0, settings.maxWaitS)
         assertEquals(501.0, settings.heartbeatsPerCore)
     }
@@ -73,44 +74,46 @@
     }
 
     @Test
-    fun `these are all keys that there are`() =
-        assertEquals(KEYS, keys(OperatorSettings.serializer().descriptor))
+    fun `the settings have exactly the listed keys`() =
+        assertEquals(KEYS, keyPaths(OperatorSettings.serializer().descriptor))
 
     @Test
-    fun `the file sets every key to something else than its default`() {
+    fun `the sample file sets every key to a value other than its default`() {
         val defaults =
             DrainSettings(
                 teams = listOf(TeamBudgetSettings("")),
                 windows = listOf(WindowSettings("", "", 0.0)),
             )
-        val byDefault = values(tree(OperatorSettings(drain = defaults)))
-        val set = values(tree(settings))
-        assertEquals(KEYS, set.keys.toList())
-        for ((key, value) in set) assertNotEquals(byDefault.getValue(key), value, key)
+        val defaultValues = leafValues(toJson(OperatorSettings(drain = defaults)))
+        val setValues = leafValues(toJson(settings))
+        assertEquals(KEYS, setValues.keys.toList())
+        for ((key, value) in setValues) assertNotEquals(defaultValues.getValue(key), value, key)
     }
 
-    private fun tree(settings: OperatorSettings): JsonElement =
+    private fun toJson(settings: OperatorSettings): JsonElement =
         json.encodeToJsonElement(OperatorSettings.serializer(), settings)
 
     @OptIn(ExperimentalSerializationApi::class)
-    private fun keys(descriptor: SerialDescriptor, path: String = ""): List<String> =
+    /** The paths of all keys below [descriptor], with `[]` for the elements of a list. */
+    private fun keyPaths(descriptor: SerialDescriptor, path: String = ""): List<String> =
         when (descriptor.kind) {
-            StructureKind.LIST -> keys(descriptor.getElementDescriptor(0), "$path[]")
+            StructureKind.LIST -> keyPaths(descriptor.getElementDescriptor(0), "$path[]")
             StructureKind.CLASS ->
                 List(descriptor.elementsCount) {
                         val name = descriptor.getElementName(it)
-                        keys(descriptor.getElementDescriptor(it), "$path.$name")
+                        keyPaths(descriptor.getElementDescriptor(it), "$path.$name")
                     }
                     .flatten()
             else -> listOf(path.removePrefix("."))
         }
 
-    private fun values(tree: JsonElement, path: String = ""): Map<String, JsonElement> =
+    /** The values in [tree] by the paths of their keys; each list must have one element. */
+    private fun leafValues(tree: JsonElement, path: String = ""): Map<String, JsonElement> =
         when (tree) {
-            is JsonArray -> values(tree.single(), "$path[]")
+            is JsonArray -> leafValues(tree.single(), "$path[]")
             is JsonObject ->
                 tree.entries.fold(emptyMap()) { all, (name, value) ->
-                    all + values(value, "$path.$name")
+                    all + leafValues(value, "$path.$name")
                 }
             else -> mapOf(path.removePrefix(".") to tree)
         }
@@ -118,7 +121,8 @@
     private companion object {
         val json = Json { encodeDefaults = true }
 
-        const val SAMPLE = "src/test/resources/formats/${FormatSamples.ADDITIONS}/settings.toml"
+        const val SAMPLE_FILE =
+            "src/test/resources/formats/${FormatSamples.ADDITIONS}/settings.toml"
 
         val KEYS =
             listOf(
--- a/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
+++ b/src/test/kotlin/wardmux/forwarding/HeartbeatForwarderTest.kt
@@ -46,8 +46,11 @@
         )
 
     init {
-        harness.writeLeased("leader", Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""))
-        harness.peer = { path, body ->
+        harness.writeWithOtherLease(
+            "leader",
+            Json.parseToJsonElement("""{"member":"n1","boot":"x"}"""),
+        )
+        harness.peerResponse = { path, body ->
             if (path != ForwardingCodec.PATH) null
             else {
                 val batch = ForwardingCodec.decodeBatch(body)!!
@@ -71,11 +74,11 @@
     @Test
     fun `a follower with a grant answers under the leader's token and forwards changes in full`() {
         sendLeaderHeartbeat()
-        assertContains(worker.handleHeartbeat(0), "\"baton\":$token")
-        worker.handleHeartbeat(token)
+        assertContains(worker.heartbeatResponse(0), "\"baton\":$token")
+        worker.heartbeatResponse(token)
         harness.run(1.seconds)
         val fullCount = forwardedBodies().size
-        worker.handleHeartbeat(token)
+        worker.heartbeatResponse(token)
         harness.run(1.seconds)
         assertEquals(
             fullCount,
@@ -83,7 +86,7 @@
             "an unchanged heartbeat was forwarded in full",
         )
         assertTrue(batches.any { it.unchanged.isNotEmpty() && it.unchanged[1] == 3L })
-        worker.handleHeartbeat(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
+        worker.heartbeatResponse(token, """{"piece":"job-000001/0","try":1,"status":"running"}""")
         harness.run(1.seconds)
         assertContains(forwardedBodies().last(), "job-000001/0")
     }
@@ -91,12 +94,12 @@
     @Test
     fun `a follower whose grant has expired redirects workers to the leader`() {
         sendLeaderHeartbeat()
-        worker.handleHeartbeat(token)
+        worker.heartbeatResponse(token)
         leaderResponse = { null }
         harness.run(4.seconds)
-        assertEquals(200, worker.report(token)?.first)
+        assertEquals(200, worker.sendHeartbeat(token)?.first)
         harness.run(2.seconds)
-        val answer = worker.report(token)
+        val answer = worker.sendHeartbeat(token)
         assertEquals(421, answer?.first)
         assertContains(answer!!.second, "n1")
     }
@@ -104,10 +107,10 @@
     @Test
     fun `a follower stops answering under its token once a worker has a higher one`() {
         sendLeaderHeartbeat()
-        worker.handleHeartbeat(token)
-        ManualWorker(harness, "i-000002").report(token + 1)
+        worker.heartbeatResponse(token)
+        ManualWorker(harness, "i-000002").sendHeartbeat(token + 1)
         leaderResponse = { null }
-        assertFalse(worker.report(token)?.first == 200)
+        assertFalse(worker.sendHeartbeat(token)?.first == 200)
     }
 
     @Test
@@ -116,11 +119,11 @@
             UndeliveredCommands("i-000001", 1, listOf(WorkerCommand.stop("job-000001/0", 1, 0.0)))
         leaderResponse = { grantingResponse(undelivered = listOf(undelivered)) }
         sendLeaderHeartbeat()
-        worker.handleHeartbeat(token)
+        worker.heartbeatResponse(token)
         harness.run(1.seconds)
         leaderResponse = { null }
         sendLeaderHeartbeat(token + 5)
-        val answer = worker.report(token)
+        val answer = worker.sendHeartbeat(token)
         assertFalse(
             answer?.first == 200,
             "the worker was answered under the previous leader's grant",
@@ -135,24 +138,24 @@
             UndeliveredCommands("i-000002", 2, listOf(WorkerCommand.stop("job-000001/1", 1, 0.0)))
         sendLeaderHeartbeat()
         val secondWorker = ManualWorker(harness, "i-000002")
-        worker.handleHeartbeat(token)
-        secondWorker.handleHeartbeat(token)
+        worker.heartbeatResponse(token)
+        secondWorker.heartbeatResponse(token)
         leaderResponse = {
             grantingResponse(undelivered = listOf(undelivered, commandForOtherIncarnation))
         }
         harness.run(2.seconds)
         leaderResponse = { grantingResponse() }
         harness.run(2.seconds)
-        assertContains(worker.handleHeartbeat(token), "job-000001/0")
-        assertFalse("job-000001/1" in secondWorker.handleHeartbeat(token))
+        assertContains(worker.heartbeatResponse(token), "job-000001/0")
+        assertFalse("job-000001/1" in secondWorker.heartbeatResponse(token))
     }
 
     @Test
     fun `heartbeats of a lost batch are forwarded again, and requested ones in full`() {
         sendLeaderHeartbeat()
-        worker.handleHeartbeat(token)
+        worker.heartbeatResponse(token)
         harness.run(1.seconds)
-        worker.handleHeartbeat(token)
+        worker.heartbeatResponse(token)
         leaderResponse = { null }
         harness.run(1.seconds)
         batches.clear()
@@ -177,11 +180,11 @@
     @Test
     fun `a follower that can't reach the leader keeps answering by forwarding through the store`() {
         sendLeaderHeartbeat()
-        worker.handleHeartbeat(token)
-        harness.peer = { _, _ -> null }
+        worker.heartbeatResponse(token)
+        harness.peerResponse = { _, _ -> null }
         repeat(12) {
             harness.run(1.seconds)
-            val stored = harness.stored("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
+            val stored = harness.storedValue("r/n0")?.let { ForwardingCodec.decodeBatch(it) }
             if (stored != null && stored.number > batches.last().number) {
                 batches.add(stored)
                 val responses = StoredBatchResponses(mapOf("n0" to grantingResponse()))
@@ -189,7 +192,7 @@
             }
             assertEquals(
                 200,
-                worker.report(token)?.first,
+                worker.sendHeartbeat(token)?.first,
                 "answer to the worker after ${it + 1} s without a direct connection",
             )
         }
@@ -206,7 +209,7 @@
             ),
         )
         harness.run(0.2.seconds)
-        assertFalse(worker.report(token)?.first == 200)
+        assertFalse(worker.sendHeartbeat(token)?.first == 200)
     }
 
     @Test
@@ -221,7 +224,7 @@
             )
         }
         sendLeaderHeartbeat(forwardingEnabled = false)
-        val redirected = worker.report(0)
+        val redirected = worker.sendHeartbeat(0)
         assertEquals(421, redirected?.first)
         assertContains(redirected!!.second, "n1")
     }
--- a/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
+++ b/src/test/kotlin/wardmux/jobs/JobStatusReadsTest.kt
@@ -34,18 +34,18 @@
         harness.run(2.seconds)
         for (number in 1..60) submit(number)
         harness.run(2.seconds)
-        harness.hold = true
-        harness.stateCalls.clear()
+        harness.holdStoreResponses = true
+        harness.storeRequests.clear()
         val calls =
             (1..60).map {
                 harness.call("GET", "/submissions/${jobId(it)}")
-                harness.lastCall
+                harness.lastRequestId
             }
-        harness.release()
-        for (call in calls) assertEquals(200, harness.answerTo(call)?.first)
+        harness.releaseStoreResponses()
+        for (call in calls) assertEquals(200, harness.responseTo(call)?.first)
         assertTrue(
-            harness.stateCalls.size <= 5,
-            "expected at most 5 store requests for 60 calls, sent ${harness.stateCalls}",
+            harness.storeRequests.size <= 5,
+            "expected at most 5 store requests for 60 calls, sent ${harness.storeRequests}",
         )
     }
 
@@ -53,11 +53,11 @@
     fun `a status call shows a concurrent cancellation, and gets 404 for an unknown job`() {
         harness.run(2.seconds)
         submit(1)
-        harness.hold = true
+        harness.holdStoreResponses = true
         harness.call("GET", "/submissions/${jobId(1)}")
         val cancellation = harness.call("POST", "/submissions/${jobId(1)}/abort")
         assertEquals(null, cancellation)
-        harness.release()
+        harness.releaseStoreResponses()
         val status = harness.call("GET", "/submissions/${jobId(1)}")
         assertTrue(
             "cancelled" in status?.second.orEmpty(),
@@ -70,10 +70,10 @@
     fun `a status call whose job can't be read in time gets 503`() {
         harness.run(2.seconds)
         submit(1)
-        harness.hold = true
+        harness.holdStoreResponses = true
         repeat(9) { harness.call("GET", "/submissions/${jobId(1)}") }
-        val lastCall = harness.lastCall
+        val lastCall = harness.lastRequestId
         harness.run(2.seconds)
-        assertEquals(503, harness.answerTo(lastCall)?.first)
+        assertEquals(503, harness.responseTo(lastCall)?.first)
     }
 }
--- a/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
+++ b/src/test/kotlin/wardmux/jobs/SubmissionAnswersTest.kt
@@ -61,7 +61,7 @@
                 // A new process has not cached the job's state, so it has to read the record.
                 val harness = ControllerHarness().also { it.run(2.seconds) }
                 harness.write(JobRecord.key(id), JobRecord(state, 0, spec).toJson())
-                val recordBefore = harness.stored(JobRecord.key(id))
+                val recordBefore = harness.storedValue(JobRecord.key(id))
                 val answers =
                     listOf(
                         harness.call("POST", "/submissions", submission(*repeat)),
@@ -73,7 +73,7 @@
                     assertEquals(200, answer?.first, answer?.second)
                     assertContains(answer!!.second, "\"$statusText\"")
                 }
-                assertEquals(recordBefore, harness.stored(JobRecord.key(id)))
+                assertEquals(recordBefore, harness.storedValue(JobRecord.key(id)))
             }
         }
     }
@@ -81,7 +81,7 @@
     @Test
     fun `cancelling a job that was never submitted gets 404 and stores nothing`() {
         assertEquals(404, cancel().first)
-        assertEquals(null, harness.stored(JobRecord.key(id)))
+        assertEquals(null, harness.storedValue(JobRecord.key(id)))
     }
 
     private fun json(value: String) = JsonPrimitive(value)
@@ -115,7 +115,7 @@
         for (changes in infeasible) {
             val (status, text) = submit(*changes)
             assertEquals(422, status, "${changes.toList()}: $text")
-            assertEquals(null, harness.stored(JobRecord.key(id)))
+            assertEquals(null, harness.storedValue(JobRecord.key(id)))
         }
     }
 
@@ -141,7 +141,7 @@
     fun `a submission that lacks a field gets 400 and is not stored`() {
         for (field in VALID_SUBMISSION_FIELDS.keys - setOf("boxkinds", "ward", "due_s")) {
             assertEquals(400, submit(field to null).first, field)
-            assertEquals(null, harness.stored(JobRecord.key(id)), field)
+            assertEquals(null, harness.storedValue(JobRecord.key(id)), field)
         }
         assertEquals(400, submit("pieces" to JsonPrimitive(0)).first)
     }
@@ -153,8 +153,8 @@
     @Test
     fun `a job whose record fits after removing unusable machine types is accepted`() {
         for (announced in listOf(null, loweredLimits)) {
-            val harness = ControllerHarness(told = announced).also { it.run(2.seconds) }
-            if (announced != null) harness.lower(announced)
+            val harness = ControllerHarness(announcedLimits = announced).also { it.run(2.seconds) }
+            if (announced != null) harness.lowerStoreLimits(announced)
             val longText = json("x".repeat(600))
             val body =
                 submission(
@@ -163,7 +163,7 @@
                     "jobclass" to longText,
                 )
             assertEquals(201, harness.call("POST", "/submissions", body)?.first)
-            val recordedSpec = JobRecord.decode(harness.stored(JobRecord.key(id))!!)?.spec
+            val recordedSpec = JobRecord.decode(harness.storedValue(JobRecord.key(id))!!)?.spec
             assertEquals(600 to 600, recordedSpec?.let { it.image.length to it.jobClass.length })
             assertEquals(listOf("mid"), recordedSpec?.types)
             val cancelled = harness.call("POST", "/submissions/${id.value}/abort")
@@ -173,17 +173,17 @@
 
     @Test
     fun `an oversized submission gets 422 without a write, or the job's state if it is recorded`() {
-        val harness = ControllerHarness(told = loweredLimits).also { it.run(2.seconds) }
-        harness.lower(loweredLimits)
+        val harness = ControllerHarness(announcedLimits = loweredLimits).also { it.run(2.seconds) }
+        harness.lowerStoreLimits(loweredLimits)
         val submit = { changes: Array<Pair<String, JsonElement?>> ->
             harness.call("POST", "/submissions", submission(*changes))!!
         }
         val largeSubmission =
             arrayOf<Pair<String, JsonElement?>>("bundle" to json("x".repeat(2_000)))
-        val writesBefore = harness.stateCalls.count { it == "POST /multi" }
+        val writesBefore = harness.storeRequests.count { it == "POST /multi" }
         assertEquals(422, submit(largeSubmission).first)
-        assertEquals(writesBefore, harness.stateCalls.count { it == "POST /multi" })
-        assertEquals(null, harness.stored(JobRecord.key(id)))
+        assertEquals(writesBefore, harness.storeRequests.count { it == "POST /multi" })
+        assertEquals(null, harness.storedValue(JobRecord.key(id)))
         assertEquals(201, submit(emptyArray()).first)
         assertEquals(200, submit(largeSubmission).first)
     }
--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -35,7 +35,7 @@
 
         fun submit(count: Int) =
             repeat(count) {
-                val spec = simulation.plainService("team-${jobs.size % TEAMS}", TASKS)
+                val spec = simulation.unconstrainedService("team-${jobs.size % TEAMS}", TASKS)
                 jobs.add(spec.id)
                 simulation.submit(spec)
             }
@@ -46,30 +46,30 @@
         fun begin(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
-            while (jobs.any { invariants.placesOf(it).size < TASKS } && clock.now < START) runFor(
-                1.seconds
-            )
-            for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
+            while (
+                jobs.any { invariants.machineByTask(it).size < TASKS } && clock.now < START
+            ) runFor(1.seconds)
+            for (job in jobs) assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs")
             // To the letter, without the slack of the rules.
             clock.every(100.milliseconds) { late += jobs.filter(::outlastsItsCancellation) }
         }
 
         private fun outlastsItsCancellation(job: String): Boolean {
-            val at = invariants.cancelledAt(job) ?: return false
-            return clock.now - at > CANCEL && invariants.placesOf(job).isNotEmpty()
+            val at = invariants.cancellationReportedAt(job) ?: return false
+            return clock.now - at > CANCEL && invariants.machineByTask(job).isNotEmpty()
         }
 
         fun cutOff(machine: String) {
             for (node in simulation.nodes) {
-                simulation.network.part(machine, node)
-                simulation.network.part(node, machine)
+                simulation.network.blockPath(machine, node)
+                simulation.network.blockPath(node, machine)
             }
         }
 
         fun join(machine: String, nodes: List<String>) {
             for (node in nodes) {
-                simulation.network.join(machine, node)
-                simulation.network.join(node, machine)
+                simulation.network.unblockPath(machine, node)
+                simulation.network.unblockPath(node, machine)
             }
         }
 
@@ -89,15 +89,15 @@
         /** Nothing was late, no rule broke, and what nobody cancelled runs again. */
         fun end() {
             assertEquals(emptySet(), late, "on a machine after their time")
-            assertEquals(emptyList(), simulation.problems())
-            for (job in invariants.over()) assertEquals(
+            assertEquals(emptyList(), simulation.violations())
+            for (job in invariants.finishedJobs()) assertEquals(
                 0,
-                invariants.placesOf(job).size,
+                invariants.machineByTask(job).size,
                 "$job is cancelled",
             )
-            for (job in invariants.open()) assertEquals(
+            for (job in invariants.openJobs()) assertEquals(
                 TASKS,
-                invariants.placesOf(job).size,
+                invariants.machineByTask(job).size,
                 "$job runs",
             )
         }
@@ -114,14 +114,16 @@
             cutOff(machine)
             simulation.cancel(job)
             runFor(500.milliseconds)
-            assertEquals("cancelled", invariants.finalOf(job))
+            assertEquals("cancelled", invariants.finalStateOf(job))
             var renewals = 0
-            while (invariants.cancelledAt(job)?.let { clock.now - it > CANCEL } == false) {
+            while (
+                invariants.cancellationReportedAt(job)?.let { clock.now - it > CANCEL } == false
+            ) {
                 changeLeader()
                 val session = worker.sessions
                 val forwarder = simulation.nodes.first { it != simulation.leader() }
                 join(machine, listOf(forwarder))
-                worker.turnTo(forwarder)
+                worker.reconnectTo(forwarder)
                 val until = clock.now + LONGEST_MEETING
                 while (!worker.hasToken(simulation.leaderToken()) && clock.now < until) {
                     runFor(1.milliseconds)
@@ -143,15 +145,17 @@
         Churn(seed).run {
             begin(count = 8)
             val churn = LeaderChangeFaults(simulation)
-            churn.begin(CHURN)
+            churn.injectFor(CHURN)
             for (job in jobs.shuffled(clock.random).take(4)) {
-                clock.after(clock.between(1.seconds, 12.seconds)) { simulation.cancel(job) }
+                clock.after(clock.randomBetween(1.seconds, 12.seconds)) { simulation.cancel(job) }
             }
             // Some are called off while their starts are under way.
-            clock.after(clock.between(1.seconds, 6.seconds)) {
+            clock.after(clock.randomBetween(1.seconds, 6.seconds)) {
                 submit(2)
                 val job = jobs.last()
-                clock.after(clock.between(500.milliseconds, 6.seconds)) { simulation.cancel(job) }
+                clock.after(clock.randomBetween(500.milliseconds, 6.seconds)) {
+                    simulation.cancel(job)
+                }
             }
             runFor(CHURN + CALM)
             end()
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -48,7 +48,9 @@
             if (gang) gangs.add(spec.id)
             simulation.submit(spec)
             if (spec.kind == JobKind.SERVICE || clock.chance(0.1)) {
-                clock.after(clock.between(1.seconds, 60.seconds)) { simulation.cancel(spec.id) }
+                clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
+                    simulation.cancel(spec.id)
+                }
             }
         }
 
@@ -62,21 +64,21 @@
         }
 
         fun play(troubled: Boolean) {
-            simulation.cloud.stillborn = if (troubled) 0.1 else 0.0
+            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
             for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
             if (troubled) for (at in 10..170 step 9) clock.after(at.seconds) { trouble() }
             simulation.run(END)
             if (troubled) simulation.checkAtEnd(CALM)
         }
 
-        fun open() = gangs.filter { simulation.invariants.finalOf(it) == null }
+        fun open() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
     }
 
     private fun troubled(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
         scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.problems())
-        assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
+        assertEquals(emptyList(), scenario.simulation.violations())
+        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
     }
 
     @ParameterizedTest
@@ -93,9 +95,9 @@
     fun `in a quiet scenario every gang comes to its end`(seed: Long) {
         val scenario = Scenario(seed)
         scenario.play(troubled = false)
-        assertEquals(emptyList(), scenario.simulation.problems())
+        assertEquals(emptyList(), scenario.simulation.violations())
         assertEquals(emptyList(), scenario.open())
-        assertTrue(scenario.simulation.invariants.gangsBegun > 0, "no gang ran")
+        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
     }
 
     private fun gang(
@@ -111,9 +113,9 @@
 
     private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
         simulation.run(within)
-        assertEquals(emptyList(), simulation.problems())
-        val open = jobs.filter { simulation.invariants.finalOf(it.id) != "done" }.map { it.id }
-        assertEquals(emptyList(), open, "ends: ${simulation.gangs.causes}")
+        assertEquals(emptyList(), simulation.violations())
+        val open = jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
+        assertEquals(emptyList(), open, "ends: ${simulation.gangs.endCounts}")
     }
 
     @Test
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -25,7 +25,7 @@
         /** Tasks that go on until they are cancelled. */
         fun submit(count: Int) =
             repeat(count) {
-                val spec = simulation.plainService("team-${jobs.size % 3}", TASKS)
+                val spec = simulation.unconstrainedService("team-${jobs.size % 3}", TASKS)
                 jobs.add(spec.id)
                 simulation.submit(spec)
             }
@@ -34,12 +34,12 @@
         fun begin() {
             clock.after(4.seconds) { submit(6) }
             simulation.run(30.seconds)
-            while (jobs.any { invariants.placesOf(it).size < TASKS } && clock.now < START) runFor(
-                1.seconds
-            )
+            while (
+                jobs.any { invariants.machineByTask(it).size < TASKS } && clock.now < START
+            ) runFor(1.seconds)
             // Nothing of what was done to get there is under way any more.
-            runFor(clock.between(5.seconds, 6.seconds))
-            for (job in jobs) assertEquals(TASKS, invariants.placesOf(job).size, "$job runs")
+            runFor(clock.randomBetween(5.seconds, 6.seconds))
+            for (job in jobs) assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs")
         }
 
         fun leader() = simulation.leader() ?: error("nobody leads")
@@ -48,14 +48,14 @@
 
         fun apart(a: String, b: String, length: Micros) {
             for ((from, to) in listOf(a to b, b to a)) {
-                simulation.network.part(from, to)
-                clock.after(length) { simulation.network.join(from, to) }
+                simulation.network.blockPath(from, to)
+                clock.after(length) { simulation.network.unblockPath(from, to) }
             }
         }
 
         fun outage(member: String?, length: Micros) {
-            simulation.state.outage(member, endsWatches = true)
-            clock.after(length) { simulation.state.back(member) }
+            simulation.store.startOutage(member, endWatches = true)
+            clock.after(length) { simulation.store.endOutage(member) }
         }
 
         fun runFor(length: Micros) = simulation.run(clock.now + length)
@@ -65,11 +65,11 @@
         /** What nobody cancelled runs again, all of it, and no rule was broken on the way. */
         fun end(calm: Micros) {
             simulation.checkAtEnd(calm)
-            assertEquals(emptyList(), simulation.problems())
+            assertEquals(emptyList(), simulation.violations())
             for (job in jobs) {
-                if (invariants.finalOf(job) == "cancelled")
-                    assertEquals(0, invariants.placesOf(job).size)
-                else assertEquals(TASKS, invariants.placesOf(job).size, "$job runs again")
+                if (invariants.finalStateOf(job) == "cancelled")
+                    assertEquals(0, invariants.machineByTask(job).size)
+                else assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs again")
             }
         }
 
@@ -86,12 +86,12 @@
             outage(leader, 14.seconds)
             val cancelled = jobs.takeLast(count)
             more(cancelled)
-            runFor(clock.between(5.milliseconds, 400.milliseconds))
+            runFor(clock.randomBetween(5.milliseconds, 400.milliseconds))
             for (job in cancelled) cancel(job, by = other)
             runFor(GAP)
             for (job in cancelled) assertEquals(
                 "cancelled",
-                invariants.finalOf(job),
+                invariants.finalStateOf(job),
                 "$job is confirmed",
             )
             assertEquals(leader, simulation.leader(), "it still has its lease")
@@ -112,10 +112,10 @@
             clock.every(100.milliseconds) {
                 late +=
                     jobs.filter { job ->
-                        val at = invariants.cancelledAt(job)
+                        val at = invariants.cancellationReportedAt(job)
                         at != null &&
                             clock.now - at > CANCEL &&
-                            invariants.placesOf(job).isNotEmpty()
+                            invariants.machineByTask(job).isNotEmpty()
                     }
             }
             return late
@@ -139,10 +139,12 @@
             begin()
             gap(way) { cancelled ->
                 // Some go on just before their lease is over, some just after it.
-                val hosts = cancelled.flatMap { invariants.placesOf(it).values }.toSet()
+                val hosts = cancelled.flatMap { invariants.machineByTask(it).values }.toSet()
                 for (worker in simulation.cloud.workers().filter { it.id in hosts }) {
-                    worker.hanging = true
-                    clock.after(clock.between(8.seconds, 20.seconds)) { worker.hanging = false }
+                    worker.unresponsive = true
+                    clock.after(clock.randomBetween(8.seconds, 20.seconds)) {
+                        worker.unresponsive = false
+                    }
                 }
             }
         }
@@ -153,12 +155,12 @@
         Meeting(way).run {
             begin()
             for (worker in simulation.cloud.workers()) {
-                simulation.delayedCommands[worker.id] = clock.between(4.seconds, 13.seconds)
+                simulation.commandDelays[worker.id] = clock.randomBetween(4.seconds, 13.seconds)
             }
             submit(1)
             // Decided on, written and sent, but not there; some go out with a report's answer.
             runFor(1500.milliseconds)
-            assertTrue(invariants.placesOf(jobs.last()).size < TASKS)
+            assertTrue(invariants.machineByTask(jobs.last()).size < TASKS)
             gap(way, count = 1)
             // Halted while it still waits for its image, it never comes to run.
             val late = invariants.startsAfterCancel + invariants.startsCarriedOutAfterCancel
@@ -174,7 +176,7 @@
             begin()
             val former = leader()
             simulation.crash(former, 90.seconds)
-            runFor(clock.between(100.milliseconds, 2.seconds))
+            runFor(clock.randomBetween(100.milliseconds, 2.seconds))
             val cancelled = jobs.takeLast(3)
             for (job in cancelled) cancel(
                 job,
@@ -188,7 +190,7 @@
             assertNotEquals(former, leader)
             if (way.lone) for (node in others()) apart(leader, node, OUTAGE)
             outage(null, OUTAGE)
-            for (job in cancelled) assertEquals("cancelled", invariants.finalOf(job))
+            for (job in cancelled) assertEquals("cancelled", invariants.finalStateOf(job))
             runFor(OUTAGE + 90.seconds)
             end(calm = clock.now - 90.seconds)
         }
@@ -201,10 +203,10 @@
             begin()
             cancel(jobs.removeLast())
             runFor(6.seconds)
-            val before = jobs.associateWith { invariants.placesOf(it) }
+            val before = jobs.associateWith { invariants.machineByTask(it) }
             outage(null, OUTAGE)
             runFor(OUTAGE)
-            assertEquals(before, jobs.associateWith { invariants.placesOf(it) })
+            assertEquals(before, jobs.associateWith { invariants.machineByTask(it) })
             runFor(CALM)
             end(calm = clock.now - CALM)
         }
@@ -215,9 +217,10 @@
         Meeting(way).run {
             begin()
             val leader = leader()
-            simulation.network.slow["state"] = clock.between(300.milliseconds, 1500.milliseconds)
+            simulation.network.extraLatency["state"] =
+                clock.randomBetween(300.milliseconds, 1500.milliseconds)
             for (job in jobs.take(4)) {
-                clock.after(clock.between(1.seconds, 7500.milliseconds)) { cancel(job) }
+                clock.after(clock.randomBetween(1.seconds, 7500.milliseconds)) { cancel(job) }
             }
             runFor(5.seconds)
             if (way.lone) for (node in simulation.nodes - leader) apart(leader, node, OUTAGE)
@@ -225,9 +228,9 @@
             runFor(GAP)
             outage(null, OUTAGE)
             runFor(OUTAGE)
-            simulation.network.slow.remove("state")
+            simulation.network.extraLatency.remove("state")
             runFor(70.seconds)
-            assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(4, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
         }
 
@@ -246,12 +249,12 @@
             assertNotEquals(former, next)
             val some = jobs.shuffled(clock.random)
             cancel(some[0], by = next)
-            clock.after(clock.between(1.seconds, 10.seconds)) { cancel(some[1], by = next) }
+            clock.after(clock.randomBetween(1.seconds, 10.seconds)) { cancel(some[1], by = next) }
             // Asked of the lone one, which can't know and must not say that it was done.
             cancel(some[2], by = former)
             runFor(60.seconds)
-            for (job in some.take(2)) assertEquals("cancelled", invariants.finalOf(job))
-            assertEquals(null, invariants.finalOf(some[2]))
+            for (job in some.take(2)) assertEquals("cancelled", invariants.finalStateOf(job))
+            assertEquals(null, invariants.finalStateOf(some[2]))
             runFor(80.seconds)
             end(calm = clock.now - 60.seconds)
         }
@@ -263,23 +266,23 @@
             begin()
             val tokens = HashSet<Long>()
             clock.every(50.milliseconds) {
-                simulation.state.version("leader")?.let { tokens.add(it) }
+                simulation.store.version("leader")?.let { tokens.add(it) }
             }
             val begun = clock.now
             clock.after(40.seconds) { outage(null, 20.seconds) }
-            for (job in jobs.take(4)) clock.after(clock.between(1.seconds, 110.seconds)) {
+            for (job in jobs.take(4)) clock.after(clock.randomBetween(1.seconds, 110.seconds)) {
                 cancel(job)
             }
             while (clock.now < begun + 120.seconds) {
                 // In the outage the key stays, while whoever would lead next comes and goes.
                 simulation.leader()?.let {
-                    simulation.crash(it, clock.between(200.milliseconds, 5.seconds))
+                    simulation.crash(it, clock.randomBetween(200.milliseconds, 5.seconds))
                 }
-                runFor(clock.between(5.seconds, 7.seconds))
+                runFor(clock.randomBetween(5.seconds, 7.seconds))
             }
             assertTrue(tokens.size > 10, "${tokens.size} leaders")
             runFor(80.seconds)
-            assertEquals(4, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(4, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 70.seconds)
         }
 
@@ -289,14 +292,14 @@
         Meeting(way).run {
             begin()
             for (job in jobs.take(2)) cancel(job)
-            runFor(clock.between(20.milliseconds, 400.milliseconds))
-            val away = clock.between(15.seconds, 30.seconds)
+            runFor(clock.randomBetween(20.milliseconds, 400.milliseconds))
+            val away = clock.randomBetween(15.seconds, 30.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
-                away + clock.between(1.seconds, 3.seconds),
+                away + clock.randomBetween(1.seconds, 3.seconds),
             )
             runFor(away + 80.seconds)
-            assertEquals(2, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(2, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 76.seconds)
         }
 
@@ -309,15 +312,15 @@
             val quick = way.seed % 2 == 0L
             cancel(jobs[0])
             simulation.crash(first, 300.milliseconds)
-            runFor(clock.between(1.seconds, 6.seconds))
+            runFor(clock.randomBetween(1.seconds, 6.seconds))
             cancel(jobs[1])
             simulation.leader()?.let { simulation.crash(it, 300.milliseconds) }
-            runFor(clock.between(1.seconds, 6.seconds))
+            runFor(clock.randomBetween(1.seconds, 6.seconds))
             cancel(jobs[2])
-            runFor(clock.between(5.milliseconds, 300.milliseconds))
+            runFor(clock.randomBetween(5.milliseconds, 300.milliseconds))
             val back =
-                if (quick) clock.between(20.milliseconds, 900.milliseconds)
-                else clock.between(1.seconds, 12.seconds)
+                if (quick) clock.randomBetween(20.milliseconds, 900.milliseconds)
+                else clock.randomBetween(1.seconds, 12.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
                 if (node == first) back else 40.seconds,
@@ -325,7 +328,7 @@
             runFor(30.seconds)
             assertEquals(first, simulation.leader(), "it leads by itself")
             runFor(100.seconds)
-            assertEquals(3, jobs.count { invariants.finalOf(it) == "cancelled" })
+            assertEquals(3, jobs.count { invariants.finalStateOf(it) == "cancelled" })
             end(calm = clock.now - 85.seconds)
         }
 
