--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -22,19 +22,19 @@
     private fun DrainScenario.crashLeader() =
         simulation.leader()?.let { simulation.crash(it, 3.seconds) }
 
-    private fun DrainScenario.crashAll() {
+    private fun DrainScenario.crashAllControllers() {
         for (node in simulation.nodes) simulation.crash(node, 3.seconds)
     }
 
     /** Calls [action] as the leader sends its [number]th write of a drain from now. */
-    private fun DrainScenario.atDrainWrite(number: Int, action: () -> Unit) {
-        var seen = 0
+    private fun DrainScenario.onDrainWrite(number: Int, action: () -> Unit) {
+        var writeCount = 0
         simulation.store.isDelayed = { _, transaction ->
             val writes =
                 transaction["then"]?.jsonArray.orEmpty().mapNotNull {
                     it.jsonObject["put"]?.jsonPrimitive?.content
                 }
-            if (writes.any { it.startsWith(DrainRecord.PREFIX) } && ++seen == number) action()
+            if (writes.any { it.startsWith(DrainRecord.PREFIX) } && ++writeCount == number) action()
             false
         }
     }
@@ -74,7 +74,7 @@
     fun `the next leader continues after any write of a step`(fault: LeaderFault) {
         for (write in 1..8) {
             val scenario = DrainScenario(20L + write).startJobs().startDrain()
-            scenario.atDrainWrite(write) { scenario.inject(fault) }
+            scenario.onDrainWrite(write) { scenario.inject(fault) }
             scenario.runUntilDone()
             scenario.assertDrained()
         }
@@ -86,7 +86,7 @@
         val scenario = DrainScenario(seed).startJobs().startDrain()
         for (worker in scenario.workers()) scenario.simulation.commandDelays[worker.id] = 4.seconds
         for (write in listOf(3, 6)) {
-            scenario.atDrainWrite(write) { scenario.inject(LeaderFault.FREEZES) }
+            scenario.onDrainWrite(write) { scenario.inject(LeaderFault.FREEZES) }
             scenario.simulation.run(scenario.clock.now + 60.seconds)
         }
         scenario.simulation.commandDelays.clear()
@@ -95,7 +95,7 @@
     }
 
     /** Two machines with a replica each, drained side by side, of which one may be down. */
-    private fun sideBySide(seed: Long): Pair<DrainScenario, List<String>> {
+    private fun startTwoDrains(seed: Long): Pair<DrainScenario, List<String>> {
         val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
         val scenario = DrainScenario(seed, DrainSettings(budget = budget))
         scenario.startJobs(scenario.service(0, 3, cpus = 10.0))
@@ -119,7 +119,7 @@
     fun `what an earlier leader may have evicted counts until its machine sends a heartbeat`(
         seed: Long
     ) {
-        val (scenario, machines) = sideBySide(seed)
+        val (scenario, machines) = startTwoDrains(seed)
         scenario.runUntil(200.seconds, "a stop") { scenario.disruptions.stops.isNotEmpty() }
         // The next leader does not hear of the stop: that machine reaches no controller.
         val stopped =
@@ -139,7 +139,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `an eviction in flight still counts after the stored state was read again`(seed: Long) {
-        val (scenario, machines) = sideBySide(seed)
+        val (scenario, machines) = startTwoDrains(seed)
         val network = scenario.simulation.network
         // Direct commands take long, and once the stop is sent nothing else gets through.
         for (machine in machines) scenario.simulation.commandDelays[machine] = 8.seconds
@@ -149,16 +149,16 @@
         val leader = checkNotNull(scenario.simulation.leader())
         for (machine in machines) network.blockPath(leader, machine)
         // The next placements get no answer, so all is read again.
-        var swallowed = 0
+        var unansweredWrites = 0
         scenario.simulation.store.isDelayed = { _, transaction ->
-            "\"tags\"" in transaction.toString() && swallowed++ == 0
+            "\"tags\"" in transaction.toString() && unansweredWrites++ == 0
         }
         scenario.submit(scenario.array(1, 2, 5.0))
         scenario.clock.after(9.seconds) {
             for (machine in machines) network.unblockPath(leader, machine)
         }
         scenario.simulation.run(scenario.clock.now + 12.seconds)
-        assertTrue(swallowed > 0)
+        assertTrue(unansweredWrites > 0)
         scenario.simulation.commandDelays.clear()
         scenario.runUntilBothDone()
     }
@@ -171,13 +171,13 @@
         scenario.submit(urgent)
         scenario.simulation.run(scenario.clock.now + 5.seconds)
         scenario.startDrain()
-        var said = false
+        var isReported = false
         while (scenario.simulation.invariants.finalStateOf(urgent.id) == null) {
-            if ("takes precedence" in scenario.status().waitsFor) said = true
+            if ("takes precedence" in scenario.status().waitsFor) isReported = true
             scenario.simulation.run(scenario.clock.now + 5.seconds)
             assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
         }
-        assertTrue(said, "it did not say that it yields")
+        assertTrue(isReported, "it did not say that it yields")
         assertEquals(0, scenario.stored()?.returned)
         scenario.runUntilDone()
         scenario.assertDrained()
@@ -185,18 +185,18 @@
 
     @ParameterizedTest
     @ValueSource(booleans = [true, false])
-    fun `no task is evicted before a replacement is up and healthy`(sick: Boolean) {
+    fun `no task is evicted before a replacement is up and healthy`(newMachinesUnhealthy: Boolean) {
         val scenario = DrainScenario(7)
         // Fuller than half, so that nothing fits beside what is there.
         scenario.startJobs(scenario.service(0, 3, cpus = 10.0))
-        if (sick) scenario.simulation.cloud.newMachinesFailTasks = true
+        if (newMachinesUnhealthy) scenario.simulation.cloud.newMachinesFailTasks = true
         else scenario.simulation.cloud.startFailureProbability = 1.0
-        val before = scenario.disruptions.stops.size
+        val stopsBefore = scenario.disruptions.stops.size
         scenario.startDrain()
         scenario.simulation.run(scenario.clock.now + 60.seconds)
-        if (!sick) {
+        if (!newMachinesUnhealthy) {
             assertEquals(
-                before,
+                stopsBefore,
                 scenario.disruptions.stops.size,
                 "moved to a machine that is not up",
             )
@@ -228,16 +228,16 @@
         val scenario = DrainScenario(10)
         // Once one of two replicas is moved, its machine has no room for what is lost elsewhere.
         scenario.startJobs(scenario.service(0, 2, cpus = 7.0), scenario.service(0, 1, cpus = 14.0))
-        val first = scenario.workers().first { it.activeTasks == 2 }
-        val second = scenario.workers().first { it.activeTasks == 1 }
-        scenario.startDrain(DrainRequest("d1", DrainSelector(machines = listOf(first.id))))
+        val drained = scenario.workers().first { it.activeTasks == 2 }
+        val crashed = scenario.workers().first { it.activeTasks == 1 }
+        scenario.startDrain(DrainRequest("d1", DrainSelector(machines = listOf(drained.id))))
         scenario.runUntil(60.seconds, "a stop") { scenario.disruptions.stops.isNotEmpty() }
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
         scenario.simulation.run(scenario.clock.now + 20.seconds)
-        assertTrue(first.activeTasks > 0, "nothing is left to be moved")
+        assertTrue(drained.activeTasks > 0, "nothing is left to be moved")
         // What was there finds no machine for a while.
         scenario.simulation.cloud.startFailureProbability = 1.0
-        scenario.simulation.cloud.crash(second)
+        scenario.simulation.cloud.crash(crashed)
         scenario.simulation.run(scenario.clock.now + 20.seconds)
         assertEquals(200, scenario.control(DrainPaths.RESUME))
         scenario.runUntil(30.seconds, "it pauses") { scenario.stored()?.reason == PauseReason.LOSS }
@@ -283,13 +283,15 @@
 
     @ParameterizedTest
     @ValueSource(ints = [5, 12, 40])
-    fun `a machine that hangs while it is drained and comes back`(inSeconds: Int) {
+    fun `a machine that hangs while it is drained and comes back`(durationS: Int) {
         val scenario = DrainScenario(15).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
-        val names = scenario.stored()?.step?.machines.orEmpty()
-        val hung = scenario.workers().filter { it.id in names }
-        for (worker in hung) worker.unresponsive = true
-        scenario.clock.after(inSeconds.seconds) { for (worker in hung) worker.unresponsive = false }
+        val machinesInStep = scenario.stored()?.step?.machines.orEmpty()
+        val unresponsive = scenario.workers().filter { it.id in machinesInStep }
+        for (worker in unresponsive) worker.unresponsive = true
+        scenario.clock.after(durationS.seconds) {
+            for (worker in unresponsive) worker.unresponsive = false
+        }
         scenario.runUntilDone()
         scenario.assertDrained(detectionDelay = 20.seconds)
     }
@@ -298,8 +300,9 @@
     fun `a machine that crashes while it is drained`() {
         val scenario = DrainScenario(17).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
-        val names = scenario.stored()?.step?.machines.orEmpty()
-        for (worker in scenario.workers().filter { it.id in names }) scenario.simulation.cloud
+        val machinesInStep = scenario.stored()?.step?.machines.orEmpty()
+        for (worker in scenario.workers().filter { it.id in machinesInStep }) scenario.simulation
+            .cloud
             .crash(worker)
         scenario.runUntilDone()
         scenario.assertDrained()
@@ -310,7 +313,7 @@
     fun `all controllers are restarted at once`(phase: StepPhase) {
         val scenario = DrainScenario(19).startJobs().startDrain()
         scenario.runUntilStep(phase)
-        scenario.crashAll()
+        scenario.crashAllControllers()
         scenario.runUntilDone()
         scenario.assertDrained()
     }
@@ -322,34 +325,36 @@
         scenario.startJobs(scenario.service(0, 6), scenario.service(1, 6))
         scenario.startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
-        val lower = DrainSettings(budget = budget.copy(maxDisrupted = 1))
-        scenario.simulation.operatorSettingsOf = { scenario.operators.copy(drain = lower) }
-        val until = scenario.clock.now + 5.seconds
-        scenario.crashAll()
-        scenario.simulation.run(until)
-        val before = scenario.disruptions.stops.size
+        val loweredSettings = DrainSettings(budget = budget.copy(maxDisrupted = 1))
+        scenario.simulation.operatorSettingsOf = {
+            scenario.operators.copy(drain = loweredSettings)
+        }
+        val restartEnd = scenario.clock.now + 5.seconds
+        scenario.crashAllControllers()
+        scenario.simulation.run(restartEnd)
+        val stopsBefore = scenario.disruptions.stops.size
         scenario.runUntilDone()
         scenario.assertDrained()
-        val later = scenario.disruptions.stops.drop(before)
-        val beyond = later.filter { it.disrupted.size > 1 }
+        val laterStops = scenario.disruptions.stops.drop(stopsBefore)
+        val stopsOverBudget = laterStops.filter { it.disrupted.size > 1 }
         assertEquals(
             emptyList(),
-            beyond.map { "${it.team} at ${it.at.inSeconds}: ${it.disrupted.keys}" },
+            stopsOverBudget.map { "${it.team} at ${it.at.inSeconds}: ${it.disrupted.keys}" },
         )
     }
 
     @Test
     fun `a budget of zero is reported as the reason, and a raised one resumes the drain`() {
-        val none = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
-        val scenario = DrainScenario(23, DrainSettings(budget = none))
+        val zeroBudget = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
+        val scenario = DrainScenario(23, DrainSettings(budget = zeroBudget))
         scenario.startJobs(scenario.service(0, 3)).startDrain()
         scenario.runUntil(120.seconds, "paused") { scenario.stored()?.reason == PauseReason.BUDGET }
         assertTrue("its budget is 0" in scenario.stored()?.note.orEmpty(), "${scenario.stored()}")
         scenario.simulation.run(scenario.clock.now + 60.seconds)
         assertEquals(emptyList(), scenario.disruptions.stops.map { it.team })
-        val raised = DrainSettings(budget = none.copy(maxDisrupted = 1))
-        scenario.simulation.operatorSettingsOf = { scenario.operators.copy(drain = raised) }
-        scenario.crashAll()
+        val raisedSettings = DrainSettings(budget = zeroBudget.copy(maxDisrupted = 1))
+        scenario.simulation.operatorSettingsOf = { scenario.operators.copy(drain = raisedSettings) }
+        scenario.crashAllControllers()
         scenario.runUntilDone()
         assertEquals(emptyList(), scenario.disruptions.stopsOverLimit({ 1 }, 9.seconds))
         assertEquals(emptyList(), scenario.simulation.violations())
@@ -359,8 +364,8 @@
     fun `replicas that must stay up stay up`() {
         val budget = BudgetSettings(maxDisrupted = 3, minReplicas = 3, stepPauseS = 1.0)
         val scenario = DrainScenario(25, DrainSettings(budget = budget))
-        val large = scenario.service(0, 4)
-        scenario.startJobs(large).startDrain()
+        val service = scenario.service(0, 4)
+        scenario.startJobs(service).startDrain()
         scenario.runUntilDone()
         scenario.assertDrained()
         assertTrue(
@@ -368,25 +373,28 @@
             "${scenario.disruptions.peakOf("team-0")}",
         )
 
-        val tooMany = DrainScenario(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
-        tooMany.startJobs(tooMany.service(0, 4)).startDrain()
-        tooMany.runUntil(120.seconds, "paused") { tooMany.stored()?.reason == PauseReason.BUDGET }
-        assertTrue("must stay up" in tooMany.stored()?.note.orEmpty())
-        assertEquals(0, tooMany.disruptions.stops.size)
+        val scenarioWithoutMargin =
+            DrainScenario(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
+        scenarioWithoutMargin.startJobs(scenarioWithoutMargin.service(0, 4)).startDrain()
+        scenarioWithoutMargin.runUntil(120.seconds, "paused") {
+            scenarioWithoutMargin.stored()?.reason == PauseReason.BUDGET
+        }
+        assertTrue("must stay up" in scenarioWithoutMargin.stored()?.note.orEmpty())
+        assertEquals(0, scenarioWithoutMargin.disruptions.stops.size)
     }
 
     @Test
     fun `a version without drains that leads for a while leaves the records alone`() {
         val scenario = DrainScenario(29).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
-        val before = scenario.stored()
+        val recordBefore = scenario.stored()
         scenario.simulation.operatorSettingsOf = { OperatorSettings() }
-        scenario.crashAll()
+        scenario.crashAllControllers()
         scenario.simulation.run(scenario.clock.now + 60.seconds)
-        assertEquals(before, scenario.stored())
+        assertEquals(recordBefore, scenario.stored())
         assertEquals(404, scenario.sendRequestOnce("GET", "${DrainPaths.DRAINS}/d1")?.first)
         scenario.simulation.operatorSettingsOf = { scenario.operators }
-        scenario.crashAll()
+        scenario.crashAllControllers()
         scenario.runUntilDone()
         scenario.assertDrained()
     }
@@ -404,10 +412,13 @@
             scenario.crashLeader()
             scenario.simulation.run(scenario.clock.now + 10.seconds)
         }
-        val other =
+        val follower =
             scenario.simulation.nodes.first { it != "n1" && it != scenario.simulation.leader() }
         val body = operatorJson.encodeToString(DrainRequest.serializer(), REQUEST)
-        assertEquals(201, scenario.sendRequest("POST", DrainPaths.DRAINS, body, by = other).first)
+        assertEquals(
+            201,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body, by = follower).first,
+        )
         scenario.runUntilDone()
         assertNotEquals(0, scenario.stored()?.returned)
         scenario.assertBudgetsKept()
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -23,7 +23,7 @@
     private fun body(request: DrainRequest) =
         operatorJson.encodeToString(DrainRequest.serializer(), request)
 
-    private val ordinary = DrainRequest("d1", DrainSelector(spot = false), graceS = 10.0)
+    private val drainOrdinary = DrainRequest("d1", DrainSelector(spot = false), graceS = 10.0)
 
     @ParameterizedTest
     @EnumSource(StepPhase::class)
@@ -37,9 +37,9 @@
                 scenario.runUntilStep(phase)
                 assertEquals(200, scenario.control(DrainPaths.CANCEL))
                 scenario.simulation.run(scenario.clock.now + 20.seconds)
-                val before = scenario.disruptions.stops.size
+                val stopsBefore = scenario.disruptions.stops.size
                 scenario.simulation.run(scenario.clock.now + 60.seconds)
-                assertEquals(before, scenario.disruptions.stops.size, "it goes on")
+                assertEquals(stopsBefore, scenario.disruptions.stops.size, "it goes on")
                 assertEquals(DrainState.CANCELLED, scenario.state())
                 assertEquals(200, scenario.control(DrainPaths.CANCEL), "a repeat")
                 assertEquals(409, scenario.control(DrainPaths.RESUME))
@@ -64,16 +64,19 @@
         assertEquals(200, scenario.control(DrainPaths.CANCEL))
         // More than all other machines hold.
         for (team in 0..2) scenario.submit(scenario.array(team, 16, 200.0).copy(spot = true))
-        val left = scenario.workers().filter { it.id in machines }
-        assertTrue(left.isNotEmpty())
-        scenario.runUntil(60.seconds, "it takes tasks") { left.all { it.view().freeCpus < 3.0 } }
+        val uncordoned = scenario.workers().filter { it.id in machines }
+        assertTrue(uncordoned.isNotEmpty())
+        scenario.runUntil(60.seconds, "it takes tasks") {
+            uncordoned.all { it.view().freeCpus < 3.0 }
+        }
     }
 
     @Test
     fun `a drain that is cancelled before its first step, while paused, and when done`() {
-        val closed = WindowSettings("FREQ=YEARLY", "03:00", 3600.0, "1971-01-01")
+        val yearlyWindow = WindowSettings("FREQ=YEARLY", "03:00", 3600.0, "1971-01-01")
         val budget = BudgetSettings(stepPauseS = 1.0)
-        val planned = DrainScenario(4, DrainSettings(budget = budget, windows = listOf(closed)))
+        val planned =
+            DrainScenario(4, DrainSettings(budget = budget, windows = listOf(yearlyWindow)))
         planned.startJobs().startDrain()
         planned.simulation.run(planned.clock.now + 30.seconds)
         assertEquals(DrainState.PLANNED, planned.state())
@@ -100,10 +103,10 @@
         scenario.runUntilStep(StepPhase.EMPTYING)
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
         scenario.simulation.run(scenario.clock.now + 20.seconds)
-        val before = scenario.disruptions.stops.size
+        val stopsBefore = scenario.disruptions.stops.size
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 60.seconds)
-        assertEquals(before, scenario.disruptions.stops.size)
+        assertEquals(stopsBefore, scenario.disruptions.stops.size)
         assertEquals(PauseReason.OPERATOR, scenario.status().record.reason)
         assertEquals(200, scenario.control(DrainPaths.RESUME))
         scenario.runUntilDone()
@@ -114,7 +117,7 @@
     @EnumSource(DeadlineAction::class)
     fun `at its deadline a drain pauses or continues, as requested`(action: DeadlineAction) {
         val scenario = DrainScenario(9).startJobs()
-        val request = ordinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
+        val request = drainOrdinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
         scenario.startDrain(request)
         scenario.simulation.run(300.seconds)
         if (action == DeadlineAction.PAUSE) {
@@ -146,7 +149,10 @@
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 40.seconds)
         assertEquals(409, scenario.sendRequest("GET", "${DrainPaths.DRAINS}/d1").first)
-        assertEquals(409, scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertEquals(
+            409,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body(drainOrdinary)).first,
+        )
         assertTrue(
             "\"unreadable\":[\"d1\"]" in scenario.sendRequest("GET", DrainPaths.DRAINS).second
         )
@@ -156,9 +162,15 @@
     @Test
     fun `a repeated start is idempotent, and a late one too`() {
         val scenario = DrainScenario(10).startJobs().startDrain()
-        assertEquals(200, scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertEquals(
+            200,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body(drainOrdinary)).first,
+        )
         scenario.runUntilDone()
-        assertEquals(200, scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinary)).first)
+        assertEquals(
+            200,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body(drainOrdinary)).first,
+        )
         assertEquals(DrainState.DONE, scenario.state())
         assertEquals(1, scenario.stored()?.let { 1 })
     }
@@ -167,8 +179,9 @@
     fun `several drains share the budgets, also if they select the same machines`() {
         val scenario = DrainScenario(12)
         scenario.startJobs(scenario.service(0, 6), scenario.service(1, 4)).startDrain()
-        val zones = DrainRequest("d2", DrainSelector(zones = listOf("a", "b", "c"), spot = false))
-        assertEquals(201, scenario.sendRequest("POST", DrainPaths.DRAINS, body(zones)).first)
+        val zonesRequest =
+            DrainRequest("d2", DrainSelector(zones = listOf("a", "b", "c"), spot = false))
+        assertEquals(201, scenario.sendRequest("POST", DrainPaths.DRAINS, body(zonesRequest)).first)
         scenario.runUntilDone(id = "d1")
         scenario.runUntilDone(id = "d2")
         scenario.assertDrained()
@@ -183,14 +196,14 @@
 
     @Test
     fun `a gang is evicted as a whole within the budget, or not at all`() {
-        val most = 3
-        val budget = BudgetSettings(maxDisrupted = most, stepPauseS = 1.0)
+        val maxDisrupted = 3
+        val budget = BudgetSettings(maxDisrupted = maxDisrupted, stepPauseS = 1.0)
         val scenario = DrainScenario(14, DrainSettings(budget = budget))
         val small = scenario.array(0, 3, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
         val large = scenario.array(1, 4, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
         scenario.simulation.gangs.runTimes[small.id] = 300.seconds
         scenario.simulation.gangs.runTimes[large.id] = 300.seconds
-        scenario.startJobs(small, large).startDrain(ordinary.copy(graceS = 0.0))
+        scenario.startJobs(small, large).startDrain(drainOrdinary.copy(graceS = 0.0))
         scenario.runUntilDone(1500.seconds)
         scenario.assertDrained()
         assertTrue(
@@ -206,14 +219,14 @@
     @Test
     fun `where a zone has no capacity, the machines that can be replaced go first`() {
         val scenario = DrainScenario(16, capacity = 1)
-        val bound = scenario.service(0, 1, cpus = 12.0).copy(zone = "b")
+        val zoneBound = scenario.service(0, 1, cpus = 12.0).copy(zone = "b")
         scenario
-            .startJobs(bound, scenario.service(1, 2, cpus = 4.0))
-            .startDrain(ordinary.copy(stepSize = 1))
+            .startJobs(zoneBound, scenario.service(1, 2, cpus = 4.0))
+            .startDrain(drainOrdinary.copy(stepSize = 1))
         scenario.runUntil(600.seconds, "a machine is returned") {
             (scenario.stored()?.returned ?: 0) > 0
         }
-        assertTrue(scenario.allReplicasRun(bound), "its only machine was taken")
+        assertTrue(scenario.allReplicasRun(zoneBound), "its only machine was taken")
         scenario.assertBudgetsKept()
     }
 
@@ -222,7 +235,11 @@
         val scenario = DrainScenario(18)
         scenario.startJobs(scenario.service(0, 4)).sendRequest("GET", DrainPaths.DRAINS)
         val (status, text) =
-            scenario.sendRequest("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary))
+            scenario.sendRequest(
+                "POST",
+                "${DrainPaths.DRAINS}/${DrainPaths.CHECK}",
+                body(drainOrdinary),
+            )
         assertEquals(200, status, text)
         val check = operatorJson.decodeFromString(DrainCheck.serializer(), text)
         assertEquals(check.machines, check.steps.sumOf { it.size })
@@ -230,14 +247,18 @@
         assertEquals(4, check.tasksToMove)
         assertNull(scenario.stored())
 
-        val none = DrainSettings(budget = BudgetSettings(maxDisrupted = 0))
-        val never = DrainScenario(18, none)
-        never.startJobs(never.service(0, 4))
-        val said =
-            never
-                .sendRequest("POST", "${DrainPaths.DRAINS}/${DrainPaths.CHECK}", body(ordinary))
+        val zeroBudget = DrainSettings(budget = BudgetSettings(maxDisrupted = 0))
+        val zeroBudgetScenario = DrainScenario(18, zeroBudget)
+        zeroBudgetScenario.startJobs(zeroBudgetScenario.service(0, 4))
+        val obstacle =
+            zeroBudgetScenario
+                .sendRequest(
+                    "POST",
+                    "${DrainPaths.DRAINS}/${DrainPaths.CHECK}",
+                    body(drainOrdinary),
+                )
                 .second
-        assertTrue("its budget is 0" in said, said)
+        assertTrue("its budget is 0" in obstacle, obstacle)
     }
 
     @ParameterizedTest
@@ -269,25 +290,37 @@
             }
         val id = if (field == "id") value else "d1"
         val isNumber = value.toDoubleOrNull() != null
-        val own = if (isNumber) value else "\"$value\""
-        val extra =
-            if ('.' in field || field in listOf("id", "select")) "" else ""","$field":$own"""
-        val request = """{"id":"$id","select":$select$extra}"""
-        val (status, text) = WRONG.sendRequest("POST", DrainPaths.DRAINS, request)
+        val jsonValue = if (isNumber) value else "\"$value\""
+        val extraField =
+            if ('.' in field || field in listOf("id", "select")) "" else ""","$field":$jsonValue"""
+        val request = """{"id":"$id","select":$select$extraField}"""
+        val (status, text) = SCENARIO_WITHOUT_DRAINS.sendRequest("POST", DrainPaths.DRAINS, request)
         assertEquals(400, status, text)
-        val named = field.substringAfterLast('.')
-        assertTrue(named in text, "$text does not name $named")
+        val fieldName = field.substringAfterLast('.')
+        assertTrue(fieldName in text, "$text does not name $fieldName")
         assertTrue(DrainText.error(text).lines().size == 1)
     }
 
     @Test
     fun `an empty selection, an unknown drain and an unknown path`() {
         val empty = DrainRequest("d9", DrainSelector(olderThan = "1970-01-01T00:00:00Z"))
-        assertEquals(400, WRONG.sendRequest("POST", DrainPaths.DRAINS, body(empty)).first)
-        assertEquals(404, WRONG.sendRequest("GET", "${DrainPaths.DRAINS}/d7").first)
-        assertEquals(404, WRONG.sendRequest("POST", "${DrainPaths.DRAINS}/d7/cancel").first)
-        assertEquals(404, WRONG.sendRequest("GET", "/nowhere").first)
-        assertEquals(405, WRONG.sendRequest("DELETE", "${DrainPaths.DRAINS}/d7").first)
+        assertEquals(
+            400,
+            SCENARIO_WITHOUT_DRAINS.sendRequest("POST", DrainPaths.DRAINS, body(empty)).first,
+        )
+        assertEquals(
+            404,
+            SCENARIO_WITHOUT_DRAINS.sendRequest("GET", "${DrainPaths.DRAINS}/d7").first,
+        )
+        assertEquals(
+            404,
+            SCENARIO_WITHOUT_DRAINS.sendRequest("POST", "${DrainPaths.DRAINS}/d7/cancel").first,
+        )
+        assertEquals(404, SCENARIO_WITHOUT_DRAINS.sendRequest("GET", "/nowhere").first)
+        assertEquals(
+            405,
+            SCENARIO_WITHOUT_DRAINS.sendRequest("DELETE", "${DrainPaths.DRAINS}/d7").first,
+        )
     }
 
     @Test
@@ -298,45 +331,45 @@
         val other = scenario.simulation.nodes.first { it != leader }
         assertEquals(Source.LEADER, scenario.status(by = other).source)
         scenario.simulation.crash(leader, 10.seconds)
-        var refused: Int? = null
+        var pauseStatus: Int? = null
         scenario.simulation.sendOperatorRequest(
             "POST",
             "${DrainPaths.DRAINS}/d1/pause",
             controller = other,
-        ) { status, _ ->
-            refused = status
+        ) { responseStatus, _ ->
+            pauseStatus = responseStatus
         }
-        val told = scenario.status(by = other)
-        assertEquals(Source.STORE, told.source)
-        assertEquals(scenario.stored()?.startedAt, told.record.startedAt)
-        assertEquals(503, refused)
+        val status = scenario.status(by = other)
+        assertEquals(Source.STORE, status.source)
+        assertEquals(scenario.stored()?.startedAt, status.record.startedAt)
+        assertEquals(503, pauseStatus)
         scenario.runUntilDone()
         scenario.assertDrained()
     }
 
     @Test
     fun `with drains switched off, nothing of them is stored, read or answered`() {
-        val on = requests(OperatorSettings(drain = DrainSettings()))
-        val off = requests(OperatorSettings())
-        assertTrue(on.any { DrainRecord.PREFIX in it.substringAfter("under=", "") })
-        assertTrue(off.none { it.contains("under=${DrainRecord.PREFIX}") })
-        assertTrue(off.none { "\"put\":\"${DrainRecord.PREFIX}" in it })
-        assertTrue(off.none { DrainPaths.FORWARDED in it })
+        val enabledRequests = storeRequests(OperatorSettings(drain = DrainSettings()))
+        val disabledRequests = storeRequests(OperatorSettings())
+        assertTrue(enabledRequests.any { DrainRecord.PREFIX in it.substringAfter("under=", "") })
+        assertTrue(disabledRequests.none { it.contains("under=${DrainRecord.PREFIX}") })
+        assertTrue(disabledRequests.none { "\"put\":\"${DrainRecord.PREFIX}" in it })
+        assertTrue(disabledRequests.none { DrainPaths.FORWARDED in it })
     }
 
     /** All that controllers ask of the key-value store in a short scenario. */
-    private fun requests(operators: OperatorSettings): List<String> {
+    private fun storeRequests(operators: OperatorSettings): List<String> {
         val simulation = ClusterSimulation(1, operators = operators)
-        val seen = ArrayList<String>()
-        simulation.store.onRequest = { path, body -> seen.add("$path $body") }
+        val requests = ArrayList<String>()
+        simulation.store.onRequest = { path, body -> requests.add("$path $body") }
         repeat(5) { simulation.submit(simulation.randomJob()) }
         simulation.run(60.seconds)
-        return seen
+        return requests
     }
 
     private companion object {
         /** A scenario in which nothing is drained, for requests that are wrong. */
-        val WRONG =
+        val SCENARIO_WITHOUT_DRAINS =
             DrainScenario(22).startJobs().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangsTest.kt
@@ -14,7 +14,7 @@
 import wardmux.model.seconds
 
 /** The fake workers do with gangs what the page says, for worlds that rely on it. */
-class GangsTest {
+class FakeGangsTest {
     private val clock = SimulatedClock(7)
     private val invariants = Invariants(listOf(TeamQuota("team-0", 100.0, 100.0)), 36.seconds)
     private val gangs = FakeGangs(clock, invariants)
@@ -22,8 +22,8 @@
     private val spec =
         plainJob(3, job)
             .copy(kind = JobKind.GANG, estimateS = 10_000.0, checkpointS = 20.0, saveS = 2.0)
-    private var specNow: JobSpec = spec
-    private val deployment = WorkerTiming(heartbeatPeriodS = 2.5, leaseS = 16.0, cancelS = 36.0)
+    private var currentSpec: JobSpec = spec
+    private val timing = WorkerTiming(heartbeatPeriodS = 2.5, leaseS = 16.0, cancelS = 36.0)
     private val workers =
         List(4) {
             FakeWorker(
@@ -32,13 +32,13 @@
                 "a",
                 false,
                 clock,
-                deployment,
+                timing,
                 listOf("n0"),
                 invariants,
-                { specNow },
+                { currentSpec },
                 gangs,
-            ) { _, _, answer ->
-                answer(200, """{"baton":1,"orders":[]}""")
+            ) { _, _, respond ->
+                respond(200, """{"baton":1,"orders":[]}""")
             }
         }
 
@@ -48,21 +48,24 @@
         clock.run(4.seconds) {}
     }
 
-    private fun order(worker: Int, order: String) {
+    private fun sendCommand(worker: Int, command: String) {
         assertEquals(
             200,
-            workers[worker].executeDirect("""{"baton":1,"shift":1,"orders":[$order]}""")?.first,
+            workers[worker].executeDirect("""{"baton":1,"shift":1,"orders":[$command]}""")?.first,
         )
     }
 
     private fun start(worker: Int, task: Int = worker, attempt: Int = 1) =
-        order(worker, """{"verb":"start","piece":"$job/$task","try":$attempt}""")
+        sendCommand(worker, """{"verb":"start","piece":"$job/$task","try":$attempt}""")
 
-    private fun halt(worker: Int, within: Double, attempt: Int = 1) =
-        order(worker, """{"verb":"halt","piece":"$job/$worker","try":$attempt,"letgo_s":$within}""")
+    private fun halt(worker: Int, graceS: Double, attempt: Int = 1) =
+        sendCommand(
+            worker,
+            """{"verb":"halt","piece":"$job/$worker","try":$attempt,"letgo_s":$graceS}""",
+        )
 
     /** Status, cause and whether it was kept of the last task on the machine. */
-    private fun stateOf(worker: Int): String {
+    private fun taskStateOn(worker: Int): String {
         val report = Json.parseToJsonElement(workers[worker].heartbeatBody()).jsonObject
         val task = report.getValue("pieces").jsonArray.last().jsonObject
         return listOf("status", "cause", "kept")
@@ -70,27 +73,27 @@
             .joinToString(" ")
     }
 
-    private fun states(vararg of: Int) = of.map(::stateOf)
+    private fun taskStatesOn(vararg numbers: Int) = numbers.map(::taskStateOn)
 
-    private fun wait(inSeconds: Double) = clock.run(clock.now + inSeconds.seconds) {}
+    private fun runFor(durationS: Double) = clock.run(clock.now + durationS.seconds) {}
 
-    private fun runAll(attempt: Int = 1) {
+    private fun startGang(attempt: Int = 1) {
         for (worker in 0..2) start(worker, attempt = attempt)
-        wait(3.2)
-        assertEquals(List(3) { "running" }, states(0, 1, 2))
+        runFor(3.2)
+        assertEquals(List(3) { "running" }, taskStatesOn(0, 1, 2))
     }
 
     @Test
     fun `a task gathers until the last has its image, and is on its machine meanwhile`() {
         start(0)
         start(1)
-        wait(10.0)
-        assertEquals(List(2) { "gathering" }, states(0, 1))
+        runFor(10.0)
+        assertEquals(List(2) { "gathering" }, taskStatesOn(0, 1))
         assertEquals(mapOf(0 to "m0", 1 to "m1"), invariants.machineByTask(job))
         assertEquals(0, invariants.gangStarts)
         start(2)
-        wait(3.2)
-        assertEquals(List(3) { "running" }, states(0, 1, 2))
+        runFor(3.2)
+        assertEquals(List(3) { "running" }, taskStatesOn(0, 1, 2))
         assertEquals(1, invariants.gangStarts)
         assertEquals(emptyList(), invariants.violations)
     }
@@ -100,10 +103,10 @@
         start(0)
         start(1)
         start(2, attempt = 2)
-        wait(34.0)
-        assertEquals(List(3) { "gathering" }, states(0, 1, 2))
-        wait(5.0)
-        assertEquals(List(3) { "ended alone" }, states(0, 1, 2))
+        runFor(34.0)
+        assertEquals(List(3) { "gathering" }, taskStatesOn(0, 1, 2))
+        runFor(5.0)
+        assertEquals(List(3) { "ended alone" }, taskStatesOn(0, 1, 2))
         assertEquals(emptyMap(), invariants.machineByTask(job))
         assertEquals(0, invariants.gangStarts)
     }
@@ -112,146 +115,146 @@
     fun `the rest wait on for one that is gone, and its replacement completes the gang`() {
         start(0)
         start(1)
-        wait(5.0)
+        runFor(5.0)
         workers[1].crash()
-        wait(10.0)
+        runFor(10.0)
         start(2)
-        wait(5.0)
-        assertEquals(List(2) { "gathering" }, states(0, 2))
+        runFor(5.0)
+        assertEquals(List(2) { "gathering" }, taskStatesOn(0, 2))
         start(3, task = 1)
-        wait(3.2)
-        assertEquals(List(3) { "running" }, states(0, 2, 3))
+        runFor(3.2)
+        assertEquals(List(3) { "running" }, taskStatesOn(0, 2, 3))
     }
 
     @Test
     fun `one that gathers exits at once when it is stopped`() {
         start(0)
         start(1)
-        wait(5.0)
+        runFor(5.0)
         halt(0, 10.0)
-        assertEquals(listOf("ended stopped", "gathering"), states(0, 1))
+        assertEquals(listOf("ended stopped", "gathering"), taskStatesOn(0, 1))
     }
 
     @Test
     fun `a running gang notices that one is gone, and falls back to its last checkpoint`() {
-        runAll()
-        wait(47.0)
+        startGang()
+        runFor(47.0)
         workers[1].crash()
-        assertEquals(List(2) { "running" }, states(0, 2))
-        wait(6.0)
-        assertEquals(List(2) { "ended peers" }, states(0, 2))
+        assertEquals(List(2) { "running" }, taskStatesOn(0, 2))
+        runFor(6.0)
+        assertEquals(List(2) { "ended peers" }, taskStatesOn(0, 2))
         assertEquals(40.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
     fun `one that hangs is taken for gone, and exits when it goes on`() {
-        runAll()
+        startGang()
         workers[1].unresponsive = true
-        wait(5.0)
-        assertEquals(List(2) { "running" }, states(0, 2))
-        wait(1.3)
-        assertEquals(List(2) { "ended peers" }, states(0, 2))
-        assertEquals("running", stateOf(1))
+        runFor(5.0)
+        assertEquals(List(2) { "running" }, taskStatesOn(0, 2))
+        runFor(1.3)
+        assertEquals(List(2) { "ended peers" }, taskStatesOn(0, 2))
+        assertEquals("running", taskStateOn(1))
         workers[1].unresponsive = false
-        wait(0.2)
-        assertEquals("ended peers", stateOf(1))
+        runFor(0.2)
+        assertEquals("ended peers", taskStateOn(1))
     }
 
     @Test
     fun `a short hang only holds all of them up`() {
-        runAll()
+        startGang()
         workers[1].unresponsive = true
-        wait(4.0)
+        runFor(4.0)
         workers[1].unresponsive = false
-        wait(10.0)
-        assertEquals(List(3) { "running" }, states(0, 1, 2))
+        runFor(10.0)
+        assertEquals(List(3) { "running" }, taskStatesOn(0, 1, 2))
     }
 
     @Test
     fun `a gang that is told in time saves as one`() {
-        runAll()
-        wait(30.0)
+        startGang()
+        runFor(30.0)
         halt(0, 2.0)
-        wait(5.5)
+        runFor(5.5)
         // It has saved, and waits for the others; to the outside it still runs.
-        assertEquals(List(3) { "running" }, states(0, 1, 2))
+        assertEquals(List(3) { "running" }, taskStatesOn(0, 1, 2))
         halt(1, 2.0)
         halt(2, 10.0)
-        wait(0.2)
-        assertEquals(listOf("ended stopped true", "running", "running"), states(0, 1, 2))
+        runFor(0.2)
+        assertEquals(listOf("ended stopped true", "running", "running"), taskStatesOn(0, 1, 2))
         // Safe from now, whatever becomes of the others.
-        val kept = gangs.savedProgressOf(job)
-        assertTrue(kept > 29.seconds && kept < 33.seconds, "$kept")
+        val savedProgress = gangs.savedProgressOf(job)
+        assertTrue(savedProgress > 29.seconds && savedProgress < 33.seconds, "$savedProgress")
         workers[2].crash()
-        wait(2.0)
-        assertEquals(listOf("ended stopped true", "ended stopped true"), states(0, 1))
-        assertEquals(kept, gangs.savedProgressOf(job))
+        runFor(2.0)
+        assertEquals(listOf("ended stopped true", "ended stopped true"), taskStatesOn(0, 1))
+        assertEquals(savedProgress, gangs.savedProgressOf(job))
     }
 
     @Test
     fun `those that are not told in time lose the save`() {
-        runAll()
-        wait(30.0)
+        startGang()
+        runFor(30.0)
         halt(0, 2.0)
         halt(1, 2.0)
-        wait(6.1)
-        assertEquals(listOf("ended stopped", "ended stopped", "ended peers"), states(0, 1, 2))
+        runFor(6.1)
+        assertEquals(listOf("ended stopped", "ended stopped", "ended peers"), taskStatesOn(0, 1, 2))
         assertEquals(20.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
     fun `so does one that is gone before the first exits, or stopped with too little grace`() {
-        runAll()
-        wait(30.0)
+        startGang()
+        runFor(30.0)
         for (worker in 0..2) halt(worker, 2.0)
-        wait(1.0)
+        runFor(1.0)
         workers[2].crash()
-        wait(6.0)
-        assertEquals(List(2) { "ended peers" }, states(0, 1))
+        runFor(6.0)
+        assertEquals(List(2) { "ended peers" }, taskStatesOn(0, 1))
         assertEquals(20.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
     fun `too little grace for one loses the save of all`() {
-        runAll()
-        wait(30.0)
+        startGang()
+        runFor(30.0)
         halt(0, 2.0)
         halt(1, 1.9)
-        assertEquals("ended stopped", stateOf(1))
-        wait(6.0)
-        assertEquals(listOf("ended peers", "ended peers"), states(0, 2))
+        assertEquals("ended stopped", taskStateOn(1))
+        runFor(6.0)
+        assertEquals(listOf("ended peers", "ended peers"), taskStatesOn(0, 2))
         assertEquals(20.seconds, gangs.savedProgressOf(job))
     }
 
     @Test
     fun `the next attempt goes on from what was saved, and all complete together`() {
-        specNow = spec.copy(estimateS = 60.0)
-        runAll()
+        currentSpec = spec.copy(estimateS = 60.0)
+        startGang()
         var attempt = 1
-        while (stateOf(0) == "running") {
+        while (taskStateOn(0) == "running") {
             assertTrue(attempt < 30, "no progress is kept")
             for (worker in 0..2) halt(worker, 2.0, attempt)
-            wait(2.2)
-            if (!stateOf(0).startsWith("ended stopped true")) break
+            runFor(2.2)
+            if (!taskStateOn(0).startsWith("ended stopped true")) break
             attempt++
             for (worker in 0..2) start(worker, attempt = attempt)
-            wait(9.0)
+            runFor(9.0)
         }
-        assertEquals(List(3) { "ended done" }, states(0, 1, 2))
+        assertEquals(List(3) { "ended done" }, taskStatesOn(0, 1, 2))
         assertTrue(attempt > 2, "in $attempt attempts")
         assertEquals(3, invariants.completedTaskCount(job))
         // The result is kept.
         start(3, task = 1, attempt = 99)
-        wait(3.2)
-        assertEquals("ended done", stateOf(3))
+        runFor(3.2)
+        assertEquals("ended done", taskStateOn(3))
         assertEquals(emptyList(), invariants.violations)
     }
 
     @Test
     fun `one that fails takes the others with it`() {
         workers[2].failsEveryTask = true
-        runAll()
-        wait(8.0)
-        assertEquals(listOf("ended peers", "ended peers", "ended error"), states(0, 1, 2))
+        startGang()
+        runFor(8.0)
+        assertEquals(listOf("ended peers", "ended peers", "ended error"), taskStatesOn(0, 1, 2))
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -13,23 +13,24 @@
 class GangCancellationTest {
     /** How far a gang has come, and what brings it there and makes the phase last. */
     enum class Phase {
-        WAITING,
-        UNRECORDED,
+        WAITING_FOR_CAPACITY,
+        RECORDING,
         STARTING,
         FETCHING,
         GATHERING,
         RUNNING,
         SAVING,
-        BETWEEN,
+        BETWEEN_ATTEMPTS,
         DONE,
     }
 
-    private fun arrange(scenario: GangScenario, phase: Phase): JobSpec {
+    private fun createGangReaching(scenario: GangScenario, phase: Phase): JobSpec {
         val simulation = scenario.simulation
         // There are three machines at first.
-        val gang = scenario.gangSpec(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
+        val gang =
+            scenario.gangSpec(tasks = if (phase == Phase.WAITING_FOR_CAPACITY) 4 else 3, cpus = 9.0)
         when (phase) {
-            Phase.WAITING -> simulation.cloud.unavailable = true
+            Phase.WAITING_FOR_CAPACITY -> simulation.cloud.unavailable = true
             Phase.STARTING ->
                 for (i in 0..20) simulation.commandDelays["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
@@ -38,7 +39,7 @@
                         scenario.workersHolding(gang).first().recallS = 30.0
                     }
                 }
-            Phase.BETWEEN ->
+            Phase.BETWEEN_ATTEMPTS ->
                 scenario.runWhen({ scenario.isFullyRunning(gang) }) {
                     simulation.cloud.rent("a", spot = false)
                     scenario.clock.after(6.seconds) {
@@ -52,28 +53,36 @@
     }
 
     /** The action is carried out when the gang has come to the phase. */
-    private fun inPhase(scenario: GangScenario, phase: Phase, gang: JobSpec, action: () -> Unit) {
+    private fun runInPhase(
+        scenario: GangScenario,
+        phase: Phase,
+        gang: JobSpec,
+        action: () -> Unit,
+    ) {
         val simulation = scenario.simulation
-        val page = { simulation.store.value("t/${gang.id}/0") }
-        val begun = { scenario.invariants.gangStarts > 0 }
+        val taskPage = { simulation.store.value("t/${gang.id}/0") }
+        val hasRun = { scenario.invariants.gangStarts > 0 }
         when (phase) {
-            Phase.WAITING ->
+            Phase.WAITING_FOR_CAPACITY ->
                 scenario.runWhen({ scenario.storedValue("q", gang) != null }) {
                     scenario.clock.after(6.seconds) {
-                        assertEquals(null, page())
+                        assertEquals(null, taskPage())
                         action()
                     }
                 }
-            Phase.UNRECORDED -> simulation.store.isDelayed = { _, transaction ->
-                    val own = "\"t/${gang.id}/0\"" in transaction["then"].toString()
-                    if (own && page() == null) {
+            Phase.RECORDING -> simulation.store.isDelayed = { _, transaction ->
+                    val writesTaskPage = "\"t/${gang.id}/0\"" in transaction["then"].toString()
+                    if (writesTaskPage && taskPage() == null) {
                         simulation.store.isDelayed = { _, _ -> false }
                         action()
                     }
-                    own
+                    writesTaskPage
                 }
             Phase.STARTING ->
-                scenario.runWhen({ page() != null && scenario.taskStates(gang).isEmpty() }, action)
+                scenario.runWhen(
+                    { taskPage() != null && scenario.taskStates(gang).isEmpty() },
+                    action,
+                )
             Phase.FETCHING ->
                 scenario.runWhen({ scenario.taskStates(gang) == List(3) { "fetching" } }, action)
             Phase.GATHERING ->
@@ -83,8 +92,8 @@
                     scenario.clock.after(6.seconds, action)
                 }
             Phase.SAVING -> scenario.runWhen({ simulation.gangs.isSaving(gang.id) }, action)
-            Phase.BETWEEN ->
-                scenario.runWhen({ begun() && scenario.workersHolding(gang).isEmpty() }, action)
+            Phase.BETWEEN_ATTEMPTS ->
+                scenario.runWhen({ hasRun() && scenario.workersHolding(gang).isEmpty() }, action)
             Phase.DONE -> scenario.invariants.onAllTasksDone = { action() }
         }
     }
@@ -98,9 +107,9 @@
         val scenario = GangScenario(seed)
         val simulation = scenario.simulation
         simulation.run(2.seconds)
-        val gang = arrange(scenario, phase)
+        val gang = createGangReaching(scenario, phase)
         var cancelledAt: Micros? = null
-        inPhase(scenario, phase, gang) {
+        runInPhase(scenario, phase, gang) {
             if (cancelledAt == null) {
                 cancelledAt = scenario.clock.now
                 simulation.cancel(gang.id)
@@ -116,20 +125,20 @@
         }
         simulation.submit(gang)
         simulation.run(60.seconds)
-        val asked = checkNotNull(cancelledAt) { "$phase was not reached" }
+        val requestedAt = checkNotNull(cancelledAt) { "$phase was not reached" }
         // Whoever was under way has arrived by then.
-        val told = scenario.invariants.cancellationReportedAt(gang.id) ?: asked
-        assertTrue(told - asked < 10.seconds, "told after ${told - asked}")
-        val settled = told + UNDER_WAY
-        simulation.run(maxOf(scenario.clock.now, settled))
+        val reportedAt = scenario.invariants.cancellationReportedAt(gang.id) ?: requestedAt
+        assertTrue(reportedAt - requestedAt < 10.seconds, "told after ${reportedAt - requestedAt}")
+        val inFlightDeadline = reportedAt + IN_FLIGHT_TIME
+        simulation.run(maxOf(scenario.clock.now, inFlightDeadline))
         val starts = scenario.invariants.starts
-        val begun = scenario.invariants.gangStarts
-        simulation.run(told + CANCEL_TIME)
+        val gangStarts = scenario.invariants.gangStarts
+        simulation.run(reportedAt + CANCEL_TIMEOUT)
         assertEquals(emptyList(), scenario.taskStates(gang), "still on machines")
-        simulation.run(told + 120.seconds)
+        simulation.run(reportedAt + 120.seconds)
         scenario.assertNoViolations()
         assertEquals(
-            starts to begun,
+            starts to gangStarts,
             scenario.invariants.starts to scenario.invariants.gangStarts,
             "started later",
         )
@@ -145,10 +154,10 @@
     }
 
     companion object {
-        private val CANCEL_TIME = 36.seconds
+        private val CANCEL_TIMEOUT = 36.seconds
 
         /** Ordered before a leader could hear of it, and then on its way. */
-        private val UNDER_WAY = 10.seconds
+        private val IN_FLIGHT_TIME = 10.seconds
 
         @JvmStatic
         fun phases(): List<Arguments> =
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -17,10 +17,12 @@
 class GangLifecycleTest {
     // A wave over spot machines.
 
-    /** Three gangs run, one gathers; [wave] comes over the spot machines, and over no others. */
-    private fun overGangs(
+    /**
+     * Three gangs run, one gathers; [injectFault] comes over the spot machines, and over no others.
+     */
+    private fun runWithFaultDuringGangs(
         seed: Long,
-        wave: (GangScenario, running: List<JobSpec>, JobSpec) -> Unit,
+        injectFault: (GangScenario, running: List<JobSpec>, gathering: JobSpec) -> Unit,
     ) {
         val scenario = GangScenario(seed, rented = false)
         for (zone in listOf("a", "b", "c")) repeat(2) {
@@ -28,24 +30,24 @@
         }
         val running =
             List(3) { scenario.gangSpec(tasks = 3, cpus = 7.0, team = it, runTime = 60.seconds) }
-        val late = scenario.gangSpec(tasks = 3, cpus = 6.0, team = 2, runTime = 30.seconds)
+        val gathering = scenario.gangSpec(tasks = 3, cpus = 6.0, team = 2, runTime = 30.seconds)
         running.forEach { scenario.simulation.submit(it) }
-        var struck = false
+        var isInjected = false
         scenario.runWhen({ running.all { scenario.isFullyRunning(it) } }) {
-            scenario.clock.after(12.seconds) { scenario.simulation.submit(late) }
-            scenario.runWhen({ "gathering" in scenario.taskStates(late) }) {
+            scenario.clock.after(12.seconds) { scenario.simulation.submit(gathering) }
+            scenario.runWhen({ "gathering" in scenario.taskStates(gathering) }) {
                 assertTrue(running.all { scenario.isFullyRunning(it) })
-                struck = true
-                wave(scenario, running, late)
+                isInjected = true
+                injectFault(scenario, running, gathering)
             }
         }
         scenario.simulation.run(300.seconds)
-        assertTrue(struck, "no gang gathered while the others ran")
+        assertTrue(isInjected, "no gang gathered while the others ran")
         assertFalse(
             "alone" in scenario.simulation.gangs.endCounts,
             "${scenario.simulation.gangs.endCounts}",
         )
-        scenario.assertAllDone(running + late)
+        scenario.assertAllDone(running + gathering)
     }
 
     @ParameterizedTest
@@ -53,20 +55,23 @@
     fun `a notice stops running gangs as one with time to save, and gathering ones at once`(
         seed: Long
     ) =
-        overGangs(seed) { scenario, running, late ->
-            val taken = scenario.workers().filter { it.spot }
-            val at = scenario.clock.now
+        runWithFaultDuringGangs(seed) { scenario, running, gathering ->
+            val preempted = scenario.workers().filter { it.spot }
+            val noticeAt = scenario.clock.now
             // All of the gang were told within the time of a report and a direct command.
-            val hit = taken.any { it.taskStatusesOf(late.id).isNotEmpty() }
-            scenario.at(at + 3.seconds) {
-                val there = taken.flatMap { it.taskStatusesOf(late.id).values }
-                assertFalse("gathering" in there, "it waits on for a machine that goes")
-                val ends = scenario.simulation.gangs.endsOf(late.id)
-                assertTrue(!hit || (ends.isNotEmpty() && ends.all { it == "stopped" }), "$ends")
+            val gatheringIsAffected = preempted.any { it.taskStatusesOf(gathering.id).isNotEmpty() }
+            scenario.at(noticeAt + 3.seconds) {
+                val statesOnPreempted = preempted.flatMap { it.taskStatusesOf(gathering.id).values }
+                assertFalse("gathering" in statesOnPreempted, "it waits on for a machine that goes")
+                val ends = scenario.simulation.gangs.endsOf(gathering.id)
+                assertTrue(
+                    !gatheringIsAffected || (ends.isNotEmpty() && ends.all { it == "stopped" }),
+                    "$ends",
+                )
             }
-            for (worker in taken) worker.recallS = 8.0
-            scenario.at(at + 7.seconds) {
-                assertEquals(emptyList(), taken.filter { it.activeTasks > 0 }.map { it.id })
+            for (worker in preempted) worker.recallS = 8.0
+            scenario.at(noticeAt + 7.seconds) {
+                assertEquals(emptyList(), preempted.filter { it.activeTasks > 0 }.map { it.id })
                 for (job in running) {
                     assertEquals(
                         List(3) { "kept" },
@@ -76,24 +81,24 @@
                     assertTrue(scenario.simulation.gangs.savedProgressOf(job.id) > 11.seconds)
                 }
             }
-            scenario.at(at + 8.seconds) {
-                for (worker in taken) scenario.simulation.cloud.reclaimSpot(worker)
+            scenario.at(noticeAt + 8.seconds) {
+                for (worker in preempted) scenario.simulation.cloud.reclaimSpot(worker)
             }
         }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `machines are taken without notice under gangs that run and one that gathers`(seed: Long) =
-        overGangs(seed) { scenario, running, late ->
-            val all = running + late
+        runWithFaultDuringGangs(seed) { scenario, running, gathering ->
+            val gangs = running + gathering
             // One of each gang at least, and not those of all.
-            val taken =
-                all.map { scenario.workersHolding(it).random(scenario.clock.random) }.toSet()
-            for (worker in taken) scenario.simulation.cloud.reclaimSpot(worker)
-            val left = all.filter { scenario.workersHolding(it).isNotEmpty() }
-            assertTrue(left.isNotEmpty(), "nothing is left of any gang")
+            val preempted =
+                gangs.map { scenario.workersHolding(it).random(scenario.clock.random) }.toSet()
+            for (worker in preempted) scenario.simulation.cloud.reclaimSpot(worker)
+            val remaining = gangs.filter { scenario.workersHolding(it).isNotEmpty() }
+            assertTrue(remaining.isNotEmpty(), "nothing is left of any gang")
             scenario.clock.after(7.seconds) {
-                for (job in left - late) {
+                for (job in remaining - gathering) {
                     assertTrue(
                         scenario.simulation.gangs.endsOf(job.id).isNotEmpty(),
                         "${job.id} ran on",
@@ -118,11 +123,11 @@
         scenario.invariants.onAllTasksDone = {
             if (doneAt == null) {
                 doneAt = scenario.clock.now
-                val rest = scenario.workersHolding(gang).shuffled(scenario.clock.random).drop(1)
+                val others = scenario.workersHolding(gang).shuffled(scenario.clock.random).drop(1)
                 // Before any of them can tell of its end.
-                for (worker in rest) worker.unresponsive = true
+                for (worker in others) worker.unresponsive = true
                 scenario.clock.after(Micros.ZERO) {
-                    rest.forEach { lose(scenario, it, seed.toInt()) }
+                    others.forEach { injectLoss(scenario, it, seed.toInt()) }
                 }
                 if (seed > 4) scenario.crashLeader(maxDelay = 2.seconds)
             }
@@ -143,14 +148,14 @@
     }
 
     /** For good, or for longer than a lease. */
-    private fun lose(scenario: GangScenario, worker: FakeWorker, how: Int) {
+    private fun injectLoss(scenario: GangScenario, worker: FakeWorker, kind: Int) {
         val network = scenario.simulation.network
         val nodes = scenario.simulation.nodes
-        if (how % 4 != 1)
-            scenario.clock.after(if (how % 4 == 2) 60.seconds else Micros.ZERO) {
+        if (kind % 4 != 1)
+            scenario.clock.after(if (kind % 4 == 2) 60.seconds else Micros.ZERO) {
                 worker.unresponsive = false
             }
-        when (how % 4) {
+        when (kind % 4) {
             0 -> scenario.simulation.cloud.crash(worker)
             3 -> for (node in nodes) network.blockPath(node, worker.id)
             1,
@@ -161,44 +166,46 @@
     /** With so many machines it is room that is short. */
     @ParameterizedTest
     @ValueSource(ints = [4])
-    fun `the rest of a done gang keeps its room until it is proven gone`(count: Int) {
+    fun `the rest of a done gang keeps its room until it is proven gone`(machineCount: Int) {
         val harness = ControllerHarness()
         harness.writeAcceptedJob(plainJob(2, "job-000001").copy(kind = JobKind.GANG, cpus = 16.0))
         harness.run(2.seconds)
-        val machines = List(count) { ManualWorker(harness, "i-00000$it") }
+        val machines = List(machineCount) { ManualWorker(harness, "i-00000$it") }
         val token = machines.map { it.fetchLeaderToken() }.last()
-        val held = List(count) { LinkedHashSet<String>() }
-        fun reports(rounds: Int) =
+        val reportedTasks = List(machineCount) { LinkedHashSet<String>() }
+        fun exchangeHeartbeats(rounds: Int) =
             repeat(rounds) {
                 for ((i, machine) in machines.withIndex()) {
-                    val answer = machine.heartbeatResponse(token, held[i].joinToString { "{$it}" })
-                    for (start in STARTED.findAll(answer)) {
-                        held[i].add(start.groupValues[1] + ""","status":"running"""")
+                    val response =
+                        machine.heartbeatResponse(token, reportedTasks[i].joinToString { "{$it}" })
+                    for (start in START_COMMAND.findAll(response)) {
+                        reportedTasks[i].add(start.groupValues[1] + ""","status":"running"""")
                     }
                 }
                 harness.run(1.seconds)
             }
-        fun on(job: String) = held.indices.filter { i -> held[i].any { job in it } }
-        fun done(machine: Int) {
-            val task = held[machine].single { "job-000001" in it }
-            held[machine].remove(task)
-            held[machine].add(task.replace("running", "ended") + ""","cause":"done"""")
+        fun machinesReporting(job: String) =
+            reportedTasks.indices.filter { i -> reportedTasks[i].any { job in it } }
+        fun completeTask(machine: Int) {
+            val task = reportedTasks[machine].single { "job-000001" in it }
+            reportedTasks[machine].remove(task)
+            reportedTasks[machine].add(task.replace("running", "ended") + ""","cause":"done"""")
         }
-        reports(3)
-        val (first, rest) = on("job-000001")
-        val others = plainJob(4, "job-000002").copy(cpus = 10.0)
-        harness.writeAcceptedJob(others)
-        reports(3)
-        assertEquals(2, on(others.id).size)
-        done(first)
+        exchangeHeartbeats(3)
+        val (done, remaining) = machinesReporting("job-000001")
+        val array = plainJob(4, "job-000002").copy(cpus = 10.0)
+        harness.writeAcceptedJob(array)
+        exchangeHeartbeats(3)
+        assertEquals(2, machinesReporting(array.id).size)
+        completeTask(done)
         // It goes on reporting what it had.
-        reports(5)
+        exchangeHeartbeats(5)
         assertEquals(JobState.DONE, JobRecord.decode(harness.storedValue("j/job-000001")!!)!!.state)
-        assertEquals(3, on(others.id).size, "${held}")
-        assertFalse(rest in on(others.id))
-        done(rest)
-        reports(4)
-        assertEquals(4, on(others.id).size, "$held")
+        assertEquals(3, machinesReporting(array.id).size, "${reportedTasks}")
+        assertFalse(remaining in machinesReporting(array.id))
+        completeTask(remaining)
+        exchangeHeartbeats(4)
+        assertEquals(4, machinesReporting(array.id).size, "$reportedTasks")
     }
 
     // Too little room.
@@ -208,9 +215,9 @@
     fun `gangs of two teams and many small tasks do not wait for long where room is short`(
         seed: Long
     ) {
-        val took = shortOfRoom(seed, PriorityClass.NORMAL)
-        took.assertWithin(LONGEST_GANG) { it.isGang }
-        took.assertWithin(LONGEST_SMALL) { !it.isGang }
+        val durations = jobDurationsOnScarceCapacity(seed, PriorityClass.NORMAL)
+        durations.assertNoneLongerThan(LONGEST_GANG_DURATION) { it.isGang }
+        durations.assertNoneLongerThan(LONGEST_SMALL_ARRAY_DURATION) { !it.isGang }
     }
 
     /** Its limit is free for it only when these have ended; the room must be free for others. */
@@ -219,22 +226,28 @@
     fun `a gang that waits for more urgent work of its own team keeps no room from another's`(
         seed: Long
     ) {
-        val took = shortOfRoom(seed, PriorityClass.HIGH)
-        took.assertWithin(LONGEST_GANG) { it.isGang && it.team == "team-0" }
-        took.assertWithin(LONGEST_SMALL) { !it.isGang }
+        val durations = jobDurationsOnScarceCapacity(seed, PriorityClass.HIGH)
+        durations.assertNoneLongerThan(LONGEST_GANG_DURATION) { it.isGang && it.team == "team-0" }
+        durations.assertNoneLongerThan(LONGEST_SMALL_ARRAY_DURATION) { !it.isGang }
     }
 
-    private fun Map<JobSpec, Micros>.assertWithin(longest: Micros, which: (JobSpec) -> Boolean) {
-        val chosen = filterKeys(which)
-        assertEquals(emptyMap(), chosen.filterValues { it > longest }.mapKeys { it.key.id })
+    private fun Map<JobSpec, Micros>.assertNoneLongerThan(
+        limit: Micros,
+        isChecked: (JobSpec) -> Boolean,
+    ) {
+        val checked = filterKeys(isChecked)
+        assertEquals(emptyMap(), checked.filterValues { it > limit }.mapKeys { it.key.id })
     }
 
     /** How long each job took, until its user was told that it is done. */
-    private fun shortOfRoom(seed: Long, priority: PriorityClass): Map<JobSpec, Micros> {
+    private fun jobDurationsOnScarceCapacity(
+        seed: Long,
+        priority: PriorityClass,
+    ): Map<JobSpec, Micros> {
         val scenario = GangScenario(seed, capacity = 1)
-        val since = LinkedHashMap<JobSpec, Micros>()
+        val submittedAt = LinkedHashMap<JobSpec, Micros>()
         fun submit(job: JobSpec) {
-            since[job] = scenario.clock.now
+            submittedAt[job] = scenario.clock.now
             scenario.simulation.submit(job)
         }
         for (second in 2..80) scenario.at(second.seconds) {
@@ -255,23 +268,23 @@
             )
         }
         if (seed > 3) scenario.at(25.seconds) { scenario.crashLeader(maxDelay = 10.seconds) }
-        val took = HashMap<JobSpec, Micros>()
+        val durations = HashMap<JobSpec, Micros>()
         scenario.clock.every(1.seconds) {
-            for ((job, at) in since) {
+            for ((job, at) in submittedAt) {
                 if (scenario.invariants.finalStateOf(job.id) == "done")
-                    took.putIfAbsent(job, scenario.clock.now - at)
+                    durations.putIfAbsent(job, scenario.clock.now - at)
             }
         }
         scenario.simulation.run(300.seconds)
-        scenario.assertAllDone(since.keys.toList())
-        return took
+        scenario.assertAllDone(submittedAt.keys.toList())
+        return durations
     }
 
     private companion object {
-        val STARTED = Regex("""\{"verb":"start",("piece":"[^"]+","try":\d+)""")
+        val START_COMMAND = Regex("""\{"verb":"start",("piece":"[^"]+","try":\d+)""")
 
         /** Six gangs of 10 s each come one after the other in their zone. */
-        val LONGEST_GANG = 100.seconds
-        val LONGEST_SMALL = 120.seconds
+        val LONGEST_GANG_DURATION = 100.seconds
+        val LONGEST_SMALL_ARRAY_DURATION = 120.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -17,11 +17,11 @@
     private class Scenario(seed: Long, operators: OperatorSettings = OperatorSettings()) {
         val simulation = ClusterSimulation(seed, operators = operators)
         private val clock = simulation.clock
-        private val troubles = FaultInjector(simulation, ::submit)
+        private val faults = FaultInjector(simulation, ::submit)
         val gangs = ArrayList<String>()
 
         /** Of 2 to 12 tasks; most must be in one zone, and most save. */
-        private fun gang(): JobSpec {
+        private fun randomGang(): JobSpec {
             val tasks = 2 + clock.random.nextInt(11)
             val saves = clock.chance(0.7)
             return simulation
@@ -41,11 +41,12 @@
         }
 
         private fun submit() {
-            val gang = clock.chance(0.5)
+            val isGang = clock.chance(0.5)
             val spec =
-                if (gang) gang() else simulation.randomJob().takeIf { it.kind != JobKind.GANG }
+                if (isGang) randomGang()
+                else simulation.randomJob().takeIf { it.kind != JobKind.GANG }
             if (spec == null) return
-            if (gang) gangs.add(spec.id)
+            if (isGang) gangs.add(spec.id)
             simulation.submit(spec)
             if (spec.kind == JobKind.SERVICE || clock.chance(0.1)) {
                 clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
@@ -54,53 +55,55 @@
             }
         }
 
-        private fun trouble() {
-            val all =
-                troubles.basicFaults +
-                    troubles.networkFaults +
-                    troubles.partitionFaults +
-                    troubles.cancellationFaults
-            all[clock.random.nextInt(all.size)]()
+        private fun injectRandomFault() {
+            val allFaults =
+                faults.basicFaults +
+                    faults.networkFaults +
+                    faults.partitionFaults +
+                    faults.cancellationFaults
+            allFaults[clock.random.nextInt(allFaults.size)]()
         }
 
-        fun play(troubled: Boolean) {
-            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
+        fun run(withFaults: Boolean) {
+            simulation.cloud.startFailureProbability = if (withFaults) 0.1 else 0.0
             for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
-            if (troubled) for (at in 10..170 step 9) clock.after(at.seconds) { trouble() }
-            simulation.run(END)
-            if (troubled) simulation.checkAtEnd(CALM)
+            if (withFaults)
+                for (at in 10..170 step 9) clock.after(at.seconds) { injectRandomFault() }
+            simulation.run(SCENARIO_END)
+            if (withFaults) simulation.checkAtEnd(FAULTS_END)
         }
 
-        fun open() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
+        fun unfinishedGangs() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
     }
 
-    private fun troubled(seed: Long, operators: OperatorSettings) {
+    private fun assertNoViolationsWithFaults(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
-        scenario.play(troubled = true)
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken by gangs whatever fails`(seed: Long) = troubled(seed, OperatorSettings())
+    fun `no rule is broken by gangs whatever fails`(seed: Long) =
+        assertNoViolationsWithFaults(seed, OperatorSettings())
 
     @ParameterizedTest
     @MethodSource("seeds")
     fun `nor where all controllers take heartbeats`(seed: Long) =
-        troubled(seed, forwardingSettings())
+        assertNoViolationsWithFaults(seed, forwardingSettings())
 
     @ParameterizedTest
-    @MethodSource("quietSeeds")
+    @MethodSource("faultFreeSeeds")
     fun `in a quiet scenario every gang comes to its end`(seed: Long) {
         val scenario = Scenario(seed)
-        scenario.play(troubled = false)
+        scenario.run(withFaults = false)
         assertEquals(emptyList(), scenario.simulation.violations())
-        assertEquals(emptyList(), scenario.open())
+        assertEquals(emptyList(), scenario.unfinishedGangs())
         assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
     }
 
-    private fun gang(
+    private fun gangInOneZone(
         simulation: ClusterSimulation,
         tasks: Int,
         cpus: Double = 2.0,
@@ -111,11 +114,12 @@
             .unconstrainedGang(team, tasks, cpus, estimateS = 10.0)
             .copy(zone = zone, oneZone = true)
 
-    private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
-        simulation.run(within)
+    private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, timeout: Micros) {
+        simulation.run(timeout)
         assertEquals(emptyList(), simulation.violations())
-        val open = jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
-        assertEquals(emptyList(), open, "ends: ${simulation.gangs.endCounts}")
+        val unfinished =
+            jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
+        assertEquals(emptyList(), unfinished, "ends: ${simulation.gangs.endCounts}")
     }
 
     @Test
@@ -123,14 +127,14 @@
         val simulation = ClusterSimulation(3)
         simulation.run(10.seconds)
         for (at in 0..200 step 2) {
-            simulation.clock.after(at.seconds) { simulation.submit(small(simulation)) }
+            simulation.clock.after(at.seconds) { simulation.submit(smallUrgentArray(simulation)) }
         }
-        val large = gang(simulation, tasks = 12)
+        val large = gangInOneZone(simulation, tasks = 12)
         simulation.clock.after(20.seconds) { simulation.submit(large) }
-        assertDone(simulation, listOf(large), within = 200.seconds)
+        assertDone(simulation, listOf(large), timeout = 200.seconds)
     }
 
-    private fun small(simulation: ClusterSimulation): JobSpec =
+    private fun smallUrgentArray(simulation: ClusterSimulation): JobSpec =
         simulation.unconstrainedJob(
             JobKind.ARRAY,
             "team-1",
@@ -145,9 +149,10 @@
     fun `two gangs that compete for the room of one zone`() {
         val simulation = ClusterSimulation(4)
         simulation.run(10.seconds)
-        val both = listOf("team-0", "team-1").map { gang(simulation, 4, 8.0, it, zone = "b") }
+        val both =
+            listOf("team-0", "team-1").map { gangInOneZone(simulation, 4, 8.0, it, zone = "b") }
         both.forEach(simulation::submit)
-        assertDone(simulation, both, within = 200.seconds)
+        assertDone(simulation, both, timeout = 200.seconds)
     }
 
     /** Each team's limit holds one of its gangs only. */
@@ -155,25 +160,25 @@
     fun `many gangs of one team come one after the other`() {
         val simulation = ClusterSimulation(5)
         simulation.run(10.seconds)
-        val all = List(4) { gang(simulation, 12) }
-        all.forEach(simulation::submit)
-        assertDone(simulation, all, within = 300.seconds)
+        val gangs = List(4) { gangInOneZone(simulation, 12) }
+        gangs.forEach(simulation::submit)
+        assertDone(simulation, gangs, timeout = 300.seconds)
     }
 
     companion object {
-        private val END = 420.seconds
+        private val SCENARIO_END = 420.seconds
 
         /** As in [RandomSimulationTest]. */
-        private val CALM = 285.seconds
+        private val FAULTS_END = 285.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.gangs=100-500"`. */
-        @JvmStatic fun seeds(): List<Long> = scenarios("wardmux.gangs", "1-16")
+        @JvmStatic fun seeds(): List<Long> = seedRange("wardmux.gangs", "1-16")
 
         /** Likewise: `-Dwardmux.gangsQuiet=100-500`. */
-        @JvmStatic fun quietSeeds(): List<Long> = scenarios("wardmux.gangsQuiet", "1-4")
+        @JvmStatic fun faultFreeSeeds(): List<Long> = seedRange("wardmux.gangsQuiet", "1-4")
 
-        private fun scenarios(property: String, usual: String): List<Long> {
-            val range = (System.getProperty(property) ?: usual).split('-')
+        private fun seedRange(property: String, defaultRange: String): List<Long> {
+            val range = (System.getProperty(property) ?: defaultRange).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
         }
     }
