--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -17,16 +17,25 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Drains during failures, each injected on purpose. */
+/**
+ * Drains during faults of controllers, machines, the cloud and the key-value store, each injected
+ * on purpose. They guard against drains that exceed a disruption budget, because the leader does
+ * not know of evictions by an earlier leader or of other losses, and against drains that stall.
+ */
 class DrainFaultsTest {
+    /** Crashes the leader, if there is one. It restarts 3 s later. */
     private fun DrainScenario.crashLeader() =
         simulation.leader()?.let { simulation.crash(it, 3.seconds) }
 
+    /** Crashes all controllers at once; they restart 3 s later. */
     private fun DrainScenario.crashAllControllers() {
         for (node in simulation.nodes) simulation.crash(node, 3.seconds)
     }
 
-    /** Calls [action] as the leader sends its [number]th write of a drain from now. */
+    /**
+     * Calls [action] when the key-value store gets the [number]th write of a drain from now, before
+     * the write is carried out.
+     */
     private fun DrainScenario.onDrainWrite(number: Int, action: () -> Unit) {
         var writeCount = 0
         simulation.store.isDelayed = { _, transaction ->
@@ -39,21 +48,25 @@
         }
     }
 
-    /** A fault that is injected into the leader at a write. */
+    /** A fault of the leader that is injected when it writes a drain. */
     enum class LeaderFault {
-        /** It crashes; the write is carried out, and nobody acts on it. */
+        /** It crashes at once. The write is carried out, but no controller acts on it. */
         CRASHES,
 
-        /** It crashes once it has acted on the write. */
+        /** It crashes 400 ms later, when it has acted on the write. */
         CRASHES_LATER,
 
-        /** It is frozen for longer than its lease, and then continues. */
+        /** It is frozen for 15 s, which is longer than its lease, and then continues. */
         FREEZES,
 
-        /** It reaches neither the key-value store nor its peers. */
+        /**
+         * A network partition holds all its messages for 15 s, so it reaches neither the key-value
+         * store nor its peers.
+         */
         IS_PARTITIONED,
     }
 
+    /** Injects [fault] into the leader, if there is one. */
     private fun DrainScenario.inject(fault: LeaderFault) {
         val leader = simulation.leader() ?: return
         when (fault) {
@@ -71,7 +84,9 @@
 
     @ParameterizedTest
     @EnumSource(LeaderFault::class)
-    fun `the next leader continues after any write of a step`(fault: LeaderFault) {
+    fun `the next leader continues a drain after a fault at any write of a step`(
+        fault: LeaderFault
+    ) {
         for (write in 1..8) {
             val scenario = DrainScenario(20L + write).startJobs().startDrain()
             scenario.onDrainWrite(write) { scenario.inject(fault) }
@@ -94,7 +109,12 @@
         scenario.assertDrained(detectionDelay = 20.seconds)
     }
 
-    /** Two machines with a replica each, drained side by side, of which one may be down. */
+    /**
+     * Starts a drain for each of two machines that run one replica of the same service. The budget
+     * allows only one disrupted replica.
+     *
+     * @return the scenario and the ids of the two machines
+     */
     private fun startTwoDrains(seed: Long): Pair<DrainScenario, List<String>> {
         val budget = BudgetSettings(maxDisrupted = 1, stepPauseS = 0.0)
         val scenario = DrainScenario(seed, DrainSettings(budget = budget))
@@ -116,12 +136,14 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `what an earlier leader may have evicted counts until its machine sends a heartbeat`(
+    fun `possible evictions by an earlier leader count until the machine sends a heartbeat`(
         seed: Long
     ) {
         val (scenario, machines) = startTwoDrains(seed)
-        scenario.runUntil(200.seconds, "a stop") { scenario.disruptions.stops.isNotEmpty() }
-        // The next leader does not hear of the stop: that machine reaches no controller.
+        scenario.runUntil(200.seconds, "a stop of a task") {
+            scenario.disruptions.stops.isNotEmpty()
+        }
+        // The next leader does not learn of the stop, because the machine reaches no controller.
         val stopped =
             scenario
                 .workers()
@@ -138,17 +160,20 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `an eviction in flight still counts after the stored state was read again`(seed: Long) {
+    fun `an eviction in flight still counts after the leader reloaded the stored state`(
+        seed: Long
+    ) {
         val (scenario, machines) = startTwoDrains(seed)
         val network = scenario.simulation.network
-        // Direct commands take long, and once the stop is sent nothing else gets through.
+        // Direct commands take 8 s. After the stop is sent, nothing else from the leader
+        // reaches these machines.
         for (machine in machines) scenario.simulation.commandDelays[machine] = 8.seconds
-        scenario.runUntil(200.seconds, "a stop is recorded") {
+        scenario.runUntil(200.seconds, "a recorded stop of a task") {
             listOf("d1", "d2").any { scenario.stored(it)?.step?.moved?.isNotEmpty() == true }
         }
         val leader = checkNotNull(scenario.simulation.leader())
         for (machine in machines) network.blockPath(leader, machine)
-        // The next placements get no answer, so all is read again.
+        // The next write of placements gets no response, so the leader reloads the stored state.
         var unansweredWrites = 0
         scenario.simulation.store.isDelayed = { _, transaction ->
             "\"tags\"" in transaction.toString() && unansweredWrites++ == 0
@@ -158,7 +183,7 @@
             for (machine in machines) network.unblockPath(leader, machine)
         }
         scenario.simulation.run(scenario.clock.now + 12.seconds)
-        assertTrue(unansweredWrites > 0)
+        assertTrue(unansweredWrites > 0, "expected a write of placements without a response")
         scenario.simulation.commandDelays.clear()
         scenario.runUntilBothDone()
     }
@@ -175,9 +200,9 @@
         while (scenario.simulation.invariants.finalStateOf(urgent.id) == null) {
             if ("takes precedence" in scenario.status().waitsFor) isReported = true
             scenario.simulation.run(scenario.clock.now + 5.seconds)
-            assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
+            assertTrue(scenario.clock.now < 900.seconds, "expected the urgent work to end by 900 s")
         }
-        assertTrue(isReported, "it did not say that it yields")
+        assertTrue(isReported, "expected a status that names the work that takes precedence")
         assertEquals(0, scenario.stored()?.returned)
         scenario.runUntilDone()
         scenario.assertDrained()
@@ -187,7 +212,7 @@
     @ValueSource(booleans = [true, false])
     fun `no task is evicted before a replacement is up and healthy`(newMachinesUnhealthy: Boolean) {
         val scenario = DrainScenario(7)
-        // Fuller than half, so that nothing fits beside what is there.
+        // Each replica takes more than half of a machine, so two of them never fit on one.
         scenario.startJobs(scenario.service(0, 3, cpus = 10.0))
         if (newMachinesUnhealthy) scenario.simulation.cloud.newMachinesFailTasks = true
         else scenario.simulation.cloud.startFailureProbability = 1.0
@@ -198,7 +223,7 @@
             assertEquals(
                 stopsBefore,
                 scenario.disruptions.stops.size,
-                "moved to a machine that is not up",
+                "stops of tasks; expected none while no replacement machine is up",
             )
             assertEquals(StepPhase.PREPARING, scenario.stored()?.step?.phase)
         }
@@ -212,7 +237,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = ["a", "b", "c"])
-    fun `the loss of a zone during a step pauses the drain until its work runs again`(
+    fun `a drain completes within its budgets after the loss of a zone during a step`(
         zone: String
     ) {
         val scenario = DrainScenario(9).startJobs().startDrain()
@@ -224,31 +249,39 @@
     }
 
     @Test
-    fun `a task lost otherwise pauses the step, and its restart resumes it`() {
+    fun `a task lost for another reason pauses the drain until the task runs again`() {
         val scenario = DrainScenario(10)
-        // Once one of two replicas is moved, its machine has no room for what is lost elsewhere.
+        // After one of its two replicas is moved, the first machine still lacks capacity for the
+        // replica that is lost on the other machine.
         scenario.startJobs(scenario.service(0, 2, cpus = 7.0), scenario.service(0, 1, cpus = 14.0))
         val drained = scenario.workers().first { it.activeTasks == 2 }
         val crashed = scenario.workers().first { it.activeTasks == 1 }
         scenario.startDrain(DrainRequest("d1", DrainSelector(machines = listOf(drained.id))))
-        scenario.runUntil(60.seconds, "a stop") { scenario.disruptions.stops.isNotEmpty() }
+        scenario.runUntil(60.seconds, "a stop of a task") {
+            scenario.disruptions.stops.isNotEmpty()
+        }
         assertEquals(200, scenario.control(DrainPaths.PAUSE))
         scenario.simulation.run(scenario.clock.now + 20.seconds)
-        assertTrue(drained.activeTasks > 0, "nothing is left to be moved")
-        // What was there finds no machine for a while.
+        assertTrue(drained.activeTasks > 0, "expected a replica to be left on the drained machine")
+        // The lost replica finds no machine while new machines fail to start.
         scenario.simulation.cloud.startFailureProbability = 1.0
         scenario.simulation.cloud.crash(crashed)
         scenario.simulation.run(scenario.clock.now + 20.seconds)
         assertEquals(200, scenario.control(DrainPaths.RESUME))
-        scenario.runUntil(30.seconds, "it pauses") { scenario.stored()?.reason == PauseReason.LOSS }
-        assertTrue("workers are disrupted" in scenario.stored()?.note.orEmpty())
+        scenario.runUntil(30.seconds, "a pause because of a loss") {
+            scenario.stored()?.reason == PauseReason.LOSS
+        }
+        assertTrue(
+            "workers are disrupted" in scenario.stored()?.note.orEmpty(),
+            "expected a note about disrupted tasks in ${scenario.stored()}",
+        )
         scenario.simulation.cloud.startFailureProbability = 0.0
         scenario.runUntilDone()
         scenario.assertBudgetsKept()
     }
 
     @Test
-    fun `a wave of spot preemptions during a drain of spot machines`() {
+    fun `a drain of spot machines completes despite preemptions of most of them`() {
         val scenario = DrainScenario(11)
         scenario.startJobs(
             scenario.array(0, 8, 90.0),
@@ -266,7 +299,7 @@
     }
 
     @Test
-    fun `an outage of the key-value store for longer than a lease`() {
+    fun `a drain continues after a store outage that is longer than the leader lease`() {
         val scenario = DrainScenario(13).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         scenario.simulation.store.startOutage(null)
@@ -274,7 +307,7 @@
         assertEquals(
             503,
             scenario.sendRequestOnce("GET", "${DrainPaths.DRAINS}/d1")?.first,
-            "at once",
+            "status of the response during the outage",
         )
         scenario.simulation.store.endOutage(null)
         scenario.runUntilDone()
@@ -283,7 +316,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [5, 12, 40])
-    fun `a machine that hangs while it is drained and comes back`(durationS: Int) {
+    fun `a drain completes although its machines are unresponsive for a while`(durationS: Int) {
         val scenario = DrainScenario(15).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val machinesInStep = scenario.stored()?.step?.machines.orEmpty()
@@ -297,7 +330,7 @@
     }
 
     @Test
-    fun `a machine that crashes while it is drained`() {
+    fun `a drain completes although the machines of its step crash`() {
         val scenario = DrainScenario(17).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val machinesInStep = scenario.stored()?.step?.machines.orEmpty()
@@ -310,7 +343,7 @@
 
     @ParameterizedTest
     @EnumSource(StepPhase::class)
-    fun `all controllers are restarted at once`(phase: StepPhase) {
+    fun `a drain continues after all controllers restart in any phase of a step`(phase: StepPhase) {
         val scenario = DrainScenario(19).startJobs().startDrain()
         scenario.runUntilStep(phase)
         scenario.crashAllControllers()
@@ -319,7 +352,7 @@
     }
 
     @Test
-    fun `a budget lowered below what is disrupted allows no eviction until it is kept again`() {
+    fun `no task is evicted while more tasks are disrupted than a lowered budget allows`() {
         val budget = BudgetSettings(maxDisrupted = 3, stepPauseS = 1.0)
         val scenario = DrainScenario(21, DrainSettings(budget = budget))
         scenario.startJobs(scenario.service(0, 6), scenario.service(1, 6))
@@ -339,7 +372,8 @@
         val stopsOverBudget = laterStops.filter { it.disrupted.size > 1 }
         assertEquals(
             emptyList(),
-            stopsOverBudget.map { "${it.team} at ${it.at.inSeconds}: ${it.disrupted.keys}" },
+            stopsOverBudget.map { "${it.team} at ${it.at.inSeconds} s: ${it.disrupted.keys}" },
+            "stops after the restart that left more than 1 task disrupted",
         )
     }
 
@@ -348,8 +382,13 @@
         val zeroBudget = BudgetSettings(maxDisrupted = 0, stepPauseS = 1.0)
         val scenario = DrainScenario(23, DrainSettings(budget = zeroBudget))
         scenario.startJobs(scenario.service(0, 3)).startDrain()
-        scenario.runUntil(120.seconds, "paused") { scenario.stored()?.reason == PauseReason.BUDGET }
-        assertTrue("its budget is 0" in scenario.stored()?.note.orEmpty(), "${scenario.stored()}")
+        scenario.runUntil(120.seconds, "a pause because of the budget") {
+            scenario.stored()?.reason == PauseReason.BUDGET
+        }
+        assertTrue(
+            "its budget is 0" in scenario.stored()?.note.orEmpty(),
+            "expected a note about a budget of 0 in ${scenario.stored()}",
+        )
         scenario.simulation.run(scenario.clock.now + 60.seconds)
         assertEquals(emptyList(), scenario.disruptions.stops.map { it.team })
         val raisedSettings = DrainSettings(budget = zeroBudget.copy(maxDisrupted = 1))
@@ -361,7 +400,7 @@
     }
 
     @Test
-    fun `replicas that must stay up stay up`() {
+    fun `a drain keeps the minimum of replicas running, and pauses if it can not`() {
         val budget = BudgetSettings(maxDisrupted = 3, minReplicas = 3, stepPauseS = 1.0)
         val scenario = DrainScenario(25, DrainSettings(budget = budget))
         val service = scenario.service(0, 4)
@@ -370,21 +409,24 @@
         scenario.assertDrained()
         assertTrue(
             scenario.disruptions.peakOf("team-0") <= 1,
-            "${scenario.disruptions.peakOf("team-0")}",
+            "expected at most 1 disrupted replica, got ${scenario.disruptions.peakOf("team-0")}",
         )
 
-        val scenarioWithoutMargin =
+        val allReplicasRequired =
             DrainScenario(27, DrainSettings(budget = budget.copy(minReplicas = 4)))
-        scenarioWithoutMargin.startJobs(scenarioWithoutMargin.service(0, 4)).startDrain()
-        scenarioWithoutMargin.runUntil(120.seconds, "paused") {
-            scenarioWithoutMargin.stored()?.reason == PauseReason.BUDGET
+        allReplicasRequired.startJobs(allReplicasRequired.service(0, 4)).startDrain()
+        allReplicasRequired.runUntil(120.seconds, "a pause because of the budget") {
+            allReplicasRequired.stored()?.reason == PauseReason.BUDGET
         }
-        assertTrue("must stay up" in scenarioWithoutMargin.stored()?.note.orEmpty())
-        assertEquals(0, scenarioWithoutMargin.disruptions.stops.size)
+        assertTrue(
+            "must stay up" in allReplicasRequired.stored()?.note.orEmpty(),
+            "expected a note about the minimum of replicas in ${allReplicasRequired.stored()}",
+        )
+        assertEquals(0, allReplicasRequired.disruptions.stops.size)
     }
 
     @Test
-    fun `a version without drains that leads for a while leaves the records alone`() {
+    fun `a leader with drains switched off leaves the records of drains unchanged`() {
         val scenario = DrainScenario(29).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val recordBefore = scenario.stored()
@@ -400,21 +442,21 @@
     }
 
     @Test
-    fun `drains beside controllers of a version that has none`() {
+    fun `a drain completes although one controller has drains switched off`() {
         val scenario = DrainScenario(31)
         scenario.simulation.operatorSettingsOf = {
             if (it == "n1") OperatorSettings() else scenario.operators
         }
         for (node in scenario.simulation.nodes) scenario.simulation.crash(node, 1.seconds)
         scenario.startJobs()
-        scenario.runUntil(60.seconds, "a leader") { scenario.simulation.leader() != null }
+        scenario.runUntil(60.seconds, "an elected leader") { scenario.simulation.leader() != null }
         while (scenario.simulation.leader() == "n1") {
             scenario.crashLeader()
             scenario.simulation.run(scenario.clock.now + 10.seconds)
         }
         val follower =
             scenario.simulation.nodes.first { it != "n1" && it != scenario.simulation.leader() }
-        val body = operatorJson.encodeToString(DrainRequest.serializer(), REQUEST)
+        val body = operatorJson.encodeToString(DrainRequest.serializer(), ORDINARY_MACHINES_REQUEST)
         assertEquals(
             201,
             scenario.sendRequest("POST", DrainPaths.DRAINS, body, by = follower).first,
@@ -425,7 +467,7 @@
     }
 
     @Test
-    fun `each write of a drain is conditional on the leader's key and the drain's own`() {
+    fun `each write of a drain depends on the versions of the leader key and the drain key`() {
         val scenario = DrainScenario(30).startJobs()
         var writes = 0
         scenario.simulation.store.isDelayed = { _, transaction ->
@@ -439,18 +481,23 @@
                 }
             for (key in keys.filter { it.startsWith(DrainRecord.PREFIX) }) {
                 writes++
-                assertTrue("leader" in conditions && key in conditions, "$transaction")
+                assertTrue(
+                    "leader" in conditions && key in conditions,
+                    "expected conditions on leader and $key: $transaction",
+                )
             }
             false
         }
         scenario.startDrain()
         scenario.runUntilDone()
-        assertTrue(writes > 5)
+        assertTrue(writes > 5, "expected more than 5 writes of the drain, saw $writes")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `writes without an answer that are carried out late`(seed: Long) {
+    fun `a drain keeps its budgets although writes get no response and are carried out late`(
+        seed: Long
+    ) {
         val scenario = DrainScenario(seed).startJobs().startDrain()
         scenario.simulation.store.delayProbability = 0.3
         scenario.simulation.run(scenario.clock.now + 90.seconds)
@@ -460,6 +507,7 @@
     }
 
     private companion object {
-        val REQUEST = DrainRequest("d1", DrainSelector(spot = false), graceS = 10.0)
+        val ORDINARY_MACHINES_REQUEST =
+            DrainRequest("d1", DrainSelector(spot = false), graceS = 10.0)
     }
 }
--- a/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainOperationsTest.kt
@@ -18,16 +18,24 @@
 import wardmux.serialization.lenientJson
 import wardmux.sim.ClusterSimulation
 
-/** Operators' requests, and the responses to them. */
+/**
+ * Requests of operators to start, check, pause, resume and cancel drains, and the responses. Guards
+ * against machines that stay cordoned after a cancellation, paused drains that evict tasks,
+ * repeated requests that start a drain twice, and error responses that do not name the invalid
+ * field.
+ */
 class DrainOperationsTest {
     private fun body(request: DrainRequest) =
         operatorJson.encodeToString(DrainRequest.serializer(), request)
 
-    private val drainOrdinary = DrainRequest("d1", DrainSelector(spot = false), graceS = 10.0)
+    private val ordinaryMachinesRequest =
+        DrainRequest("d1", DrainSelector(spot = false), graceS = 10.0)
 
     @ParameterizedTest
     @EnumSource(StepPhase::class)
-    fun `a drain that is cancelled in a step uncordons its machines`(phase: StepPhase) {
+    fun `a cancelled drain evicts no further task, and its machines can be drained again`(
+        phase: StepPhase
+    ) {
         val service =
             DrainScenario(3).let { scenario ->
                 val service = scenario.service(0, 4)
@@ -39,13 +47,24 @@
                 scenario.simulation.run(scenario.clock.now + 20.seconds)
                 val stopsBefore = scenario.disruptions.stops.size
                 scenario.simulation.run(scenario.clock.now + 60.seconds)
-                assertEquals(stopsBefore, scenario.disruptions.stops.size, "it goes on")
+                assertEquals(
+                    stopsBefore,
+                    scenario.disruptions.stops.size,
+                    "stops of tasks; expected none after the cancellation",
+                )
                 assertEquals(DrainState.CANCELLED, scenario.state())
-                assertEquals(200, scenario.control(DrainPaths.CANCEL), "a repeat")
+                assertEquals(
+                    200,
+                    scenario.control(DrainPaths.CANCEL),
+                    "status of the response to a repeated cancellation",
+                )
                 assertEquals(409, scenario.control(DrainPaths.RESUME))
-                assertTrue(scenario.allReplicasRun(service))
+                assertTrue(
+                    scenario.allReplicasRun(service),
+                    "expected all replicas of team-0 to run",
+                )
                 scenario.assertBudgetsKept()
-                // Machines that stay take tasks: a new drain finds them as any others.
+                // The machines are not cordoned any more, so a new drain can select them.
                 scenario.startDrain(DrainRequest("d2", DrainSelector(spot = false), graceS = 10.0))
                 scenario.runUntilDone(id = "d2")
                 service
@@ -62,17 +81,17 @@
         scenario.runUntilStep(StepPhase.EMPTYING)
         val machines = scenario.stored()?.step?.machines.orEmpty()
         assertEquals(200, scenario.control(DrainPaths.CANCEL))
-        // More than all other machines hold.
+        // These tasks need more capacity than all other machines have.
         for (team in 0..2) scenario.submit(scenario.array(team, 16, 200.0).copy(spot = true))
         val uncordoned = scenario.workers().filter { it.id in machines }
-        assertTrue(uncordoned.isNotEmpty())
-        scenario.runUntil(60.seconds, "it takes tasks") {
+        assertTrue(uncordoned.isNotEmpty(), "expected a machine of the step to be up")
+        scenario.runUntil(60.seconds, "tasks on each machine of the cancelled step") {
             uncordoned.all { it.view().freeCpus < 3.0 }
         }
     }
 
     @Test
-    fun `a drain that is cancelled before its first step, while paused, and when done`() {
+    fun `a drain can be cancelled before its first step or while paused, but not when done`() {
         val yearlyWindow = WindowSettings("FREQ=YEARLY", "03:00", 3600.0, "1971-01-01")
         val budget = BudgetSettings(stepPauseS = 1.0)
         val planned =
@@ -80,7 +99,10 @@
         planned.startJobs().startDrain()
         planned.simulation.run(planned.clock.now + 30.seconds)
         assertEquals(DrainState.PLANNED, planned.state())
-        assertTrue("1971-01-01T03:00:00Z" in planned.status().waitsFor, planned.status().waitsFor)
+        assertTrue(
+            "1971-01-01T03:00:00Z" in planned.status().waitsFor,
+            "expected the start of the next window, got ${planned.status().waitsFor}",
+        )
         assertEquals(200, planned.control(DrainPaths.CANCEL))
         assertEquals(DrainState.CANCELLED, planned.state())
 
@@ -106,7 +128,11 @@
         val stopsBefore = scenario.disruptions.stops.size
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 60.seconds)
-        assertEquals(stopsBefore, scenario.disruptions.stops.size)
+        assertEquals(
+            stopsBefore,
+            scenario.disruptions.stops.size,
+            "stops of tasks; expected none while the drain is paused",
+        )
         assertEquals(PauseReason.OPERATOR, scenario.status().record.reason)
         assertEquals(200, scenario.control(DrainPaths.RESUME))
         scenario.runUntilDone()
@@ -115,9 +141,10 @@
 
     @ParameterizedTest
     @EnumSource(DeadlineAction::class)
-    fun `at its deadline a drain pauses or continues, as requested`(action: DeadlineAction) {
+    fun `a drain pauses or continues at its deadline, as requested`(action: DeadlineAction) {
         val scenario = DrainScenario(9).startJobs()
-        val request = drainOrdinary.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
+        val request =
+            ordinaryMachinesRequest.copy(deadline = "1970-01-01T00:00:50Z", atDeadline = action)
         scenario.startDrain(request)
         scenario.simulation.run(300.seconds)
         if (action == DeadlineAction.PAUSE) {
@@ -129,7 +156,7 @@
     }
 
     @Test
-    fun `the stored form is kept, and an unknown form is left alone`() {
+    fun `the format of stored drains stays, and an unreadable record is not changed`() {
         val step =
             """{"number":3,"phase":"emptying","machines":["i-000004"],""" +
                 """"moved":["job-000001/2"],"began_at":5,"emptying_since":6}"""
@@ -144,39 +171,40 @@
         assertEquals(stored, record.toJson().toString())
 
         val scenario = DrainScenario(11).startJobs()
-        val unknown = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
-        scenario.simulation.store.write(DrainRecord.key("d1"), unknown)
+        val unreadableRecord = lenientJson.parseToJsonElement(stored.replace("by_zone", "by_moon"))
+        scenario.simulation.store.write(DrainRecord.key("d1"), unreadableRecord)
         scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
         scenario.simulation.run(scenario.clock.now + 40.seconds)
         assertEquals(409, scenario.sendRequest("GET", "${DrainPaths.DRAINS}/d1").first)
         assertEquals(
             409,
-            scenario.sendRequest("POST", DrainPaths.DRAINS, body(drainOrdinary)).first,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinaryMachinesRequest)).first,
         )
         assertTrue(
-            "\"unreadable\":[\"d1\"]" in scenario.sendRequest("GET", DrainPaths.DRAINS).second
+            "\"unreadable\":[\"d1\"]" in scenario.sendRequest("GET", DrainPaths.DRAINS).second,
+            "expected the list of drains to name d1 as unreadable",
         )
-        assertEquals(unknown, scenario.simulation.store.value(DrainRecord.key("d1")))
+        assertEquals(unreadableRecord, scenario.simulation.store.value(DrainRecord.key("d1")))
     }
 
     @Test
-    fun `a repeated start is idempotent, and a late one too`() {
+    fun `a repeated start request has no effect, even after the drain is done`() {
         val scenario = DrainScenario(10).startJobs().startDrain()
         assertEquals(
             200,
-            scenario.sendRequest("POST", DrainPaths.DRAINS, body(drainOrdinary)).first,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinaryMachinesRequest)).first,
         )
         scenario.runUntilDone()
         assertEquals(
             200,
-            scenario.sendRequest("POST", DrainPaths.DRAINS, body(drainOrdinary)).first,
+            scenario.sendRequest("POST", DrainPaths.DRAINS, body(ordinaryMachinesRequest)).first,
         )
         assertEquals(DrainState.DONE, scenario.state())
         assertEquals(1, scenario.stored()?.let { 1 })
     }
 
     @Test
-    fun `several drains share the budgets, also if they select the same machines`() {
+    fun `drains that select the same machines share the budgets and return each machine once`() {
         val scenario = DrainScenario(12)
         scenario.startJobs(scenario.service(0, 6), scenario.service(1, 4)).startDrain()
         val zonesRequest =
@@ -190,7 +218,7 @@
         assertEquals(
             scenario.drainedMachines.size,
             returned,
-            "each machine is returned by one of them",
+            "machines returned by both drains; expected each machine once",
         )
     }
 
@@ -203,42 +231,45 @@
         val large = scenario.array(1, 4, 400.0, cpus = 4.0).copy(kind = JobKind.GANG, spot = false)
         scenario.simulation.gangs.runTimes[small.id] = 300.seconds
         scenario.simulation.gangs.runTimes[large.id] = 300.seconds
-        scenario.startJobs(small, large).startDrain(drainOrdinary.copy(graceS = 0.0))
+        scenario.startJobs(small, large).startDrain(ordinaryMachinesRequest.copy(graceS = 0.0))
         scenario.runUntilDone(1500.seconds)
         scenario.assertDrained()
         assertTrue(
             scenario.disruptions.stops.any { it.team == "team-0" },
-            "the small one was not moved",
+            "expected the small gang, which fits the budget, to be evicted",
         )
         assertTrue(
             scenario.disruptions.stops.none { it.team == "team-1" },
-            "the large one was stopped",
+            "expected the large gang, which exceeds the budget, not to be evicted",
         )
     }
 
     @Test
-    fun `where a zone has no capacity, the machines that can be replaced go first`() {
+    fun `machines that can be replaced are drained first if a zone has no spare capacity`() {
         val scenario = DrainScenario(16, capacity = 1)
         val zoneBound = scenario.service(0, 1, cpus = 12.0).copy(zone = "b")
         scenario
             .startJobs(zoneBound, scenario.service(1, 2, cpus = 4.0))
-            .startDrain(drainOrdinary.copy(stepSize = 1))
-        scenario.runUntil(600.seconds, "a machine is returned") {
+            .startDrain(ordinaryMachinesRequest.copy(stepSize = 1))
+        scenario.runUntil(600.seconds, "a returned machine") {
             (scenario.stored()?.returned ?: 0) > 0
         }
-        assertTrue(scenario.allReplicasRun(zoneBound), "its only machine was taken")
+        assertTrue(
+            scenario.allReplicasRun(zoneBound),
+            "expected the replica bound to zone b to run; its zone has no spare capacity",
+        )
         scenario.assertBudgetsKept()
     }
 
     @Test
-    fun `a dry run shows steps, budgets and the first obstacle, and starts nothing`() {
+    fun `a dry run returns steps, budgets and the first obstacle, and starts no drain`() {
         val scenario = DrainScenario(18)
         scenario.startJobs(scenario.service(0, 4)).sendRequest("GET", DrainPaths.DRAINS)
         val (status, text) =
             scenario.sendRequest(
                 "POST",
                 "${DrainPaths.DRAINS}/${DrainPaths.CHECK}",
-                body(drainOrdinary),
+                body(ordinaryMachinesRequest),
             )
         assertEquals(200, status, text)
         val check = operatorJson.decodeFromString(DrainCheck.serializer(), text)
@@ -255,10 +286,13 @@
                 .sendRequest(
                     "POST",
                     "${DrainPaths.DRAINS}/${DrainPaths.CHECK}",
-                    body(drainOrdinary),
+                    body(ordinaryMachinesRequest),
                 )
                 .second
-        assertTrue("its budget is 0" in obstacle, obstacle)
+        assertTrue(
+            "its budget is 0" in obstacle,
+            "expected a budget of 0 as the obstacle: $obstacle",
+        )
     }
 
     @ParameterizedTest
@@ -297,16 +331,22 @@
         val (status, text) = SCENARIO_WITHOUT_DRAINS.sendRequest("POST", DrainPaths.DRAINS, request)
         assertEquals(400, status, text)
         val fieldName = field.substringAfterLast('.')
-        assertTrue(fieldName in text, "$text does not name $fieldName")
-        assertTrue(DrainText.error(text).lines().size == 1)
+        assertTrue(fieldName in text, "expected an error that names $fieldName, got $text")
+        assertTrue(DrainText.error(text).lines().size == 1, "expected one line for $text")
     }
 
     @Test
-    fun `an empty selection, an unknown drain and an unknown path`() {
-        val empty = DrainRequest("d9", DrainSelector(olderThan = "1970-01-01T00:00:00Z"))
+    fun `an empty selection, an unknown drain and an unknown path are refused`() {
+        val emptySelectionRequest =
+            DrainRequest("d9", DrainSelector(olderThan = "1970-01-01T00:00:00Z"))
         assertEquals(
             400,
-            SCENARIO_WITHOUT_DRAINS.sendRequest("POST", DrainPaths.DRAINS, body(empty)).first,
+            SCENARIO_WITHOUT_DRAINS.sendRequest(
+                    "POST",
+                    DrainPaths.DRAINS,
+                    body(emptySelectionRequest),
+                )
+                .first,
         )
         assertEquals(
             404,
@@ -324,22 +364,22 @@
     }
 
     @Test
-    fun `during a failover reads are answered from the store with their age`() {
+    fun `during a failover, reads are answered from the store and changes are refused`() {
         val scenario = DrainScenario(20).startJobs().startDrain()
         scenario.runUntilStep(StepPhase.EMPTYING)
         val leader = checkNotNull(scenario.simulation.leader())
-        val other = scenario.simulation.nodes.first { it != leader }
-        assertEquals(Source.LEADER, scenario.status(by = other).source)
+        val follower = scenario.simulation.nodes.first { it != leader }
+        assertEquals(Source.LEADER, scenario.status(by = follower).source)
         scenario.simulation.crash(leader, 10.seconds)
         var pauseStatus: Int? = null
         scenario.simulation.sendOperatorRequest(
             "POST",
             "${DrainPaths.DRAINS}/d1/pause",
-            controller = other,
+            controller = follower,
         ) { responseStatus, _ ->
             pauseStatus = responseStatus
         }
-        val status = scenario.status(by = other)
+        val status = scenario.status(by = follower)
         assertEquals(Source.STORE, status.source)
         assertEquals(scenario.stored()?.startedAt, status.record.startedAt)
         assertEquals(503, pauseStatus)
@@ -348,16 +388,28 @@
     }
 
     @Test
-    fun `with drains switched off, nothing of them is stored, read or answered`() {
+    fun `with drains switched off, controllers neither read nor write drains`() {
         val enabledRequests = storeRequests(OperatorSettings(drain = DrainSettings()))
         val disabledRequests = storeRequests(OperatorSettings())
-        assertTrue(enabledRequests.any { DrainRecord.PREFIX in it.substringAfter("under=", "") })
-        assertTrue(disabledRequests.none { it.contains("under=${DrainRecord.PREFIX}") })
-        assertTrue(disabledRequests.none { "\"put\":\"${DrainRecord.PREFIX}" in it })
-        assertTrue(disabledRequests.none { DrainPaths.FORWARDED in it })
+        assertTrue(
+            enabledRequests.any { DrainRecord.PREFIX in it.substringAfter("under=", "") },
+            "expected a listing of drains when drains are switched on",
+        )
+        assertTrue(
+            disabledRequests.none { it.contains("under=${DrainRecord.PREFIX}") },
+            "expected no listing of drains when drains are switched off",
+        )
+        assertTrue(
+            disabledRequests.none { "\"put\":\"${DrainRecord.PREFIX}" in it },
+            "expected no write of a drain when drains are switched off",
+        )
+        assertTrue(
+            disabledRequests.none { DrainPaths.FORWARDED in it },
+            "expected no forwarded request of an operator when drains are switched off",
+        )
     }
 
-    /** All that controllers ask of the key-value store in a short scenario. */
+    /** The requests of all controllers to the key-value store in a scenario of 60 s. */
     private fun storeRequests(operators: OperatorSettings): List<String> {
         val simulation = ClusterSimulation(1, operators = operators)
         val requests = ArrayList<String>()
@@ -368,7 +420,7 @@
     }
 
     private companion object {
-        /** A scenario in which nothing is drained, for requests that are wrong. */
+        /** A running cluster without drains, shared by the tests of invalid requests. */
         val SCENARIO_WITHOUT_DRAINS =
             DrainScenario(22).startJobs().also { it.simulation.run(Micros(it.clock.now.value + 1)) }
     }
--- a/src/test/kotlin/wardmux/sim/FakeGangsTest.kt
+++ b/src/test/kotlin/wardmux/sim/FakeGangsTest.kt
@@ -13,7 +13,12 @@
 import wardmux.model.JobSpec
 import wardmux.model.seconds
 
-/** The fake workers do with gangs what the page says, for worlds that rely on it. */
+/**
+ * Tests that [FakeGangs] simulates gangs as PROTOCOL describes them: tasks gather, run and end
+ * together, and save their progress together or fall back to the last checkpoint. Simulations of
+ * gangs rely on it: a fake that behaved differently from real workers would hide faults of the
+ * controllers.
+ */
 class FakeGangsTest {
     private val clock = SimulatedClock(7)
     private val invariants = Invariants(listOf(TeamQuota("team-0", 100.0, 100.0)), 36.seconds)
@@ -44,10 +49,11 @@
 
     init {
         invariants.recordSubmission(spec)
-        // Each has its leader's token.
+        // After 4 s each worker has the token of the leader from a heartbeat response.
         clock.run(4.seconds) {}
     }
 
+    /** Sends the command directly to the worker, which must accept it. */
     private fun sendCommand(worker: Int, command: String) {
         assertEquals(
             200,
@@ -58,13 +64,17 @@
     private fun start(worker: Int, task: Int = worker, attempt: Int = 1) =
         sendCommand(worker, """{"verb":"start","piece":"$job/$task","try":$attempt}""")
 
+    /** Halts the task whose number is that of its worker, and gives it [graceS] seconds. */
     private fun halt(worker: Int, graceS: Double, attempt: Int = 1) =
         sendCommand(
             worker,
             """{"verb":"halt","piece":"$job/$worker","try":$attempt,"letgo_s":$graceS}""",
         )
 
-    /** Status, cause and whether it was kept of the last task on the machine. */
+    /**
+     * The status of the last task in the heartbeat of the worker, then, if they are present, the
+     * cause of its end and whether its progress was saved: "ended stopped true", for example.
+     */
     private fun taskStateOn(worker: Int): String {
         val report = Json.parseToJsonElement(workers[worker].heartbeatBody()).jsonObject
         val task = report.getValue("pieces").jsonArray.last().jsonObject
@@ -77,6 +87,7 @@
 
     private fun runFor(durationS: Double) = clock.run(clock.now + durationS.seconds) {}
 
+    /** Starts tasks 0 to 2 on the workers with the same numbers and runs until they are running. */
     private fun startGang(attempt: Int = 1) {
         for (worker in 0..2) start(worker, attempt = attempt)
         runFor(3.2)
@@ -84,7 +95,7 @@
     }
 
     @Test
-    fun `a task gathers until the last has its image, and is on its machine meanwhile`() {
+    fun `a task gathers, and is on its machine, until the last task has its image`() {
         start(0)
         start(1)
         runFor(10.0)
@@ -99,7 +110,7 @@
     }
 
     @Test
-    fun `tasks of two attempts make no gang, and each is left alone`() {
+    fun `tasks of two attempts do not form a gang, and each ends after the gather timeout`() {
         start(0)
         start(1)
         start(2, attempt = 2)
@@ -112,7 +123,7 @@
     }
 
     @Test
-    fun `the rest wait on for one that is gone, and its replacement completes the gang`() {
+    fun `gathering tasks keep waiting for a lost one, and its replacement completes the gang`() {
         start(0)
         start(1)
         runFor(5.0)
@@ -127,7 +138,7 @@
     }
 
     @Test
-    fun `one that gathers exits at once when it is stopped`() {
+    fun `a gathering task that is halted exits at once`() {
         start(0)
         start(1)
         runFor(5.0)
@@ -136,7 +147,7 @@
     }
 
     @Test
-    fun `a running gang notices that one is gone, and falls back to its last checkpoint`() {
+    fun `a running gang that loses a task ends and falls back to its last checkpoint`() {
         startGang()
         runFor(47.0)
         workers[1].crash()
@@ -147,7 +158,7 @@
     }
 
     @Test
-    fun `one that hangs is taken for gone, and exits when it goes on`() {
+    fun `an unresponsive task is treated as lost, and exits once it resumes`() {
         startGang()
         workers[1].unresponsive = true
         runFor(5.0)
@@ -161,7 +172,7 @@
     }
 
     @Test
-    fun `a short hang only holds all of them up`() {
+    fun `a gang survives a task that is unresponsive for less than the peer timeout`() {
         startGang()
         workers[1].unresponsive = true
         runFor(4.0)
@@ -171,20 +182,23 @@
     }
 
     @Test
-    fun `a gang that is told in time saves as one`() {
+    fun `a gang whose tasks are all halted in time saves its progress together`() {
         startGang()
         runFor(30.0)
         halt(0, 2.0)
         runFor(5.5)
-        // It has saved, and waits for the others; to the outside it still runs.
+        // The halted task waits for the others to be halted. It still reports that it runs.
         assertEquals(List(3) { "running" }, taskStatesOn(0, 1, 2))
         halt(1, 2.0)
         halt(2, 10.0)
         runFor(0.2)
         assertEquals(listOf("ended stopped true", "running", "running"), taskStatesOn(0, 1, 2))
-        // Safe from now, whatever becomes of the others.
+        // The progress is saved from now on, even if the other tasks are lost.
         val savedProgress = gangs.savedProgressOf(job)
-        assertTrue(savedProgress > 29.seconds && savedProgress < 33.seconds, "$savedProgress")
+        assertTrue(
+            savedProgress > 29.seconds && savedProgress < 33.seconds,
+            "expected about 30 s of saved progress, got $savedProgress",
+        )
         workers[2].crash()
         runFor(2.0)
         assertEquals(listOf("ended stopped true", "ended stopped true"), taskStatesOn(0, 1))
@@ -192,7 +206,7 @@
     }
 
     @Test
-    fun `those that are not told in time lose the save`() {
+    fun `the progress is not saved if one task is not halted within the peer timeout`() {
         startGang()
         runFor(30.0)
         halt(0, 2.0)
@@ -203,7 +217,7 @@
     }
 
     @Test
-    fun `so does one that is gone before the first exits, or stopped with too little grace`() {
+    fun `the progress is not saved if a halted task is lost before the first one has saved`() {
         startGang()
         runFor(30.0)
         for (worker in 0..2) halt(worker, 2.0)
@@ -215,7 +229,7 @@
     }
 
     @Test
-    fun `too little grace for one loses the save of all`() {
+    fun `the progress is not saved if one task gets less grace than a save takes`() {
         startGang()
         runFor(30.0)
         halt(0, 2.0)
@@ -227,12 +241,15 @@
     }
 
     @Test
-    fun `the next attempt goes on from what was saved, and all complete together`() {
+    fun `the next attempt continues from the saved progress, and all tasks complete together`() {
         currentSpec = spec.copy(estimateS = 60.0)
         startGang()
         var attempt = 1
         while (taskStateOn(0) == "running") {
-            assertTrue(attempt < 30, "no progress is kept")
+            assertTrue(
+                attempt < 30,
+                "expected the gang to be done before attempt 30, since its progress is saved",
+            )
             for (worker in 0..2) halt(worker, 2.0, attempt)
             runFor(2.2)
             if (!taskStateOn(0).startsWith("ended stopped true")) break
@@ -241,9 +258,9 @@
             runFor(9.0)
         }
         assertEquals(List(3) { "ended done" }, taskStatesOn(0, 1, 2))
-        assertTrue(attempt > 2, "in $attempt attempts")
+        assertTrue(attempt > 2, "expected more than two attempts, got $attempt")
         assertEquals(3, invariants.completedTaskCount(job))
-        // The result is kept.
+        // A task that is started after its gang completed completes at once.
         start(3, task = 1, attempt = 99)
         runFor(3.2)
         assertEquals("ended done", taskStateOn(3))
@@ -251,7 +268,7 @@
     }
 
     @Test
-    fun `one that fails takes the others with it`() {
+    fun `a task that fails ends the others of its gang`() {
         workers[2].failsEveryTask = true
         startGang()
         runFor(8.0)
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -9,24 +9,47 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** A gang is cancelled at each phase of its life; each is brought about on purpose. */
+/**
+ * A gang is cancelled in each phase of its life, with and without a leader change. Guards against
+ * tasks that stay on machines or start later, because a start command, a write or the next attempt
+ * was in flight when the user cancelled.
+ */
 class GangCancellationTest {
-    /** How far a gang has come, and what brings it there and makes the phase last. */
+    /** The phase in which the gang is cancelled. */
     enum class Phase {
+        /** The gang is queued, because there are too few machines. */
         WAITING_FOR_CAPACITY,
+
+        /** The write of its placements is delayed in the key-value store. */
         RECORDING,
+
+        /** Its placements are stored, and the start commands are in flight. */
         STARTING,
+
+        /** Its tasks fetch their images. */
         FETCHING,
+
+        /** Some tasks have their image and wait for the others. */
         GATHERING,
         RUNNING,
+
+        /** A machine got a preemption notice, and the tasks save their progress. */
         SAVING,
+
+        /** A machine crashed, all tasks have ended, and the next attempt is due. */
         BETWEEN_ATTEMPTS,
+
+        /** All tasks completed, and the users have not been told yet. */
         DONE,
     }
 
+    /**
+     * Creates a gang, and prepares the cluster so that the gang reaches [phase] and stays in it
+     * long enough. The gang is not submitted.
+     */
     private fun createGangReaching(scenario: GangScenario, phase: Phase): JobSpec {
         val simulation = scenario.simulation
-        // There are three machines at first.
+        // The cluster starts with three machines, and each holds one task, so a fourth task waits.
         val gang =
             scenario.gangSpec(tasks = if (phase == Phase.WAITING_FOR_CAPACITY) 4 else 3, cpus = 9.0)
         when (phase) {
@@ -52,7 +75,7 @@
         return gang
     }
 
-    /** The action is carried out when the gang has come to the phase. */
+    /** Runs [action] when [gang] has reached [phase]. */
     private fun runInPhase(
         scenario: GangScenario,
         phase: Phase,
@@ -100,7 +123,7 @@
 
     @ParameterizedTest
     @MethodSource("phases")
-    fun `a cancelled gang is gone in time whatever its phase, and never starts again`(
+    fun `a cancelled gang is gone within the cancel time in any phase and never starts again`(
         phase: Phase,
         seed: Long,
     ) {
@@ -114,7 +137,7 @@
                 cancelledAt = scenario.clock.now
                 simulation.cancel(gang.id)
                 if (seed > 2) scenario.crashLeader(maxDelay = 3.seconds)
-                // Room for all of it comes afterwards.
+                // Afterwards there is capacity for the whole gang.
                 scenario.clock.after(2.seconds) {
                     simulation.cloud.unavailable = false
                     simulation.cloud.rent("b", spot = false)
@@ -125,38 +148,52 @@
         }
         simulation.submit(gang)
         simulation.run(60.seconds)
-        val requestedAt = checkNotNull(cancelledAt) { "$phase was not reached" }
-        // Whoever was under way has arrived by then.
+        val requestedAt = checkNotNull(cancelledAt) { "expected the gang to reach phase $phase" }
         val reportedAt = scenario.invariants.cancellationReportedAt(gang.id) ?: requestedAt
-        assertTrue(reportedAt - requestedAt < 10.seconds, "told after ${reportedAt - requestedAt}")
+        assertTrue(
+            reportedAt - requestedAt < 10.seconds,
+            "expected the user to be told within 10 s, took ${reportedAt - requestedAt}",
+        )
+        // Start commands that were in flight have arrived by this deadline.
         val inFlightDeadline = reportedAt + IN_FLIGHT_TIME
         simulation.run(maxOf(scenario.clock.now, inFlightDeadline))
         val starts = scenario.invariants.starts
         val gangStarts = scenario.invariants.gangStarts
         simulation.run(reportedAt + CANCEL_TIMEOUT)
-        assertEquals(emptyList(), scenario.taskStates(gang), "still on machines")
+        assertEquals(
+            emptyList(),
+            scenario.taskStates(gang),
+            "tasks on machines after the cancel time",
+        )
         simulation.run(reportedAt + 120.seconds)
         scenario.assertNoViolations()
         assertEquals(
             starts to gangStarts,
             scenario.invariants.starts to scenario.invariants.gangStarts,
-            "started later",
+            "starts of tasks and of gangs after the deadline for commands in flight",
         )
         val final = scenario.invariants.finalStateOf(gang.id)
-        assertTrue(final == "cancelled" || (final == "done" && phase == Phase.DONE), "is $final")
+        assertTrue(
+            final == "cancelled" || (final == "done" && phase == Phase.DONE),
+            "expected a final state that fits phase $phase, got $final",
+        )
         assertEquals(final, scenario.storedJobState(gang).name.lowercase())
         for (prefix in listOf("q", "c")) assertEquals(
             null,
             scenario.storedValue(prefix, gang),
-            prefix,
+            "value under the key prefix $prefix",
         )
         assertEquals(null, simulation.store.value("t/${gang.id}/0"))
     }
 
     companion object {
+        /** By this time after the cancellation was reported, no task is on a machine. */
         private val CANCEL_TIMEOUT = 36.seconds
 
-        /** Ordered before a leader could hear of it, and then on its way. */
+        /**
+         * How long a start command may still arrive that was sent before the leader learned of the
+         * cancellation.
+         */
         private val IN_FLIGHT_TIME = 10.seconds
 
         @JvmStatic
--- a/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangFaultsTest.kt
@@ -10,18 +10,23 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Gangs in trouble: each situation is brought about on purpose. */
+/**
+ * Faults around the start, halt and restart of one gang, each injected on purpose. They guard
+ * against a gang that starts before all its placements are stored, that has tasks of two attempts
+ * on machines at once, or that never runs again after a fault.
+ */
 class GangFaultsTest {
-    // A gang whose record takes several pages.
+    // A gang whose placements take several task pages in the key-value store.
 
     /**
-     * Three pages, of which a transaction takes two. The leader ends when the first is carried out
-     * and not answered, or with the second under way, which is carried out before or after the
-     * election of the next, or soon after the first.
+     * The placements take three task pages, and a transaction holds at most two. Depending on the
+     * seed, the leader crashes after the first write is carried out but before the response, with
+     * the second write in flight, which is carried out before or after the next leader is elected,
+     * or shortly after the first write.
      */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9])
-    fun `a leader ends between the writes of a gang`(seed: Long) {
+    fun `a gang runs although the leader crashed between the writes of its placements`(seed: Long) {
         val scenario = SingleGangScenario(seed, txnOps = 3)
         scenario.submit(THREE_PAGE_TASK_COUNT, cpus = 0.1, estimateS = 10.0)
         var pageWrites = 0
@@ -36,7 +41,8 @@
             }
             val crashesNow = pageCount > 0 && pageWrites == if (seed % 3 == 1L) 2 else 1
             if (crashesNow && seed % 3 == 1L) crashLeader()
-            // Carried out before this, and the answer is on its way, or the next write is not.
+            // The write is carried out by then. Its response is in flight and the next write is not
+            // sent.
             if (crashesNow && seed % 3 == 0L) scenario.clock.after(Micros(1)) { crashLeader() }
             if (crashesNow && seed % 3 == 2L)
                 scenario.clock.after(
@@ -46,13 +52,21 @@
             crashesNow && seed % 3 == 1L
         }
         scenario.assertDoneBy(160.seconds)
-        assertTrue(isPartlyWritten, "the leader did not end between the writes")
+        assertTrue(
+            isPartlyWritten,
+            "expected the leader to crash when only some of the task pages were written",
+        )
     }
 
-    /** All pages in one transaction, which is carried out late, or of which nobody hears. */
+    /**
+     * All task pages fit into one transaction, after which the leader crashes. With even seeds the
+     * transaction is carried out late; with odd seeds only its response is lost.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a leader ends with the one write of several pages`(seed: Long) {
+    fun `a gang runs although the leader crashed during the only write of its placements`(
+        seed: Long
+    ) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(THREE_PAGE_TASK_COUNT, cpus = 0.1, estimateS = 10.0)
         var pageWrites = 0
@@ -69,14 +83,19 @@
             crashesNow && seed % 2 == 0L
         }
         scenario.assertDoneBy(160.seconds)
-        assertTrue(pageWrites > 0, "the pages were never written together")
+        assertTrue(pageWrites > 0, "expected one transaction with all three task pages, saw none")
     }
 
-    // A replacement under the number of the attempt that is out.
+    // A lost task is replaced within the same attempt, while its start command is still in flight.
 
     /**
-     * The first task that is started is held up for [startDelay], and its machine is
-     * decommissioned.
+     * Runs a gang of two tasks until it is done. The first start command arrives [startDelay] late.
+     * Its machine is decommissioned, because for 60 s it gets no messages (even seeds) or its
+     * heartbeats are lost (odd seeds).
+     *
+     * @param deletionsRefused whether the cloud refuses to delete machines until 4 s after the
+     *   start command arrives
+     * @param gangWaitS how long a task waits for the rest of its gang, in seconds
      */
     private fun runWithDelayedStart(
         seed: Long,
@@ -92,7 +111,7 @@
         scenario.onDirectStart = { _, machine ->
             if (delayedMachine == null) {
                 delayedMachine = machine
-                // Nothing that is sent later arrives before it.
+                // Delays all later commands too, so that none of them overtakes the start command.
                 simulation.commandDelays[machine] = startDelay
                 scenario.clock.after(12.milliseconds) {
                     if (seed % 2 == 0L) scenario.dropMessagesTo(machine, 60.seconds)
@@ -107,11 +126,14 @@
     }
 
     private fun assertTaskReplaced(scenario: SingleGangScenario) =
-        assertTrue(scenario.recordedMachines.values.any { it.size > 1 }, "nothing was replaced")
+        assertTrue(
+            scenario.recordedMachines.values.any { it.size > 1 },
+            "expected a task to be placed on a second machine in the same attempt",
+        )
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a lost task is replaced beside its late start`(seed: Long) {
+    fun `a lost task is replaced although its start command arrives late`(seed: Long) {
         val startDelay = (2.0 * seed + 4.0).seconds
         val scenario = runWithDelayedStart(seed, startDelay)
         if (startDelay >= LOST_TASK_TIMEOUT) assertTaskReplaced(scenario)
@@ -119,14 +141,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a late start comes to a machine that can't be deleted yet`(seed: Long) {
+    fun `a gang completes although a late start reaches a machine that can not be deleted yet`(
+        seed: Long
+    ) {
         runWithDelayedStart(seed, startDelay = (2.0 * seed + 4.0).seconds, deletionsRefused = true)
     }
 
-    /** The others have left when the start comes, and the next attempt is due. */
+    /**
+     * The other task has ended after the gather timeout of 4 s when the late start command arrives,
+     * so the next attempt is due.
+     */
     @ParameterizedTest
     @ValueSource(longs = [2, 4, 6, 8, 10, 12, 14, 16])
-    fun `a late start of an attempt that is over holds back the next`(seed: Long) {
+    fun `the next attempt waits for a task of the previous one that starts late`(seed: Long) {
         runWithDelayedStart(
             seed,
             startDelay = (9.0 + seed / 4.0).seconds,
@@ -137,17 +164,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `the replacement is in the zone of the others`(seed: Long) {
+    fun `the replacement of a lost task is placed in the zone of the others`(seed: Long) {
         assertTaskReplaced(
             runWithDelayedStart(seed, startDelay = LOST_TASK_TIMEOUT + 6.seconds, oneZone = true)
         )
     }
 
-    // Halts that reach only some.
+    // Halts that reach some tasks of the gang late.
 
     /**
-     * The one machine is preempted by the provider, so all are to save; commands to another are
-     * held up.
+     * Runs a gang of three tasks for 120 s, in which a second attempt has to run. The cloud
+     * preempts one of its machines with a notice of 25 s, so all tasks are halted to save. The halt
+     * reaches another task [haltDelay] late: with even seeds its machine is unresponsive, with odd
+     * seeds its commands are delayed and its heartbeats are lost.
      */
     private fun runWithDelayedHalt(seed: Long, haltDelay: Micros): SingleGangScenario {
         val scenario = SingleGangScenario(seed)
@@ -171,33 +200,43 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `a halt that is held up for longer than the others wait loses the save`(seed: Long) {
+    fun `the progress is not saved if a halt is delayed beyond the peer timeout`(seed: Long) {
         val scenario = runWithDelayedHalt(seed, haltDelay = (8.0 + seed).seconds)
         assertEquals(null, scenario.simulation.gangs.endCounts["kept"])
         assertTrue(
             (scenario.simulation.gangs.endCounts["peers"] ?: 0) > 0,
-            "${scenario.simulation.gangs.endCounts}",
+            "expected tasks ended by peers; causes: ${scenario.simulation.gangs.endCounts}",
         )
         val saved = scenario.simulation.gangs.savedProgressOf(scenario.gang.id)
         val checkpointPeriod = SingleGangScenario.CHECKPOINT_PERIOD_S.seconds
-        assertTrue(saved >= checkpointPeriod, "no progress is kept: $saved")
-        assertEquals(0, saved.value % checkpointPeriod.value, "it did not fall back: $saved")
+        assertTrue(
+            saved >= checkpointPeriod,
+            "expected at least one checkpoint of progress, got $saved",
+        )
+        assertEquals(
+            0,
+            saved.value % checkpointPeriod.value,
+            "expected progress at a checkpoint, got $saved",
+        )
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a halt that is held up for less is in time for the save`(seed: Long) {
+    fun `the progress is saved if a halt is delayed by less than the peer timeout`(seed: Long) {
         val scenario = runWithDelayedHalt(seed, haltDelay = 2.seconds)
-        // Once one has saved, the rest is stopped at once.
+        // Once one task has saved, the remaining tasks are stopped at once.
         val causes = scenario.simulation.gangs.endCounts
-        assertTrue((causes["kept"] ?: 0) > 0 && "peers" !in causes, "$causes")
+        assertTrue(
+            (causes["kept"] ?: 0) > 0 && "peers" !in causes,
+            "expected a saved end and none by peers, got $causes",
+        )
     }
 
-    // A zone that is cut off.
+    // A zone that is partitioned.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a gang's zone is cut off while its next attempt is due`(seed: Long) {
+    fun `a gang whose zone is partitioned runs again without overlapping attempts`(seed: Long) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG_ESTIMATE_S, oneZone = true)
         scenario.runAfterGangStart(after = scenario.clock.randomBetween(3.seconds, 9.seconds)) {
@@ -217,11 +256,13 @@
         scenario.assertRestartedBy(200.seconds)
     }
 
-    // Remains in another zone.
+    // Tasks of the previous attempt that remain in another zone.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `remains in one zone hold the next attempt back, with room in the others`(seed: Long) {
+    fun `the next attempt waits for old tasks in one zone despite capacity in the others`(
+        seed: Long
+    ) {
         val scenario = SingleGangScenario(seed)
         scenario.submit(tasks = 2, cpus = 9.0, estimateS = LONG_ESTIMATE_S, oneZone = true)
         scenario.runAfterGangStart(after = scenario.clock.randomBetween(3.seconds, 9.seconds)) {
@@ -242,11 +283,14 @@
         scenario.assertRestartedBy(120.seconds)
     }
 
-    // Remains that no record tells of.
+    // Tasks on machines that the key-value store has no record of.
 
-    /** Reports as if its record had been lost: in no other way known here does that come about. */
+    /**
+     * A worker reports a task as if its record had been lost. No other way in which this could
+     * happen is known.
+     */
     @Test
-    fun `a task without a record holds back the next attempt until it is gone`() {
+    fun `a gang does not start while a worker reports a task of it without a record`() {
         val harness = ControllerHarness()
         harness.writeAcceptedJob(plainJob(tasks = 2, oneZone = true).copy(kind = JobKind.GANG))
         harness.run(2.seconds)
@@ -255,25 +299,35 @@
             listOf("a", "b").mapIndexed { i, zone -> ManualWorker(harness, "i-00000$i", zone) }
         val unrecordedTask = """{"piece":"job-000001/0","try":3,"status":"running"}"""
         repeat(4) {
-            assertTrue(""""halt"""" in machines[0].heartbeatResponse(token, unrecordedTask))
-            assertTrue(""""start"""" !in machines[1].heartbeatResponse(token))
+            assertTrue(
+                """"halt"""" in machines[0].heartbeatResponse(token, unrecordedTask),
+                "expected a command to halt the task without a record",
+            )
+            assertTrue(
+                """"start"""" !in machines[1].heartbeatResponse(token),
+                "expected no start while the task without a record is reported",
+            )
             harness.run(2.seconds)
             assertEquals(null, harness.storedValue("t/job-000001/0"))
         }
         machines[0].heartbeatResponse(token)
         harness.run(1.seconds)
         val responses = machines.map { it.heartbeatResponse(token) }
-        assertEquals(1, responses.count { """"start"""" in it }, "$responses")
+        assertEquals(
+            1,
+            responses.count { """"start"""" in it },
+            "expected one response with a start command, got $responses",
+        )
     }
 
     private companion object {
-        /** Three pages of 128 at most. */
+        /** Takes three task pages, which hold at most 128 tasks each. */
         const val THREE_PAGE_TASK_COUNT = 300
 
-        /** The length is drawn from between 1 s and half as much again. */
+        /** The run time is drawn at random between 1 s and 1.5 times the estimate. */
         const val LONG_ESTIMATE_S = 4_000.0
 
-        /** What is not there by then is taken for lost. */
+        /** A task that no worker reports by this time after its start counts as lost. */
         val LOST_TASK_TIMEOUT = 14.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangLifecycleTest.kt
@@ -13,12 +13,17 @@
 import wardmux.model.seconds
 import wardmux.records.JobRecord
 
-/** Gangs that lose machines, end in part or want for room, each brought about on purpose. */
+/**
+ * Gangs that lose spot machines, that complete while only one task is seen as done, or that compete
+ * for scarce capacity. Each situation is set up on purpose. The tests guard against lost progress,
+ * gangs that run again after they are done, and capacity that is reserved for work that can't run.
+ */
 class GangLifecycleTest {
-    // A wave over spot machines.
+    // Preemptions of several spot machines at once.
 
     /**
-     * Three gangs run, one gathers; [injectFault] comes over the spot machines, and over no others.
+     * Starts three gangs and submits one more, on spot machines only. Calls [injectFault] once the
+     * three run and the last one gathers; all of them have to be done by 300 s.
      */
     private fun runWithFaultDuringGangs(
         seed: Long,
@@ -36,37 +41,43 @@
         scenario.runWhen({ running.all { scenario.isFullyRunning(it) } }) {
             scenario.clock.after(12.seconds) { scenario.simulation.submit(gathering) }
             scenario.runWhen({ "gathering" in scenario.taskStates(gathering) }) {
-                assertTrue(running.all { scenario.isFullyRunning(it) })
+                assertTrue(
+                    running.all { scenario.isFullyRunning(it) },
+                    "expected the three gangs to run while the last one gathers",
+                )
                 isInjected = true
                 injectFault(scenario, running, gathering)
             }
         }
         scenario.simulation.run(300.seconds)
-        assertTrue(isInjected, "no gang gathered while the others ran")
+        assertTrue(isInjected, "expected the last gang to gather while the others ran")
         assertFalse(
             "alone" in scenario.simulation.gangs.endCounts,
-            "${scenario.simulation.gangs.endCounts}",
+            "expected no gather timeout; causes of ends: ${scenario.simulation.gangs.endCounts}",
         )
         scenario.assertAllDone(running + gathering)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `a notice stops running gangs as one with time to save, and gathering ones at once`(
+    fun `a preemption notice halts running gangs together to save, and gathering ones at once`(
         seed: Long
     ) =
         runWithFaultDuringGangs(seed) { scenario, running, gathering ->
             val preempted = scenario.workers().filter { it.spot }
             val noticeAt = scenario.clock.now
-            // All of the gang were told within the time of a report and a direct command.
+            // Within 3 s the notice arrives in a heartbeat and direct commands halt the whole gang.
             val gatheringIsAffected = preempted.any { it.taskStatusesOf(gathering.id).isNotEmpty() }
             scenario.at(noticeAt + 3.seconds) {
                 val statesOnPreempted = preempted.flatMap { it.taskStatusesOf(gathering.id).values }
-                assertFalse("gathering" in statesOnPreempted, "it waits on for a machine that goes")
+                assertFalse(
+                    "gathering" in statesOnPreempted,
+                    "expected no task to gather on a machine that is about to be preempted",
+                )
                 val ends = scenario.simulation.gangs.endsOf(gathering.id)
                 assertTrue(
                     !gatheringIsAffected || (ends.isNotEmpty() && ends.all { it == "stopped" }),
-                    "$ends",
+                    "expected the gathering gang to be stopped, its tasks ended by $ends",
                 )
             }
             for (worker in preempted) worker.recallS = 8.0
@@ -76,9 +87,12 @@
                     assertEquals(
                         List(3) { "kept" },
                         scenario.simulation.gangs.endsOf(job.id).take(3),
-                        job.id,
+                        "ends of the first attempt of ${job.id}",
+                    )
+                    assertTrue(
+                        scenario.simulation.gangs.savedProgressOf(job.id) > 11.seconds,
+                        "expected ${job.id} to have saved more than 11 s of progress",
                     )
-                    assertTrue(scenario.simulation.gangs.savedProgressOf(job.id) > 11.seconds)
                 }
             }
             scenario.at(noticeAt + 8.seconds) {
@@ -88,34 +102,34 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `machines are taken without notice under gangs that run and one that gathers`(seed: Long) =
+    fun `gangs recover from preemptions without notice while they run or gather`(seed: Long) =
         runWithFaultDuringGangs(seed) { scenario, running, gathering ->
             val gangs = running + gathering
-            // One of each gang at least, and not those of all.
+            // At least one machine of each gang is preempted, but not all machines of all gangs.
             val preempted =
                 gangs.map { scenario.workersHolding(it).random(scenario.clock.random) }.toSet()
             for (worker in preempted) scenario.simulation.cloud.reclaimSpot(worker)
             val remaining = gangs.filter { scenario.workersHolding(it).isNotEmpty() }
-            assertTrue(remaining.isNotEmpty(), "nothing is left of any gang")
+            assertTrue(remaining.isNotEmpty(), "expected some gang to keep a machine")
             scenario.clock.after(7.seconds) {
                 for (job in remaining - gathering) {
                     assertTrue(
                         scenario.simulation.gangs.endsOf(job.id).isNotEmpty(),
-                        "${job.id} ran on",
+                        "expected the tasks of ${job.id} to end after a machine was lost",
                     )
                 }
                 for (job in running) assertTrue(
                     scenario.simulation.gangs.savedProgressOf(job.id) >= 10.seconds,
-                    job.id,
+                    "expected ${job.id} to keep 10 s of progress from its checkpoints",
                 )
             }
         }
 
-    // One task is seen as done.
+    // Only one task of a completed gang is seen as done.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `one task done is the whole gang, though nothing is heard of the rest`(seed: Long) {
+    fun `a gang is done once one task reports done, even if the others are lost`(seed: Long) {
         val scenario = GangScenario(seed)
         val simulation = scenario.simulation
         val gang = scenario.gangSpec(tasks = 4, cpus = 9.0, runTime = 10.seconds)
@@ -124,7 +138,7 @@
             if (doneAt == null) {
                 doneAt = scenario.clock.now
                 val others = scenario.workersHolding(gang).shuffled(scenario.clock.random).drop(1)
-                // Before any of them can tell of its end.
+                // Before any of the other workers can report the end of its task.
                 for (worker in others) worker.unresponsive = true
                 scenario.clock.after(Micros.ZERO) {
                     others.forEach { injectLoss(scenario, it, seed.toInt()) }
@@ -133,21 +147,31 @@
             }
         }
         simulation.submit(gang)
-        // Needs nearly all of the team's limit.
-        val next = scenario.smallArraySpec(team = 0, tasks = 4, cpus = 9.0, estimateS = 10.0)
-        scenario.at(20.seconds) { simulation.submit(next) }
+        // Needs nearly all of the team's quota, so the gang must not keep its share.
+        val nextJob = scenario.smallArraySpec(team = 0, tasks = 4, cpus = 9.0, estimateS = 10.0)
+        scenario.at(20.seconds) { simulation.submit(nextJob) }
         simulation.run(30.seconds)
-        simulation.run(checkNotNull(doneAt) { "it did not end" } + 20.seconds)
+        simulation.run(
+            checkNotNull(doneAt) { "expected the gang to complete within 30 s" } + 20.seconds
+        )
         assertEquals(JobState.DONE, scenario.storedJobState(gang))
         assertEquals("done", scenario.invariants.finalStateOf(gang.id))
         simulation.run(200.seconds)
         assertEquals(1, scenario.invariants.gangStarts)
-        assertEquals(0, scenario.invariants.startsOfDoneTasks, "run again")
+        assertEquals(
+            0,
+            scenario.invariants.startsOfDoneTasks,
+            "expected no start of a task that is done",
+        )
         assertEquals(null, simulation.store.value("t/${gang.id}/0"))
-        scenario.assertAllDone(listOf(gang, next))
+        scenario.assertAllDone(listOf(gang, nextJob))
     }
 
-    /** For good, or for longer than a lease. */
+    /**
+     * Makes [worker] unreachable for good or for longer than its lease, depending on [kind] modulo
+     * 4: it crashes (0), stays unresponsive (1), resumes after 60 s (2) or runs but gets no message
+     * from any controller (3). The worker is unresponsive already.
+     */
     private fun injectLoss(scenario: GangScenario, worker: FakeWorker, kind: Int) {
         val network = scenario.simulation.network
         val nodes = scenario.simulation.nodes
@@ -163,10 +187,12 @@
         }
     }
 
-    /** With so many machines it is room that is short. */
+    /** With four machines, the capacity rather than the quota of the team is scarce. */
     @ParameterizedTest
     @ValueSource(ints = [4])
-    fun `the rest of a done gang keeps its room until it is proven gone`(machineCount: Int) {
+    fun `a done gang keeps the capacity of its other tasks until they are proven to be gone`(
+        machineCount: Int
+    ) {
         val harness = ControllerHarness()
         harness.writeAcceptedJob(plainJob(2, "job-000001").copy(kind = JobKind.GANG, cpus = 16.0))
         harness.run(2.seconds)
@@ -198,48 +224,60 @@
         exchangeHeartbeats(3)
         assertEquals(2, machinesReporting(array.id).size)
         completeTask(done)
-        // It goes on reporting what it had.
+        // The remaining machine still reports its task of the gang as running.
         exchangeHeartbeats(5)
         assertEquals(JobState.DONE, JobRecord.decode(harness.storedValue("j/job-000001")!!)!!.state)
-        assertEquals(3, machinesReporting(array.id).size, "${reportedTasks}")
-        assertFalse(remaining in machinesReporting(array.id))
+        assertEquals(3, machinesReporting(array.id).size, "reported tasks: $reportedTasks")
+        assertFalse(
+            remaining in machinesReporting(array.id),
+            "expected no other task on machine $remaining, which still runs a task of the gang",
+        )
         completeTask(remaining)
         exchangeHeartbeats(4)
-        assertEquals(4, machinesReporting(array.id).size, "$reportedTasks")
+        assertEquals(4, machinesReporting(array.id).size, "reported tasks: $reportedTasks")
     }
 
-    // Too little room.
+    // Scarce capacity.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `gangs of two teams and many small tasks do not wait for long where room is short`(
-        seed: Long
-    ) {
+    fun `no job of two teams with gangs and small arrays starves on scarce capacity`(seed: Long) {
         val durations = jobDurationsOnScarceCapacity(seed, PriorityClass.NORMAL)
         durations.assertNoneLongerThan(LONGEST_GANG_DURATION) { it.isGang }
         durations.assertNoneLongerThan(LONGEST_SMALL_ARRAY_DURATION) { !it.isGang }
     }
 
-    /** Its limit is free for it only when these have ended; the room must be free for others. */
+    /**
+     * The quota of the gang's team is free for the gang only once the team's more urgent work has
+     * ended. Until then the gang must not reserve capacity that other teams could use.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `a gang that waits for more urgent work of its own team keeps no room from another's`(
-        seed: Long
-    ) {
+    fun `a gang blocked by urgent work of its own team does not delay other teams`(seed: Long) {
         val durations = jobDurationsOnScarceCapacity(seed, PriorityClass.HIGH)
         durations.assertNoneLongerThan(LONGEST_GANG_DURATION) { it.isGang && it.team == "team-0" }
         durations.assertNoneLongerThan(LONGEST_SMALL_ARRAY_DURATION) { !it.isGang }
     }
 
+    /** Asserts that each job for which [isChecked] is true took at most [limit]. */
     private fun Map<JobSpec, Micros>.assertNoneLongerThan(
         limit: Micros,
         isChecked: (JobSpec) -> Boolean,
     ) {
         val checked = filterKeys(isChecked)
-        assertEquals(emptyMap(), checked.filterValues { it > limit }.mapKeys { it.key.id })
+        assertEquals(
+            emptyMap(),
+            checked.filterValues { it > limit }.mapKeys { it.key.id },
+            "jobs that took longer than $limit",
+        )
     }
 
-    /** How long each job took, until its user was told that it is done. */
+    /**
+     * Submits gangs of two teams, and small arrays of two teams every second, to a cluster with few
+     * machines. The arrays of team 1 have the given [priority].
+     *
+     * @return for each job the time from its submission until its user was told that it is done
+     */
     private fun jobDurationsOnScarceCapacity(
         seed: Long,
         priority: PriorityClass,
@@ -254,7 +292,7 @@
             submit(scenario.smallArraySpec(team = 1, tasks = 6).copy(priority = priority))
             submit(scenario.smallArraySpec(team = 2, tasks = 12))
         }
-        // One zone has two machines: room for one of these gangs.
+        // The gangs need zone b, whose two machines hold only one of them at a time.
         for (second in listOf(12, 16, 20)) scenario.at(second.seconds) {
             submit(
                 scenario
@@ -283,7 +321,7 @@
     private companion object {
         val START_COMMAND = Regex("""\{"verb":"start",("piece":"[^"]+","try":\d+)""")
 
-        /** Six gangs of 10 s each come one after the other in their zone. */
+        /** Six gangs that run for 10 s each run one after the other in their zone. */
         val LONGEST_GANG_DURATION = 100.seconds
         val LONGEST_SMALL_ARRAY_DURATION = 120.seconds
     }
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -12,7 +12,11 @@
 import wardmux.model.PriorityClass
 import wardmux.model.seconds
 
-/** Seeded scenarios of gangs among arrays, with the troubles of [RandomSimulationTest]. */
+/**
+ * Seeded random scenarios of gangs among other jobs, with the faults of [FaultInjector]. They guard
+ * against faults, alone or combined, that violate an invariant, and against gangs that never get
+ * enough capacity at once to start.
+ */
 class GangSimulationTest {
     private class Scenario(seed: Long, operators: OperatorSettings = OperatorSettings()) {
         val simulation = ClusterSimulation(seed, operators = operators)
@@ -20,10 +24,10 @@
         private val faults = FaultInjector(simulation, ::submit)
         val gangs = ArrayList<String>()
 
-        /** Of 2 to 12 tasks; most must be in one zone, and most save. */
+        /** A gang of 2 to 12 tasks. Most must be in one zone, and most can save their progress. */
         private fun randomGang(): JobSpec {
             val tasks = 2 + clock.random.nextInt(11)
-            val saves = clock.chance(0.7)
+            val canSave = clock.chance(0.7)
             return simulation
                 .randomJob()
                 .copy(
@@ -35,8 +39,8 @@
                     oneZone = clock.chance(0.7),
                     spread = false,
                     estimateS = 2.0 + clock.random.nextInt(20),
-                    checkpointS = if (saves) 5.0 else 0.0,
-                    saveS = if (saves) 2.0 else 0.0,
+                    checkpointS = if (canSave) 5.0 else 0.0,
+                    saveS = if (canSave) 2.0 else 0.0,
                 )
         }
 
@@ -64,6 +68,10 @@
             allFaults[clock.random.nextInt(allFaults.size)]()
         }
 
+        /**
+         * Submits a job every 9 s until 150 s, injects a random fault every 9 s until 170 s if
+         * [withFaults], and runs until [SCENARIO_END].
+         */
         fun run(withFaults: Boolean) {
             simulation.cloud.startFailureProbability = if (withFaults) 0.1 else 0.0
             for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
@@ -73,36 +81,45 @@
             if (withFaults) simulation.checkAtEnd(FAULTS_END)
         }
 
+        /** The gangs whose users were not told yet that they are done or cancelled. */
         fun unfinishedGangs() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
     }
 
+    /** Runs a scenario with faults; asserts that no invariant was violated and that a gang ran. */
     private fun assertNoViolationsWithFaults(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
         scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
+        assertTrue(
+            scenario.simulation.invariants.gangStarts > 0,
+            "expected at least one gang to run, none did",
+        )
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken by gangs whatever fails`(seed: Long) =
+    fun `no fault makes gangs violate an invariant`(seed: Long) =
         assertNoViolationsWithFaults(seed, OperatorSettings())
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `nor where all controllers take heartbeats`(seed: Long) =
+    fun `no fault makes gangs violate an invariant if all controllers take heartbeats`(seed: Long) =
         assertNoViolationsWithFaults(seed, forwardingSettings())
 
     @ParameterizedTest
     @MethodSource("faultFreeSeeds")
-    fun `in a quiet scenario every gang comes to its end`(seed: Long) {
+    fun `every gang ends if there are no faults`(seed: Long) {
         val scenario = Scenario(seed)
         scenario.run(withFaults = false)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertEquals(emptyList(), scenario.unfinishedGangs())
-        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
+        assertTrue(
+            scenario.simulation.invariants.gangStarts > 0,
+            "expected at least one gang to run, none did",
+        )
     }
 
+    /** A gang of which all tasks must be in one zone: in [zone], or in any if it is null. */
     private fun gangInOneZone(
         simulation: ClusterSimulation,
         tasks: Int,
@@ -114,24 +131,29 @@
             .unconstrainedGang(team, tasks, cpus, estimateS = 10.0)
             .copy(zone = zone, oneZone = true)
 
-    private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, timeout: Micros) {
-        simulation.run(timeout)
+    /** Runs up to the simulated time [until]; asserts that users were told that [jobs] are done. */
+    private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, until: Micros) {
+        simulation.run(until)
         assertEquals(emptyList(), simulation.violations())
         val unfinished =
             jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
-        assertEquals(emptyList(), unfinished, "ends: ${simulation.gangs.endCounts}")
+        assertEquals(
+            emptyList(),
+            unfinished,
+            "jobs that are not done; gang tasks ended by ${simulation.gangs.endCounts}",
+        )
     }
 
     @Test
-    fun `a large gang behind a stream of small tasks`() {
+    fun `a large gang runs despite a continuous stream of urgent small arrays`() {
         val simulation = ClusterSimulation(3)
         simulation.run(10.seconds)
         for (at in 0..200 step 2) {
             simulation.clock.after(at.seconds) { simulation.submit(smallUrgentArray(simulation)) }
         }
-        val large = gangInOneZone(simulation, tasks = 12)
-        simulation.clock.after(20.seconds) { simulation.submit(large) }
-        assertDone(simulation, listOf(large), timeout = 200.seconds)
+        val largeGang = gangInOneZone(simulation, tasks = 12)
+        simulation.clock.after(20.seconds) { simulation.submit(largeGang) }
+        assertDone(simulation, listOf(largeGang), until = 200.seconds)
     }
 
     private fun smallUrgentArray(simulation: ClusterSimulation): JobSpec =
@@ -144,39 +166,40 @@
             priority = PriorityClass.HIGH,
         )
 
-    /** Either needs more than half of what one zone may have. */
+    /** Each gang needs more than half of the capacity of the zone. */
     @Test
-    fun `two gangs that compete for the room of one zone`() {
+    fun `two gangs that compete for the capacity of one zone both run`() {
         val simulation = ClusterSimulation(4)
         simulation.run(10.seconds)
-        val both =
+        val bothGangs =
             listOf("team-0", "team-1").map { gangInOneZone(simulation, 4, 8.0, it, zone = "b") }
-        both.forEach(simulation::submit)
-        assertDone(simulation, both, timeout = 200.seconds)
+        bothGangs.forEach(simulation::submit)
+        assertDone(simulation, bothGangs, until = 200.seconds)
     }
 
-    /** Each team's limit holds one of its gangs only. */
+    /** The quota of the team is enough for only one of its gangs at a time. */
     @Test
-    fun `many gangs of one team come one after the other`() {
+    fun `all gangs of one team run if its quota holds only one at a time`() {
         val simulation = ClusterSimulation(5)
         simulation.run(10.seconds)
         val gangs = List(4) { gangInOneZone(simulation, 12) }
         gangs.forEach(simulation::submit)
-        assertDone(simulation, gangs, timeout = 300.seconds)
+        assertDone(simulation, gangs, until = 300.seconds)
     }
 
     companion object {
         private val SCENARIO_END = 420.seconds
 
-        /** As in [RandomSimulationTest]. */
+        /** All faults are over by this time, as in [RandomSimulationTest]. */
         private val FAULTS_END = 285.seconds
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.gangs=100-500"`. */
+        /** A longer search takes other seeds: `-DargLine="-Dwardmux.gangs=100-500"`. */
         @JvmStatic fun seeds(): List<Long> = seedRange("wardmux.gangs", "1-16")
 
-        /** Likewise: `-Dwardmux.gangsQuiet=100-500`. */
+        /** A longer search takes other seeds: `-DargLine="-Dwardmux.gangsQuiet=100-500"`. */
         @JvmStatic fun faultFreeSeeds(): List<Long> = seedRange("wardmux.gangsQuiet", "1-4")
 
+        /** The seeds of the range FIRST-LAST in the system property, or in [defaultRange]. */
         private fun seedRange(property: String, defaultRange: String): List<Long> {
             val range = (System.getProperty(property) ?: defaultRange).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
