--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -26,47 +26,56 @@
  * the same troubles; with forwarders that do, none fails.
  */
 class CancellationAcrossLeadersTest {
-    private class Churn(seed: Long) {
+    private class LeaderChangeScenario(seed: Long) {
         val simulation = ClusterSimulation(seed, operators = forwardingSettings())
         val clock = simulation.clock
         val invariants = simulation.invariants
         val jobs = ArrayList<String>()
-        private val late = HashSet<String>()
+        private val overdueJobs = HashSet<String>()
 
         fun submit(count: Int) =
             repeat(count) {
-                val spec = simulation.unconstrainedService("team-${jobs.size % TEAMS}", TASKS)
+                val spec =
+                    simulation.unconstrainedService("team-${jobs.size % TEAM_COUNT}", TASKS_PER_JOB)
                 jobs.add(spec.id)
                 simulation.submit(spec)
             }
 
-        fun runFor(length: Micros) = simulation.run(clock.now + length)
+        fun runFor(duration: Micros) = simulation.run(clock.now + duration)
 
         /** [count] services run, and forwarders take reports. */
-        fun begin(count: Int) {
+        fun startServices(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
             while (
-                jobs.any { invariants.machineByTask(it).size < TASKS } && clock.now < START
+                jobs.any { invariants.machineByTask(it).size < TASKS_PER_JOB } &&
+                    clock.now < START_DEADLINE
             ) runFor(1.seconds)
-            for (job in jobs) assertEquals(TASKS, invariants.machineByTask(job).size, "$job runs")
+            for (job in jobs) assertEquals(
+                TASKS_PER_JOB,
+                invariants.machineByTask(job).size,
+                "$job runs",
+            )
             // To the letter, without the slack of the rules.
-            clock.every(100.milliseconds) { late += jobs.filter(::outlastsItsCancellation) }
+            clock.every(100.milliseconds) {
+                overdueJobs += jobs.filter(::runsAfterCancellationLimit)
+            }
         }
 
-        private fun outlastsItsCancellation(job: String): Boolean {
-            val at = invariants.cancellationReportedAt(job) ?: return false
-            return clock.now - at > CANCEL && invariants.machineByTask(job).isNotEmpty()
+        private fun runsAfterCancellationLimit(job: String): Boolean {
+            val reportedAt = invariants.cancellationReportedAt(job) ?: return false
+            return clock.now - reportedAt > CANCELLATION_LIMIT &&
+                invariants.machineByTask(job).isNotEmpty()
         }
 
-        fun cutOff(machine: String) {
+        fun partitionFromControllers(machine: String) {
             for (node in simulation.nodes) {
                 simulation.network.blockPath(machine, node)
                 simulation.network.blockPath(node, machine)
             }
         }
 
-        fun join(machine: String, nodes: List<String>) {
+        fun connectTo(machine: String, nodes: List<String>) {
             for (node in nodes) {
                 simulation.network.unblockPath(machine, node)
                 simulation.network.unblockPath(node, machine)
@@ -77,18 +86,18 @@
          * The leader ends; another leads, has read what is stored and has granted its forwarders.
          */
         fun changeLeader() {
-            val former = simulation.leaderToken()
+            val formerToken = simulation.leaderToken()
             simulation.leader()?.let { simulation.crash(it, 1.seconds) }
             val until = clock.now + 20.seconds
-            while (simulation.leaderToken() in listOf(former, null) && clock.now < until) {
+            while (simulation.leaderToken() in listOf(formerToken, null) && clock.now < until) {
                 runFor(10.milliseconds)
             }
             runFor(1500.milliseconds)
         }
 
         /** Nothing was late, no rule broke, and what nobody cancelled runs again. */
-        fun end() {
-            assertEquals(emptySet(), late, "on a machine after their time")
+        fun checkOutcome() {
+            assertEquals(emptySet(), overdueJobs, "on a machine after their time")
             assertEquals(emptyList(), simulation.violations())
             for (job in invariants.finishedJobs()) assertEquals(
                 0,
@@ -96,7 +105,7 @@
                 "$job is cancelled",
             )
             for (job in invariants.openJobs()) assertEquals(
-                TASKS,
+                TASKS_PER_JOB,
                 invariants.machineByTask(job).size,
                 "$job runs",
             )
@@ -106,46 +115,50 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `a machine that only forwarders hear, for one report of each leader's time`(seed: Long) =
-        Churn(seed).run {
-            begin(count = 6)
+        LeaderChangeScenario(seed).run {
+            startServices(count = 6)
             val job = jobs.last()
             val machine = invariants.machinesOf(job).first()
             val worker = simulation.cloud.workers().first { it.id == machine }
-            cutOff(machine)
+            partitionFromControllers(machine)
             simulation.cancel(job)
             runFor(500.milliseconds)
             assertEquals("cancelled", invariants.finalStateOf(job))
             var renewals = 0
             while (
-                invariants.cancellationReportedAt(job)?.let { clock.now - it > CANCEL } == false
+                invariants.cancellationReportedAt(job)?.let {
+                    clock.now - it > CANCELLATION_LIMIT
+                } == false
             ) {
                 changeLeader()
-                val session = worker.sessions
+                val sessionsBefore = worker.sessions
                 val forwarder = simulation.nodes.first { it != simulation.leader() }
-                join(machine, listOf(forwarder))
+                connectTo(machine, listOf(forwarder))
                 worker.reconnectTo(forwarder)
-                val until = clock.now + LONGEST_MEETING
+                val until = clock.now + MAX_CONNECTION_TIME
                 while (!worker.hasToken(simulation.leaderToken()) && clock.now < until) {
                     runFor(1.milliseconds)
                 }
-                if (worker.hasToken(simulation.leaderToken()) && worker.sessions == session) {
+                if (
+                    worker.hasToken(simulation.leaderToken()) && worker.sessions == sessionsBefore
+                ) {
                     renewals++
                 }
-                cutOff(machine)
+                partitionFromControllers(machine)
             }
             assertTrue(renewals >= 2, "$renewals leaders' relays answered it")
-            join(machine, simulation.nodes)
-            runFor(CALM)
-            end()
+            connectTo(machine, simulation.nodes)
+            runFor(RECOVERY_TIME)
+            checkOutcome()
         }
 
     @ParameterizedTest
-    @MethodSource("scenarios")
+    @MethodSource("scenarioSeeds")
     fun `leaders change every few seconds while cancelled tasks are out`(seed: Long) =
-        Churn(seed).run {
-            begin(count = 8)
-            val churn = LeaderChangeFaults(simulation)
-            churn.injectFor(CHURN)
+        LeaderChangeScenario(seed).run {
+            startServices(count = 8)
+            val faults = LeaderChangeFaults(simulation)
+            faults.injectFor(FAULT_DURATION)
             for (job in jobs.shuffled(clock.random).take(4)) {
                 clock.after(clock.randomBetween(1.seconds, 12.seconds)) { simulation.cancel(job) }
             }
@@ -157,26 +170,26 @@
                     simulation.cancel(job)
                 }
             }
-            runFor(CHURN + CALM)
-            end()
+            runFor(FAULT_DURATION + RECOVERY_TIME)
+            checkOutcome()
         }
 
     companion object {
-        private const val TASKS = 3
-        private const val TEAMS = 3
-        private val START = 80.seconds
-        private val CANCEL = 36_200.milliseconds
-        private val LONGEST_MEETING = 3.seconds
+        private const val TASKS_PER_JOB = 3
+        private const val TEAM_COUNT = 3
+        private val START_DEADLINE = 80.seconds
+        private val CANCELLATION_LIMIT = 36_200.milliseconds
+        private val MAX_CONNECTION_TIME = 3.seconds
 
         /** Longer than a cancellation may take. */
-        private val CHURN = 75.seconds
-        private val CALM = 110.seconds
+        private val FAULT_DURATION = 75.seconds
+        private val RECOVERY_TIME = 110.seconds
 
         @JvmStatic fun seeds(): List<Long> = (1L..5L).toList()
 
         /** Others for a longer search: `-DargLine="-Dwardmux.churn=1-100"`. */
         @JvmStatic
-        fun scenarios(): List<Long> {
+        fun scenarioSeeds(): List<Long> {
             val (first, last) = (System.getProperty("wardmux.churn") ?: "1-300").split('-')
             return (first.toLong()..last.toLong()).toList()
         }
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -24,32 +24,32 @@
 /** What comes late meets what was decided since: writes, reports, ends of tasks, cancellations. */
 class LateMessageFaultsTest {
     /** Array jobs that any machine takes, one like the other. */
-    private fun ClusterSimulation.job(
+    private fun ClusterSimulation.arrayJob(
         tasks: Int,
         estimateS: Double,
         cpus: Double = 2.0,
         team: Int = 0,
     ) = unconstrainedJob(JobKind.ARRAY, "team-$team", tasks, cpus, estimateS)
 
-    private fun ClusterSimulation.crashLeader(back: Micros) {
-        leader()?.let { crash(it, back) }
+    private fun ClusterSimulation.crashLeader(downtime: Micros) {
+        leader()?.let { crash(it, downtime) }
     }
 
-    private fun ClusterSimulation.assertWell() = assertEquals(emptyList(), violations())
+    private fun ClusterSimulation.assertNoViolations() = assertEquals(emptyList(), violations())
 
     // Transactions that are carried out late.
 
     /** Jobs are sent, cancelled and done, leaders end, and every sixth write gets no answer. */
-    private fun dayOfLateWrites(seed: Long, share: Double): ClusterSimulation {
+    private fun runWithDelayedWrites(seed: Long, delayProbability: Double): ClusterSimulation {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         simulation.store.isDelayed = { _, transaction ->
-            clock.now < TROUBLED && "then" in transaction && clock.chance(share)
+            clock.now < FAULTS_END && "then" in transaction && clock.chance(delayProbability)
         }
         val jobs = ArrayList<JobSpec>()
         for (second in 4..48 step 4) {
             clock.after(second.seconds) {
-                val job = simulation.job(3 + second % 4, 4.0, team = second % 3)
+                val job = simulation.arrayJob(3 + second % 4, 4.0, team = second % 3)
                 jobs.add(job)
                 simulation.submit(job)
                 if (second % 8 == 0) {
@@ -64,8 +64,8 @@
             simulation.cloud.workers().firstOrNull()?.let { simulation.cloud.crash(it) }
         }
         clock.after(44.seconds) { simulation.crashLeader(300.milliseconds) }
-        simulation.run(TROUBLED + 160.seconds)
-        simulation.assertWell()
+        simulation.run(FAULTS_END + 160.seconds)
+        simulation.assertNoViolations()
         for (job in jobs) {
             assertContains(
                 listOf("done", "cancelled"),
@@ -79,9 +79,9 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a late write of a leader changes nothing after its newer ones`(seed: Long) {
-        val late = dayOfLateWrites(seed, 0.17).store.delayedTransactions
-        val leaders = late.filter { it.changesKeyUnder(FairQueue.KEY) }
-        val overtaken = leaders.filter { it.overtakenByChangeUnder(FairQueue.KEY) }
+        val delayedWrites = runWithDelayedWrites(seed, 0.17).store.delayedTransactions
+        val queueWrites = delayedWrites.filter { it.changesKeyUnder(FairQueue.KEY) }
+        val overtaken = queueWrites.filter { it.overtakenByChangeUnder(FairQueue.KEY) }
         assertTrue(overtaken.isNotEmpty(), "the meeting did not come about")
         assertEquals(0, overtaken.count { it.committed })
     }
@@ -91,21 +91,21 @@
     fun `writes of leader keys that are carried out late leave one leader`(seed: Long) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
-        val taking = "\"put\":\"${LeaderElection.KEY}\""
+        val leaderKeyWrite = "\"put\":\"${LeaderElection.KEY}\""
         simulation.store.isDelayed = { _, transaction ->
-            clock.now < TROUBLED && taking in transaction.toString() && clock.chance(0.6)
+            clock.now < FAULTS_END && leaderKeyWrite in transaction.toString() && clock.chance(0.6)
         }
-        val job = simulation.job(12, 6.0)
+        val job = simulation.arrayJob(12, 6.0)
         clock.after(6.seconds) { simulation.submit(job) }
         for (second in 10..50 step 10) clock.after(second.seconds) {
             simulation.crashLeader(400.milliseconds)
         }
-        simulation.run(TROUBLED + 100.seconds)
-        val late =
+        simulation.run(FAULTS_END + 100.seconds)
+        val delayedWrites =
             simulation.store.delayedTransactions.filter { it.changesKeyUnder(LeaderElection.KEY) }
-        assertTrue(late.isNotEmpty(), "the meeting did not come about")
-        assertEquals(0, late.count { it.replacedExisting(LeaderElection.KEY) })
-        simulation.assertWell()
+        assertTrue(delayedWrites.isNotEmpty(), "the meeting did not come about")
+        assertEquals(0, delayedWrites.count { it.replacedExisting(LeaderElection.KEY) })
+        simulation.assertNoViolations()
         assertEquals("done", simulation.invariants.finalStateOf(job.id))
     }
 
@@ -118,14 +118,17 @@
     ) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
-        val job = simulation.job(2 + (seed % 2).toInt(), 60.0)
+        val job = simulation.arrayJob(2 + (seed % 2).toInt(), 60.0)
         clock.after(5.seconds) { simulation.submit(job) }
-        var seen = 0
-        var changes = 0
+        var completionsSeen = 0
+        var leaderCrashes = 0
         clock.every(50.milliseconds) {
-            if (simulation.invariants.completedTaskCount(job.id) > seen && seen + 1 < job.tasks) {
-                seen++
-                changes++
+            if (
+                simulation.invariants.completedTaskCount(job.id) > completionsSeen &&
+                    completionsSeen + 1 < job.tasks
+            ) {
+                completionsSeen++
+                leaderCrashes++
                 // Before or after the end is reported, written or forgotten.
                 clock.after(clock.randomBetween(Micros.ZERO, 6.seconds)) {
                     simulation.crashLeader(clock.randomBetween(300.milliseconds, 9.seconds))
@@ -133,8 +136,8 @@
             }
         }
         simulation.run(160.seconds)
-        assertTrue(changes > 0)
-        simulation.assertWell()
+        assertTrue(leaderCrashes > 0)
+        simulation.assertNoViolations()
         assertEquals("done", simulation.invariants.finalStateOf(job.id))
         assertEquals(job.tasks, simulation.invariants.starts, "something ran again")
         assertEquals(0, simulation.invariants.startsOfDoneTasks, "something done was started again")
@@ -149,8 +152,8 @@
         val clock = simulation.clock
         // As it is at times: so the end is recorded between a cancellation's read and its write.
         simulation.network.extraLatency["state"] = 150.milliseconds
-        val jobs = List(24) { simulation.job(1 + it % 2, 4.0, team = it % 3) }
-        val ended = HashSet<String>()
+        val jobs = List(24) { simulation.arrayJob(1 + it % 2, 4.0, team = it % 3) }
+        val endedJobs = HashSet<String>()
         for ((i, job) in jobs.withIndex()) {
             clock.after(5.seconds + 1.seconds * (i / 2).toDouble()) { simulation.submit(job) }
         }
@@ -158,22 +161,22 @@
             for (job in jobs) {
                 if (
                     simulation.invariants.completedTaskCount(job.id) < job.tasks ||
-                        !ended.add(job.id)
+                        !endedJobs.add(job.id)
                 )
                     continue
-                val within = { action: () -> Unit ->
+                val afterRandomDelay = { action: () -> Unit ->
                     clock.after(clock.randomBetween(Micros.ZERO, 800.milliseconds), action)
                 }
-                within { simulation.cancel(job.id) }
-                within { simulation.poll(job.id) }
-                within { simulation.submit(job) }
+                afterRandomDelay { simulation.cancel(job.id) }
+                afterRandomDelay { simulation.poll(job.id) }
+                afterRandomDelay { simulation.submit(job) }
             }
         }
         simulation.run(90.seconds)
-        simulation.assertWell()
-        val finals = jobs.map { simulation.invariants.finalStateOf(it.id) }
+        simulation.assertNoViolations()
+        val finalStates = jobs.map { simulation.invariants.finalStateOf(it.id) }
         // On both sides of the end's record.
-        assertEquals(setOf<String?>("done", "cancelled"), finals.toSet())
+        assertEquals(setOf<String?>("done", "cancelled"), finalStates.toSet())
     }
 
     // A team at its limit.
@@ -186,39 +189,40 @@
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         // Two whole machines: no third task is within the team's limit. A service runs on and on.
-        val running = simulation.job(2, 0.0, cpus = 16.0).copy(kind = JobKind.SERVICE)
-        val waiting = simulation.job(2, 5.0, cpus = 16.0)
-        clock.after(6.seconds) { simulation.submit(running) }
-        clock.after(20.seconds) { simulation.submit(waiting) }
-        var cut = emptyList<FakeWorker>()
-        val spell = {
-            cut = simulation.cloud.workers().filter { running.id in it.heartbeatBody() }.take(2)
-            assertEquals(2, cut.size)
-            for (worker in cut) simulation.network.isolate(worker.id)
+        val runningJob = simulation.arrayJob(2, 0.0, cpus = 16.0).copy(kind = JobKind.SERVICE)
+        val waitingJob = simulation.arrayJob(2, 5.0, cpus = 16.0)
+        clock.after(6.seconds) { simulation.submit(runningJob) }
+        clock.after(20.seconds) { simulation.submit(waitingJob) }
+        var partitionedWorkers = emptyList<FakeWorker>()
+        val partitionWorkersAndCrashLeader = {
+            partitionedWorkers =
+                simulation.cloud.workers().filter { runningJob.id in it.heartbeatBody() }.take(2)
+            assertEquals(2, partitionedWorkers.size)
+            for (worker in partitionedWorkers) simulation.network.isolate(worker.id)
             simulation.crashLeader(3.seconds)
             clock.after(clock.randomBetween(100.milliseconds, 6.seconds)) {
-                simulation.cancel(running.id)
+                simulation.cancel(runningJob.id)
             }
             clock.after(clock.randomBetween(8.seconds, 34.seconds)) {
-                for (worker in cut) simulation.network.reconnect(worker.id)
+                for (worker in partitionedWorkers) simulation.network.reconnect(worker.id)
             }
         }
         clock.every(1.seconds) {
-            val atLimit = simulation.invariants.starts == running.tasks && clock.now > 30.seconds
-            if (atLimit && cut.isEmpty()) spell()
+            val atLimit = simulation.invariants.starts == runningJob.tasks && clock.now > 30.seconds
+            if (atLimit && partitionedWorkers.isEmpty()) partitionWorkersAndCrashLeader()
         }
         simulation.run(200.seconds)
-        assertEquals(2, cut.size, "the meeting did not come about")
-        simulation.assertWell()
-        assertEquals("cancelled", simulation.invariants.finalStateOf(running.id))
-        assertEquals("done", simulation.invariants.finalStateOf(waiting.id))
+        assertEquals(2, partitionedWorkers.size, "the meeting did not come about")
+        simulation.assertNoViolations()
+        assertEquals("cancelled", simulation.invariants.finalStateOf(runningJob.id))
+        assertEquals("done", simulation.invariants.finalStateOf(waitingJob.id))
     }
 
     // Heartbeats that arrive late.
 
     private val harness = ControllerHarness()
 
-    private fun placed(
+    private fun writePlacement(
         harness: ControllerHarness,
         machine: String,
         attempt: Int = 1,
@@ -232,12 +236,12 @@
             ),
         )
 
-    private fun piece(status: String, attempt: Int = 1, cause: String? = null): String {
-        val why = if (cause == null) "" else ""","cause":"$cause""""
-        return """{"piece":"job-000001/0","try":$attempt,"status":"$status"$why}"""
+    private fun taskReport(status: String, attempt: Int = 1, cause: String? = null): String {
+        val causeField = if (cause == null) "" else ""","cause":"$cause""""
+        return """{"piece":"job-000001/0","try":$attempt,"status":"$status"$causeField}"""
     }
 
-    private fun body(
+    private fun heartbeatBody(
         machine: String,
         incarnation: Int,
         tick: Int,
@@ -249,16 +253,17 @@
                 """"pieces":[$tasks]}""")
             .encodeToByteArray()
 
-    private fun ControllerHarness.report(
+    private fun ControllerHarness.sendHeartbeat(
         machine: String,
         incarnation: Int,
         tick: Int,
         token: Long,
         tasks: String = "",
-    ): String = call("POST", "/hello", body(machine, incarnation, tick, token, tasks))!!.second
+    ): String =
+        call("POST", "/hello", heartbeatBody(machine, incarnation, tick, token, tasks))!!.second
 
     /** Empty machines report, with time for all that could start there to start. */
-    private fun ControllerHarness.startsElsewhere(token: Long): String {
+    private fun ControllerHarness.startsOnOtherWorkers(token: Long): String {
         val others = List(2) { ManualWorker(this, "i-00005$it") }
         val answers = StringBuilder()
         repeat(6) {
@@ -270,57 +275,62 @@
 
     @Test
     fun `a report held until a new leader acts frees nothing there, whatever it lacks or says`() {
-        for (held in listOf("", piece("ended", cause = "error"), piece("ended", cause = "full"))) {
+        for (heldTaskReport in
+            listOf("", taskReport("ended", cause = "error"), taskReport("ended", cause = "full"))) {
             val harness = ControllerHarness()
             harness.writeAcceptedJob(plainJob(1))
-            placed(harness, "i-000001")
+            writePlacement(harness, "i-000001")
             harness.run(2.seconds)
             val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
-            harness.report("i-000001", 1, 5, token - 1, held)
-            assertFalse("job-000001/0" in harness.startsElsewhere(token), "freed by [$held]")
+            harness.sendHeartbeat("i-000001", 1, 5, token - 1, heldTaskReport)
+            assertFalse(
+                "job-000001/0" in harness.startsOnOtherWorkers(token),
+                "freed by [$heldTaskReport]",
+            )
             // The machine itself, under the new token, still has it.
-            val answer = harness.report("i-000001", 1, 9, token, piece("running"))
-            assertFalse("halt" in answer, "given up after [$held]")
+            val answer = harness.sendHeartbeat("i-000001", 1, 9, token, taskReport("running"))
+            assertFalse("halt" in answer, "given up after [$heldTaskReport]")
         }
     }
 
     @Test
     fun `a held report of a task that is done counts, also at a new leader`() {
         harness.writeAcceptedJob(plainJob(1))
-        placed(harness, "i-000001")
+        writePlacement(harness, "i-000001")
         harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
-        harness.report("i-000001", 1, 5, token - 1, piece("ended", cause = "done"))
+        harness.sendHeartbeat("i-000001", 1, 5, token - 1, taskReport("ended", cause = "done"))
         harness.run(2.seconds)
         assertContains(harness.storedValue(JobRecord.key(plainJob(1).jobId)).toString(), "done")
     }
 
     @Test
     fun `a report older than the last frees nothing, also from an earlier session or attempt`() {
-        val stopped = piece("ended", cause = "stopped")
-        val olds =
+        val stopped = taskReport("ended", cause = "stopped")
+        val staleHeartbeats =
             listOf(
                 // As of the same incarnation, before the task came.
                 Triple(2, 3, ""),
                 // From the incarnation before, with higher ticks.
                 Triple(1, 90, ""),
-                Triple(1, 90, piece("ended", attempt = 2, cause = "error")),
+                Triple(1, 90, taskReport("ended", attempt = 2, cause = "error")),
                 // An earlier attempt's end, in a newer report.
-                Triple(2, 12, stopped + "," + piece("running", attempt = 2)),
+                Triple(2, 12, stopped + "," + taskReport("running", attempt = 2)),
             )
-        for ((incarnation, tick, tasks) in olds) {
+        for ((incarnation, tick, tasks) in staleHeartbeats) {
             val harness = ControllerHarness()
             harness.writeAcceptedJob(plainJob(1))
-            placed(harness, "i-000001", attempt = 2, incarnation = 2)
+            writePlacement(harness, "i-000001", attempt = 2, incarnation = 2)
             harness.run(2.seconds)
             val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
-            harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
-            harness.report("i-000001", incarnation, tick, token, tasks)
+            harness.sendHeartbeat("i-000001", 2, 10, token, taskReport("running", attempt = 2))
+            harness.sendHeartbeat("i-000001", incarnation, tick, token, tasks)
             assertFalse(
-                "job-000001/0" in harness.startsElsewhere(token),
+                "job-000001/0" in harness.startsOnOtherWorkers(token),
                 "$incarnation $tick $tasks",
             )
-            val answer = harness.report("i-000001", 2, 20, token, piece("running", attempt = 2))
+            val answer =
+                harness.sendHeartbeat("i-000001", 2, 20, token, taskReport("running", attempt = 2))
             assertFalse("halt" in answer, "$incarnation $tick $tasks")
         }
     }
@@ -330,22 +340,28 @@
         for ((incarnation, tick) in listOf(2 to 3L, 1 to 90L)) {
             val harness = ControllerHarness(listOf("n1"))
             harness.writeAcceptedJob(plainJob(1))
-            placed(harness, "i-000001", attempt = 2, incarnation = 2)
+            writePlacement(harness, "i-000001", attempt = 2, incarnation = 2)
             harness.run(2.seconds)
             val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
-            harness.report("i-000001", 2, 10, token, piece("running", attempt = 2))
-            val old = FullHeartbeat(1, body("i-000001", incarnation, tick.toInt(), token))
+            harness.sendHeartbeat("i-000001", 2, 10, token, taskReport("running", attempt = 2))
+            val staleHeartbeat =
+                FullHeartbeat(1, heartbeatBody("i-000001", incarnation, tick.toInt(), token))
             // Whole, and then as a sign of life that is older still than the last.
-            for (sign in listOf(null, tick + 1)) {
-                val reports = if (sign == null) listOf(old) else emptyList()
-                val signs = if (sign == null) emptyList() else listOf(old.number, sign)
+            for (lifeSign in listOf(null, tick + 1)) {
+                val reports = if (lifeSign == null) listOf(staleHeartbeat) else emptyList()
+                val signs =
+                    if (lifeSign == null) emptyList() else listOf(staleHeartbeat.number, lifeSign)
                 val batch = HeartbeatBatch("n1", "b", 1, token, 0, 0, reports, signs)
                 val answer =
                     harness.call("POST", "/relay", ForwardingCodec.encode(batch), ListenerKind.PEER)
                 assertEquals(200, answer?.first)
             }
-            assertFalse("job-000001/0" in harness.startsElsewhere(token), "session $incarnation")
-            val answer = harness.report("i-000001", 2, 20, token, piece("running", attempt = 2))
+            assertFalse(
+                "job-000001/0" in harness.startsOnOtherWorkers(token),
+                "session $incarnation",
+            )
+            val answer =
+                harness.sendHeartbeat("i-000001", 2, 20, token, taskReport("running", attempt = 2))
             assertFalse("halt" in answer, "session $incarnation")
         }
     }
@@ -358,15 +374,15 @@
         harness.directCommands.clear()
         // It is gone; this was on its way since before the change of leader.
         repeat(4) {
-            val answer = harness.report("i-000007", 1, 5 + it, token - 1)
+            val answer = harness.sendHeartbeat("i-000007", 1, 5 + it, token - 1)
             assertFalse("start" in answer)
             harness.run(0.5.seconds)
         }
         assertEquals(emptyList(), harness.directCommands.filter { "job-000001/0" in it })
-        assertContains(harness.startsElsewhere(token), "job-000001/0")
+        assertContains(harness.startsOnOtherWorkers(token), "job-000001/0")
     }
 
     private companion object {
-        val TROUBLED = 60.seconds
+        val FAULTS_END = 60.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -18,20 +18,21 @@
 class LoweredLimitsTest {
     private class Scenario(
         seed: Long,
-        told: AnnouncedStoreLimits?,
+        announcedLimits: AnnouncedStoreLimits?,
         operators: OperatorSettings = OperatorSettings(),
     ) {
-        val simulation = ClusterSimulation(seed, operators = operators, announcedLimits = told)
+        val simulation =
+            ClusterSimulation(seed, operators = operators, announcedLimits = announcedLimits)
         val clock = simulation.clock
         val jobs = ArrayList<String>()
 
-        fun submit(alwaysWide: Boolean = false) {
+        fun submit(alwaysLargePage: Boolean = false) {
             val random = simulation.randomJob()
-            val spec = if (alwaysWide) random.copy(kind = JobKind.ARRAY) else random
-            val wide = alwaysWide || spec.kind == JobKind.ARRAY && clock.chance(0.5)
+            val spec = if (alwaysLargePage) random.copy(kind = JobKind.ARRAY) else random
+            val hasLargePage = alwaysLargePage || spec.kind == JobKind.ARRAY && clock.chance(0.5)
             // So many on one page that its record is larger than a value may be later.
             val job =
-                if (!wide) spec
+                if (!hasLargePage) spec
                 else
                     spec.copy(
                         tasks = 120,
@@ -47,15 +48,15 @@
                     )
             jobs.add(job.id)
             simulation.submit(job)
-            val daemon = spec.kind == JobKind.SERVICE
-            if (daemon || clock.chance(0.2)) {
+            val isService = spec.kind == JobKind.SERVICE
+            if (isService || clock.chance(0.2)) {
                 clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
                     simulation.cancel(job.id)
                 }
             }
         }
 
-        fun crashes(from: Micros) {
+        fun scheduleCrashes(from: Micros) {
             repeat(6) { i ->
                 clock.after(from + (9 * i).seconds) {
                     if (clock.chance(0.5)) {
@@ -71,7 +72,7 @@
             }
         }
 
-        fun end() {
+        fun runAndCheck() {
             simulation.run(330.seconds)
             assertEquals(emptyList(), simulation.violations())
             assertEquals(emptyList(), simulation.store.rejectedForSize)
@@ -86,44 +87,46 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
     fun `who is told of them beforehand never goes beyond`(seed: Long) {
-        val scenario = Scenario(seed, LOWER)
+        val scenario = Scenario(seed, LOWER_LIMITS)
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
-        scenario.clock.after(40.seconds) { scenario.simulation.store.lowerLimits(LOWER) }
-        scenario.crashes(20.seconds)
-        scenario.end()
+        scenario.clock.after(40.seconds) { scenario.simulation.store.lowerLimits(LOWER_LIMITS) }
+        scenario.scheduleCrashes(20.seconds)
+        scenario.runAndCheck()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15, 16])
     fun `pages stored before are read, taken down and rewritten once they fit`(seed: Long) {
-        val scenario = Scenario(seed, told = null)
+        val scenario = Scenario(seed, announcedLimits = null)
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
         for (at in listOf(1, 8)) scenario.clock.after(at.seconds) {
-            scenario.submit(alwaysWide = true)
+            scenario.submit(alwaysLargePage = true)
         }
-        var fallen = false
+        var limitsLowered = false
         scenario.clock.every(100.milliseconds) {
             // All come back told, while a page is large, and the limits fall at once.
-            if (!fallen && simulation.store.largestValueLength("t/") > 1024) {
-                fallen = true
-                simulation.announcedLimits = LOWER
+            if (!limitsLowered && simulation.store.largestValueLength("t/") > 1024) {
+                limitsLowered = true
+                simulation.announcedLimits = LOWER_LIMITS
                 for (node in simulation.nodes) simulation.crash(node, 500.milliseconds)
-                scenario.clock.after(400.milliseconds) { simulation.store.lowerLimits(LOWER) }
+                scenario.clock.after(400.milliseconds) {
+                    simulation.store.lowerLimits(LOWER_LIMITS)
+                }
             }
         }
-        scenario.crashes(35.seconds)
-        scenario.end()
-        assertTrue(fallen, "no page was larger than a value may be later")
+        scenario.scheduleCrashes(35.seconds)
+        scenario.runAndCheck()
+        assertTrue(limitsLowered, "no page was larger than a value may be later")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23])
     fun `nor do batches and answers that go round by the service`(seed: Long) {
-        val scenario = Scenario(seed, LOWER, forwardingSettings())
+        val scenario = Scenario(seed, LOWER_LIMITS, forwardingSettings())
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
-        simulation.store.lowerLimits(LOWER)
+        simulation.store.lowerLimits(LOWER_LIMITS)
         scenario.clock.after(20.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.blockPath(a, b)
@@ -132,53 +135,59 @@
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.unblockPath(a, b)
         }
-        scenario.end()
+        scenario.runAndCheck()
         assertTrue(simulation.store.largestValueLength("r/") > 0, "no batch went round")
     }
 
     /** On few machines a page of 1 KiB holds some 100 tasks, on many some 20. */
     @Test
     fun `gangs that a page holds run, and one that none holds stands in nobody's way`() {
-        val simulation = ClusterSimulation(31, announcedLimits = LOWER)
-        simulation.store.lowerLimits(LOWER)
+        val simulation = ClusterSimulation(31, announcedLimits = LOWER_LIMITS)
+        simulation.store.lowerLimits(LOWER_LIMITS)
         simulation.run(5.seconds)
-        val never = wideGang(simulation, tasks = 200, cpus = 0.1)
-        simulation.submit(never)
-        val gang = wideGang(simulation, tasks = 60, cpus = 0.5)
+        val unplaceableGang = smallTaskGang(simulation, tasks = 200, cpus = 0.1)
+        simulation.submit(unplaceableGang)
+        val gang = smallTaskGang(simulation, tasks = 60, cpus = 0.5)
         val service =
-            wideGang(simulation, tasks = 60, cpus = 0.1)
+            smallTaskGang(simulation, tasks = 60, cpus = 0.1)
                 .copy(kind = JobKind.SERVICE, estimateS = 0.0)
         simulation.submit(gang)
         simulation.submit(service)
         val others = ArrayList<JobSpec>()
         for (at in 10..90 step 8) {
             simulation.clock.after(at.seconds) {
-                val other = wideGang(simulation, tasks = 4, cpus = 2.0)
+                val other = smallTaskGang(simulation, tasks = 4, cpus = 2.0)
                 others.add(other)
                 simulation.submit(other)
             }
         }
         simulation.run(200.seconds)
-        val ended = { job: JobSpec -> simulation.invariants.finalStateOf(job.id) }
-        assertEquals(emptyList(), (others + gang).filter { ended(it) != "done" }.map { it.tasks })
-        assertEquals(0, simulation.invariants.machinesOf(never.id).size)
+        val finalState = { job: JobSpec -> simulation.invariants.finalStateOf(job.id) }
+        assertEquals(
+            emptyList(),
+            (others + gang).filter { finalState(it) != "done" }.map { it.tasks },
+        )
+        assertEquals(0, simulation.invariants.machinesOf(unplaceableGang.id).size)
         assertTrue(simulation.invariants.machinesOf(service.id).isNotEmpty())
-        for (job in listOf(never, service)) {
-            assertEquals(null, ended(job), "it is known, and open")
+        for (job in listOf(unplaceableGang, service)) {
+            assertEquals(null, finalState(job), "it is known, and open")
             simulation.cancel(job.id)
         }
         simulation.run(270.seconds)
-        assertEquals(listOf("cancelled", "cancelled"), listOf(never, service).map(ended))
+        assertEquals(
+            listOf("cancelled", "cancelled"),
+            listOf(unplaceableGang, service).map(finalState),
+        )
         assertEquals(emptyList(), simulation.violations())
         assertEquals(emptyList(), simulation.store.rejectedForSize)
     }
 
-    private fun wideGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
+    private fun smallTaskGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
         simulation
             .unconstrainedGang("team-0", tasks, cpus, estimateS = 10.0)
             .copy(memoryGb = 0.1, checkpointS = 0.0, saveS = 0.0)
 
     private companion object {
-        val LOWER = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
+        val LOWER_LIMITS = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
     }
 }
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -13,7 +13,7 @@
 
 /** Two troubles at once, where machines are one of them: each brought about on purpose. */
 class MachineFaultsTest {
-    private class Meeting(seed: Long) {
+    private class MachineFaultScenario(seed: Long) {
         // In every other scenario all controllers take reports.
         val simulation = ClusterSimulation(seed, operators = forwardingSettings(seed % 2 != 0L))
         val clock = simulation.clock
@@ -21,47 +21,57 @@
         fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
 
         /** A task of it takes most of a machine, and never ends by itself unless it is [short]. */
-        fun large(team: Int, tasks: Int, short: Double = 0.0, oneZone: Boolean = false): JobSpec =
+        fun largeTaskJob(
+            team: Int,
+            tasks: Int,
+            estimateS: Double = 0.0,
+            oneZone: Boolean = false,
+        ): JobSpec =
             simulation
                 .unconstrainedJob(
-                    if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
+                    if (estimateS > 0) JobKind.ARRAY else JobKind.SERVICE,
                     "team-$team",
                     tasks,
                     cpus = 9.0,
-                    estimateS = short,
+                    estimateS = estimateS,
                 )
                 .copy(oneZone = oneZone)
 
         /** A job of many short tasks. */
-        fun array(team: Int, tasks: Int, zone: String? = null, oneZone: Boolean = false): JobSpec =
-            large(team, tasks, short = 6.0, oneZone).copy(cpus = 2.0, zone = zone)
+        fun shortTaskJob(
+            team: Int,
+            tasks: Int,
+            zone: String? = null,
+            oneZone: Boolean = false,
+        ): JobSpec =
+            largeTaskJob(team, tasks, estimateS = 6.0, oneZone).copy(cpus = 2.0, zone = zone)
 
         fun workers() = simulation.cloud.workers()
 
-        fun busy() = workers().filter { it.activeTasks > 0 }
+        fun busyWorkers() = workers().filter { it.activeTasks > 0 }
 
-        fun part(a: String, b: String, length: Micros) {
+        fun dropMessages(a: String, b: String, duration: Micros) {
             simulation.network.blockPath(a, b)
-            clock.after(length) { simulation.network.unblockPath(a, b) }
+            clock.after(duration) { simulation.network.unblockPath(a, b) }
         }
 
-        fun hang(worker: FakeWorker, length: Micros) {
+        fun makeUnresponsive(worker: FakeWorker, duration: Micros) {
             worker.unresponsive = true
-            clock.after(length) { worker.unresponsive = false }
+            clock.after(duration) { worker.unresponsive = false }
         }
 
-        fun mute(worker: FakeWorker, length: Micros) {
+        fun dropHeartbeats(worker: FakeWorker, duration: Micros) {
             simulation.network.outboundBlocked.add(worker.id)
-            clock.after(length) { simulation.network.outboundBlocked.remove(worker.id) }
+            clock.after(duration) { simulation.network.outboundBlocked.remove(worker.id) }
         }
 
-        fun holds() {
+        fun checkNoViolations() {
             assertEquals(emptyList(), simulation.violations().distinct().take(4))
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
         }
 
-        fun done(vararg jobs: JobSpec) {
-            holds()
+        fun checkJobsDone(vararg jobs: JobSpec) {
+            checkNoViolations()
             assertEquals(
                 emptyList(),
                 jobs.map { it.id }.filter { simulation.invariants.finalStateOf(it) != "done" },
@@ -74,18 +84,18 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `mute machines, with cancellations and new starts meanwhile`(seed: Long) {
-        val scenario = Meeting(seed)
-        val jobs = List(3) { scenario.large(it, 3) }
+        val scenario = MachineFaultScenario(seed)
+        val jobs = List(3) { scenario.largeTaskJob(it, 3) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.randomBetween(12.seconds, 70.seconds)
-            for (worker in scenario.busy()) {
+            val duration = scenario.clock.randomBetween(12.seconds, 70.seconds)
+            for (worker in scenario.busyWorkers()) {
                 if (!scenario.clock.chance(0.8)) continue
-                scenario.mute(worker, length)
+                scenario.dropHeartbeats(worker, duration)
                 // Nothing new goes where no lease is renewed.
                 scenario.clock.after(11.seconds) {
                     val before = worker.startedTasks
-                    scenario.clock.after(length - 11.seconds) {
+                    scenario.clock.after(duration - 11.seconds) {
                         assertEquals(before, worker.startedTasks, "started on a mute machine")
                     }
                 }
@@ -94,12 +104,12 @@
                 scenario.simulation.cancel(jobs[0].id)
             }
         }
-        val late = List(3) { scenario.array(it, 12) }
-        for ((i, job) in late.withIndex()) scenario.at((33 + 9 * i).seconds) {
+        val laterJobs = List(3) { scenario.shortTaskJob(it, 12) }
+        for ((i, job) in laterJobs.withIndex()) scenario.at((33 + 9 * i).seconds) {
             scenario.simulation.submit(job)
         }
         scenario.simulation.run(200.seconds)
-        scenario.done(*late.toTypedArray())
+        scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
     // Tasks of cancelled jobs.
@@ -107,20 +117,23 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 6])
     fun `cancelled on machines that hang, many at once, while the leader changes`(seed: Long) {
-        val scenario = Meeting(seed)
-        val jobs = List(3) { scenario.large(it, 4) }
+        val scenario = MachineFaultScenario(seed)
+        val jobs = List(3) { scenario.largeTaskJob(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val busy = scenario.busy()
-            assertTrue(busy.size >= 6, "only ${busy.size} are busy")
-            for (worker in busy.drop((seed % 3).toInt() * 3)) scenario.hang(worker, 90.seconds)
+            val busyWorkers = scenario.busyWorkers()
+            assertTrue(busyWorkers.size >= 6, "only ${busyWorkers.size} are busy")
+            for (worker in busyWorkers.drop((seed % 3).toInt() * 3)) scenario.makeUnresponsive(
+                worker,
+                90.seconds,
+            )
             for (job in jobs) scenario.simulation.cancel(job.id)
             scenario.clock.after(scenario.clock.randomBetween(1.seconds, 25.seconds)) {
                 scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
             }
         }
         scenario.simulation.run(150.seconds)
-        scenario.holds()
+        scenario.checkNoViolations()
     }
 
     // (b) Jobs bound to one zone.
@@ -130,27 +143,31 @@
     fun `jobs bound to one zone lose machines, by death, a hang and a change of leaders`(
         seed: Long
     ) {
-        val scenario = Meeting(seed)
+        val scenario = MachineFaultScenario(seed)
         // More than its team may have at once, so that some wait while others are out.
-        val pinned = scenario.array(0, 40, zone = "b").copy(estimateS = 20.0)
-        val together = scenario.array(1, 40, oneZone = true).copy(estimateS = 20.0)
-        val far = scenario.array(2, 40, oneZone = true).copy(estimateS = 20.0)
-        for (job in listOf(pinned, together, far)) scenario.simulation.submit(job)
+        val zoneJob = scenario.shortTaskJob(0, 40, zone = "b").copy(estimateS = 20.0)
+        val oneZoneJob = scenario.shortTaskJob(1, 40, oneZone = true).copy(estimateS = 20.0)
+        val otherOneZoneJob = scenario.shortTaskJob(2, 40, oneZone = true).copy(estimateS = 20.0)
+        for (job in listOf(zoneJob, oneZoneJob, otherOneZoneJob)) scenario.simulation.submit(job)
         scenario.at(20.seconds) {
-            val there = scenario.workers().shuffled(scenario.clock.random)
-            for (worker in there.take(there.size / 2)) {
+            val shuffledWorkers = scenario.workers().shuffled(scenario.clock.random)
+            for (worker in shuffledWorkers.take(shuffledWorkers.size / 2)) {
                 if (scenario.clock.chance(0.5)) scenario.simulation.cloud.crash(worker)
-                else scenario.hang(worker, scenario.clock.randomBetween(3.seconds, 30.seconds))
+                else
+                    scenario.makeUnresponsive(
+                        worker,
+                        scenario.clock.randomBetween(3.seconds, 30.seconds),
+                    )
             }
             scenario.clock.after(scenario.clock.randomBetween(0.seconds, 6.seconds)) {
                 scenario.simulation.leader()?.let { scenario.simulation.crash(it, 2.seconds) }
             }
         }
         scenario.at(45.seconds) {
-            scenario.busy().take(2).forEach { scenario.simulation.cloud.crash(it) }
+            scenario.busyWorkers().take(2).forEach { scenario.simulation.cloud.crash(it) }
         }
         scenario.simulation.run(220.seconds)
-        scenario.done(pinned, together, far)
+        scenario.checkJobsDone(zoneJob, oneZoneJob, otherOneZoneJob)
     }
 
     // (c) A leader ends while machines with long tasks are out of reach.
@@ -158,23 +175,23 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a leader ends while machines can't be reached or don't hear the next one`(seed: Long) {
-        val scenario = Meeting(seed)
+        val scenario = MachineFaultScenario(seed)
         // There is room elsewhere for what is out of reach.
-        val jobs = List(3) { scenario.large(it, 3).copy(cpus = 5.0) }
+        val jobs = List(3) { scenario.largeTaskJob(it, 3).copy(cpus = 5.0) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.randomBetween(5.seconds, 60.seconds)
-            for (worker in scenario.busy()) {
+            val duration = scenario.clock.randomBetween(5.seconds, 60.seconds)
+            for (worker in scenario.busyWorkers()) {
                 when (scenario.clock.random.nextInt(4)) {
                     0 ->
-                        for (node in scenario.simulation.nodes) scenario.part(
+                        for (node in scenario.simulation.nodes) scenario.dropMessages(
                             node,
                             worker.id,
-                            length,
+                            duration,
                         )
                     1 -> {
                         scenario.simulation.network.isolate(worker.id)
-                        scenario.clock.after(length) {
+                        scenario.clock.after(duration) {
                             scenario.simulation.network.reconnect(worker.id)
                         }
                     }
@@ -187,10 +204,10 @@
                 scenario.simulation.cancel(jobs[1].id)
             }
         }
-        val late = List(3) { scenario.array(it, 10) }
-        scenario.at(40.seconds) { for (job in late) scenario.simulation.submit(job) }
+        val laterJobs = List(3) { scenario.shortTaskJob(it, 10) }
+        scenario.at(40.seconds) { for (job in laterJobs) scenario.simulation.submit(job) }
         scenario.simulation.run(210.seconds)
-        scenario.done(*late.toTypedArray())
+        scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
     // (d) A zone is cut off with a controller in it.
@@ -198,11 +215,11 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `a zone with workers and a controller is cut off for longer than a lease`(seed: Long) {
-        val scenario = Meeting(seed)
-        val jobs = List(3) { scenario.large(it, 4) }
+        val scenario = MachineFaultScenario(seed)
+        val jobs = List(3) { scenario.largeTaskJob(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.randomBetween(17.seconds, 60.seconds)
+            val duration = scenario.clock.randomBetween(17.seconds, 60.seconds)
             val leader = scenario.simulation.leader()
             // The leader is inside, or one of the others.
             val node = scenario.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
@@ -212,17 +229,17 @@
                     (scenario.simulation.nodes - node) +
                     listOf("state", "cloud", "user")
             for (a in inside) for (b in outside) {
-                scenario.part(a, b, length)
-                scenario.part(b, a, length)
+                scenario.dropMessages(a, b, duration)
+                scenario.dropMessages(b, a, duration)
             }
             scenario.clock.after(scenario.clock.randomBetween(0.seconds, 9.seconds)) {
                 scenario.simulation.cancel(jobs[2].id)
             }
         }
-        val late = List(3) { scenario.array(it, 10) }
-        scenario.at(36.seconds) { for (job in late) scenario.simulation.submit(job) }
+        val laterJobs = List(3) { scenario.shortTaskJob(it, 10) }
+        scenario.at(36.seconds) { for (job in laterJobs) scenario.simulation.submit(job) }
         scenario.simulation.run(210.seconds)
-        scenario.done(*late.toTypedArray())
+        scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
     // (e) Held-up commands and answers.
@@ -230,24 +247,24 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `starts reach a hanging machine, their job is cancelled, and it goes on`(seed: Long) {
-        val scenario = Meeting(seed)
-        val first = List(3) { scenario.large(it, 1) }
+        val scenario = MachineFaultScenario(seed)
+        val first = List(3) { scenario.largeTaskJob(it, 1) }
         first.forEach { scenario.simulation.submit(it) }
-        val cancelled = List(3) { scenario.array(it, 6).copy(estimateS = 400.0) }
-        val kept = List(3) { scenario.array(it, 8).copy(estimateS = 20.0) }
+        val cancelled = List(3) { scenario.shortTaskJob(it, 6).copy(estimateS = 400.0) }
+        val kept = List(3) { scenario.shortTaskJob(it, 8).copy(estimateS = 20.0) }
         scenario.at(25.seconds) {
             for (job in kept + cancelled) scenario.simulation.submit(job)
             // While these starts go out.
             scenario.clock.after(scenario.clock.randomBetween(20.milliseconds, 200.milliseconds)) {
                 for (worker in scenario.workers()) {
-                    val length = scenario.clock.randomBetween(1.seconds, 15.seconds)
-                    if (scenario.clock.chance(0.5)) scenario.hang(worker, length)
+                    val duration = scenario.clock.randomBetween(1.seconds, 15.seconds)
+                    if (scenario.clock.chance(0.5)) scenario.makeUnresponsive(worker, duration)
                     else if (scenario.clock.chance(0.5)) {
                         // The order arrives, its answer comes too late.
-                        for (node in scenario.simulation.nodes) scenario.part(
+                        for (node in scenario.simulation.nodes) scenario.dropMessages(
                             worker.id,
                             node,
-                            length,
+                            duration,
                         )
                     }
                 }
@@ -257,7 +274,7 @@
             }
         }
         scenario.simulation.run(200.seconds)
-        scenario.done(*kept.toTypedArray())
+        scenario.checkJobsDone(*kept.toTypedArray())
     }
 
     // (f) More work than room.
@@ -265,7 +282,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `more work than room, urgent and not, over slow links`(seed: Long) {
-        val scenario = Meeting(seed)
+        val scenario = MachineFaultScenario(seed)
         val simulation = scenario.simulation
         val hosts = simulation.nodes + "state" + "cloud"
         val jobs = ArrayList<JobSpec>()
@@ -273,8 +290,11 @@
             val urgent = scenario.clock.chance(0.5)
             val team = scenario.clock.random.nextInt(3)
             val job =
-                if (urgent) scenario.array(team, 15).copy(priority = PriorityClass.HIGH)
-                else scenario.large(team, 2, short = 20.0).copy(checkpointS = 3.0, saveS = 2.0)
+                if (urgent) scenario.shortTaskJob(team, 15).copy(priority = PriorityClass.HIGH)
+                else
+                    scenario
+                        .largeTaskJob(team, 2, estimateS = 20.0)
+                        .copy(checkpointS = 3.0, saveS = 2.0)
             jobs.add(job)
             simulation.submit(job)
         }
@@ -289,6 +309,6 @@
         scenario.at(70.seconds) { simulation.network.extraLatency.clear() }
         simulation.run(330.seconds)
         simulation.checkAtEnd(faultsEndedAt = 70.seconds)
-        scenario.done(*jobs.toTypedArray())
+        scenario.checkJobsDone(*jobs.toTypedArray())
     }
 }
--- a/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
+++ b/src/test/kotlin/wardmux/sim/ManyLostMachinesTest.kt
@@ -24,10 +24,10 @@
                         )
                 )
         )
-    private val workers = List(MACHINES) { ManualWorker(harness, "i-%06d".format(it)) }
+    private val workers = List(MACHINE_COUNT) { ManualWorker(harness, "i-%06d".format(it)) }
 
-    private fun recorded(lost: Int) =
-        (0 until lost).count { harness.storedValue("m/i-%06d".format(it)) != null }
+    private fun recordedDecommissions(machineCount: Int) =
+        (0 until machineCount).count { harness.storedValue("m/i-%06d".format(it)) != null }
 
     @Test
     fun `the records of many lost machines do not wait behind all that can be placed`() {
@@ -36,29 +36,30 @@
         for (worker in workers) worker.sendHeartbeat(token)
         // All but the first of them go on reporting; then there is more to place than can be
         // written.
-        var at = 0
-        while (recorded(LOST) == 0) {
-            assertTrue(++at < MOST_ROUNDS, "no machine was given up")
-            if (at == JOBS_AT)
-                repeat(JOBS) { harness.writeAcceptedJob(plainJob(1, "job-%06d".format(it))) }
-            for (worker in workers.drop(LOST)) worker.sendHeartbeat(token)
+        var round = 0
+        while (recordedDecommissions(LOST_MACHINE_COUNT) == 0) {
+            assertTrue(++round < MAX_ROUNDS, "no machine was given up")
+            if (round == SUBMISSION_ROUND)
+                repeat(JOB_COUNT) { harness.writeAcceptedJob(plainJob(1, "job-%06d".format(it))) }
+            for (worker in workers.drop(LOST_MACHINE_COUNT)) worker.sendHeartbeat(token)
             harness.run(0.5.seconds)
         }
         repeat(ROUNDS_TO_RECORD) {
-            for (worker in workers.drop(LOST)) worker.sendHeartbeat(token)
+            for (worker in workers.drop(LOST_MACHINE_COUNT)) worker.sendHeartbeat(token)
             harness.run(0.5.seconds)
         }
-        assertEquals(LOST, recorded(LOST))
-        val placed = (0 until JOBS).count { harness.storedValue("t/job-%06d/0".format(it)) != null }
-        assertTrue(placed in 1 until JOBS, "$placed jobs placed")
+        assertEquals(LOST_MACHINE_COUNT, recordedDecommissions(LOST_MACHINE_COUNT))
+        val placedJobs =
+            (0 until JOB_COUNT).count { harness.storedValue("t/job-%06d/0".format(it)) != null }
+        assertTrue(placedJobs in 1 until JOB_COUNT, "$placedJobs jobs placed")
     }
 
     private companion object {
-        const val MACHINES = 150
-        const val LOST = 24
-        const val JOBS = 900
-        const val JOBS_AT = 12
-        const val MOST_ROUNDS = 60
+        const val MACHINE_COUNT = 150
+        const val LOST_MACHINE_COUNT = 24
+        const val JOB_COUNT = 900
+        const val SUBMISSION_ROUND = 12
+        const val MAX_ROUNDS = 60
         const val ROUNDS_TO_RECORD = 6
     }
 }
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -14,73 +14,76 @@
 class RandomSimulationTest {
     private class Scenario(
         seed: Long,
-        private val grown: Boolean = false,
-        private val fleet: Boolean = false,
-        private val hunted: Boolean = false,
+        private val withNetworkFaults: Boolean = false,
+        private val withPartitionFaults: Boolean = false,
+        private val withCancellationFaults: Boolean = false,
         operators: OperatorSettings = OperatorSettings(),
     ) {
         val simulation = ClusterSimulation(seed, operators = operators)
         private val clock = simulation.clock
         val jobs = ArrayList<String>()
 
-        private val troubles = FaultInjector(simulation, ::submit)
+        private val faults = FaultInjector(simulation, ::submit)
 
         private fun submit() {
-            val usual = simulation.randomJob()
+            val randomJob = simulation.randomJob()
             // Some have long to go, for those who call them off.
-            val long = hunted && usual.estimateS > 0 && usual.tasks <= 3 && clock.chance(0.5)
-            val spec = if (long) usual.copy(estimateS = 100.0) else usual
+            val isLong =
+                withCancellationFaults &&
+                    randomJob.estimateS > 0 &&
+                    randomJob.tasks <= 3 &&
+                    clock.chance(0.5)
+            val spec = if (isLong) randomJob.copy(estimateS = 100.0) else randomJob
             jobs.add(spec.id)
             simulation.submit(spec)
-            val daemon = spec.estimateS == 0.0
-            if (daemon || clock.chance(0.15)) {
+            val isService = spec.estimateS == 0.0
+            if (isService || clock.chance(0.15)) {
                 clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
                     simulation.cancel(spec.id)
                 }
             }
         }
 
-        fun play(troubled: Boolean) {
-            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
+        fun run(withFaults: Boolean) {
+            simulation.cloud.startFailureProbability = if (withFaults) 0.1 else 0.0
             simulation.poll("job-999999")
             for (at in 2..150 step 7) clock.after(at.seconds) { submit() }
-            if (troubled) {
+            if (withFaults) {
                 for (at in 10..170 step 9) {
-                    clock.after(at.seconds) { trouble() }
+                    clock.after(at.seconds) { injectRandomFault() }
                 }
             }
-            if (hunted) {
+            if (withCancellationFaults) {
                 simulation.store.holdsRefusedWatches = true
-                clock.after(CALM) { simulation.startWorkConservationChecks() }
+                clock.after(FAULTS_END) { simulation.startWorkConservationChecks() }
             }
-            simulation.run(if (grown) 420.seconds else 320.seconds)
-            if (grown) simulation.checkAtEnd(CALM)
+            simulation.run(if (withNetworkFaults) 420.seconds else 320.seconds)
+            if (withNetworkFaults) simulation.checkAtEnd(FAULTS_END)
         }
 
-        private fun trouble() {
-            val all =
+        private fun injectRandomFault() {
+            val possibleFaults =
                 when {
-                    hunted -> {
-                        val new =
-                            troubles.cancellationFaults +
-                                troubles.cancellationFaults +
-                                troubles.cancellationFaults
-                        troubles.basicFaults +
-                            troubles.networkFaults +
-                            troubles.partitionFaults +
-                            new
+                    withCancellationFaults -> {
+                        val weightedFaults =
+                            faults.cancellationFaults +
+                                faults.cancellationFaults +
+                                faults.cancellationFaults
+                        faults.basicFaults +
+                            faults.networkFaults +
+                            faults.partitionFaults +
+                            weightedFaults
                     }
-                    fleet -> {
-                        val new =
-                            troubles.partitionFaults +
-                                troubles.partitionFaults +
-                                troubles.partitionFaults
-                        troubles.basicFaults + troubles.networkFaults + new
+                    withPartitionFaults -> {
+                        val weightedFaults =
+                            faults.partitionFaults + faults.partitionFaults + faults.partitionFaults
+                        faults.basicFaults + faults.networkFaults + weightedFaults
                     }
-                    grown -> troubles.basicFaults + troubles.networkFaults + troubles.networkFaults
-                    else -> troubles.basicFaults
+                    withNetworkFaults ->
+                        faults.basicFaults + faults.networkFaults + faults.networkFaults
+                    else -> faults.basicFaults
                 }
-            all[clock.random.nextInt(all.size)]()
+            possibleFaults[clock.random.nextInt(possibleFaults.size)]()
         }
     }
 
@@ -88,7 +91,7 @@
     @MethodSource("seeds")
     fun `no rule is broken whatever fails`(seed: Long) {
         val scenario = Scenario(seed)
-        scenario.play(troubled = true)
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
@@ -96,8 +99,8 @@
     @ParameterizedTest
     @MethodSource("grownSeeds")
     fun `nor with one-way networks, late copies, lone controllers and quick returns`(seed: Long) {
-        val scenario = Scenario(seed, grown = true)
-        scenario.play(troubled = true)
+        val scenario = Scenario(seed, withNetworkFaults = true)
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
@@ -105,8 +108,8 @@
     @ParameterizedTest
     @MethodSource("relayedSeeds")
     fun `nor where all controllers take heartbeats`(seed: Long) {
-        val scenario = Scenario(seed, grown = true, operators = forwardingSettings())
-        scenario.play(troubled = true)
+        val scenario = Scenario(seed, withNetworkFaults = true, operators = forwardingSettings())
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
@@ -115,8 +118,14 @@
     @MethodSource("frozenSeeds")
     fun `nor with frozen controllers and cut zones besides`(seed: Long) {
         val forwarding = forwardingSettings()
-        val scenario = Scenario(seed, grown = true, fleet = true, operators = forwarding)
-        scenario.play(troubled = true)
+        val scenario =
+            Scenario(
+                seed,
+                withNetworkFaults = true,
+                withPartitionFaults = true,
+                operators = forwarding,
+            )
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
@@ -124,16 +133,22 @@
     @ParameterizedTest
     @MethodSource("huntedSeeds")
     fun `nor with late writes, old reports, cancellations and odd requests`(seed: Long) =
-        hunted(seed, OperatorSettings())
+        checkWithCancellationFaults(seed, OperatorSettings())
 
     @ParameterizedTest
     @MethodSource("huntedSeeds")
     fun `nor with them where all controllers take heartbeats`(seed: Long) =
-        hunted(seed, forwardingSettings())
-
-    private fun hunted(seed: Long, operators: OperatorSettings) {
-        val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
-        scenario.play(troubled = true)
+        checkWithCancellationFaults(seed, forwardingSettings())
+
+    private fun checkWithCancellationFaults(seed: Long, operators: OperatorSettings) {
+        val scenario =
+            Scenario(
+                seed,
+                withNetworkFaults = true,
+                withCancellationFaults = true,
+                operators = operators,
+            )
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
         assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
     }
@@ -141,7 +156,7 @@
     @Test
     fun `in a quiet scenario every job comes to its end`() {
         val scenario = Scenario(100)
-        scenario.play(troubled = false)
+        scenario.run(withFaults = false)
         assertEquals(emptyList(), scenario.simulation.violations())
         val open = scenario.jobs.filter { scenario.simulation.invariants.finalStateOf(it) == null }
         assertEquals(emptyList(), open)
@@ -149,26 +164,27 @@
 
     companion object {
         /** The longest trouble lasts for 78 s, and late messages come up to 45 s after theirs. */
-        private val CALM = 285.seconds
+        private val FAULTS_END = 285.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.days=100-500"`. */
-        @JvmStatic fun seeds(): List<Long> = scenarios("wardmux.days", "1-24") + FOUND
+        @JvmStatic fun seeds(): List<Long> = seedsFrom("wardmux.days", "1-24") + REGRESSION_SEEDS
 
         /** Likewise: `-Dwardmux.grown=100-500`. */
-        @JvmStatic fun grownSeeds(): List<Long> = scenarios("wardmux.grown", "1-24")
+        @JvmStatic fun networkFaultSeeds(): List<Long> = seedsFrom("wardmux.grown", "1-24")
 
         /** Likewise: `-Dwardmux.relayed=100-500`. */
         @JvmStatic
-        fun relayedSeeds(): List<Long> = scenarios("wardmux.relayed", "1-24") + FOUND_RELAYED
+        fun forwardingSeeds(): List<Long> =
+            seedsFrom("wardmux.relayed", "1-24") + FORWARDING_REGRESSION_SEEDS
 
         /** Likewise: `-Dwardmux.frozen=100-500`. */
-        @JvmStatic fun frozenSeeds(): List<Long> = scenarios("wardmux.frozen", "1-24")
+        @JvmStatic fun partitionFaultSeeds(): List<Long> = seedsFrom("wardmux.frozen", "1-24")
 
         /** Likewise: `-Dwardmux.hunted=100-500`. */
-        @JvmStatic fun huntedSeeds(): List<Long> = scenarios("wardmux.hunted", "1-24")
+        @JvmStatic fun cancellationFaultSeeds(): List<Long> = seedsFrom("wardmux.hunted", "1-24")
 
-        private fun scenarios(property: String, usual: String): List<Long> {
-            val range = (System.getProperty(property) ?: usual).split('-')
+        private fun seedsFrom(property: String, defaultRange: String): List<Long> {
+            val range = (System.getProperty(property) ?: defaultRange).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
         }
 
@@ -179,12 +195,12 @@
          * since a later leader started again what had been released after its record was written
          * (854).
          */
-        private val FOUND = listOf(113L, 114L, 184L, 242L, 321L, 854L)
+        private val REGRESSION_SEEDS = listOf(113L, 114L, 184L, 242L, 321L, 854L)
 
         /**
          * A machine that commands did not reach was kept for ever, and with it the jobs that only
          * its kind may run, as the leader had read again what is stored (200).
          */
-        private val FOUND_RELAYED = listOf(200L)
+        private val FORWARDING_REGRESSION_SEEDS = listOf(200L)
     }
 }
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -8,7 +8,7 @@
 
 /** Work too small or too particular for the sums that hiring goes by still gets its machine. */
 class SmallWorkTest {
-    private fun finalOf(spot: Boolean, zone: String?): String? {
+    private fun finalStateOfSmallJob(spot: Boolean, zone: String?): String? {
         val simulation = ClusterSimulation(5, startWithMachines = false)
         val spec =
             simulation
@@ -30,13 +30,15 @@
         return simulation.invariants.finalStateOf(spec.id)
     }
 
-    @Test fun `one small task with no machine at all`() = assertEquals("done", finalOf(true, null))
+    @Test
+    fun `one small task with no machine at all`() =
+        assertEquals("done", finalStateOfSmallJob(true, null))
 
     @Test
     fun `one small task that may not run on spot machines`() =
-        assertEquals("done", finalOf(false, null))
+        assertEquals("done", finalStateOfSmallJob(false, null))
 
     @Test
     fun `one small task that must be in a zone without machines`() =
-        assertEquals("done", finalOf(false, "c"))
+        assertEquals("done", finalStateOfSmallJob(false, "c"))
 }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -22,10 +22,10 @@
  * the lower limits, and pages that are larger than these may be stored: neither breaks a rule.
  */
 class UpgradeTest {
-    private enum class LimitsFall {
-        BEFORE_THE_ROLL,
-        DURING_THE_ROLL,
-        AFTER_THE_ROLL,
+    private enum class LimitsLowered {
+        BEFORE_UPGRADE,
+        DURING_UPGRADE,
+        AFTER_UPGRADE,
     }
 
     private class Scenario(seed: Long, operators: OperatorSettings = OperatorSettings()) {
@@ -34,57 +34,59 @@
         val jobs = ArrayList<JobSpec>()
 
         /** Members whose processes have the new version, and since when. */
-        private val newSince = HashMap<String, Micros>()
+        private val upgradedAt = HashMap<String, Micros>()
 
         /** Whether the leader was new, each time that another process led. */
-        val leaders = ArrayList<Boolean>()
+        val leadersUpgraded = ArrayList<Boolean>()
 
         /** What was refused for its size although a new process sent it. */
-        private val newBeyond = ArrayList<String>()
+        private val rejectedFromUpgraded = ArrayList<String>()
         private var lastToken: Long? = null
-        private var seenBeyond = 0
+        private var rejectionsSeen = 0
 
         init {
-            simulation.announcedLimitsOf = { member -> LOWER.takeIf { member in newSince } }
-            clock.every(50.milliseconds) { watch() }
+            simulation.announcedLimitsOf = { member ->
+                LOWER_LIMITS.takeIf { member in upgradedAt }
+            }
+            clock.every(50.milliseconds) { recordLeadersAndRejections() }
         }
 
-        val allNew: Boolean
-            get() = newSince.size == simulation.nodes.size
+        val allUpgraded: Boolean
+            get() = upgradedAt.size == simulation.nodes.size
 
-        private fun watch() {
+        private fun recordLeadersAndRejections() {
             val token = simulation.store.version("leader")
             val leader = simulation.leader()
             if (leader != null && token != lastToken) {
                 lastToken = token
-                leaders.add(leader in newSince)
+                leadersUpgraded.add(leader in upgradedAt)
             }
-            for (what in simulation.store.rejectedForSize.drop(seenBeyond)) {
+            for (rejection in simulation.store.rejectedForSize.drop(rejectionsSeen)) {
                 // What the old process sent may arrive long after its end.
-                val since = newSince[what.substringAfterLast(' ')] ?: continue
-                if (clock.now - since > LAST_MESSAGES) newBeyond.add(what)
+                val since = upgradedAt[rejection.substringAfterLast(' ')] ?: continue
+                if (clock.now - since > MAX_MESSAGE_DELAY) rejectedFromUpgraded.add(rejection)
             }
-            seenBeyond = simulation.store.rejectedForSize.size
+            rejectionsSeen = simulation.store.rejectedForSize.size
         }
 
         /** Killed, and back with the new version. */
-        fun renew(member: String) {
-            newSince.getOrPut(member) { clock.now }
-            simulation.crash(member, RESTART)
+        fun upgrade(member: String) {
+            upgradedAt.getOrPut(member) { clock.now }
+            simulation.crash(member, RESTART_TIME)
         }
 
         /** Dies before its turn, or after it: it comes back as it was. */
-        fun crash(member: String, back: Micros) = simulation.crash(member, back)
+        fun crash(member: String, downtime: Micros) = simulation.crash(member, downtime)
 
         /** All but [member] end for long enough for it to lead. */
-        fun lead(member: String) {
-            for (other in simulation.nodes - member) crash(other, HAND_OVER)
+        fun makeLeader(member: String) {
+            for (other in simulation.nodes - member) crash(other, HANDOVER_DOWNTIME)
         }
 
         /** One after the other, in any order, from [from] on. */
-        fun roll(from: Micros, apart: Micros) {
+        fun scheduleUpgrades(from: Micros, interval: Micros) {
             for ((i, member) in simulation.nodes.shuffled(clock.random).withIndex()) {
-                clock.after(from + Micros(apart.value * i)) { renew(member) }
+                clock.after(from + Micros(interval.value * i)) { upgrade(member) }
             }
         }
 
@@ -93,10 +95,10 @@
             val kind = clock.random.nextDouble()
             val job =
                 when {
-                    allNew && kind < 0.3 -> gang(random)
+                    allUpgraded && kind < 0.3 -> gangJob(random)
                     // So many on one page that its record is larger than a value may be later.
-                    kind < 0.5 -> wide(random)
-                    else -> random.takeIf { it.kind != JobKind.GANG } ?: wide(random)
+                    kind < 0.5 -> largePageJob(random)
+                    else -> random.takeIf { it.kind != JobKind.GANG } ?: largePageJob(random)
                 }
             jobs.add(job)
             simulation.submit(job)
@@ -107,8 +109,8 @@
             }
         }
 
-        private fun gang(like: JobSpec) =
-            like.copy(
+        private fun gangJob(template: JobSpec) =
+            template.copy(
                 jobClass = "gang",
                 kind = JobKind.GANG,
                 tasks = 2 + clock.random.nextInt(5),
@@ -121,8 +123,8 @@
                 saveS = 2.0,
             )
 
-        private fun wide(like: JobSpec) =
-            like.copy(
+        private fun largePageJob(template: JobSpec) =
+            template.copy(
                 kind = JobKind.ARRAY,
                 priority = PriorityClass.PROD,
                 tasks = 120,
@@ -134,12 +136,12 @@
                 estimateS = clock.randomBetween(4.seconds, 25.seconds).inSeconds,
             )
 
-        private fun someNode() = simulation.nodes.random(clock.random)
+        private fun randomNode() = simulation.nodes.random(clock.random)
 
         /** What meets the roll, one of each at least once over the seeds. */
-        private val troubles: List<() -> Unit> =
+        private val faults: List<() -> Unit> =
             listOf(
-                { crash(someNode(), clock.randomBetween(200.milliseconds, 6.seconds)) },
+                { crash(randomNode(), clock.randomBetween(200.milliseconds, 6.seconds)) },
                 {
                     simulation.leader()?.let {
                         crash(it, clock.randomBetween(200.milliseconds, 3.seconds))
@@ -151,55 +153,56 @@
                         clock.randomBetween(1.seconds, 4.seconds),
                     )
                 },
-                { outage(null, clock.randomBetween(2.seconds, 20.seconds)) },
+                { makeStoreUnavailable(null, clock.randomBetween(2.seconds, 20.seconds)) },
                 {
                     simulation.leader()?.let {
-                        outage(it, clock.randomBetween(4.seconds, 30.seconds))
+                        makeStoreUnavailable(it, clock.randomBetween(4.seconds, 30.seconds))
                     }
                 },
-                { outage(someNode(), clock.randomBetween(4.seconds, 30.seconds)) },
-                { cutZone(clock.randomBetween(5.seconds, 30.seconds)) },
-                { slowState(60.milliseconds, 20.seconds) },
-                { lead(someNode()) },
+                { makeStoreUnavailable(randomNode(), clock.randomBetween(4.seconds, 30.seconds)) },
+                { partitionZone(clock.randomBetween(5.seconds, 30.seconds)) },
+                { delayStoreMessages(60.milliseconds, 20.seconds) },
+                { makeLeader(randomNode()) },
             )
 
-        private fun outage(member: String?, length: Micros) {
+        private fun makeStoreUnavailable(member: String?, duration: Micros) {
             simulation.store.startOutage(member)
-            clock.after(length) { simulation.store.endOutage(member) }
+            clock.after(duration) { simulation.store.endOutage(member) }
         }
 
         /** A zone with a controller in it, without all others. */
-        private fun cutZone(length: Micros) {
+        private fun partitionZone(duration: Micros) {
             val zone = listOf("a", "b", "c").random(clock.random)
-            val inside = someNode()
+            val inside = randomNode()
             val machines = simulation.cloud.workers().filter { it.zone == zone }.map { it.id }
             for (host in machines + inside) {
                 for (other in simulation.nodes - inside + "state" + "cloud" + "user") {
-                    part(host, other, length)
-                    part(other, host, length)
+                    dropMessages(host, other, duration)
+                    dropMessages(other, host, duration)
                 }
             }
         }
 
-        private fun part(from: String, to: String, length: Micros) {
+        private fun dropMessages(from: String, to: String, duration: Micros) {
             simulation.network.blockPath(from, to)
-            clock.after(length) { simulation.network.unblockPath(from, to) }
+            clock.after(duration) { simulation.network.unblockPath(from, to) }
         }
 
-        private fun slowState(by: Micros, length: Micros) {
-            simulation.network.extraLatency["state"] = by
-            clock.after(length) { simulation.network.extraLatency.remove("state") }
+        private fun delayStoreMessages(delay: Micros, duration: Micros) {
+            simulation.network.extraLatency["state"] = delay
+            clock.after(duration) { simulation.network.extraLatency.remove("state") }
         }
 
         /** Every third of them, so that three seeds in a row meet each once. */
-        fun troubles(first: Int, from: Micros, apart: Micros) {
-            val mine = troubles.filterIndexed { i, _ -> i % 3 == first }.shuffled(clock.random)
-            for ((i, trouble) in mine.withIndex()) {
-                clock.after(from + Micros(apart.value * i)) { trouble() }
+        fun scheduleFaults(remainder: Int, from: Micros, interval: Micros) {
+            val selectedFaults =
+                faults.filterIndexed { i, _ -> i % 3 == remainder }.shuffled(clock.random)
+            for ((i, fault) in selectedFaults.withIndex()) {
+                clock.after(from + Micros(interval.value * i)) { fault() }
             }
         }
 
-        fun lateMessages(until: Micros) {
+        fun delayAndDuplicateMessages(until: Micros) {
             simulation.network.longDelayProbability = 0.02
             simulation.network.duplicateProbability = 0.1
             simulation.network.duplicateHeartbeatProbability = 0.1
@@ -212,12 +215,12 @@
             }
         }
 
-        fun end() {
-            simulation.run(END)
-            simulation.checkAtEnd(CALM)
+        fun runAndCheck() {
+            simulation.run(SCENARIO_END)
+            simulation.checkAtEnd(FAULTS_END)
             assertEquals(emptyList(), simulation.violations())
-            assertEquals(emptyList(), newBeyond)
-            assertTrue(allNew, "some are still old")
+            assertEquals(emptyList(), rejectedFromUpgraded)
+            assertTrue(allUpgraded, "some are still old")
             assertTrue(simulation.invariants.starts > 0, "nothing ran")
             val open = jobs.filter { simulation.invariants.finalStateOf(it.id) == null }
             assertEquals(emptyList(), open.map { "${it.id} ${it.kind}" })
@@ -228,19 +231,19 @@
     @MethodSource("seeds")
     fun `no rule is broken while both versions serve, whatever fails`(seed: Long) {
         val scenario = Scenario(seed, forwardingSettings(seed % 2 == 0L))
-        val fall = LimitsFall.entries[(seed / 3 % 3).toInt()]
+        val limitsLowered = LimitsLowered.entries[(seed / 3 % 3).toInt()]
         val at =
-            when (fall) {
-                LimitsFall.BEFORE_THE_ROLL -> scenario.clock.randomBetween(10.seconds, 20.seconds)
-                LimitsFall.DURING_THE_ROLL -> scenario.clock.randomBetween(35.seconds, 60.seconds)
-                LimitsFall.AFTER_THE_ROLL -> scenario.clock.randomBetween(90.seconds, 110.seconds)
+            when (limitsLowered) {
+                LimitsLowered.BEFORE_UPGRADE -> scenario.clock.randomBetween(10.seconds, 20.seconds)
+                LimitsLowered.DURING_UPGRADE -> scenario.clock.randomBetween(35.seconds, 60.seconds)
+                LimitsLowered.AFTER_UPGRADE -> scenario.clock.randomBetween(90.seconds, 110.seconds)
             }
-        scenario.clock.after(at) { scenario.simulation.store.lowerLimits(LOWER) }
+        scenario.clock.after(at) { scenario.simulation.store.lowerLimits(LOWER_LIMITS) }
         for (second in 2..130 step 7) scenario.clock.after(second.seconds) { scenario.submit() }
-        scenario.lateMessages(until = 130.seconds)
-        scenario.roll(from = 25.seconds, apart = 25.seconds)
-        scenario.troubles((seed % 3).toInt(), from = 28.seconds, apart = 17.seconds)
-        scenario.end()
+        scenario.delayAndDuplicateMessages(until = 130.seconds)
+        scenario.scheduleUpgrades(from = 25.seconds, interval = 25.seconds)
+        scenario.scheduleFaults((seed % 3).toInt(), from = 28.seconds, interval = 17.seconds)
+        scenario.runAndCheck()
     }
 
     @Test
@@ -249,18 +252,20 @@
         val (first, second, third) = scenario.simulation.nodes
         val clock = scenario.clock
         for (at in 2..120 step 7) clock.after(at.seconds) { scenario.submit() }
-        scenario.lateMessages(until = 120.seconds)
-        clock.after(15.seconds) { scenario.renew(second) }
-        clock.after(25.seconds) { scenario.lead(second) }
-        clock.after(32.seconds) { scenario.simulation.store.lowerLimits(LOWER) }
-        clock.after(50.seconds) { scenario.lead(first) }
-        clock.after(75.seconds) { scenario.lead(second) }
-        clock.after(95.seconds) { scenario.renew(first) }
-        clock.after(100.seconds) { scenario.renew(third) }
-        scenario.end()
-        val turns =
-            scenario.leaders.filterIndexed { i, new -> i == 0 || scenario.leaders[i - 1] != new }
-        assertEquals(listOf(false, true, false, true), turns)
+        scenario.delayAndDuplicateMessages(until = 120.seconds)
+        clock.after(15.seconds) { scenario.upgrade(second) }
+        clock.after(25.seconds) { scenario.makeLeader(second) }
+        clock.after(32.seconds) { scenario.simulation.store.lowerLimits(LOWER_LIMITS) }
+        clock.after(50.seconds) { scenario.makeLeader(first) }
+        clock.after(75.seconds) { scenario.makeLeader(second) }
+        clock.after(95.seconds) { scenario.upgrade(first) }
+        clock.after(100.seconds) { scenario.upgrade(third) }
+        scenario.runAndCheck()
+        val versionChanges =
+            scenario.leadersUpgraded.filterIndexed { i, new ->
+                i == 0 || scenario.leadersUpgraded[i - 1] != new
+            }
+        assertEquals(listOf(false, true, false, true), versionChanges)
         assertTrue(
             scenario.simulation.store.rejectedForSize.isNotEmpty(),
             "the old leader was refused nothing",
@@ -268,18 +273,18 @@
     }
 
     companion object {
-        private val LOWER = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
-        private val RESTART = 3.seconds
+        private val LOWER_LIMITS = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
+        private val RESTART_TIME = 3.seconds
 
         /** Longer than the leader's lease and an election. */
-        private val HAND_OVER = 12.seconds
+        private val HANDOVER_DOWNTIME = 12.seconds
 
         /** Messages come up to 45 s late, and transactions are carried out up to 12 s later. */
-        private val LAST_MESSAGES = 60.seconds
+        private val MAX_MESSAGE_DELAY = 60.seconds
 
         /** Troubles and late messages are over. */
-        private val CALM = 200.seconds
-        private val END = 330.seconds
+        private val FAULTS_END = 200.seconds
+        private val SCENARIO_END = 330.seconds
 
         /** Others for a longer search: `-DargLine="-Dwardmux.upgrade=100-500"`. */
         @JvmStatic
