--- a/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
+++ b/src/test/kotlin/wardmux/sim/CancellationAcrossLeadersTest.kt
@@ -9,21 +9,22 @@
 import wardmux.model.seconds
 
 /**
- * Seen: 56 s after its user had been told that a job was cancelled, one of its tasks was still on a
- * machine, whose lease had last been renewed 43 s after the cancellation.
+ * Guards against a task of a cancelled job that keeps running because forwarders renew the lease of
+ * its machine. In one run such a task was still on its machine 56 s after the user was told of the
+ * cancellation, and the lease had last been renewed 43 s after the cancellation.
  *
- * How it came about: controllers ended again and again, so that six leaders followed each other in
- * those 56 s. The machine could be reached for moments only. Each time its first report, under an
- * older token, came to a forwarder. That answered at once, by the leader's general grant, without
- * an order and without telling the leader; before the next report the machine was cut off again.
+ * Six leaders followed each other in those 56 s, and the machine was reachable only for moments.
+ * Each time, its first heartbeat carried an older token and reached a forwarder. The forwarder
+ * renewed the lease at once under the leader's general grant, without sending a command and without
+ * informing the leader, and the machine was partitioned again before its next heartbeat.
  *
- * Cause: an answer renewed a lease on stale knowledge. The forwarder had the report, which listed
- * the task, and knew the cancellation, and held neither against the other. What else could have
- * ended the lease counted from the election of each leader, and so began anew with each.
+ * The lease was renewed on stale knowledge: the forwarder had the heartbeat, which listed the task,
+ * and knew of the cancellation, but did not compare the two. All other timeouts that could have
+ * ended the lease started again with the election of each leader.
  *
- * Proof: `a machine that only forwarders hear` plays just that. With forwarders that do not heed
- * what they and their leader know it fails on every seed, and so do scenarios with other orders of
- * the same troubles; with forwarders that do, none fails.
+ * The first test reproduces exactly this. With forwarders that ignore the cancellations known to
+ * them and their leader, it fails with every seed, and so do scenarios of the second test, which
+ * combines the same faults in other orders. With forwarders that respect them, none fails.
  */
 class CancellationAcrossLeadersTest {
     private class LeaderChangeScenario(seed: Long) {
@@ -43,7 +44,10 @@
 
         fun runFor(duration: Micros) = simulation.run(clock.now + duration)
 
-        /** [count] services run, and forwarders take reports. */
+        /**
+         * Submits [count] services and waits until all their tasks run and controllers forward
+         * heartbeats.
+         */
         fun startServices(count: Int) {
             clock.after(4.seconds) { submit(count) }
             simulation.run(30.seconds)
@@ -54,9 +58,9 @@
             for (job in jobs) assertEquals(
                 TASKS_PER_JOB,
                 invariants.machineByTask(job).size,
-                "$job runs",
+                "tasks of $job that run after startup",
             )
-            // To the letter, without the slack of the rules.
+            // Checked without the slack that the simulation's invariants allow.
             clock.every(100.milliseconds) {
                 overdueJobs += jobs.filter(::runsAfterCancellationLimit)
             }
@@ -68,6 +72,7 @@
                 invariants.machineByTask(job).isNotEmpty()
         }
 
+        /** Drops the messages between [machine] and all controllers, in both directions. */
         fun partitionFromControllers(machine: String) {
             for (node in simulation.nodes) {
                 simulation.network.blockPath(machine, node)
@@ -75,6 +80,7 @@
             }
         }
 
+        /** Ends the partition between [machine] and the controllers [nodes]. */
         fun connectTo(machine: String, nodes: List<String>) {
             for (node in nodes) {
                 simulation.network.unblockPath(machine, node)
@@ -83,7 +89,8 @@
         }
 
         /**
-         * The leader ends; another leads, has read what is stored and has granted its forwarders.
+         * Crashes the leader, waits until another controller is elected, and gives that one 1.5 s
+         * to read the stored state and to let its forwarders renew leases.
          */
         fun changeLeader() {
             val formerToken = simulation.leaderToken()
@@ -95,26 +102,35 @@
             runFor(1500.milliseconds)
         }
 
-        /** Nothing was late, no rule broke, and what nobody cancelled runs again. */
+        /**
+         * Checks that no task ran past its cancellation limit, that no invariant was violated, and
+         * that all tasks of jobs that were not cancelled run again.
+         */
         fun checkOutcome() {
-            assertEquals(emptySet(), overdueJobs, "on a machine after their time")
+            assertEquals(
+                emptySet(),
+                overdueJobs,
+                "jobs that still had tasks on machines after the cancellation limit",
+            )
             assertEquals(emptyList(), simulation.violations())
             for (job in invariants.finishedJobs()) assertEquals(
                 0,
                 invariants.machineByTask(job).size,
-                "$job is cancelled",
+                "tasks of the cancelled $job that run at the end",
             )
             for (job in invariants.openJobs()) assertEquals(
                 TASKS_PER_JOB,
                 invariants.machineByTask(job).size,
-                "$job runs",
+                "tasks of $job that run at the end",
             )
         }
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `a machine that only forwarders hear, for one report of each leader's time`(seed: Long) =
+    fun `a machine that reaches only a forwarder, once per leader, does not keep a cancelled task`(
+        seed: Long
+    ) =
         LeaderChangeScenario(seed).run {
             startServices(count = 6)
             val job = jobs.last()
@@ -146,7 +162,10 @@
                 }
                 partitionFromControllers(machine)
             }
-            assertTrue(renewals >= 2, "$renewals leaders' relays answered it")
+            assertTrue(
+                renewals >= 2,
+                "forwarders of at least 2 leaders renew the lease, but $renewals did",
+            )
             connectTo(machine, simulation.nodes)
             runFor(RECOVERY_TIME)
             checkOutcome()
@@ -154,7 +173,7 @@
 
     @ParameterizedTest
     @MethodSource("scenarioSeeds")
-    fun `leaders change every few seconds while cancelled tasks are out`(seed: Long) =
+    fun `cancelled tasks end in time while leaders change every few seconds`(seed: Long) =
         LeaderChangeScenario(seed).run {
             startServices(count = 8)
             val faults = LeaderChangeFaults(simulation)
@@ -162,7 +181,7 @@
             for (job in jobs.shuffled(clock.random).take(4)) {
                 clock.after(clock.randomBetween(1.seconds, 12.seconds)) { simulation.cancel(job) }
             }
-            // Some are called off while their starts are under way.
+            // One job is cancelled while the commands to start its tasks are on their way.
             clock.after(clock.randomBetween(1.seconds, 6.seconds)) {
                 submit(2)
                 val job = jobs.last()
@@ -177,17 +196,29 @@
     companion object {
         private const val TASKS_PER_JOB = 3
         private const val TEAM_COUNT = 3
+
+        /** Time of the simulation by which all tasks must run for the first time. */
         private val START_DEADLINE = 80.seconds
+
+        /**
+         * A cancelled task must end within 36 s, the cancellation time of the simulated cluster.
+         * The other 200 ms are needed because workers check their leases, and this test checks the
+         * tasks, ten times a second.
+         */
         private val CANCELLATION_LIMIT = 36_200.milliseconds
+
+        /** Longest time for which the machine reaches one forwarder. */
         private val MAX_CONNECTION_TIME = 3.seconds
 
-        /** Longer than a cancellation may take. */
+        /** Longer than [CANCELLATION_LIMIT]. */
         private val FAULT_DURATION = 75.seconds
+
+        /** Time without faults after which all jobs must run again. */
         private val RECOVERY_TIME = 110.seconds
 
         @JvmStatic fun seeds(): List<Long> = (1L..5L).toList()
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.churn=1-100"`. */
+        /** Another range can be set: `-DargLine="-Dwardmux.churn=1-100"`. */
         @JvmStatic
         fun scenarioSeeds(): List<Long> {
             val (first, last) = (System.getProperty("wardmux.churn") ?: "1-300").split('-')
--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -8,8 +8,17 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Four thousand machines report to three controllers, through a change of leaders. */
+/**
+ * Guards against leases that expire and machines that are decommissioned after a change of leader,
+ * when 4002 machines send heartbeats to three controllers and all need the new leader's token.
+ */
 class LargeFleetTest {
+    /**
+     * Rents all machines, runs a task on each, crashes the leader, and checks that the next one
+     * keeps all machines.
+     *
+     * @param fdLimit the number of sockets that each controller may have open
+     */
     private fun checkLeaderChange(fdLimit: Int, operators: OperatorSettings) {
         val simulation =
             ClusterSimulation(
@@ -26,23 +35,31 @@
                 spot = it % MACHINE_POOL_COUNT < ZONES.size,
             )
         }
-        // Something runs on every machine, so that none is given back.
+        // A task runs on every machine, so that none is returned to the cloud as idle.
         simulation.clock.after(2.seconds) { simulation.submit(longJob(simulation)) }
         simulation.run(50.seconds)
         val machinesBefore = simulation.cloud.workers().map { it.id }
-        assertEquals(MACHINE_COUNT, machinesBefore.size)
+        assertEquals(MACHINE_COUNT, machinesBefore.size, "machines before the leader crashes")
         simulation.crash(simulation.leader()!!, downtime = 700.milliseconds)
         simulation.run(110.seconds)
-        assertEquals(emptyList(), simulation.violations())
-        assertEquals(machinesBefore, simulation.cloud.workers().map { it.id }, "some were given up")
+        assertEquals(emptyList(), simulation.violations(), "violated invariants")
+        assertEquals(
+            machinesBefore,
+            simulation.cloud.workers().map { it.id },
+            "machines after the change of leader",
+        )
         val workersWithNewSession = simulation.cloud.workers().count { it.sessions > 1 }
-        assertEquals(0, workersWithNewSession, "leases ended")
+        assertEquals(0, workersWithNewSession, "workers whose lease expired")
         val workersWithLeaderToken =
             simulation.cloud.workers().count { it.hasToken(simulation.leaderToken()) }
-        assertEquals(MACHINE_COUNT, workersWithLeaderToken, "machines that have found the leader")
+        assertEquals(
+            MACHINE_COUNT,
+            workersWithLeaderToken,
+            "workers that have the token of the new leader",
+        )
         assertTrue(
             simulation.invariants.starts >= MACHINE_COUNT,
-            "${simulation.invariants.starts} starts",
+            "at least $MACHINE_COUNT starts expected, seen ${simulation.invariants.starts}",
         )
     }
 
@@ -59,11 +76,11 @@
             )
 
     @Test
-    fun `all are known and none is given up where all controllers take heartbeats`() =
+    fun `a new leader keeps all machines when all controllers take heartbeats`() =
         checkLeaderChange(fdLimit = 1_800, OperatorSettings(idleKeepBoots = IDLE_KEEP_BOOTS))
 
     @Test
-    fun `all are known and none is given up where the leader takes all reports`() =
+    fun `a new leader keeps all machines when it takes all heartbeats itself`() =
         checkLeaderChange(
             fdLimit = 10_000,
             OperatorSettings(heartbeatsPerCore = 1e6, idleKeepBoots = IDLE_KEEP_BOOTS),
@@ -71,11 +88,11 @@
 
     private companion object {
         const val MACHINE_COUNT = 4_002
-        /** None is returned as idle meanwhile. */
+        /** Long enough that no machine is returned to the cloud as idle during the test. */
         const val IDLE_KEEP_BOOTS = 1_000.0
         val ZONES = listOf("a", "b", "c")
 
-        /** Spot and ordinary machines in each zone; all are rented. */
+        /** Spot and ordinary machines in three zones. The capacity of each pool is rented whole. */
         const val MACHINE_POOL_COUNT = 6
     }
 }
--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -21,9 +21,13 @@
 import wardmux.records.JobRecord
 import wardmux.scheduling.FairQueue
 
-/** What comes late meets what was decided since: writes, reports, ends of tasks, cancellations. */
+/**
+ * Guards against delayed messages that undo newer decisions: writes that the key-value store
+ * commits late, heartbeats that arrive after newer ones or after a change of leader, and
+ * cancellations at the moment when the last task of a job ends.
+ */
 class LateMessageFaultsTest {
-    /** Array jobs that any machine takes, one like the other. */
+    /** An array job without placement constraints. */
     private fun ClusterSimulation.arrayJob(
         tasks: Int,
         estimateS: Double,
@@ -35,11 +39,15 @@
         leader()?.let { crash(it, downtime) }
     }
 
-    private fun ClusterSimulation.assertNoViolations() = assertEquals(emptyList(), violations())
+    private fun ClusterSimulation.assertNoViolations() =
+        assertEquals(emptyList(), violations(), "violated invariants")
 
-    // Transactions that are carried out late.
+    // Transactions that the key-value store commits late.
 
-    /** Jobs are sent, cancelled and done, leaders end, and every sixth write gets no answer. */
+    /**
+     * Runs a simulation in which jobs are submitted and cancelled and two leaders and a machine
+     * crash, while each write is, with [delayProbability], committed late and gets no answer.
+     */
     private fun runWithDelayedWrites(seed: Long, delayProbability: Double): ClusterSimulation {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
@@ -70,7 +78,7 @@
             assertContains(
                 listOf("done", "cancelled"),
                 simulation.invariants.finalStateOf(job.id),
-                job.id,
+                "final state of ${job.id}",
             )
         }
         return simulation
@@ -78,17 +86,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a late write of a leader changes nothing after its newer ones`(seed: Long) {
+    fun `a delayed write of a leader is rejected after newer writes of the same leader`(
+        seed: Long
+    ) {
         val delayedWrites = runWithDelayedWrites(seed, 0.17).store.delayedTransactions
         val queueWrites = delayedWrites.filter { it.changesKeyUnder(FairQueue.KEY) }
         val overtaken = queueWrites.filter { it.overtakenByChangeUnder(FairQueue.KEY) }
-        assertTrue(overtaken.isNotEmpty(), "the meeting did not come about")
-        assertEquals(0, overtaken.count { it.committed })
+        assertTrue(overtaken.isNotEmpty(), "no write was overtaken by a newer one of its sender")
+        assertEquals(0, overtaken.count { it.committed }, "overtaken writes that were committed")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13])
-    fun `writes of leader keys that are carried out late leave one leader`(seed: Long) {
+    fun `a delayed write of the leader key does not replace a leader`(seed: Long) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         val leaderKeyWrite = "\"put\":\"${LeaderElection.KEY}\""
@@ -103,19 +113,21 @@
         simulation.run(FAULTS_END + 100.seconds)
         val delayedWrites =
             simulation.store.delayedTransactions.filter { it.changesKeyUnder(LeaderElection.KEY) }
-        assertTrue(delayedWrites.isNotEmpty(), "the meeting did not come about")
-        assertEquals(0, delayedWrites.count { it.replacedExisting(LeaderElection.KEY) })
+        assertTrue(delayedWrites.isNotEmpty(), "no write of the leader key was delayed")
+        assertEquals(
+            0,
+            delayedWrites.count { it.replacedExisting(LeaderElection.KEY) },
+            "delayed writes that replaced a leader",
+        )
         simulation.assertNoViolations()
         assertEquals("done", simulation.invariants.finalStateOf(job.id))
     }
 
-    // Tasks that end far apart.
+    // Tasks of one job that end at different times.
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24, 25, 26])
-    fun `ends far apart across changes of leader are all counted, and nothing runs again`(
-        seed: Long
-    ) {
+    fun `tasks that end under different leaders are all counted, and none runs again`(seed: Long) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
         val job = simulation.arrayJob(2 + (seed % 2).toInt(), 60.0)
@@ -129,28 +141,36 @@
             ) {
                 completionsSeen++
                 leaderCrashes++
-                // Before or after the end is reported, written or forgotten.
+                // The leader crashes before or after the end of the task is reported, after it is
+                // stored, or after the worker was told to forget the task.
                 clock.after(clock.randomBetween(Micros.ZERO, 6.seconds)) {
                     simulation.crashLeader(clock.randomBetween(300.milliseconds, 9.seconds))
                 }
             }
         }
         simulation.run(160.seconds)
-        assertTrue(leaderCrashes > 0)
+        assertTrue(leaderCrashes > 0, "no task ended before the last one, so no leader crashed")
         simulation.assertNoViolations()
         assertEquals("done", simulation.invariants.finalStateOf(job.id))
-        assertEquals(job.tasks, simulation.invariants.starts, "something ran again")
-        assertEquals(0, simulation.invariants.startsOfDoneTasks, "something done was started again")
+        assertEquals(job.tasks, simulation.invariants.starts, "each task must start once")
+        assertEquals(
+            0,
+            simulation.invariants.startsOfDoneTasks,
+            "completed tasks that were started again",
+        )
     }
 
-    // The end of a job's last task, with no other trouble.
+    // Requests of users at the end of the last task of a job, without other faults.
 
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33])
-    fun `a cancellation, a question and a repeat at the end of the last task agree`(seed: Long) {
+    fun `requests of users get consistent answers at the end of the last task of a job`(
+        seed: Long
+    ) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
-        // As it is at times: so the end is recorded between a cancellation's read and its write.
+        // With a slow key-value store the end of a job is stored between the read and the write of
+        // its cancellation.
         simulation.network.extraLatency["state"] = 150.milliseconds
         val jobs = List(24) { simulation.arrayJob(1 + it % 2, 4.0, team = it % 3) }
         val endedJobs = HashSet<String>()
@@ -175,20 +195,21 @@
         simulation.run(90.seconds)
         simulation.assertNoViolations()
         val finalStates = jobs.map { simulation.invariants.finalStateOf(it.id) }
-        // On both sides of the end's record.
+        // Some cancellations come before the end of the job is stored, and some after it.
         assertEquals(setOf<String?>("done", "cancelled"), finalStates.toSet())
     }
 
-    // A team at its limit.
+    // A team that uses its whole quota.
 
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44])
-    fun `a team at its limit stays within it where machines can't be asked at a failover`(
+    fun `a team stays within its quota when a new leader cannot reach some of its machines`(
         seed: Long
     ) {
         val simulation = ClusterSimulation(seed)
         val clock = simulation.clock
-        // Two whole machines: no third task is within the team's limit. A service runs on and on.
+        // Each task takes a whole machine, and two of them exhaust the quota of the team. The
+        // service runs until it is cancelled.
         val runningJob = simulation.arrayJob(2, 0.0, cpus = 16.0).copy(kind = JobKind.SERVICE)
         val waitingJob = simulation.arrayJob(2, 5.0, cpus = 16.0)
         clock.after(6.seconds) { simulation.submit(runningJob) }
@@ -197,7 +218,7 @@
         val partitionWorkersAndCrashLeader = {
             partitionedWorkers =
                 simulation.cloud.workers().filter { runningJob.id in it.heartbeatBody() }.take(2)
-            assertEquals(2, partitionedWorkers.size)
+            assertEquals(2, partitionedWorkers.size, "workers that run the service")
             for (worker in partitionedWorkers) simulation.network.isolate(worker.id)
             simulation.crashLeader(3.seconds)
             clock.after(clock.randomBetween(100.milliseconds, 6.seconds)) {
@@ -208,20 +229,22 @@
             }
         }
         clock.every(1.seconds) {
-            val atLimit = simulation.invariants.starts == runningJob.tasks && clock.now > 30.seconds
-            if (atLimit && partitionedWorkers.isEmpty()) partitionWorkersAndCrashLeader()
+            val quotaExhausted =
+                simulation.invariants.starts == runningJob.tasks && clock.now > 30.seconds
+            if (quotaExhausted && partitionedWorkers.isEmpty()) partitionWorkersAndCrashLeader()
         }
         simulation.run(200.seconds)
-        assertEquals(2, partitionedWorkers.size, "the meeting did not come about")
+        assertEquals(2, partitionedWorkers.size, "workers partitioned when the leader crashed")
         simulation.assertNoViolations()
         assertEquals("cancelled", simulation.invariants.finalStateOf(runningJob.id))
         assertEquals("done", simulation.invariants.finalStateOf(waitingJob.id))
     }
 
-    // Heartbeats that arrive late.
+    // Heartbeats that arrive late, at a single controller.
 
     private val harness = ControllerHarness()
 
+    /** Stores that task 0 of `job-000001` is placed on [machine]. */
     private fun writePlacement(
         harness: ControllerHarness,
         machine: String,
@@ -236,6 +259,7 @@
             ),
         )
 
+    /** The entry of task 0 of `job-000001` in a heartbeat. */
     private fun taskReport(status: String, attempt: Int = 1, cause: String? = null): String {
         val causeField = if (cause == null) "" else ""","cause":"$cause""""
         return """{"piece":"job-000001/0","try":$attempt,"status":"$status"$causeField}"""
@@ -262,7 +286,10 @@
     ): String =
         call("POST", "/hello", heartbeatBody(machine, incarnation, tick, token, tasks))!!.second
 
-    /** Empty machines report, with time for all that could start there to start. */
+    /**
+     * The direct commands, and the responses to two workers without tasks that send heartbeats for
+     * 3 s, which is time enough to start every task there that is free to start.
+     */
     private fun ControllerHarness.startsOnOtherWorkers(token: Long): String {
         val others = List(2) { ManualWorker(this, "i-00005$it") }
         val answers = StringBuilder()
@@ -274,7 +301,7 @@
     }
 
     @Test
-    fun `a report held until a new leader acts frees nothing there, whatever it lacks or says`() {
+    fun `a heartbeat delayed until a new leader acts frees no task, whatever it reports`() {
         for (heldTaskReport in
             listOf("", taskReport("ended", cause = "error"), taskReport("ended", cause = "full"))) {
             val harness = ControllerHarness()
@@ -285,16 +312,19 @@
             harness.sendHeartbeat("i-000001", 1, 5, token - 1, heldTaskReport)
             assertFalse(
                 "job-000001/0" in harness.startsOnOtherWorkers(token),
-                "freed by [$heldTaskReport]",
+                "the task was started elsewhere after the delayed heartbeat [$heldTaskReport]",
             )
-            // The machine itself, under the new token, still has it.
+            // A heartbeat with the new token shows that the machine still runs the task.
             val answer = harness.sendHeartbeat("i-000001", 1, 9, token, taskReport("running"))
-            assertFalse("halt" in answer, "given up after [$heldTaskReport]")
+            assertFalse(
+                "halt" in answer,
+                "the task was stopped after the delayed heartbeat [$heldTaskReport]",
+            )
         }
     }
 
     @Test
-    fun `a held report of a task that is done counts, also at a new leader`() {
+    fun `a delayed heartbeat that reports a completed task counts at a new leader too`() {
         harness.writeAcceptedJob(plainJob(1))
         writePlacement(harness, "i-000001")
         harness.run(2.seconds)
@@ -305,16 +335,16 @@
     }
 
     @Test
-    fun `a report older than the last frees nothing, also from an earlier session or attempt`() {
+    fun `an outdated heartbeat, session or attempt does not free a task`() {
         val stopped = taskReport("ended", cause = "stopped")
         val staleHeartbeats =
             listOf(
-                // As of the same incarnation, before the task came.
+                // The same incarnation, before the task was placed there.
                 Triple(2, 3, ""),
-                // From the incarnation before, with higher ticks.
+                // The previous incarnation, with higher sequence numbers.
                 Triple(1, 90, ""),
                 Triple(1, 90, taskReport("ended", attempt = 2, cause = "error")),
-                // An earlier attempt's end, in a newer report.
+                // A newer heartbeat that also reports the end of an earlier attempt.
                 Triple(2, 12, stopped + "," + taskReport("running", attempt = 2)),
             )
         for ((incarnation, tick, tasks) in staleHeartbeats) {
@@ -327,16 +357,19 @@
             harness.sendHeartbeat("i-000001", incarnation, tick, token, tasks)
             assertFalse(
                 "job-000001/0" in harness.startsOnOtherWorkers(token),
-                "$incarnation $tick $tasks",
+                "started elsewhere after heartbeat $tick of session $incarnation: $tasks",
             )
             val answer =
                 harness.sendHeartbeat("i-000001", 2, 20, token, taskReport("running", attempt = 2))
-            assertFalse("halt" in answer, "$incarnation $tick $tasks")
+            assertFalse(
+                "halt" in answer,
+                "stopped after heartbeat $tick of session $incarnation: $tasks",
+            )
         }
     }
 
     @Test
-    fun `a report older than the last frees nothing when it comes through a forwarder`() {
+    fun `an outdated heartbeat from a forwarder does not free a task`() {
         for ((incarnation, tick) in listOf(2 to 3L, 1 to 90L)) {
             val harness = ControllerHarness(listOf("n1"))
             harness.writeAcceptedJob(plainJob(1))
@@ -346,7 +379,8 @@
             harness.sendHeartbeat("i-000001", 2, 10, token, taskReport("running", attempt = 2))
             val staleHeartbeat =
                 FullHeartbeat(1, heartbeatBody("i-000001", incarnation, tick.toInt(), token))
-            // Whole, and then as a sign of life that is older still than the last.
+            // First the whole heartbeat, and then only a sign of life for the next sequence number,
+            // which is still older than the last heartbeat.
             for (lifeSign in listOf(null, tick + 1)) {
                 val reports = if (lifeSign == null) listOf(staleHeartbeat) else emptyList()
                 val signs =
@@ -358,31 +392,39 @@
             }
             assertFalse(
                 "job-000001/0" in harness.startsOnOtherWorkers(token),
-                "session $incarnation",
+                "the task was started elsewhere after an old heartbeat of session $incarnation",
             )
             val answer =
                 harness.sendHeartbeat("i-000001", 2, 20, token, taskReport("running", attempt = 2))
-            assertFalse("halt" in answer, "session $incarnation")
+            assertFalse(
+                "halt" in answer,
+                "the task was stopped after an old heartbeat of session $incarnation",
+            )
         }
     }
 
     @Test
-    fun `a machine that a new leader hears of by an old report alone gets no work`() {
+    fun `a new leader places no task on a machine known only from heartbeats with an old token`() {
         harness.writeAcceptedJob(plainJob(1))
         harness.run(2.seconds)
         val token = ManualWorker(harness, "i-000099").fetchLeaderToken()
         harness.directCommands.clear()
-        // It is gone; this was on its way since before the change of leader.
+        // The machine is gone. Its heartbeats were sent before the change of leader.
         repeat(4) {
             val answer = harness.sendHeartbeat("i-000007", 1, 5 + it, token - 1)
-            assertFalse("start" in answer)
+            assertFalse("start" in answer, "a command to start a task was sent: $answer")
             harness.run(0.5.seconds)
         }
-        assertEquals(emptyList(), harness.directCommands.filter { "job-000001/0" in it })
+        assertEquals(
+            emptyList(),
+            harness.directCommands.filter { "job-000001/0" in it },
+            "direct commands for the task",
+        )
         assertContains(harness.startsOnOtherWorkers(token), "job-000001/0")
     }
 
     private companion object {
+        /** Time of the simulation from which no write is delayed. */
         val FAULTS_END = 60.seconds
     }
 }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -14,7 +14,11 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** The limits of the key-value store fall in the middle of a scenario, without notice. */
+/**
+ * Guards against writes that the key-value store rejects, and against jobs that get stuck, when the
+ * store lowers its limits on writes at an unknown time, while records larger than the new limit on
+ * values may be stored.
+ */
 class LoweredLimitsTest {
     private class Scenario(
         seed: Long,
@@ -26,11 +30,15 @@
         val clock = simulation.clock
         val jobs = ArrayList<String>()
 
+        /**
+         * Submits a random job, and cancels services and some others later. Half of the array jobs
+         * and, with [alwaysLargePage], all jobs get a placement record above the lower limit.
+         */
         fun submit(alwaysLargePage: Boolean = false) {
             val random = simulation.randomJob()
             val spec = if (alwaysLargePage) random.copy(kind = JobKind.ARRAY) else random
             val hasLargePage = alwaysLargePage || spec.kind == JobKind.ARRAY && clock.chance(0.5)
-            // So many on one page that its record is larger than a value may be later.
+            // This many tasks make a placement record larger than the lower limit on values.
             val job =
                 if (!hasLargePage) spec
                 else
@@ -56,6 +64,7 @@
             }
         }
 
+        /** From [from] on, crashes the leader or a machine six times, every 9 s. */
         fun scheduleCrashes(from: Micros) {
             repeat(6) { i ->
                 clock.after(from + (9 * i).seconds) {
@@ -72,21 +81,30 @@
             }
         }
 
+        /**
+         * Runs the scenario and checks that no invariant was violated, no write was rejected for
+         * its size and every job ended.
+         */
         fun runAndCheck() {
             simulation.run(330.seconds)
-            assertEquals(emptyList(), simulation.violations())
-            assertEquals(emptyList(), simulation.store.rejectedForSize)
-            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+            assertEquals(emptyList(), simulation.violations(), "violated invariants")
+            assertEquals(
+                emptyList(),
+                simulation.store.rejectedForSize,
+                "writes rejected for their size",
+            )
+            assertTrue(simulation.invariants.starts > 0, "no task was started")
             assertEquals(
                 emptyList(),
                 jobs.filter { simulation.invariants.finalStateOf(it) == null },
+                "jobs that have not ended",
             )
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `who is told of them beforehand never goes beyond`(seed: Long) {
+    fun `controllers that know the announced limits never exceed them`(seed: Long) {
         val scenario = Scenario(seed, LOWER_LIMITS)
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
         scenario.clock.after(40.seconds) { scenario.simulation.store.lowerLimits(LOWER_LIMITS) }
@@ -96,7 +114,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15, 16])
-    fun `pages stored before are read, taken down and rewritten once they fit`(seed: Long) {
+    fun `records above the lowered limits are read, and rewritten or removed once they fit`(
+        seed: Long
+    ) {
         val scenario = Scenario(seed, announcedLimits = null)
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
@@ -105,7 +125,8 @@
         }
         var limitsLowered = false
         scenario.clock.every(100.milliseconds) {
-            // All come back told, while a page is large, and the limits fall at once.
+            // Once a stored placement record exceeds the lower limit, all controllers restart with
+            // the announced limits, and the store lowers its limits before they are back.
             if (!limitsLowered && simulation.store.largestValueLength("t/") > 1024) {
                 limitsLowered = true
                 simulation.announcedLimits = LOWER_LIMITS
@@ -117,12 +138,12 @@
         }
         scenario.scheduleCrashes(35.seconds)
         scenario.runAndCheck()
-        assertTrue(limitsLowered, "no page was larger than a value may be later")
+        assertTrue(limitsLowered, "no placement record was above the lower limit of 1024 bytes")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23])
-    fun `nor do batches and answers that go round by the service`(seed: Long) {
+    fun `batches of heartbeats forwarded through the store stay within the limits`(seed: Long) {
         val scenario = Scenario(seed, LOWER_LIMITS, forwardingSettings())
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
@@ -136,12 +157,15 @@
                 simulation.network.unblockPath(a, b)
         }
         scenario.runAndCheck()
-        assertTrue(simulation.store.largestValueLength("r/") > 0, "no batch went round")
+        assertTrue(
+            simulation.store.largestValueLength("r/") > 0,
+            "no batch of heartbeats was forwarded through the store",
+        )
     }
 
-    /** On few machines a page of 1 KiB holds some 100 tasks, on many some 20. */
+    /** A placement record of 1 KiB holds some 100 tasks on few machines, and some 20 on many. */
     @Test
-    fun `gangs that a page holds run, and one that none holds stands in nobody's way`() {
+    fun `a gang runs if its record fits the limits, and else does not block other jobs`() {
         val simulation = ClusterSimulation(31, announcedLimits = LOWER_LIMITS)
         simulation.store.lowerLimits(LOWER_LIMITS)
         simulation.run(5.seconds)
@@ -166,20 +190,33 @@
         assertEquals(
             emptyList(),
             (others + gang).filter { finalState(it) != "done" }.map { it.tasks },
+            "task counts of gangs that are not done",
+        )
+        assertEquals(
+            0,
+            simulation.invariants.machinesOf(unplaceableGang.id).size,
+            "machines of the gang whose record does not fit",
+        )
+        assertTrue(
+            simulation.invariants.machinesOf(service.id).isNotEmpty(),
+            "no task of the service runs",
         )
-        assertEquals(0, simulation.invariants.machinesOf(unplaceableGang.id).size)
-        assertTrue(simulation.invariants.machinesOf(service.id).isNotEmpty())
         for (job in listOf(unplaceableGang, service)) {
-            assertEquals(null, finalState(job), "it is known, and open")
+            assertEquals(null, finalState(job), "final state of ${job.id}, which has not ended")
             simulation.cancel(job.id)
         }
         simulation.run(270.seconds)
         assertEquals(
             listOf("cancelled", "cancelled"),
             listOf(unplaceableGang, service).map(finalState),
+            "final states of the unplaceable gang and the service",
+        )
+        assertEquals(emptyList(), simulation.violations(), "violated invariants")
+        assertEquals(
+            emptyList(),
+            simulation.store.rejectedForSize,
+            "writes rejected for their size",
         )
-        assertEquals(emptyList(), simulation.violations())
-        assertEquals(emptyList(), simulation.store.rejectedForSize)
     }
 
     private fun smallTaskGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -11,16 +11,24 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Two troubles at once, where machines are one of them: each brought about on purpose. */
+/**
+ * Guards against violated invariants and unfinished jobs when machines fail together with something
+ * else: lost heartbeats, unresponsive machines, partitions or crashed machines, combined with
+ * cancellations, crashes of the leader or bursts of new jobs.
+ */
 class MachineFaultsTest {
     private class MachineFaultScenario(seed: Long) {
-        // In every other scenario all controllers take reports.
+        // With odd seeds all controllers take heartbeats, with even ones the leader alone does.
         val simulation = ClusterSimulation(seed, operators = forwardingSettings(seed % 2 != 0L))
         val clock = simulation.clock
 
+        /** Runs [action] at the simulated [time]. */
         fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
 
-        /** A task of it takes most of a machine, and never ends by itself unless it is [short]. */
+        /**
+         * A job of which each task takes most of a machine. It is a service, which runs until it is
+         * cancelled, unless [estimateS], the duration of a task in seconds, is above 0.
+         */
         fun largeTaskJob(
             team: Int,
             tasks: Int,
@@ -37,7 +45,7 @@
                 )
                 .copy(oneZone = oneZone)
 
-        /** A job of many short tasks. */
+        /** An array job of which each task takes 2 CPUs for 6 s. */
         fun shortTaskJob(
             team: Int,
             tasks: Int,
@@ -48,8 +56,10 @@
 
         fun workers() = simulation.cloud.workers()
 
+        /** Workers that run at least one task. */
         fun busyWorkers() = workers().filter { it.activeTasks > 0 }
 
+        /** Drops the messages sent from [a] to [b]; the reverse direction works. */
         fun dropMessages(a: String, b: String, duration: Micros) {
             simulation.network.blockPath(a, b)
             clock.after(duration) { simulation.network.unblockPath(a, b) }
@@ -60,14 +70,19 @@
             clock.after(duration) { worker.unresponsive = false }
         }
 
+        /** Drops the heartbeats of [worker]; direct commands still reach it. */
         fun dropHeartbeats(worker: FakeWorker, duration: Micros) {
             simulation.network.outboundBlocked.add(worker.id)
             clock.after(duration) { simulation.network.outboundBlocked.remove(worker.id) }
         }
 
         fun checkNoViolations() {
-            assertEquals(emptyList(), simulation.violations().distinct().take(4))
-            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+            assertEquals(
+                emptyList(),
+                simulation.violations().distinct().take(4),
+                "violated invariants",
+            )
+            assertTrue(simulation.invariants.starts > 0, "no task was started")
         }
 
         fun checkJobsDone(vararg jobs: JobSpec) {
@@ -75,15 +90,16 @@
             assertEquals(
                 emptyList(),
                 jobs.map { it.id }.filter { simulation.invariants.finalStateOf(it) != "done" },
+                "jobs that are not done",
             )
         }
     }
 
-    // (a) Mute machines.
+    // Machines whose heartbeats are lost.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `mute machines, with cancellations and new starts meanwhile`(seed: Long) {
+    fun `no task starts on machines whose heartbeats are lost, and new jobs complete`(seed: Long) {
         val scenario = MachineFaultScenario(seed)
         val jobs = List(3) { scenario.largeTaskJob(it, 3) }
         jobs.forEach { scenario.simulation.submit(it) }
@@ -92,11 +108,15 @@
             for (worker in scenario.busyWorkers()) {
                 if (!scenario.clock.chance(0.8)) continue
                 scenario.dropHeartbeats(worker, duration)
-                // Nothing new goes where no lease is renewed.
+                // No task may start on a machine whose lease is not renewed.
                 scenario.clock.after(11.seconds) {
                     val before = worker.startedTasks
                     scenario.clock.after(duration - 11.seconds) {
-                        assertEquals(before, worker.startedTasks, "started on a mute machine")
+                        assertEquals(
+                            before,
+                            worker.startedTasks,
+                            "tasks started on ${worker.id}, whose heartbeats are lost",
+                        )
                     }
                 }
             }
@@ -112,17 +132,22 @@
         scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
-    // Tasks of cancelled jobs.
+    // Tasks of cancelled jobs on unresponsive machines.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 6])
-    fun `cancelled on machines that hang, many at once, while the leader changes`(seed: Long) {
+    fun `jobs cancelled on many unresponsive machines during a change of leader end in time`(
+        seed: Long
+    ) {
         val scenario = MachineFaultScenario(seed)
         val jobs = List(3) { scenario.largeTaskJob(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
             val busyWorkers = scenario.busyWorkers()
-            assertTrue(busyWorkers.size >= 6, "only ${busyWorkers.size} are busy")
+            assertTrue(
+                busyWorkers.size >= 6,
+                "at least 6 busy workers expected, but there are ${busyWorkers.size}",
+            )
             for (worker in busyWorkers.drop((seed % 3).toInt() * 3)) scenario.makeUnresponsive(
                 worker,
                 90.seconds,
@@ -136,15 +161,17 @@
         scenario.checkNoViolations()
     }
 
-    // (b) Jobs bound to one zone.
+    // Jobs that must run in one zone.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `jobs bound to one zone lose machines, by death, a hang and a change of leaders`(
+    fun `jobs bound to one zone end despite crashed and unresponsive machines and a new leader`(
         seed: Long
     ) {
         val scenario = MachineFaultScenario(seed)
-        // More than its team may have at once, so that some wait while others are out.
+        // Each job has more tasks than the quota of its team allows at once, so that some tasks
+        // wait
+        // while machines with others are unreachable.
         val zoneJob = scenario.shortTaskJob(0, 40, zone = "b").copy(estimateS = 20.0)
         val oneZoneJob = scenario.shortTaskJob(1, 40, oneZone = true).copy(estimateS = 20.0)
         val otherOneZoneJob = scenario.shortTaskJob(2, 40, oneZone = true).copy(estimateS = 20.0)
@@ -170,13 +197,15 @@
         scenario.checkJobsDone(zoneJob, oneZoneJob, otherOneZoneJob)
     }
 
-    // (c) A leader ends while machines with long tasks are out of reach.
+    // A leader crashes while machines with long tasks are unreachable.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a leader ends while machines can't be reached or don't hear the next one`(seed: Long) {
+    fun `jobs end when a leader crashes while machines are partitioned from controllers`(
+        seed: Long
+    ) {
         val scenario = MachineFaultScenario(seed)
-        // There is room elsewhere for what is out of reach.
+        // Other machines have room for the tasks of unreachable machines.
         val jobs = List(3) { scenario.largeTaskJob(it, 3).copy(cpus = 5.0) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
@@ -210,18 +239,21 @@
         scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
-    // (d) A zone is cut off with a controller in it.
+    // A zone is partitioned together with a controller in it.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a zone with workers and a controller is cut off for longer than a lease`(seed: Long) {
+    fun `jobs end after a zone and a controller were partitioned for longer than a lease`(
+        seed: Long
+    ) {
         val scenario = MachineFaultScenario(seed)
         val jobs = List(3) { scenario.largeTaskJob(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
             val duration = scenario.clock.randomBetween(17.seconds, 60.seconds)
             val leader = scenario.simulation.leader()
-            // The leader is inside, or one of the others.
+            // The controller inside the partition is a follower if 3 divides the seed, else the
+            // leader.
             val node = scenario.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
             val inside = scenario.workers().filter { it.zone == "a" }.map { it.id } + node
             val outside =
@@ -242,25 +274,27 @@
         scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
-    // (e) Held-up commands and answers.
+    // Delayed commands and lost responses.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `starts reach a hanging machine, their job is cancelled, and it goes on`(seed: Long) {
+    fun `jobs cancelled while unresponsive machines hold start commands break no invariant`(
+        seed: Long
+    ) {
         val scenario = MachineFaultScenario(seed)
-        val first = List(3) { scenario.largeTaskJob(it, 1) }
-        first.forEach { scenario.simulation.submit(it) }
+        val initialJobs = List(3) { scenario.largeTaskJob(it, 1) }
+        initialJobs.forEach { scenario.simulation.submit(it) }
         val cancelled = List(3) { scenario.shortTaskJob(it, 6).copy(estimateS = 400.0) }
         val kept = List(3) { scenario.shortTaskJob(it, 8).copy(estimateS = 20.0) }
         scenario.at(25.seconds) {
             for (job in kept + cancelled) scenario.simulation.submit(job)
-            // While these starts go out.
+            // The faults begin while the commands to start these tasks are sent.
             scenario.clock.after(scenario.clock.randomBetween(20.milliseconds, 200.milliseconds)) {
                 for (worker in scenario.workers()) {
                     val duration = scenario.clock.randomBetween(1.seconds, 15.seconds)
                     if (scenario.clock.chance(0.5)) scenario.makeUnresponsive(worker, duration)
                     else if (scenario.clock.chance(0.5)) {
-                        // The order arrives, its answer comes too late.
+                        // The command arrives, but its response is lost.
                         for (node in scenario.simulation.nodes) scenario.dropMessages(
                             worker.id,
                             node,
@@ -277,11 +311,11 @@
         scenario.checkJobsDone(*kept.toTypedArray())
     }
 
-    // (f) More work than room.
+    // More tasks than the machines have room for.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `more work than room, urgent and not, over slow links`(seed: Long) {
+    fun `a backlog of urgent and other jobs completes although messages are delayed`(seed: Long) {
         val scenario = MachineFaultScenario(seed)
         val simulation = scenario.simulation
         val hosts = simulation.nodes + "state" + "cloud"
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -9,9 +9,17 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Outages of the key-value store that meet cancellations, lone leaders and changes of leader. */
+/**
+ * Guards against cancelled tasks that keep running, and against other tasks that are lost, when the
+ * key-value store is unavailable while jobs are cancelled, the leader is partitioned from the other
+ * controllers, or leaders change.
+ */
 class OutageFaultsTest {
-    /** How workers' heartbeats come in, and whether the leader that is refused hears its peers. */
+    /**
+     * @property usesForwarding all controllers take heartbeats, rather than the leader alone
+     * @property isolatesLeader the leader is also partitioned from the other controllers while the
+     *   key-value store refuses it
+     */
     data class Variant(val seed: Long, val usesForwarding: Boolean, val isolatesLeader: Boolean)
 
     private class OutageScenario(seed: Long, usesForwarding: Boolean) {
@@ -22,7 +30,7 @@
 
         constructor(variant: Variant) : this(variant.seed, variant.usesForwarding)
 
-        /** Tasks that go on until they are cancelled. */
+        /** Submits [jobCount] services, whose tasks run until they are cancelled. */
         fun submit(jobCount: Int) =
             repeat(jobCount) {
                 val spec = simulation.unconstrainedService("team-${jobs.size % 3}", TASKS_PER_JOB)
@@ -30,7 +38,10 @@
                 simulation.submit(spec)
             }
 
-        /** Six jobs run, and the leader has settled how heartbeats come in. */
+        /**
+         * Submits six services and waits until all their tasks run and the leader has settled which
+         * controllers take heartbeats.
+         */
         fun startServices() {
             clock.after(4.seconds) { submit(6) }
             simulation.run(30.seconds)
@@ -38,19 +49,20 @@
                 jobs.any { invariants.machineByTask(it).size < TASKS_PER_JOB } &&
                     clock.now < START_DEADLINE
             ) runFor(1.seconds)
-            // Nothing of what was done to get there is under way any more.
+            // No command or write from the startup is on its way any more after this.
             runFor(clock.randomBetween(5.seconds, 6.seconds))
             for (job in jobs) assertEquals(
                 TASKS_PER_JOB,
                 invariants.machineByTask(job).size,
-                "$job runs",
+                "tasks of $job that run after startup",
             )
         }
 
-        fun leader() = simulation.leader() ?: error("nobody leads")
+        fun leader() = simulation.leader() ?: error("no controller is leader, expected one")
 
         fun followers() = simulation.nodes - leader()
 
+        /** Drops the messages between [a] and [b], in both directions. */
         fun partition(a: String, b: String, duration: Micros) {
             for ((from, to) in listOf(a to b, b to a)) {
                 simulation.network.blockPath(from, to)
@@ -58,6 +70,10 @@
             }
         }
 
+        /**
+         * The key-value store refuses the controller [member], or all if it is null, and ends their
+         * open watches.
+         */
         fun makeStoreUnavailable(member: String?, duration: Micros) {
             simulation.store.startOutage(member, endWatches = true)
             clock.after(duration) { simulation.store.endOutage(member) }
@@ -67,26 +83,35 @@
 
         fun cancel(job: String, controller: String? = null) = simulation.cancel(job, controller)
 
-        /** What nobody cancelled runs again, all of it, and no rule was broken on the way. */
+        /**
+         * Checks that no invariant was violated, that all tasks of jobs that were not cancelled run
+         * again, and that no task of a cancelled job runs.
+         */
         fun checkOutcome(faultsEndedAt: Micros) {
             simulation.checkAtEnd(faultsEndedAt)
-            assertEquals(emptyList(), simulation.violations())
+            assertEquals(emptyList(), simulation.violations(), "violated invariants")
             for (job in jobs) {
                 if (invariants.finalStateOf(job) == "cancelled")
-                    assertEquals(0, invariants.machineByTask(job).size)
+                    assertEquals(
+                        0,
+                        invariants.machineByTask(job).size,
+                        "tasks of the cancelled $job that run at the end",
+                    )
                 else
                     assertEquals(
                         TASKS_PER_JOB,
                         invariants.machineByTask(job).size,
-                        "$job runs again",
+                        "tasks of $job that run at the end",
                     )
             }
         }
 
         /**
-         * The key-value store refuses the leader alone, jobs are cancelled through another
-         * controller meanwhile, and then it is out for all, for longer than a cancellation may
-         * take.
+         * Checks that cancelled tasks end in time in this case: the key-value store refuses the
+         * leader alone, [jobCount] jobs are cancelled through another controller meanwhile, and
+         * then the store is unavailable to all controllers for longer than a cancellation may take.
+         *
+         * @param injectMoreFaults called with the jobs to cancel once the store refuses the leader
          */
         fun checkCancellationsBeforeOutage(
             variant: Variant,
@@ -111,20 +136,29 @@
             for (job in cancelled) assertEquals(
                 "cancelled",
                 invariants.finalStateOf(job),
-                "$job is confirmed",
+                "final state of $job before the outage for all controllers",
+            )
+            assertEquals(
+                leader,
+                simulation.leader(),
+                "leader before the outage for all controllers",
             )
-            assertEquals(leader, simulation.leader(), "it still has its lease")
             makeStoreUnavailable(null, OUTAGE_DURATION)
             runFor(OUTAGE_DURATION)
-            assertEquals(leader, simulation.leader(), "nobody else leads in the outage")
-            assertEquals(emptySet(), overdueJobs)
+            assertEquals(leader, simulation.leader(), "leader at the end of the outage")
+            assertEquals(
+                emptySet(),
+                overdueJobs,
+                "jobs that still had tasks on machines after the cancellation limit",
+            )
             runFor(RECOVERY_TIME)
             checkOutcome(faultsEndedAt = clock.now - RECOVERY_TIME)
         }
 
         /**
-         * To the letter, without the slack of the simulation's rules; machines look ten times a
-         * second.
+         * Starts to collect the jobs that have tasks on machines after [CANCELLATION_LIMIT],
+         * without the slack that the simulation's invariants allow. The returned set grows while
+         * the simulation runs.
          */
         private fun watchOverdueJobs(): Set<String> {
             val overdueJobs = HashSet<String>()
@@ -143,7 +177,7 @@
 
     @ParameterizedTest
     @MethodSource("variants")
-    fun `what is cancelled beside a refused leader is gone in time though all are out then`(
+    fun `tasks cancelled while the store refuses the leader end in time in a following outage`(
         variant: Variant
     ) =
         OutageScenario(variant).run {
@@ -153,11 +187,13 @@
 
     @ParameterizedTest
     @MethodSource("variants")
-    fun `so it is on machines that hang and go on`(variant: Variant) =
+    fun `tasks cancelled before an outage end in time on machines that were unresponsive`(
+        variant: Variant
+    ) =
         OutageScenario(variant).run {
             startServices()
             checkCancellationsBeforeOutage(variant) { cancelled ->
-                // Some go on just before their lease is over, some just after it.
+                // Some machines resume just before their lease expires, some just after it.
                 val hosts = cancelled.flatMap { invariants.machineByTask(it).values }.toSet()
                 for (worker in simulation.cloud.workers().filter { it.id in hosts }) {
                     worker.unresponsive = true
@@ -170,25 +206,37 @@
 
     @ParameterizedTest
     @MethodSource("variants")
-    fun `so is what starts late`(variant: Variant) =
+    fun `tasks cancelled before an outage end in time although their start commands were delayed`(
+        variant: Variant
+    ) =
         OutageScenario(variant).run {
             startServices()
             for (worker in simulation.cloud.workers()) {
                 simulation.commandDelays[worker.id] = clock.randomBetween(4.seconds, 13.seconds)
             }
             submit(1)
-            // Decided on, written and sent, but not there; some go out with a report's answer.
+            // The placements are stored and the commands sent, but not all have arrived. Some
+            // commands go out with the response to a heartbeat, which is not delayed.
             runFor(1500.milliseconds)
-            assertTrue(invariants.machineByTask(jobs.last()).size < TASKS_PER_JOB)
+            assertTrue(
+                invariants.machineByTask(jobs.last()).size < TASKS_PER_JOB,
+                "all $TASKS_PER_JOB tasks run before the delayed start commands arrive",
+            )
             checkCancellationsBeforeOutage(variant, jobCount = 1)
-            // Halted while it still waits for its image, it never comes to run.
-            val overdueJobs = invariants.startsAfterCancel + invariants.startsCarriedOutAfterCancel
-            assertTrue(overdueJobs > 0, "it was carried out late")
+            // A task that is stopped while it waits for its image never runs, so start commands
+            // that
+            // were carried out count as well.
+            val startsAfterCancellation =
+                invariants.startsAfterCancel + invariants.startsCarriedOutAfterCancel
+            assertTrue(
+                startsAfterCancellation > 0,
+                "no start was carried out after the cancellation",
+            )
         }
 
     @ParameterizedTest
     @MethodSource("variants")
-    fun `a leader that has read nothing before the outage keeps nothing that was cancelled`(
+    fun `a leader elected just before an outage keeps no task that was cancelled`(
         variant: Variant
     ) =
         OutageScenario(variant).run {
@@ -210,15 +258,24 @@
             if (variant.isolatesLeader)
                 for (node in followers()) partition(leader, node, OUTAGE_DURATION)
             makeStoreUnavailable(null, OUTAGE_DURATION)
-            for (job in cancelled) assertEquals("cancelled", invariants.finalStateOf(job))
+            for (job in cancelled) assertEquals(
+                "cancelled",
+                invariants.finalStateOf(job),
+                "final state of $job at the start of the outage",
+            )
             runFor(OUTAGE_DURATION + 90.seconds)
             checkOutcome(faultsEndedAt = clock.now - 90.seconds)
         }
 
-    /** Nobody can have cancelled anything, so nothing is decommissioned. */
+    /**
+     * A leader that hears from all other controllers knows that none of them confirmed a
+     * cancellation, so it decommissions no machine.
+     */
     @ParameterizedTest
     @MethodSource("variantsWithPeers")
-    fun `a leader that hears all others keeps what runs in an outage for all`(variant: Variant) =
+    fun `a leader that hears from all controllers keeps all tasks running in an outage`(
+        variant: Variant
+    ) =
         OutageScenario(variant).run {
             startServices()
             cancel(jobs.removeLast())
@@ -226,14 +283,20 @@
             val placementsBefore = jobs.associateWith { invariants.machineByTask(it) }
             makeStoreUnavailable(null, OUTAGE_DURATION)
             runFor(OUTAGE_DURATION)
-            assertEquals(placementsBefore, jobs.associateWith { invariants.machineByTask(it) })
+            assertEquals(
+                placementsBefore,
+                jobs.associateWith { invariants.machineByTask(it) },
+                "machines of the tasks after the outage",
+            )
             runFor(RECOVERY_TIME)
             checkOutcome(faultsEndedAt = clock.now - RECOVERY_TIME)
         }
 
     @ParameterizedTest
     @MethodSource("variants")
-    fun `a slow key-value store, then none for the leader, then none for all`(variant: Variant) =
+    fun `cancellations take effect when the store is slow, then refuses the leader, then everyone`(
+        variant: Variant
+    ) =
         OutageScenario(variant).run {
             startServices()
             val leader = leader()
@@ -251,13 +314,17 @@
             runFor(OUTAGE_DURATION)
             simulation.network.extraLatency.remove("state")
             runFor(70.seconds)
-            assertEquals(4, jobs.count { invariants.finalStateOf(it) == "cancelled" })
+            assertEquals(
+                4,
+                jobs.count { invariants.finalStateOf(it) == "cancelled" },
+                "cancelled jobs",
+            )
             checkOutcome(faultsEndedAt = clock.now - 70.seconds)
         }
 
     @ParameterizedTest
     @MethodSource("variantsWithPeers")
-    fun `a leader with workers and users alone, and cancellations through the next`(
+    fun `a leader partitioned from peers and store confirms no cancellation, its successor does`(
         variant: Variant
     ) =
         OutageScenario(variant).run {
@@ -275,21 +342,28 @@
             clock.after(clock.randomBetween(1.seconds, 10.seconds)) {
                 cancel(shuffledJobs[1], controller = newLeader)
             }
-            // Asked of the lone one, which can't know and must not say that it was done.
+            // The partitioned leader cannot store this cancellation and must not confirm it.
             cancel(shuffledJobs[2], controller = formerLeader)
             runFor(60.seconds)
             for (job in shuffledJobs.take(2)) assertEquals(
                 "cancelled",
                 invariants.finalStateOf(job),
+                "final state of $job, cancelled through the new leader",
+            )
+            assertEquals(
+                null,
+                invariants.finalStateOf(shuffledJobs[2]),
+                "final state of the job cancelled through the partitioned leader",
             )
-            assertEquals(null, invariants.finalStateOf(shuffledJobs[2]))
             runFor(80.seconds)
             checkOutcome(faultsEndedAt = clock.now - 60.seconds)
         }
 
     @ParameterizedTest
     @MethodSource("variantsWithPeers")
-    fun `leaders change ten times in two minutes, also inside an outage`(variant: Variant) =
+    fun `cancellations take effect while leaders change ten times, also during an outage`(
+        variant: Variant
+    ) =
         OutageScenario(variant).run {
             startServices()
             val tokens = HashSet<Long>()
@@ -302,21 +376,31 @@
                 cancel(job)
             }
             while (clock.now < startedAt + 120.seconds) {
-                // In the outage the key stays, while whoever would lead next comes and goes.
+                // In the outage the leader key stays as it is, while the controllers that could be
+                // elected next crash and restart.
                 simulation.leader()?.let {
                     simulation.crash(it, clock.randomBetween(200.milliseconds, 5.seconds))
                 }
                 runFor(clock.randomBetween(5.seconds, 7.seconds))
             }
-            assertTrue(tokens.size > 10, "${tokens.size} leaders")
+            assertTrue(
+                tokens.size > 10,
+                "more than 10 leaders expected, but there were ${tokens.size}",
+            )
             runFor(80.seconds)
-            assertEquals(4, jobs.count { invariants.finalStateOf(it) == "cancelled" })
+            assertEquals(
+                4,
+                jobs.count { invariants.finalStateOf(it) == "cancelled" },
+                "cancelled jobs",
+            )
             checkOutcome(faultsEndedAt = clock.now - 70.seconds)
         }
 
     @ParameterizedTest
     @MethodSource("variantsWithPeers")
-    fun `all controllers are away for longer than a lease`(variant: Variant) =
+    fun `cancellations take effect after all controllers were down for longer than a lease`(
+        variant: Variant
+    ) =
         OutageScenario(variant).run {
             startServices()
             for (job in jobs.take(2)) cancel(job)
@@ -327,21 +411,25 @@
                 downtime + clock.randomBetween(1.seconds, 3.seconds),
             )
             runFor(downtime + 80.seconds)
-            assertEquals(2, jobs.count { invariants.finalStateOf(it) == "cancelled" })
+            assertEquals(
+                2,
+                jobs.count { invariants.finalStateOf(it) == "cancelled" },
+                "cancelled jobs",
+            )
             checkOutcome(faultsEndedAt = clock.now - 76.seconds)
         }
 
     @ParameterizedTest
     @MethodSource("variantsWithPeers")
-    fun `controllers hand over and back, all end, and one returns, also within a second`(
+    fun `the only controller that restarts after two changes of leader leads by itself`(
         variant: Variant
     ) =
         OutageScenario(variant).run {
             startServices()
-            val first = leader()
+            val firstLeader = leader()
             val returnsWithinSecond = variant.seed % 2 == 0L
             cancel(jobs[0])
-            simulation.crash(first, 300.milliseconds)
+            simulation.crash(firstLeader, 300.milliseconds)
             runFor(clock.randomBetween(1.seconds, 6.seconds))
             cancel(jobs[1])
             simulation.leader()?.let { simulation.crash(it, 300.milliseconds) }
@@ -353,25 +441,43 @@
                 else clock.randomBetween(1.seconds, 12.seconds)
             for (node in simulation.nodes) simulation.crash(
                 node,
-                if (node == first) firstDowntime else 40.seconds,
+                if (node == firstLeader) firstDowntime else 40.seconds,
             )
             runFor(30.seconds)
-            assertEquals(first, simulation.leader(), "it leads by itself")
+            assertEquals(firstLeader, simulation.leader(), "leader while the others are down")
             runFor(100.seconds)
-            assertEquals(3, jobs.count { invariants.finalStateOf(it) == "cancelled" })
+            assertEquals(
+                3,
+                jobs.count { invariants.finalStateOf(it) == "cancelled" },
+                "cancelled jobs",
+            )
             checkOutcome(faultsEndedAt = clock.now - 85.seconds)
         }
 
     companion object {
         private const val TASKS_PER_JOB = 3
+
+        /** Time of the simulation by which all tasks must run for the first time. */
         private val START_DEADLINE = 80.seconds
+
+        /** Time for which the key-value store refuses the leader before it refuses all. */
         private val LEADER_ONLY_OUTAGE = 1500.milliseconds
+
+        /** Longer than [CANCELLATION_LIMIT]. */
         private val OUTAGE_DURATION = 50.seconds
+
+        /** Time without faults after which all jobs must run again. */
         private val RECOVERY_TIME = 60.seconds
+
+        /**
+         * A cancelled task must end within 36 s, the cancellation time of the simulated cluster.
+         * The other 200 ms are needed because workers check their leases, and this test checks the
+         * tasks, ten times a second.
+         */
         private val CANCELLATION_LIMIT = 36_200.milliseconds
         private val SEEDS = seedRange()
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.meetings=1-100"`. */
+        /** Another range can be set: `-DargLine="-Dwardmux.meetings=1-100"`. */
         private fun seedRange(): LongRange {
             val (first, last) = (System.getProperty("wardmux.meetings") ?: "1-3").split('-')
             return first.toLong()..last.toLong()
@@ -387,7 +493,7 @@
                 }
             }
 
-        /** Those in which the leader hears its peers. */
+        /** The variants in which the leader reaches the other controllers. */
         @JvmStatic fun variantsWithPeers(): List<Variant> = variants().filter { !it.isolatesLeader }
     }
 }
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -9,7 +9,9 @@
 import wardmux.model.seconds
 
 /**
- * Seeded scenarios with troubles of every kind, alone and together; the rules hold after each step.
+ * Guards against violated invariants in scenarios that inject random faults into a cluster every 9
+ * s, so that faults of all kinds occur alone and together. A seed determines the whole scenario,
+ * and most invariants are checked after each step.
  */
 class RandomSimulationTest {
     private class Scenario(
@@ -25,9 +27,10 @@
 
         private val faults = FaultInjector(simulation, ::submit)
 
+        /** Submits a random job, and cancels services and some others up to 60 s later. */
         private fun submit() {
             val randomJob = simulation.randomJob()
-            // Some have long to go, for those who call them off.
+            // Some jobs run for 100 s, so that cancellations find running tasks.
             val isLong =
                 withCancellationFaults &&
                     randomJob.estimateS > 0 &&
@@ -44,6 +47,7 @@
             }
         }
 
+        /** Runs the scenario: a job every 7 s and, if [withFaults], a fault every 9 s. */
         fun run(withFaults: Boolean) {
             simulation.cloud.startFailureProbability = if (withFaults) 0.1 else 0.0
             simulation.poll("job-999999")
@@ -61,6 +65,7 @@
             if (withNetworkFaults) simulation.checkAtEnd(FAULTS_END)
         }
 
+        /** Injects one random fault; the newer kinds have more weight. */
         private fun injectRandomFault() {
             val possibleFaults =
                 when {
@@ -89,34 +94,36 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken whatever fails`(seed: Long) {
+    fun `invariants hold with crashes, outages, preemptions and lost messages`(seed: Long) {
         val scenario = Scenario(seed)
         scenario.run(withFaults = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
     @MethodSource("grownSeeds")
-    fun `nor with one-way networks, late copies, lone controllers and quick returns`(seed: Long) {
+    fun `invariants hold with asymmetric loss, duplicates, partitions and fast restarts`(
+        seed: Long
+    ) {
         val scenario = Scenario(seed, withNetworkFaults = true)
         scenario.run(withFaults = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
     @MethodSource("relayedSeeds")
-    fun `nor where all controllers take heartbeats`(seed: Long) {
+    fun `invariants hold with network faults when all controllers take heartbeats`(seed: Long) {
         val scenario = Scenario(seed, withNetworkFaults = true, operators = forwardingSettings())
         scenario.run(withFaults = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
     @MethodSource("frozenSeeds")
-    fun `nor with frozen controllers and cut zones besides`(seed: Long) {
+    fun `invariants hold with frozen controllers and partitioned zones`(seed: Long) {
         val forwarding = forwardingSettings()
         val scenario =
             Scenario(
@@ -126,18 +133,18 @@
                 operators = forwarding,
             )
         scenario.run(withFaults = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
     @MethodSource("huntedSeeds")
-    fun `nor with late writes, old reports, cancellations and odd requests`(seed: Long) =
+    fun `invariants hold with delayed writes, old heartbeats and cancellations`(seed: Long) =
         checkWithCancellationFaults(seed, OperatorSettings())
 
     @ParameterizedTest
     @MethodSource("huntedSeeds")
-    fun `nor with them where all controllers take heartbeats`(seed: Long) =
+    fun `invariants hold with cancellations when all controllers take heartbeats`(seed: Long) =
         checkWithCancellationFaults(seed, forwardingSettings())
 
     private fun checkWithCancellationFaults(seed: Long, operators: OperatorSettings) {
@@ -149,38 +156,38 @@
                 operators = operators,
             )
         scenario.run(withFaults = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @Test
-    fun `in a quiet scenario every job comes to its end`() {
+    fun `every job ends in a scenario without faults`() {
         val scenario = Scenario(100)
         scenario.run(withFaults = false)
-        assertEquals(emptyList(), scenario.simulation.violations())
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
         val open = scenario.jobs.filter { scenario.simulation.invariants.finalStateOf(it) == null }
-        assertEquals(emptyList(), open)
+        assertEquals(emptyList(), open, "jobs that have not ended")
     }
 
     companion object {
-        /** The longest trouble lasts for 78 s, and late messages come up to 45 s after theirs. */
+        /** The longest fault lasts for 78 s, and delayed messages arrive up to 45 s late. */
         private val FAULTS_END = 285.seconds
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.days=100-500"`. */
+        /** Another range can be set: `-DargLine="-Dwardmux.days=100-500"`. */
         @JvmStatic fun seeds(): List<Long> = seedsFrom("wardmux.days", "1-24") + REGRESSION_SEEDS
 
-        /** Likewise: `-Dwardmux.grown=100-500`. */
+        /** Another range can be set: `-Dwardmux.grown=100-500`. */
         @JvmStatic fun networkFaultSeeds(): List<Long> = seedsFrom("wardmux.grown", "1-24")
 
-        /** Likewise: `-Dwardmux.relayed=100-500`. */
+        /** Another range can be set: `-Dwardmux.relayed=100-500`. */
         @JvmStatic
         fun forwardingSeeds(): List<Long> =
             seedsFrom("wardmux.relayed", "1-24") + FORWARDING_REGRESSION_SEEDS
 
-        /** Likewise: `-Dwardmux.frozen=100-500`. */
+        /** Another range can be set: `-Dwardmux.frozen=100-500`. */
         @JvmStatic fun partitionFaultSeeds(): List<Long> = seedsFrom("wardmux.frozen", "1-24")
 
-        /** Likewise: `-Dwardmux.hunted=100-500`. */
+        /** Another range can be set: `-Dwardmux.hunted=100-500`. */
         @JvmStatic fun cancellationFaultSeeds(): List<Long> = seedsFrom("wardmux.hunted", "1-24")
 
         private fun seedsFrom(property: String, defaultRange: String): List<Long> {
@@ -189,17 +196,18 @@
         }
 
         /**
-         * Seeds with which a rule was once broken: a job in two zones, since a later leader did not
-         * know where its tasks were (113, 184, 321); a cancelled job that stayed in memory, and so
-         * on its machines, when what is stored was read twice (114, 242); a team over its cap,
-         * since a later leader started again what had been released after its record was written
-         * (854).
+         * Seeds that once violated an invariant. With 113, 184 and 321 a job that must run in one
+         * zone ran in two, because a later leader did not know where its tasks were. With 114 and
+         * 242 a cancelled job stayed in memory, and so on its machines, when the stored state was
+         * read twice. With 854 a team exceeded its quota, because a later leader started tasks
+         * again that had been released after their record was written.
          */
         private val REGRESSION_SEEDS = listOf(113L, 114L, 184L, 242L, 321L, 854L)
 
         /**
-         * A machine that commands did not reach was kept for ever, and with it the jobs that only
-         * its kind may run, as the leader had read again what is stored (200).
+         * With seed 200 a machine that commands did not reach was never decommissioned, because the
+         * leader had read the stored state again. Jobs that only this type of machine can run
+         * waited without end.
          */
         private val FORWARDING_REGRESSION_SEEDS = listOf(200L)
     }
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -15,13 +15,18 @@
 import wardmux.model.seconds
 
 /**
- * The version before and this one serve side by side while the controllers are rolled one after the
- * other. The version before is played by this code without `state.next`, which that version does
- * not know; what it stores and sends is the same byte for byte, as the format tests show. No gang
- * is submitted before all controllers are new. An old leader may be refused what it writes under
- * the lower limits, and pages that are larger than these may be stored: neither breaks a rule.
+ * Guards against violated invariants during a rolling upgrade, in which controllers of the previous
+ * and of this version run side by side, while the key-value store lowers its limits and other
+ * faults occur.
+ *
+ * The previous version is simulated by this code without `state.next`, which it does not know. What
+ * it stores and sends is the same byte for byte, as the format tests show. No gang is submitted
+ * before all controllers are upgraded. Under the lower limits the store may reject writes of a
+ * leader of the previous version, and larger placement records may be stored already. Neither
+ * violates an invariant.
  */
 class UpgradeTest {
+    /** When the key-value store lowers its limits. */
     private enum class LimitsLowered {
         BEFORE_UPGRADE,
         DURING_UPGRADE,
@@ -33,13 +38,15 @@
         val clock = simulation.clock
         val jobs = ArrayList<JobSpec>()
 
-        /** Members whose processes have the new version, and since when. */
+        /** By controller: when it restarted with the new version for the first time. */
         private val upgradedAt = HashMap<String, Micros>()
 
-        /** Whether the leader was new, each time that another process led. */
+        /** For each leader in turn: whether it had the new version. */
         val leadersUpgraded = ArrayList<Boolean>()
 
-        /** What was refused for its size although a new process sent it. */
+        /**
+         * Writes that the store rejected for their size although an upgraded controller sent them.
+         */
         private val rejectedFromUpgraded = ArrayList<String>()
         private var lastToken: Long? = null
         private var rejectionsSeen = 0
@@ -62,41 +69,41 @@
                 leadersUpgraded.add(leader in upgradedAt)
             }
             for (rejection in simulation.store.rejectedForSize.drop(rejectionsSeen)) {
-                // What the old process sent may arrive long after its end.
+                // Writes sent before the upgrade may arrive long after it.
                 val since = upgradedAt[rejection.substringAfterLast(' ')] ?: continue
                 if (clock.now - since > MAX_MESSAGE_DELAY) rejectedFromUpgraded.add(rejection)
             }
             rejectionsSeen = simulation.store.rejectedForSize.size
         }
 
-        /** Killed, and back with the new version. */
+        /** Crashes [member] and restarts it with the new version. */
         fun upgrade(member: String) {
             upgradedAt.getOrPut(member) { clock.now }
             simulation.crash(member, RESTART_TIME)
         }
 
-        /** Dies before its turn, or after it: it comes back as it was. */
+        /** Crashes [member] and restarts it with the version that it had. */
         fun crash(member: String, downtime: Micros) = simulation.crash(member, downtime)
 
-        /** All but [member] end for long enough for it to lead. */
+        /** Crashes the other controllers for long enough for [member] to become leader. */
         fun makeLeader(member: String) {
             for (other in simulation.nodes - member) crash(other, HANDOVER_DOWNTIME)
         }
 
-        /** One after the other, in any order, from [from] on. */
+        /** Upgrades the controllers in random order, one each [interval] from [from] on. */
         fun scheduleUpgrades(from: Micros, interval: Micros) {
             for ((i, member) in simulation.nodes.shuffled(clock.random).withIndex()) {
                 clock.after(from + Micros(interval.value * i)) { upgrade(member) }
             }
         }
 
+        /** Submits a random job, and cancels services and some others up to 60 s later. */
         fun submit() {
             val random = simulation.randomJob()
             val kind = clock.random.nextDouble()
             val job =
                 when {
                     allUpgraded && kind < 0.3 -> gangJob(random)
-                    // So many on one page that its record is larger than a value may be later.
                     kind < 0.5 -> largePageJob(random)
                     else -> random.takeIf { it.kind != JobKind.GANG } ?: largePageJob(random)
                 }
@@ -123,6 +130,9 @@
                 saveS = 2.0,
             )
 
+        /**
+         * A job with so many tasks that its placement record is above the lower limit on values.
+         */
         private fun largePageJob(template: JobSpec) =
             template.copy(
                 kind = JobKind.ARRAY,
@@ -138,7 +148,7 @@
 
         private fun randomNode() = simulation.nodes.random(clock.random)
 
-        /** What meets the roll, one of each at least once over the seeds. */
+        /** Faults during the upgrade. Over the seeds each is injected at least once. */
         private val faults: List<() -> Unit> =
             listOf(
                 { crash(randomNode(), clock.randomBetween(200.milliseconds, 6.seconds)) },
@@ -165,12 +175,16 @@
                 { makeLeader(randomNode()) },
             )
 
+        /** The key-value store refuses the controller [member], or all if it is null. */
         private fun makeStoreUnavailable(member: String?, duration: Micros) {
             simulation.store.startOutage(member)
             clock.after(duration) { simulation.store.endOutage(member) }
         }
 
-        /** A zone with a controller in it, without all others. */
+        /**
+         * Partitions the machines of a random zone and one controller from the other controllers,
+         * the key-value store, the cloud and the users.
+         */
         private fun partitionZone(duration: Micros) {
             val zone = listOf("a", "b", "c").random(clock.random)
             val inside = randomNode()
@@ -183,17 +197,23 @@
             }
         }
 
+        /** Drops the messages sent from [from] to [to]; the reverse direction works. */
         private fun dropMessages(from: String, to: String, duration: Micros) {
             simulation.network.blockPath(from, to)
             clock.after(duration) { simulation.network.unblockPath(from, to) }
         }
 
+        /** Delays all messages to the key-value store by [delay]. */
         private fun delayStoreMessages(delay: Micros, duration: Micros) {
             simulation.network.extraLatency["state"] = delay
             clock.after(duration) { simulation.network.extraLatency.remove("state") }
         }
 
-        /** Every third of them, so that three seeds in a row meet each once. */
+        /**
+         * Injects every third fault, in random order, one each [interval] from [from] on. Seeds
+         * with different remainders of a division by three inject different faults, so that three
+         * seeds in a row inject each fault once.
+         */
         fun scheduleFaults(remainder: Int, from: Micros, interval: Micros) {
             val selectedFaults =
                 faults.filterIndexed { i, _ -> i % 3 == remainder }.shuffled(clock.random)
@@ -202,6 +222,10 @@
             }
         }
 
+        /**
+         * Until [until], delays some messages and transactions for long and delivers some messages
+         * twice.
+         */
         fun delayAndDuplicateMessages(until: Micros) {
             simulation.network.longDelayProbability = 0.02
             simulation.network.duplicateProbability = 0.1
@@ -215,21 +239,33 @@
             }
         }
 
+        /**
+         * Runs the scenario and checks that no invariant was violated, all controllers are
+         * upgraded, none of these exceeded the limits, and every job ended.
+         */
         fun runAndCheck() {
             simulation.run(SCENARIO_END)
             simulation.checkAtEnd(FAULTS_END)
-            assertEquals(emptyList(), simulation.violations())
-            assertEquals(emptyList(), rejectedFromUpgraded)
-            assertTrue(allUpgraded, "some are still old")
-            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+            assertEquals(emptyList(), simulation.violations(), "violated invariants")
+            assertEquals(
+                emptyList(),
+                rejectedFromUpgraded,
+                "writes of upgraded controllers rejected for their size",
+            )
+            assertTrue(allUpgraded, "not all controllers are upgraded at the end")
+            assertTrue(simulation.invariants.starts > 0, "no task was started")
             val open = jobs.filter { simulation.invariants.finalStateOf(it.id) == null }
-            assertEquals(emptyList(), open.map { "${it.id} ${it.kind}" })
+            assertEquals(
+                emptyList(),
+                open.map { "${it.id} ${it.kind}" },
+                "jobs that have not ended",
+            )
         }
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken while both versions serve, whatever fails`(seed: Long) {
+    fun `invariants hold during a rolling upgrade with faults`(seed: Long) {
         val scenario = Scenario(seed, forwardingSettings(seed % 2 == 0L))
         val limitsLowered = LimitsLowered.entries[(seed / 3 % 3).toInt()]
         val at =
@@ -247,7 +283,7 @@
     }
 
     @Test
-    fun `leadership passes from old to new, back to old and to new again`() {
+    fun `leadership can move to an upgraded controller, back to an old one and forth again`() {
         val scenario = Scenario(seed = 5)
         val (first, second, third) = scenario.simulation.nodes
         val clock = scenario.clock
@@ -265,10 +301,14 @@
             scenario.leadersUpgraded.filterIndexed { i, new ->
                 i == 0 || scenario.leadersUpgraded[i - 1] != new
             }
-        assertEquals(listOf(false, true, false, true), versionChanges)
+        assertEquals(
+            listOf(false, true, false, true),
+            versionChanges,
+            "whether each next version that led was new",
+        )
         assertTrue(
             scenario.simulation.store.rejectedForSize.isNotEmpty(),
-            "the old leader was refused nothing",
+            "the store rejected no write of an old leader for its size",
         )
     }
 
@@ -276,17 +316,20 @@
         private val LOWER_LIMITS = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
         private val RESTART_TIME = 3.seconds
 
-        /** Longer than the leader's lease and an election. */
+        /** Longer than the lease of the leader and an election together. */
         private val HANDOVER_DOWNTIME = 12.seconds
 
-        /** Messages come up to 45 s late, and transactions are carried out up to 12 s later. */
+        /**
+         * Messages arrive up to 45 s late, and the key-value store commits delayed transactions up
+         * to 12 s after that.
+         */
         private val MAX_MESSAGE_DELAY = 60.seconds
 
-        /** Troubles and late messages are over. */
+        /** Time of the simulation by which all faults and delayed messages are over. */
         private val FAULTS_END = 200.seconds
         private val SCENARIO_END = 330.seconds
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.upgrade=100-500"`. */
+        /** Another range can be set: `-DargLine="-Dwardmux.upgrade=100-500"`. */
         @JvmStatic
         fun seeds(): List<Long> {
             val range = (System.getProperty("wardmux.upgrade") ?: "1-12").split('-')
