--- a/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
+++ b/src/main/kotlin/wardmux/app/CdsTrainingRun.kt
@@ -7,21 +7,25 @@
  * A short run of the daemon that loads the classes for the JVM's class-data sharing (CDS) archive.
  */
 object CdsTrainingRun {
-    /** Runs a controller that reaches no service for as long as it takes to load its classes. */
+    /**
+     * Runs a controller for [CLASS_LOADING_MILLIS], which is long enough to load its classes. The
+     * controller can connect to no service: nothing listens on the addresses in its settings.
+     */
     fun run() {
-        val dir = kotlin.io.path.createTempDirectory("wardmux").toFile()
-        val file = dir.resolve("settings.toml")
-        file.writeText(SAMPLE_SETTINGS)
-        val platform = SettingsFiles.platform(file)
-        dir.deleteRecursively()
-        val daemon = Thread { Daemon(platform, OperatorSettings()).run() }
-        daemon.isDaemon = true
-        daemon.start()
-        Thread.sleep(LOADING_MILLIS)
+        val directory = kotlin.io.path.createTempDirectory("wardmux").toFile()
+        val settingsFile = directory.resolve("settings.toml")
+        settingsFile.writeText(SAMPLE_SETTINGS)
+        val platform = SettingsFiles.platform(settingsFile)
+        directory.deleteRecursively()
+        val daemonThread = Thread { Daemon(platform, OperatorSettings()).run() }
+        daemonThread.isDaemon = true
+        daemonThread.start()
+        Thread.sleep(CLASS_LOADING_MILLIS)
     }
 
-    private const val LOADING_MILLIS = 1_500L
+    private const val CLASS_LOADING_MILLIS = 1_500L
 
+    /** Complete and valid platform settings; tests use them as well. */
     internal val SAMPLE_SETTINGS =
         """
         member = "wardbox-0"
--- a/src/main/kotlin/wardmux/app/LeaderRedirect.kt
+++ b/src/main/kotlin/wardmux/app/LeaderRedirect.kt
@@ -5,12 +5,12 @@
 import wardmux.election.LeaderElection
 import wardmux.worker.Redirect
 
-/** Redirects workers whose heartbeats a follower can't answer to the leader. */
+/** Redirects workers to the leader if this follower can't answer their heartbeats. */
 class LeaderRedirect(private val context: CoreContext, private val election: LeaderElection) {
-    /** Answers [call] with the leader to go to, or with none if that is not known. */
-    fun redirect(call: Long) {
+    /** Answers the request [requestId] with 421. The body names the leader if it is known. */
+    fun redirect(requestId: Long) {
         val leader =
-            election.knownLeader ?: return context.answer(call, HttpStatus.MISDIRECTED_REQUEST)
-        context.answerBytes(call, HttpStatus.MISDIRECTED_REQUEST, Redirect(leader).encode())
+            election.knownLeader ?: return context.answer(requestId, HttpStatus.MISDIRECTED_REQUEST)
+        context.answerBytes(requestId, HttpStatus.MISDIRECTED_REQUEST, Redirect(leader).encode())
     }
 }
--- a/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
+++ b/src/main/kotlin/wardmux/drain/RelocationFeasibility.kt
@@ -8,7 +8,7 @@
 import wardmux.scheduling.ClusterState
 import wardmux.scheduling.Eligibility
 
-/** Checks whether evicted tasks fit on the machines that are up and are not drained. */
+/** Checks whether evicted tasks fit on the schedulable machines that are not being drained. */
 class RelocationFeasibility(
     private val cluster: ClusterState,
     private val eligibility: Eligibility,
@@ -16,40 +16,45 @@
     private class FreeResources(var cpus: Double, var gpus: Double, var memoryGb: Double)
 
     /**
-     * The tasks of [evicted] for which there is no room now, if the largest are placed first. No
-     * task goes to a machine that is being drained, unless it is [staying], nor to one of
-     * [leaving].
+     * The tasks of [evicted] for which there is no free capacity now, if the tasks with the most
+     * CPUs are placed first. No task is placed on a machine in [leaving], nor on a machine that is
+     * being drained unless it is in [staying].
      */
-    fun withoutRoom(
+    fun unplaceableTasks(
         evicted: List<Placement>,
         leaving: Set<Machine> = emptySet(),
         staying: Set<Machine> = emptySet(),
     ): List<Placement> {
-        val open =
+        val candidates =
             cluster.machines.values.filter {
                 (it.maintenance == Maintenance.NONE || it in staying) &&
                     it !in leaving &&
                     eligibility.isSchedulable(it)
             }
-        val free = open.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
-        val zones = HashMap<Job, HashMap<String, Int>>()
-        return evicted.sortedByDescending { it.job.spec.cpus }.filterNot { place(it, free, zones) }
+        val free =
+            candidates.associateWith { FreeResources(it.freeCpus, it.freeGpus, it.freeMemoryGb) }
+        val taskCountsByZone = HashMap<Job, HashMap<String, Int>>()
+        return evicted
+            .sortedByDescending { it.job.spec.cpus }
+            .filterNot { place(it, free, taskCountsByZone) }
     }
 
     private fun place(
         placement: Placement,
         free: Map<Machine, FreeResources>,
-        zones: HashMap<Job, HashMap<String, Int>>,
+        taskCountsByZone: HashMap<Job, HashMap<String, Int>>,
     ): Boolean {
         val job = placement.job
-        val occupied = zones.getOrPut(job) { HashMap(eligibility.taskCountByZone(job)) }
-        val without = HashMap(occupied)
-        without.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
+        val tasksByZone =
+            taskCountsByZone.getOrPut(job) { HashMap(eligibility.taskCountByZone(job)) }
+        val otherTasksByZone = HashMap(tasksByZone)
+        otherTasksByZone.computeIfPresent(placement.zone) { _, n -> (n - 1).takeIf { it > 0 } }
         val machine =
-            free.keys.firstOrNull { fits(it, free.getValue(it), job, without) } ?: return false
+            free.keys.firstOrNull { fits(it, free.getValue(it), job, otherTasksByZone) }
+                ?: return false
         reserve(free.getValue(machine), job)
-        without.merge(machine.zone, 1, Int::plus)
-        zones[job] = without
+        otherTasksByZone.merge(machine.zone, 1, Int::plus)
+        taskCountsByZone[job] = otherTasksByZone
         return true
     }
 
@@ -57,14 +62,14 @@
         machine: Machine,
         free: FreeResources,
         job: Job,
-        zones: Map<String, Int>,
+        taskCountsByZone: Map<String, Int>,
     ): Boolean {
         val spec = job.spec
         return eligibility.satisfiesConstraints(spec, machine) &&
             spec.cpus <= free.cpus + MachineType.RESOURCE_TOLERANCE &&
             spec.gpus <= free.gpus + MachineType.RESOURCE_TOLERANCE &&
             spec.memoryGb <= free.memoryGb + MachineType.RESOURCE_TOLERANCE &&
-            eligibility.isZoneAllowed(machine.zone, spec, zones)
+            eligibility.isZoneAllowed(machine.zone, spec, taskCountsByZone)
     }
 
     private fun reserve(free: FreeResources, job: Job) {
--- a/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
+++ b/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
@@ -28,14 +28,14 @@
  * declare.
  */
 class ExternalNamesTest {
-    private val listed = ExternalNames.read(File(LIST))
+    private val listed = ExternalNames.read(File(LIST_FILE))
     private val classes =
         ClassFileImporter()
             .withImportOption(ImportOption.DoNotIncludeTests())
             .importPackages("wardmux")
             .toList()
 
-    /** One line for each serialized class: its fields in order, optional ones marked by '?'. */
+    /** The list has one line per serialized class: its fields in order, optional ones with '?'. */
     @Test
     fun `fields of messages, records and settings are those listed`() =
         assertEquals(listed.getValue("fields"), descriptors().mapNotNull(::fields).sorted())
@@ -44,7 +44,7 @@
     fun `values of serialized enums are those listed`() =
         assertEquals(listed.getValue("values"), enums().map(::elementNames).distinct().sorted())
 
-    /** Paths, key prefixes and single words that are declared as constants. */
+    /** Covers paths, key prefixes and single words that are declared as constants. */
     @Test
     fun `constants without a space are those listed`() =
         assertEquals(listed.getValue("constants"), stringConstants().sorted())
@@ -72,20 +72,23 @@
         )
     }
 
-    /** Names that are written in place: each must still be a string constant of some class. */
+    /** Names without a declaration: each must still be a string constant in some class file. */
     @Test
     fun `literals that are listed are still in the code`() {
-        val literals = classes.flatMapTo(HashSet()) { ClassFileStrings.read(open(it)) }
+        val literals = classes.flatMapTo(HashSet()) { ClassFileStrings.read(openClassFile(it)) }
         assertEquals(emptyList(), listed.getValue("literals").filterNot { it in literals })
     }
 
-    private fun open(type: JavaClass): InputStream =
+    private fun openClassFile(type: JavaClass): InputStream =
         type.source.orElseThrow().uri.toURL().openStream()
 
     private fun descriptors(): List<SerialDescriptor> =
         classes.filter { it.isAnnotatedWith(Serializable::class.java) }.mapNotNull(::descriptor)
 
-    /** The descriptor of a serialized class; type parameters are taken to be strings. */
+    /**
+     * The descriptor of a serialized class, or null if it has no companion; type parameters are
+     * taken to be strings.
+     */
     private fun descriptor(type: JavaClass): SerialDescriptor? {
         val companion =
             type.reflect().declaredFields.firstOrNull { it.name == "Companion" } ?: return null
@@ -128,7 +131,7 @@
 
     private fun stringConstants(): Set<String> =
         classes
-            // Its texts are in the section of literals, with or without a space.
+            // The reasons are listed in the section of literals, because some contain a space.
             .filterNot { it.isEquivalentTo(DecommissionReason::class.java) }
             .flatMap { it.reflect().declaredFields.toList() }
             .filter { Modifier.isStatic(it.modifiers) && Modifier.isFinal(it.modifiers) }
@@ -143,16 +146,19 @@
         val path = command.qualifiedName()
         val own = command.options().flatMap { it.names().toList() }.map { "$path $it" }
         val parameters = command.positionalParameters().map { "$path ${it.paramLabel()}" }
-        val below = command.subcommands().values.flatMap { options(it.commandSpec) }
-        return listOf(path) + own + parameters + below
+        val ofSubcommands = command.subcommands().values.flatMap { options(it.commandSpec) }
+        return listOf(path) + own + parameters + ofSubcommands
     }
 
     private companion object {
-        const val LIST = "src/test/resources/external-names.txt"
+        const val LIST_FILE = "src/test/resources/external-names.txt"
     }
 }
 
-/** The list of names, by section: `[section]`, then one entry a line; `#` begins a comment. */
+/**
+ * Reads the list of names by section. A line `[section]` starts a section, each further line is an
+ * entry, and `#` starts a comment.
+ */
 private object ExternalNames {
     fun read(file: File): Map<String, List<String>> {
         val sections = LinkedHashMap<String, MutableList<String>>()
@@ -176,11 +182,11 @@
  */
 private object ClassFileStrings {
     private const val HEADER_BYTES = 8
-    private const val UTF8 = 1
-    private const val STRING = 8
-    private val TWO_BYTES = setOf(7, 16, 19, 20)
-    private val FOUR_BYTES = setOf(3, 4, 9, 10, 11, 12, 17, 18)
-    private val EIGHT_BYTES = setOf(5, 6)
+    private const val TAG_UTF8 = 1
+    private const val TAG_STRING = 8
+    private val TAGS_OF_TWO_BYTES = setOf(7, 16, 19, 20)
+    private val TAGS_OF_FOUR_BYTES = setOf(3, 4, 9, 10, 11, 12, 17, 18)
+    private val TAGS_OF_EIGHT_BYTES = setOf(5, 6)
 
     fun read(stream: InputStream): List<String> =
         DataInputStream(stream.buffered()).use { input ->
@@ -192,14 +198,14 @@
             while (index < count) {
                 val tag = input.readUnsignedByte()
                 when (tag) {
-                    UTF8 -> texts[index] = input.readUTF()
-                    STRING -> strings += input.readUnsignedShort()
-                    in TWO_BYTES -> input.skipBytes(2)
-                    in FOUR_BYTES -> input.skipBytes(4)
-                    in EIGHT_BYTES -> input.skipBytes(8)
+                    TAG_UTF8 -> texts[index] = input.readUTF()
+                    TAG_STRING -> strings += input.readUnsignedShort()
+                    in TAGS_OF_TWO_BYTES -> input.skipBytes(2)
+                    in TAGS_OF_FOUR_BYTES -> input.skipBytes(4)
+                    in TAGS_OF_EIGHT_BYTES -> input.skipBytes(8)
                     else -> input.skipBytes(3)
                 }
-                index += if (tag in EIGHT_BYTES) 2 else 1
+                index += if (tag in TAGS_OF_EIGHT_BYTES) 2 else 1
             }
             strings.mapNotNull { texts[it]?.replace("\u0001", "{}") }
         }
--- a/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainFaultsTest.kt
@@ -173,7 +173,7 @@
         scenario.startDrain()
         var said = false
         while (scenario.simulation.invariants.finalStateOf(urgent.id) == null) {
-            if ("goes first" in scenario.status().waitsFor) said = true
+            if ("takes precedence" in scenario.status().waitsFor) said = true
             scenario.simulation.run(scenario.clock.now + 5.seconds)
             assertTrue(scenario.clock.now < 900.seconds, "the urgent work never ended")
         }
--- a/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/wardmux/drain/DrainSimulationTest.kt
@@ -13,21 +13,28 @@
 import wardmux.model.seconds
 import wardmux.sim.FaultInjector
 
-/** Drains in seeded scenarios: without faults, and with faults of every kind. */
+/**
+ * Guards against drains that never finish or exceed a disruption budget, in simulated clusters with
+ * fixed seeds: without faults, and with faults of machines, controllers, networks and the store.
+ * The disruptions are counted from the records of the simulated workers, not from the controllers'.
+ */
 class DrainSimulationTest {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `all machines are replaced within the budgets`(seed: Long) {
+    fun `a drain returns all selected machines within the budgets`(seed: Long) {
         val scenario = DrainScenario(seed).startJobs().startDrain()
         assertTrue(scenario.drainedMachines.isNotEmpty())
         scenario.runUntilDone()
         scenario.assertDrained()
-        assertTrue(scenario.disruptions.stops.isNotEmpty(), "nothing was moved")
+        assertTrue(
+            scenario.disruptions.stops.isNotEmpty(),
+            "expected at least one evicted task, but none was stopped",
+        )
         assertEquals(scenario.drainedMachines.size, scenario.stored()?.returned)
     }
 
     @Test
-    fun `a drain that exceeds a budget is detected by the workers' records`() {
+    fun `disruptions beyond a lower limit are found in the workers' records`() {
         val scenario = DrainScenario(4, DrainSettings(budget = BudgetSettings(3, stepPauseS = 1.0)))
         scenario.startJobs(scenario.service(0, 6)).startDrain()
         scenario.runUntilDone()
@@ -38,7 +45,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no invariant is broken and no budget exceeded, whatever fails`(seed: Long) {
+    fun `a drain during random faults breaks no invariant and exceeds no budget`(seed: Long) {
         val budget = BudgetSettings(maxDisrupted = 2, stepPauseS = 1.0)
         val scenario =
             DrainScenario(seed, DrainSettings(budget = budget), forwarding = seed % 2 == 0L)
@@ -47,27 +54,33 @@
         scenario.startDrain()
         scenario.simulation.planLossProbability = 0.3
         val clock = scenario.clock
-        val faults = FaultInjector(scenario.simulation) { scenario.submit(calmJob(scenario)) }
+        val faults =
+            FaultInjector(scenario.simulation) { scenario.submit(nonPreemptingJob(scenario)) }
         val kinds = faults.basicFaults + faults.networkFaults + faults.partitionFaults
         for (at in 45..170 step 12) {
             clock.after(at.seconds - clock.now) { kinds[clock.random.nextInt(kinds.size)]() }
             if (at % 3 == 0)
-                clock.after(at.seconds - clock.now) { scenario.submit(calmJob(scenario)) }
+                clock.after(at.seconds - clock.now) { scenario.submit(nonPreemptingJob(scenario)) }
         }
         scenario.simulation.run(230.seconds)
         for (worker in scenario.workers()) worker.failsEveryTask = false
         scenario.runUntilDone(1500.seconds)
-        // Commands may be 40 s on their way: what was lost meanwhile could not be known.
+        // Commands may be delivered up to 40 s late. The leader can't know about tasks that were
+        // lost in the meantime, so these don't count against the budget.
         scenario.assertDrained(detectionDelay = 45.seconds)
     }
 
-    /** Of a priority class that preempts nothing: only the drain evicts work. */
-    private fun calmJob(scenario: DrainScenario) =
+    /**
+     * A random job that ends by itself, with a priority class that preempts no other task, so that
+     * only the drain evicts tasks.
+     */
+    private fun nonPreemptingJob(scenario: DrainScenario) =
         scenario.simulation.randomJob().let { job ->
             val isEndless = job.estimateS == 0.0
             val spec = if (isEndless) job.copy(estimateS = 8.0) else job
-            val plain = spec.copy(priority = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
-            if (isEndless) plain.copy(kind = JobKind.ARRAY) else plain
+            val normalPriority =
+                spec.copy(priority = PriorityClass.NORMAL, tasks = minOf(job.tasks, 6))
+            if (isEndless) normalPriority.copy(kind = JobKind.ARRAY) else normalPriority
         }
 
     private companion object {
