--- a/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LateMessageFaultsTest.kt
@@ -141,8 +141,8 @@
             ) {
                 completionsSeen++
                 leaderCrashes++
-                // The leader crashes before or after the end of the task is reported, after it is
-                // stored, or after the worker was told to forget the task.
+                // The leader crashes before or after the end of the task is reported, stored, or
+                // forgotten by the worker.
                 clock.after(clock.randomBetween(Micros.ZERO, 6.seconds)) {
                     simulation.crashLeader(clock.randomBetween(300.milliseconds, 9.seconds))
                 }
@@ -335,7 +335,7 @@
     }
 
     @Test
-    fun `an outdated heartbeat, session or attempt does not free a task`() {
+    fun `an outdated heartbeat, incarnation or attempt does not free a task`() {
         val stopped = taskReport("ended", cause = "stopped")
         val staleHeartbeats =
             listOf(
@@ -357,13 +357,13 @@
             harness.sendHeartbeat("i-000001", incarnation, tick, token, tasks)
             assertFalse(
                 "job-000001/0" in harness.startsOnOtherWorkers(token),
-                "started elsewhere after heartbeat $tick of session $incarnation: $tasks",
+                "started elsewhere after heartbeat $tick of incarnation $incarnation: $tasks",
             )
             val answer =
                 harness.sendHeartbeat("i-000001", 2, 20, token, taskReport("running", attempt = 2))
             assertFalse(
                 "halt" in answer,
-                "stopped after heartbeat $tick of session $incarnation: $tasks",
+                "stopped after heartbeat $tick of incarnation $incarnation: $tasks",
             )
         }
     }
@@ -392,13 +392,13 @@
             }
             assertFalse(
                 "job-000001/0" in harness.startsOnOtherWorkers(token),
-                "the task was started elsewhere after an old heartbeat of session $incarnation",
+                "started elsewhere after heartbeat $tick of incarnation $incarnation",
             )
             val answer =
                 harness.sendHeartbeat("i-000001", 2, 20, token, taskReport("running", attempt = 2))
             assertFalse(
                 "halt" in answer,
-                "the task was stopped after an old heartbeat of session $incarnation",
+                "stopped after heartbeat $tick of incarnation $incarnation",
             )
         }
     }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -219,6 +219,7 @@
         )
     }
 
+    /** A gang whose tasks need 0.1 GB of memory and save no checkpoints. */
     private fun smallTaskGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
         simulation
             .unconstrainedGang("team-0", tasks, cpus, estimateS = 10.0)
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -170,8 +170,7 @@
     ) {
         val scenario = MachineFaultScenario(seed)
         // Each job has more tasks than the quota of its team allows at once, so that some tasks
-        // wait
-        // while machines with others are unreachable.
+        // wait while machines with others are unreachable.
         val zoneJob = scenario.shortTaskJob(0, 40, zone = "b").copy(estimateS = 20.0)
         val oneZoneJob = scenario.shortTaskJob(1, 40, oneZone = true).copy(estimateS = 20.0)
         val otherOneZoneJob = scenario.shortTaskJob(2, 40, oneZone = true).copy(estimateS = 20.0)
--- a/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/OutageFaultsTest.kt
@@ -224,8 +224,7 @@
             )
             checkCancellationsBeforeOutage(variant, jobCount = 1)
             // A task that is stopped while it waits for its image never runs, so start commands
-            // that
-            // were carried out count as well.
+            // that were carried out count as well.
             val startsAfterCancellation =
                 invariants.startsAfterCancel + invariants.startsCarriedOutAfterCancel
             assertTrue(
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -9,11 +9,19 @@
 import wardmux.model.seconds
 
 /**
- * Guards against violated invariants in scenarios that inject random faults into a cluster every 9
- * s, so that faults of all kinds occur alone and together. A seed determines the whole scenario,
- * and most invariants are checked after each step.
+ * Guards against violated invariants in scenarios that inject a random fault every 9 s, so that
+ * faults of all kinds occur alone and together. A seed determines the whole scenario. The
+ * invariants are checked after each step.
  */
 class RandomSimulationTest {
+    /**
+     * Basic faults are always among those that are injected.
+     *
+     * @param withNetworkFaults injects network faults too, and checks at the end, after a time
+     *   without faults, that the cluster has recovered
+     * @param withPartitionFaults injects partitions and frozen controllers too
+     * @param withCancellationFaults injects cancellations, delayed messages and partitions too
+     */
     private class Scenario(
         seed: Long,
         private val withNetworkFaults: Boolean = false,
@@ -102,7 +110,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("grownSeeds")
+    @MethodSource("networkFaultSeeds")
     fun `invariants hold with asymmetric loss, duplicates, partitions and fast restarts`(
         seed: Long
     ) {
@@ -113,7 +121,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("relayedSeeds")
+    @MethodSource("forwardingSeeds")
     fun `invariants hold with network faults when all controllers take heartbeats`(seed: Long) {
         val scenario = Scenario(seed, withNetworkFaults = true, operators = forwardingSettings())
         scenario.run(withFaults = true)
@@ -122,7 +130,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("frozenSeeds")
+    @MethodSource("partitionFaultSeeds")
     fun `invariants hold with frozen controllers and partitioned zones`(seed: Long) {
         val forwarding = forwardingSettings()
         val scenario =
@@ -138,12 +146,12 @@
     }
 
     @ParameterizedTest
-    @MethodSource("huntedSeeds")
+    @MethodSource("cancellationFaultSeeds")
     fun `invariants hold with delayed writes, old heartbeats and cancellations`(seed: Long) =
         checkWithCancellationFaults(seed, OperatorSettings())
 
     @ParameterizedTest
-    @MethodSource("huntedSeeds")
+    @MethodSource("cancellationFaultSeeds")
     fun `invariants hold with cancellations when all controllers take heartbeats`(seed: Long) =
         checkWithCancellationFaults(seed, forwardingSettings())
 
@@ -206,8 +214,8 @@
 
         /**
          * With seed 200 a machine that commands did not reach was never decommissioned, because the
-         * leader had read the stored state again. Jobs that only this type of machine can run
-         * waited without end.
+         * leader had read the stored state again. Jobs that only this type of machine can run never
+         * ended.
          */
         private val FORWARDING_REGRESSION_SEEDS = listOf(200L)
     }
--- a/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
+++ b/src/test/kotlin/wardmux/sim/SmallWorkTest.kt
@@ -7,9 +7,9 @@
 import wardmux.model.seconds
 
 /**
- * Guards against a single small task that waits without end because the totals from which the
- * scheduler derives the machines to rent are too small, or its placement constraints too narrow, to
- * rent one for it.
+ * Guards against a single small task that never runs because the totals from which the scheduler
+ * derives the machines to rent are too small, or its placement constraints too narrow, to rent one
+ * for it.
  */
 class SmallWorkTest {
     /**
--- a/src/test/kotlin/wardmux/sim/UpgradeTest.kt
+++ b/src/test/kotlin/wardmux/sim/UpgradeTest.kt
@@ -38,7 +38,7 @@
         val clock = simulation.clock
         val jobs = ArrayList<JobSpec>()
 
-        /** By controller: when it restarted with the new version for the first time. */
+        /** By controller: when its upgrade began. Controllers of the old version are absent. */
         private val upgradedAt = HashMap<String, Micros>()
 
         /** For each leader in turn: whether it had the new version. */
@@ -283,7 +283,7 @@
     }
 
     @Test
-    fun `leadership can move to an upgraded controller, back to an old one and forth again`() {
+    fun `leadership can move to an upgraded controller, back to an old one and on to a new one`() {
         val scenario = Scenario(seed = 5)
         val (first, second, third) = scenario.simulation.nodes
         val clock = scenario.clock
