--- a/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/wardmux/sim/LargeFleetTest.kt
@@ -8,37 +8,58 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Four thousand machines report to three controllers, through a change of leaders. */
+/**
+ * Guards against leases that expire and machines that are decommissioned after a change of leader,
+ * when 4002 machines send heartbeats to three controllers and all need the new leader's token.
+ */
 class LargeFleetTest {
-    private fun play(fdLimit: Int, operators: OperatorSettings) {
+    /**
+     * Rents all machines, runs a task on each, crashes the leader, and checks that the next one
+     * keeps all machines.
+     *
+     * @param fdLimit the number of sockets that each controller may have open
+     */
+    private fun checkLeaderChange(fdLimit: Int, operators: OperatorSettings) {
         val simulation =
             ClusterSimulation(
                 seed = 7,
                 operators = operators,
                 startWithMachines = false,
-                capacityPerZone = MACHINES / KINDS,
+                capacityPerZone = MACHINE_COUNT / MACHINE_POOL_COUNT,
                 fdLimit = fdLimit,
-                teamCpuLimit = 64.0 * MACHINES,
+                teamCpuLimit = 64.0 * MACHINE_COUNT,
+            )
+        repeat(MACHINE_COUNT) {
+            simulation.cloud.rent(
+                ZONES[it % ZONES.size],
+                spot = it % MACHINE_POOL_COUNT < ZONES.size,
             )
-        repeat(MACHINES) {
-            simulation.cloud.rent(ZONES[it % ZONES.size], spot = it % KINDS < ZONES.size)
         }
-        // Something runs on every machine, so that none is given back.
+        // A task runs on every machine, so that none is returned to the cloud as idle.
         simulation.clock.after(2.seconds) { simulation.submit(longJob(simulation)) }
         simulation.run(50.seconds)
-        val before = simulation.cloud.workers().map { it.id }
-        assertEquals(MACHINES, before.size)
+        val machinesBefore = simulation.cloud.workers().map { it.id }
+        assertEquals(MACHINE_COUNT, machinesBefore.size, "machines before the leader crashes")
         simulation.crash(simulation.leader()!!, downtime = 700.milliseconds)
         simulation.run(110.seconds)
-        assertEquals(emptyList(), simulation.violations())
-        assertEquals(before, simulation.cloud.workers().map { it.id }, "some were given up")
-        val sessions = simulation.cloud.workers().count { it.sessions > 1 }
-        assertEquals(0, sessions, "leases ended")
-        val known = simulation.cloud.workers().count { it.hasToken(simulation.leaderToken()) }
-        assertEquals(MACHINES, known, "machines that have found the leader")
+        assertEquals(emptyList(), simulation.violations(), "violated invariants")
+        assertEquals(
+            machinesBefore,
+            simulation.cloud.workers().map { it.id },
+            "machines after the change of leader",
+        )
+        val workersWithNewSession = simulation.cloud.workers().count { it.sessions > 1 }
+        assertEquals(0, workersWithNewSession, "workers whose lease expired")
+        val workersWithLeaderToken =
+            simulation.cloud.workers().count { it.hasToken(simulation.leaderToken()) }
+        assertEquals(
+            MACHINE_COUNT,
+            workersWithLeaderToken,
+            "workers that have the token of the new leader",
+        )
         assertTrue(
-            simulation.invariants.starts >= MACHINES,
-            "${simulation.invariants.starts} starts",
+            simulation.invariants.starts >= MACHINE_COUNT,
+            "at least $MACHINE_COUNT starts expected, seen ${simulation.invariants.starts}",
         )
     }
 
@@ -48,27 +69,30 @@
             .unconstrained()
             .copy(
                 kind = JobKind.ARRAY,
-                tasks = MACHINES,
+                tasks = MACHINE_COUNT,
                 cpus = FakeWorker.CPUS,
                 estimateS = 400.0,
                 deadlineS = 800.0,
             )
 
     @Test
-    fun `all are known and none is given up where all controllers take heartbeats`() =
-        play(fdLimit = 1_800, OperatorSettings(idleKeepBoots = KEPT))
+    fun `a new leader keeps all machines when all controllers take heartbeats`() =
+        checkLeaderChange(fdLimit = 1_800, OperatorSettings(idleKeepBoots = IDLE_KEEP_BOOTS))
 
     @Test
-    fun `all are known and none is given up where the leader takes all reports`() =
-        play(fdLimit = 10_000, OperatorSettings(heartbeatsPerCore = 1e6, idleKeepBoots = KEPT))
+    fun `a new leader keeps all machines when it takes all heartbeats itself`() =
+        checkLeaderChange(
+            fdLimit = 10_000,
+            OperatorSettings(heartbeatsPerCore = 1e6, idleKeepBoots = IDLE_KEEP_BOOTS),
+        )
 
     private companion object {
-        const val MACHINES = 4_002
-        /** None is returned as idle meanwhile. */
-        const val KEPT = 1_000.0
+        const val MACHINE_COUNT = 4_002
+        /** Long enough that no machine is returned to the cloud as idle during the test. */
+        const val IDLE_KEEP_BOOTS = 1_000.0
         val ZONES = listOf("a", "b", "c")
 
-        /** Spot and ordinary machines in each zone; all are rented. */
-        const val KINDS = 6
+        /** Spot and ordinary machines in three zones. The capacity of each pool is rented whole. */
+        const val MACHINE_POOL_COUNT = 6
     }
 }
--- a/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
+++ b/src/test/kotlin/wardmux/sim/MachineFaultsTest.kt
@@ -11,82 +11,112 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** Two troubles at once, where machines are one of them: each brought about on purpose. */
+/**
+ * Guards against violated invariants and unfinished jobs when machines fail together with something
+ * else: lost heartbeats, unresponsive machines, partitions or crashed machines, combined with
+ * cancellations, crashes of the leader or bursts of new jobs.
+ */
 class MachineFaultsTest {
-    private class Meeting(seed: Long) {
-        // In every other scenario all controllers take reports.
+    private class MachineFaultScenario(seed: Long) {
+        // With odd seeds all controllers take heartbeats, with even ones the leader alone does.
         val simulation = ClusterSimulation(seed, operators = forwardingSettings(seed % 2 != 0L))
         val clock = simulation.clock
 
+        /** Runs [action] at the simulated [time]. */
         fun at(time: Micros, action: () -> Unit) = clock.after(time - clock.now, action)
 
-        /** A task of it takes most of a machine, and never ends by itself unless it is [short]. */
-        fun large(team: Int, tasks: Int, short: Double = 0.0, oneZone: Boolean = false): JobSpec =
+        /**
+         * A job of which each task takes most of a machine. It is a service, which runs until it is
+         * cancelled, unless [estimateS], the duration of a task in seconds, is above 0.
+         */
+        fun largeTaskJob(
+            team: Int,
+            tasks: Int,
+            estimateS: Double = 0.0,
+            oneZone: Boolean = false,
+        ): JobSpec =
             simulation
                 .unconstrainedJob(
-                    if (short > 0) JobKind.ARRAY else JobKind.SERVICE,
+                    if (estimateS > 0) JobKind.ARRAY else JobKind.SERVICE,
                     "team-$team",
                     tasks,
                     cpus = 9.0,
-                    estimateS = short,
+                    estimateS = estimateS,
                 )
                 .copy(oneZone = oneZone)
 
-        /** A job of many short tasks. */
-        fun array(team: Int, tasks: Int, zone: String? = null, oneZone: Boolean = false): JobSpec =
-            large(team, tasks, short = 6.0, oneZone).copy(cpus = 2.0, zone = zone)
+        /** An array job of which each task takes 2 CPUs for 6 s. */
+        fun shortTaskJob(
+            team: Int,
+            tasks: Int,
+            zone: String? = null,
+            oneZone: Boolean = false,
+        ): JobSpec =
+            largeTaskJob(team, tasks, estimateS = 6.0, oneZone).copy(cpus = 2.0, zone = zone)
 
         fun workers() = simulation.cloud.workers()
 
-        fun busy() = workers().filter { it.activeTasks > 0 }
+        /** Workers that run at least one task. */
+        fun busyWorkers() = workers().filter { it.activeTasks > 0 }
 
-        fun part(a: String, b: String, length: Micros) {
+        /** Drops the messages sent from [a] to [b]; the reverse direction works. */
+        fun dropMessages(a: String, b: String, duration: Micros) {
             simulation.network.blockPath(a, b)
-            clock.after(length) { simulation.network.unblockPath(a, b) }
+            clock.after(duration) { simulation.network.unblockPath(a, b) }
         }
 
-        fun hang(worker: FakeWorker, length: Micros) {
+        fun makeUnresponsive(worker: FakeWorker, duration: Micros) {
             worker.unresponsive = true
-            clock.after(length) { worker.unresponsive = false }
+            clock.after(duration) { worker.unresponsive = false }
         }
 
-        fun mute(worker: FakeWorker, length: Micros) {
+        /** Drops the heartbeats of [worker]; direct commands still reach it. */
+        fun dropHeartbeats(worker: FakeWorker, duration: Micros) {
             simulation.network.outboundBlocked.add(worker.id)
-            clock.after(length) { simulation.network.outboundBlocked.remove(worker.id) }
+            clock.after(duration) { simulation.network.outboundBlocked.remove(worker.id) }
         }
 
-        fun holds() {
-            assertEquals(emptyList(), simulation.violations().distinct().take(4))
-            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+        fun checkNoViolations() {
+            assertEquals(
+                emptyList(),
+                simulation.violations().distinct().take(4),
+                "violated invariants",
+            )
+            assertTrue(simulation.invariants.starts > 0, "no task was started")
         }
 
-        fun done(vararg jobs: JobSpec) {
-            holds()
+        fun checkJobsDone(vararg jobs: JobSpec) {
+            checkNoViolations()
             assertEquals(
                 emptyList(),
                 jobs.map { it.id }.filter { simulation.invariants.finalStateOf(it) != "done" },
+                "jobs that are not done",
             )
         }
     }
 
-    // (a) Mute machines.
+    // Machines whose heartbeats are lost.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `mute machines, with cancellations and new starts meanwhile`(seed: Long) {
-        val scenario = Meeting(seed)
-        val jobs = List(3) { scenario.large(it, 3) }
+    fun `no task starts on machines whose heartbeats are lost, and new jobs complete`(seed: Long) {
+        val scenario = MachineFaultScenario(seed)
+        val jobs = List(3) { scenario.largeTaskJob(it, 3) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.randomBetween(12.seconds, 70.seconds)
-            for (worker in scenario.busy()) {
+            val duration = scenario.clock.randomBetween(12.seconds, 70.seconds)
+            for (worker in scenario.busyWorkers()) {
                 if (!scenario.clock.chance(0.8)) continue
-                scenario.mute(worker, length)
-                // Nothing new goes where no lease is renewed.
+                scenario.dropHeartbeats(worker, duration)
+                // No task may start on a machine whose lease is not renewed.
                 scenario.clock.after(11.seconds) {
                     val before = worker.startedTasks
-                    scenario.clock.after(length - 11.seconds) {
-                        assertEquals(before, worker.startedTasks, "started on a mute machine")
+                    scenario.clock.after(duration - 11.seconds) {
+                        assertEquals(
+                            before,
+                            worker.startedTasks,
+                            "tasks started on ${worker.id}, whose heartbeats are lost",
+                        )
                     }
                 }
             }
@@ -94,87 +124,102 @@
                 scenario.simulation.cancel(jobs[0].id)
             }
         }
-        val late = List(3) { scenario.array(it, 12) }
-        for ((i, job) in late.withIndex()) scenario.at((33 + 9 * i).seconds) {
+        val laterJobs = List(3) { scenario.shortTaskJob(it, 12) }
+        for ((i, job) in laterJobs.withIndex()) scenario.at((33 + 9 * i).seconds) {
             scenario.simulation.submit(job)
         }
         scenario.simulation.run(200.seconds)
-        scenario.done(*late.toTypedArray())
+        scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
-    // Tasks of cancelled jobs.
+    // Tasks of cancelled jobs on unresponsive machines.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 6])
-    fun `cancelled on machines that hang, many at once, while the leader changes`(seed: Long) {
-        val scenario = Meeting(seed)
-        val jobs = List(3) { scenario.large(it, 4) }
+    fun `jobs cancelled on many unresponsive machines during a change of leader end in time`(
+        seed: Long
+    ) {
+        val scenario = MachineFaultScenario(seed)
+        val jobs = List(3) { scenario.largeTaskJob(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val busy = scenario.busy()
-            assertTrue(busy.size >= 6, "only ${busy.size} are busy")
-            for (worker in busy.drop((seed % 3).toInt() * 3)) scenario.hang(worker, 90.seconds)
+            val busyWorkers = scenario.busyWorkers()
+            assertTrue(
+                busyWorkers.size >= 6,
+                "at least 6 busy workers expected, but there are ${busyWorkers.size}",
+            )
+            for (worker in busyWorkers.drop((seed % 3).toInt() * 3)) scenario.makeUnresponsive(
+                worker,
+                90.seconds,
+            )
             for (job in jobs) scenario.simulation.cancel(job.id)
             scenario.clock.after(scenario.clock.randomBetween(1.seconds, 25.seconds)) {
                 scenario.simulation.leader()?.let { scenario.simulation.crash(it, 3.seconds) }
             }
         }
         scenario.simulation.run(150.seconds)
-        scenario.holds()
+        scenario.checkNoViolations()
     }
 
-    // (b) Jobs bound to one zone.
+    // Jobs that must run in one zone.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `jobs bound to one zone lose machines, by death, a hang and a change of leaders`(
+    fun `jobs bound to one zone end despite crashed and unresponsive machines and a new leader`(
         seed: Long
     ) {
-        val scenario = Meeting(seed)
-        // More than its team may have at once, so that some wait while others are out.
-        val pinned = scenario.array(0, 40, zone = "b").copy(estimateS = 20.0)
-        val together = scenario.array(1, 40, oneZone = true).copy(estimateS = 20.0)
-        val far = scenario.array(2, 40, oneZone = true).copy(estimateS = 20.0)
-        for (job in listOf(pinned, together, far)) scenario.simulation.submit(job)
+        val scenario = MachineFaultScenario(seed)
+        // Each job has more tasks than the quota of its team allows at once, so that some tasks
+        // wait while machines with others are unreachable.
+        val zoneJob = scenario.shortTaskJob(0, 40, zone = "b").copy(estimateS = 20.0)
+        val oneZoneJob = scenario.shortTaskJob(1, 40, oneZone = true).copy(estimateS = 20.0)
+        val otherOneZoneJob = scenario.shortTaskJob(2, 40, oneZone = true).copy(estimateS = 20.0)
+        for (job in listOf(zoneJob, oneZoneJob, otherOneZoneJob)) scenario.simulation.submit(job)
         scenario.at(20.seconds) {
-            val there = scenario.workers().shuffled(scenario.clock.random)
-            for (worker in there.take(there.size / 2)) {
+            val shuffledWorkers = scenario.workers().shuffled(scenario.clock.random)
+            for (worker in shuffledWorkers.take(shuffledWorkers.size / 2)) {
                 if (scenario.clock.chance(0.5)) scenario.simulation.cloud.crash(worker)
-                else scenario.hang(worker, scenario.clock.randomBetween(3.seconds, 30.seconds))
+                else
+                    scenario.makeUnresponsive(
+                        worker,
+                        scenario.clock.randomBetween(3.seconds, 30.seconds),
+                    )
             }
             scenario.clock.after(scenario.clock.randomBetween(0.seconds, 6.seconds)) {
                 scenario.simulation.leader()?.let { scenario.simulation.crash(it, 2.seconds) }
             }
         }
         scenario.at(45.seconds) {
-            scenario.busy().take(2).forEach { scenario.simulation.cloud.crash(it) }
+            scenario.busyWorkers().take(2).forEach { scenario.simulation.cloud.crash(it) }
         }
         scenario.simulation.run(220.seconds)
-        scenario.done(pinned, together, far)
+        scenario.checkJobsDone(zoneJob, oneZoneJob, otherOneZoneJob)
     }
 
-    // (c) A leader ends while machines with long tasks are out of reach.
+    // A leader crashes while machines with long tasks are unreachable.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a leader ends while machines can't be reached or don't hear the next one`(seed: Long) {
-        val scenario = Meeting(seed)
-        // There is room elsewhere for what is out of reach.
-        val jobs = List(3) { scenario.large(it, 3).copy(cpus = 5.0) }
+    fun `jobs end when a leader crashes while machines are partitioned from controllers`(
+        seed: Long
+    ) {
+        val scenario = MachineFaultScenario(seed)
+        // Other machines have room for the tasks of unreachable machines.
+        val jobs = List(3) { scenario.largeTaskJob(it, 3).copy(cpus = 5.0) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.randomBetween(5.seconds, 60.seconds)
-            for (worker in scenario.busy()) {
+            val duration = scenario.clock.randomBetween(5.seconds, 60.seconds)
+            for (worker in scenario.busyWorkers()) {
                 when (scenario.clock.random.nextInt(4)) {
                     0 ->
-                        for (node in scenario.simulation.nodes) scenario.part(
+                        for (node in scenario.simulation.nodes) scenario.dropMessages(
                             node,
                             worker.id,
-                            length,
+                            duration,
                         )
                     1 -> {
                         scenario.simulation.network.isolate(worker.id)
-                        scenario.clock.after(length) {
+                        scenario.clock.after(duration) {
                             scenario.simulation.network.reconnect(worker.id)
                         }
                     }
@@ -187,24 +232,27 @@
                 scenario.simulation.cancel(jobs[1].id)
             }
         }
-        val late = List(3) { scenario.array(it, 10) }
-        scenario.at(40.seconds) { for (job in late) scenario.simulation.submit(job) }
+        val laterJobs = List(3) { scenario.shortTaskJob(it, 10) }
+        scenario.at(40.seconds) { for (job in laterJobs) scenario.simulation.submit(job) }
         scenario.simulation.run(210.seconds)
-        scenario.done(*late.toTypedArray())
+        scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
-    // (d) A zone is cut off with a controller in it.
+    // A zone is partitioned together with a controller in it.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a zone with workers and a controller is cut off for longer than a lease`(seed: Long) {
-        val scenario = Meeting(seed)
-        val jobs = List(3) { scenario.large(it, 4) }
+    fun `jobs end after a zone and a controller were partitioned for longer than a lease`(
+        seed: Long
+    ) {
+        val scenario = MachineFaultScenario(seed)
+        val jobs = List(3) { scenario.largeTaskJob(it, 4) }
         jobs.forEach { scenario.simulation.submit(it) }
         scenario.at(30.seconds) {
-            val length = scenario.clock.randomBetween(17.seconds, 60.seconds)
+            val duration = scenario.clock.randomBetween(17.seconds, 60.seconds)
             val leader = scenario.simulation.leader()
-            // The leader is inside, or one of the others.
+            // The controller inside the partition is a follower if 3 divides the seed, else the
+            // leader.
             val node = scenario.simulation.nodes.first { (it == leader) == (seed % 3 != 0L) }
             val inside = scenario.workers().filter { it.zone == "a" }.map { it.id } + node
             val outside =
@@ -212,42 +260,44 @@
                     (scenario.simulation.nodes - node) +
                     listOf("state", "cloud", "user")
             for (a in inside) for (b in outside) {
-                scenario.part(a, b, length)
-                scenario.part(b, a, length)
+                scenario.dropMessages(a, b, duration)
+                scenario.dropMessages(b, a, duration)
             }
             scenario.clock.after(scenario.clock.randomBetween(0.seconds, 9.seconds)) {
                 scenario.simulation.cancel(jobs[2].id)
             }
         }
-        val late = List(3) { scenario.array(it, 10) }
-        scenario.at(36.seconds) { for (job in late) scenario.simulation.submit(job) }
+        val laterJobs = List(3) { scenario.shortTaskJob(it, 10) }
+        scenario.at(36.seconds) { for (job in laterJobs) scenario.simulation.submit(job) }
         scenario.simulation.run(210.seconds)
-        scenario.done(*late.toTypedArray())
+        scenario.checkJobsDone(*laterJobs.toTypedArray())
     }
 
-    // (e) Held-up commands and answers.
+    // Delayed commands and lost responses.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `starts reach a hanging machine, their job is cancelled, and it goes on`(seed: Long) {
-        val scenario = Meeting(seed)
-        val first = List(3) { scenario.large(it, 1) }
-        first.forEach { scenario.simulation.submit(it) }
-        val cancelled = List(3) { scenario.array(it, 6).copy(estimateS = 400.0) }
-        val kept = List(3) { scenario.array(it, 8).copy(estimateS = 20.0) }
+    fun `jobs cancelled while unresponsive machines hold start commands break no invariant`(
+        seed: Long
+    ) {
+        val scenario = MachineFaultScenario(seed)
+        val initialJobs = List(3) { scenario.largeTaskJob(it, 1) }
+        initialJobs.forEach { scenario.simulation.submit(it) }
+        val cancelled = List(3) { scenario.shortTaskJob(it, 6).copy(estimateS = 400.0) }
+        val kept = List(3) { scenario.shortTaskJob(it, 8).copy(estimateS = 20.0) }
         scenario.at(25.seconds) {
             for (job in kept + cancelled) scenario.simulation.submit(job)
-            // While these starts go out.
+            // The faults begin while the commands to start these tasks are sent.
             scenario.clock.after(scenario.clock.randomBetween(20.milliseconds, 200.milliseconds)) {
                 for (worker in scenario.workers()) {
-                    val length = scenario.clock.randomBetween(1.seconds, 15.seconds)
-                    if (scenario.clock.chance(0.5)) scenario.hang(worker, length)
+                    val duration = scenario.clock.randomBetween(1.seconds, 15.seconds)
+                    if (scenario.clock.chance(0.5)) scenario.makeUnresponsive(worker, duration)
                     else if (scenario.clock.chance(0.5)) {
-                        // The order arrives, its answer comes too late.
-                        for (node in scenario.simulation.nodes) scenario.part(
+                        // The command arrives, but its response is lost.
+                        for (node in scenario.simulation.nodes) scenario.dropMessages(
                             worker.id,
                             node,
-                            length,
+                            duration,
                         )
                     }
                 }
@@ -257,15 +307,15 @@
             }
         }
         scenario.simulation.run(200.seconds)
-        scenario.done(*kept.toTypedArray())
+        scenario.checkJobsDone(*kept.toTypedArray())
     }
 
-    // (f) More work than room.
+    // More tasks than the machines have room for.
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `more work than room, urgent and not, over slow links`(seed: Long) {
-        val scenario = Meeting(seed)
+    fun `a backlog of urgent and other jobs completes although messages are delayed`(seed: Long) {
+        val scenario = MachineFaultScenario(seed)
         val simulation = scenario.simulation
         val hosts = simulation.nodes + "state" + "cloud"
         val jobs = ArrayList<JobSpec>()
@@ -273,8 +323,11 @@
             val urgent = scenario.clock.chance(0.5)
             val team = scenario.clock.random.nextInt(3)
             val job =
-                if (urgent) scenario.array(team, 15).copy(priority = PriorityClass.HIGH)
-                else scenario.large(team, 2, short = 20.0).copy(checkpointS = 3.0, saveS = 2.0)
+                if (urgent) scenario.shortTaskJob(team, 15).copy(priority = PriorityClass.HIGH)
+                else
+                    scenario
+                        .largeTaskJob(team, 2, estimateS = 20.0)
+                        .copy(checkpointS = 3.0, saveS = 2.0)
             jobs.add(job)
             simulation.submit(job)
         }
@@ -289,6 +342,6 @@
         scenario.at(70.seconds) { simulation.network.extraLatency.clear() }
         simulation.run(330.seconds)
         simulation.checkAtEnd(faultsEndedAt = 70.seconds)
-        scenario.done(*jobs.toTypedArray())
+        scenario.checkJobsDone(*jobs.toTypedArray())
     }
 }
--- a/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/RandomSimulationTest.kt
@@ -9,182 +9,214 @@
 import wardmux.model.seconds
 
 /**
- * Seeded scenarios with troubles of every kind, alone and together; the rules hold after each step.
+ * Guards against violated invariants in scenarios that inject a random fault every 9 s, so that
+ * faults of all kinds occur alone and together. A seed determines the whole scenario. The
+ * invariants are checked after each step.
  */
 class RandomSimulationTest {
+    /**
+     * Basic faults are always among those that are injected.
+     *
+     * @param withNetworkFaults injects network faults too, and checks at the end, after a time
+     *   without faults, that the cluster has recovered
+     * @param withPartitionFaults injects partitions and frozen controllers too
+     * @param withCancellationFaults injects cancellations, delayed messages and partitions too
+     */
     private class Scenario(
         seed: Long,
-        private val grown: Boolean = false,
-        private val fleet: Boolean = false,
-        private val hunted: Boolean = false,
+        private val withNetworkFaults: Boolean = false,
+        private val withPartitionFaults: Boolean = false,
+        private val withCancellationFaults: Boolean = false,
         operators: OperatorSettings = OperatorSettings(),
     ) {
         val simulation = ClusterSimulation(seed, operators = operators)
         private val clock = simulation.clock
         val jobs = ArrayList<String>()
 
-        private val troubles = FaultInjector(simulation, ::submit)
+        private val faults = FaultInjector(simulation, ::submit)
 
+        /** Submits a random job, and cancels services and some others up to 60 s later. */
         private fun submit() {
-            val usual = simulation.randomJob()
-            // Some have long to go, for those who call them off.
-            val long = hunted && usual.estimateS > 0 && usual.tasks <= 3 && clock.chance(0.5)
-            val spec = if (long) usual.copy(estimateS = 100.0) else usual
+            val randomJob = simulation.randomJob()
+            // Some jobs run for 100 s, so that cancellations find running tasks.
+            val isLong =
+                withCancellationFaults &&
+                    randomJob.estimateS > 0 &&
+                    randomJob.tasks <= 3 &&
+                    clock.chance(0.5)
+            val spec = if (isLong) randomJob.copy(estimateS = 100.0) else randomJob
             jobs.add(spec.id)
             simulation.submit(spec)
-            val daemon = spec.estimateS == 0.0
-            if (daemon || clock.chance(0.15)) {
+            val isService = spec.estimateS == 0.0
+            if (isService || clock.chance(0.15)) {
                 clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
                     simulation.cancel(spec.id)
                 }
             }
         }
 
-        fun play(troubled: Boolean) {
-            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
+        /** Runs the scenario: a job every 7 s and, if [withFaults], a fault every 9 s. */
+        fun run(withFaults: Boolean) {
+            simulation.cloud.startFailureProbability = if (withFaults) 0.1 else 0.0
             simulation.poll("job-999999")
             for (at in 2..150 step 7) clock.after(at.seconds) { submit() }
-            if (troubled) {
+            if (withFaults) {
                 for (at in 10..170 step 9) {
-                    clock.after(at.seconds) { trouble() }
+                    clock.after(at.seconds) { injectRandomFault() }
                 }
             }
-            if (hunted) {
+            if (withCancellationFaults) {
                 simulation.store.holdsRefusedWatches = true
-                clock.after(CALM) { simulation.startWorkConservationChecks() }
+                clock.after(FAULTS_END) { simulation.startWorkConservationChecks() }
             }
-            simulation.run(if (grown) 420.seconds else 320.seconds)
-            if (grown) simulation.checkAtEnd(CALM)
+            simulation.run(if (withNetworkFaults) 420.seconds else 320.seconds)
+            if (withNetworkFaults) simulation.checkAtEnd(FAULTS_END)
         }
 
-        private fun trouble() {
-            val all =
+        /** Injects one random fault; the newer kinds have more weight. */
+        private fun injectRandomFault() {
+            val possibleFaults =
                 when {
-                    hunted -> {
-                        val new =
-                            troubles.cancellationFaults +
-                                troubles.cancellationFaults +
-                                troubles.cancellationFaults
-                        troubles.basicFaults +
-                            troubles.networkFaults +
-                            troubles.partitionFaults +
-                            new
+                    withCancellationFaults -> {
+                        val weightedFaults =
+                            faults.cancellationFaults +
+                                faults.cancellationFaults +
+                                faults.cancellationFaults
+                        faults.basicFaults +
+                            faults.networkFaults +
+                            faults.partitionFaults +
+                            weightedFaults
                     }
-                    fleet -> {
-                        val new =
-                            troubles.partitionFaults +
-                                troubles.partitionFaults +
-                                troubles.partitionFaults
-                        troubles.basicFaults + troubles.networkFaults + new
+                    withPartitionFaults -> {
+                        val weightedFaults =
+                            faults.partitionFaults + faults.partitionFaults + faults.partitionFaults
+                        faults.basicFaults + faults.networkFaults + weightedFaults
                     }
-                    grown -> troubles.basicFaults + troubles.networkFaults + troubles.networkFaults
-                    else -> troubles.basicFaults
+                    withNetworkFaults ->
+                        faults.basicFaults + faults.networkFaults + faults.networkFaults
+                    else -> faults.basicFaults
                 }
-            all[clock.random.nextInt(all.size)]()
+            possibleFaults[clock.random.nextInt(possibleFaults.size)]()
         }
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken whatever fails`(seed: Long) {
+    fun `invariants hold with crashes, outages, preemptions and lost messages`(seed: Long) {
         val scenario = Scenario(seed)
-        scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        scenario.run(withFaults = true)
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
-    @MethodSource("grownSeeds")
-    fun `nor with one-way networks, late copies, lone controllers and quick returns`(seed: Long) {
-        val scenario = Scenario(seed, grown = true)
-        scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+    @MethodSource("networkFaultSeeds")
+    fun `invariants hold with asymmetric loss, duplicates, partitions and fast restarts`(
+        seed: Long
+    ) {
+        val scenario = Scenario(seed, withNetworkFaults = true)
+        scenario.run(withFaults = true)
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
-    @MethodSource("relayedSeeds")
-    fun `nor where all controllers take heartbeats`(seed: Long) {
-        val scenario = Scenario(seed, grown = true, operators = forwardingSettings())
-        scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+    @MethodSource("forwardingSeeds")
+    fun `invariants hold with network faults when all controllers take heartbeats`(seed: Long) {
+        val scenario = Scenario(seed, withNetworkFaults = true, operators = forwardingSettings())
+        scenario.run(withFaults = true)
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
-    @MethodSource("frozenSeeds")
-    fun `nor with frozen controllers and cut zones besides`(seed: Long) {
+    @MethodSource("partitionFaultSeeds")
+    fun `invariants hold with frozen controllers and partitioned zones`(seed: Long) {
         val forwarding = forwardingSettings()
-        val scenario = Scenario(seed, grown = true, fleet = true, operators = forwarding)
-        scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+        val scenario =
+            Scenario(
+                seed,
+                withNetworkFaults = true,
+                withPartitionFaults = true,
+                operators = forwarding,
+            )
+        scenario.run(withFaults = true)
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @ParameterizedTest
-    @MethodSource("huntedSeeds")
-    fun `nor with late writes, old reports, cancellations and odd requests`(seed: Long) =
-        hunted(seed, OperatorSettings())
+    @MethodSource("cancellationFaultSeeds")
+    fun `invariants hold with delayed writes, old heartbeats and cancellations`(seed: Long) =
+        checkWithCancellationFaults(seed, OperatorSettings())
 
     @ParameterizedTest
-    @MethodSource("huntedSeeds")
-    fun `nor with them where all controllers take heartbeats`(seed: Long) =
-        hunted(seed, forwardingSettings())
-
-    private fun hunted(seed: Long, operators: OperatorSettings) {
-        val scenario = Scenario(seed, grown = true, hunted = true, operators = operators)
-        scenario.play(troubled = true)
-        assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.starts > 0, "nothing ran")
+    @MethodSource("cancellationFaultSeeds")
+    fun `invariants hold with cancellations when all controllers take heartbeats`(seed: Long) =
+        checkWithCancellationFaults(seed, forwardingSettings())
+
+    private fun checkWithCancellationFaults(seed: Long, operators: OperatorSettings) {
+        val scenario =
+            Scenario(
+                seed,
+                withNetworkFaults = true,
+                withCancellationFaults = true,
+                operators = operators,
+            )
+        scenario.run(withFaults = true)
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
+        assertTrue(scenario.simulation.invariants.starts > 0, "no task was started")
     }
 
     @Test
-    fun `in a quiet scenario every job comes to its end`() {
+    fun `every job ends in a scenario without faults`() {
         val scenario = Scenario(100)
-        scenario.play(troubled = false)
-        assertEquals(emptyList(), scenario.simulation.violations())
+        scenario.run(withFaults = false)
+        assertEquals(emptyList(), scenario.simulation.violations(), "violated invariants")
         val open = scenario.jobs.filter { scenario.simulation.invariants.finalStateOf(it) == null }
-        assertEquals(emptyList(), open)
+        assertEquals(emptyList(), open, "jobs that have not ended")
     }
 
     companion object {
-        /** The longest trouble lasts for 78 s, and late messages come up to 45 s after theirs. */
-        private val CALM = 285.seconds
+        /** The longest fault lasts for 78 s, and delayed messages arrive up to 45 s late. */
+        private val FAULTS_END = 285.seconds
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.days=100-500"`. */
-        @JvmStatic fun seeds(): List<Long> = scenarios("wardmux.days", "1-24") + FOUND
+        /** Another range can be set: `-DargLine="-Dwardmux.days=100-500"`. */
+        @JvmStatic fun seeds(): List<Long> = seedsFrom("wardmux.days", "1-24") + REGRESSION_SEEDS
 
-        /** Likewise: `-Dwardmux.grown=100-500`. */
-        @JvmStatic fun grownSeeds(): List<Long> = scenarios("wardmux.grown", "1-24")
+        /** Another range can be set: `-Dwardmux.grown=100-500`. */
+        @JvmStatic fun networkFaultSeeds(): List<Long> = seedsFrom("wardmux.grown", "1-24")
 
-        /** Likewise: `-Dwardmux.relayed=100-500`. */
+        /** Another range can be set: `-Dwardmux.relayed=100-500`. */
         @JvmStatic
-        fun relayedSeeds(): List<Long> = scenarios("wardmux.relayed", "1-24") + FOUND_RELAYED
+        fun forwardingSeeds(): List<Long> =
+            seedsFrom("wardmux.relayed", "1-24") + FORWARDING_REGRESSION_SEEDS
 
-        /** Likewise: `-Dwardmux.frozen=100-500`. */
-        @JvmStatic fun frozenSeeds(): List<Long> = scenarios("wardmux.frozen", "1-24")
+        /** Another range can be set: `-Dwardmux.frozen=100-500`. */
+        @JvmStatic fun partitionFaultSeeds(): List<Long> = seedsFrom("wardmux.frozen", "1-24")
 
-        /** Likewise: `-Dwardmux.hunted=100-500`. */
-        @JvmStatic fun huntedSeeds(): List<Long> = scenarios("wardmux.hunted", "1-24")
+        /** Another range can be set: `-Dwardmux.hunted=100-500`. */
+        @JvmStatic fun cancellationFaultSeeds(): List<Long> = seedsFrom("wardmux.hunted", "1-24")
 
-        private fun scenarios(property: String, usual: String): List<Long> {
-            val range = (System.getProperty(property) ?: usual).split('-')
+        private fun seedsFrom(property: String, defaultRange: String): List<Long> {
+            val range = (System.getProperty(property) ?: defaultRange).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
         }
 
         /**
-         * Seeds with which a rule was once broken: a job in two zones, since a later leader did not
-         * know where its tasks were (113, 184, 321); a cancelled job that stayed in memory, and so
-         * on its machines, when what is stored was read twice (114, 242); a team over its cap,
-         * since a later leader started again what had been released after its record was written
-         * (854).
+         * Seeds that once violated an invariant. With 113, 184 and 321 a job that must run in one
+         * zone ran in two, because a later leader did not know where its tasks were. With 114 and
+         * 242 a cancelled job stayed in memory, and so on its machines, when the stored state was
+         * read twice. With 854 a team exceeded its quota, because a later leader started tasks
+         * again that had been released after their record was written.
          */
-        private val FOUND = listOf(113L, 114L, 184L, 242L, 321L, 854L)
+        private val REGRESSION_SEEDS = listOf(113L, 114L, 184L, 242L, 321L, 854L)
 
         /**
-         * A machine that commands did not reach was kept for ever, and with it the jobs that only
-         * its kind may run, as the leader had read again what is stored (200).
+         * With seed 200 a machine that commands did not reach was never decommissioned, because the
+         * leader had read the stored state again. Jobs that only this type of machine can run never
+         * ended.
          */
-        private val FOUND_RELAYED = listOf(200L)
+        private val FORWARDING_REGRESSION_SEEDS = listOf(200L)
     }
 }
