--- a/src/main/kotlin/wardmux/fleet/CommandReachability.kt
+++ b/src/main/kotlin/wardmux/fleet/CommandReachability.kt
@@ -23,8 +23,8 @@
     /**
      * Whether commands have reached no machine for more than [MIN_UNANSWERED_TIME], although at
      * least [MIN_UNANSWERED_MACHINES] of the machines that did not answer have sent a heartbeat
-     * since. Those heartbeats came through forwarders, so another controller may be able to reach
-     * the machines.
+     * since. These machines are alive, and their heartbeats have probably come through forwarders,
+     * so another controller may be able to reach them.
      */
     val isCutOff: Boolean
         get() =
--- a/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatCommands.kt
@@ -27,15 +27,17 @@
      * How long a machine remembers an ended attempt that did not complete its task. A duplicate of
      * a direct start may be delivered late. If the machine had forgotten the attempt, it would run
      * the attempt again, in parallel with the task's next attempt or although its job was cancelled
-     * since. Such attempts are therefore forgotten only after this time, or when the worker's
-     * incarnation ends. A late start does not run a completed task again.
+     * since. Such attempts are therefore forgotten only after this time or when the worker's
+     * incarnation ends; if a machine has very many, the oldest are forgotten earlier (see
+     * [Machine.mayForget]). Completed attempts need no retention, because a late start does not run
+     * a completed task again.
      */
     private val endedAttemptRetention = (workers.leaseS * ENDED_ATTEMPT_RETENTION_LEASES).seconds
 
     /**
      * Returns the commands for [machine] in response to [heartbeat]: stop and forget commands for
      * the tasks that it lists and, if [withStarts] is true and the leader's lease is valid, start
-     * commands. Returns none before the cancellations are loaded.
+     * commands. Returns none while the stored state is not loaded.
      */
     fun commandsFor(
         machine: Machine,
--- a/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
+++ b/src/main/kotlin/wardmux/fleet/HeartbeatHandler.kt
@@ -97,8 +97,9 @@
         val decision = renewals.decide(heartbeat, cancellations)
         if (decision is RenewalDecision.Withhold) {
             verifyAbsenceOfCancelled(machine, decision)
-            // Forwarders withhold the renewal themselves. Forwarders of an earlier version refuse
-            // the heartbeat instead.
+            // The null makes a forwarder of an earlier version refuse the machine's heartbeats, so
+            // that it does not renew the lease. Forwarders of this version withhold the renewal
+            // themselves and go on forwarding the heartbeats.
             if (decision.reason == WithholdingReason.ABSENCE_UNVERIFIED) return null
         }
         val stops = (decision as? RenewalDecision.Renew)?.renewal?.requiredStops.orEmpty()
--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -26,8 +26,9 @@
     private var nextCheckAt = Micros.LONG_AGO
 
     /**
-     * When the first check ran, or null before it. The stored state was loaded by then, so workers
-     * have been able to reach this leader since.
+     * When the first check ran, or null before it. Workers have been able to adopt this leader's
+     * fencing token since then at the latest, because a leader that has loaded the stored state
+     * renews leases.
      */
     private var reachableSince: Micros? = null
 
@@ -52,7 +53,7 @@
         val up = upMachines()
         val candidates = DecommissionCandidates()
         for (machine in up) check(machine, candidates)
-        // In that case this controller, not the machines, is probably cut off from the network.
+        // If all machines are silent, this controller is probably cut off from the network.
         if (allAreSilent(up)) return
         decommission(candidates, up.size)
         unconfirmedMachines.check(since)
--- a/src/main/kotlin/wardmux/fleet/TaskFailures.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskFailures.kt
@@ -75,7 +75,7 @@
 
         /**
          * The backoff of a failing job is [FAILURE_PAUSE] times the number of machines that it
-         * failed on, but at most times this.
+         * failed on. This is the largest such factor.
          */
         const val MAX_BACKOFF_PAUSES = 12
 
--- a/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
+++ b/src/main/kotlin/wardmux/fleet/TaskReconciler.kt
@@ -102,8 +102,8 @@
         // A delayed heartbeat from before this leader's term must not release the placement. A
         // completion is final, so it counts under any token.
         if (cause != TaskEndCause.DONE && heartbeat.token != token.value) return
-        // Without this task the other tasks of its gang wait or run in vain, so their attempt is
-        // aborted.
+        // If the job is a gang, its other tasks wait or run in vain without this one, so the
+        // attempt is aborted.
         if (cause != TaskEndCause.DONE && !job.allTasksDone) cluster.abortGangAttempt(job)
         when (cause) {
             TaskEndCause.DONE -> {
--- a/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/UnconfirmedMachineMonitor.kt
@@ -10,9 +10,9 @@
 import wardmux.scheduling.ClusterState
 
 /**
- * Decommissions machines that have placements but never sent a heartbeat under this leader's
- * fencing token. An earlier leader may still renew their leases, so only deleting them proves that
- * no tasks run there.
+ * Decommissions machines that have placements, or have sent heartbeats under an older fencing
+ * token, but never sent one under this leader's token. An earlier leader may still renew their
+ * leases, so only deleting them proves that no tasks run there.
  */
 class UnconfirmedMachineMonitor(
     private val context: CoreContext,
@@ -33,7 +33,7 @@
 
     /**
      * Decommissions the unconfirmed machines whose time for a first heartbeat has passed. Workers
-     * have been able to reach this leader since [reachableSince].
+     * have been able to adopt this leader's fencing token since [reachableSince] at the latest.
      */
     fun check(reachableSince: Micros) {
         if (!cancellations.isLoaded) return
@@ -44,7 +44,8 @@
             }
         val unknownIds = cluster.unknownMachines.machines.toList()
         // It is unknown how long ago a job was cancelled, so machines that may hold tasks of
-        // cancelled jobs get only the time of one heartbeat.
+        // cancelled jobs only get the time that a worker needs to find this leader and to send it
+        // one heartbeat.
         if (context.now - reachableSince >= HEARTBEAT_FAILOVER_TIME + timeouts.overdue) {
             decommissionCancelled(unconfirmed, unknownIds)
         }
@@ -68,10 +69,11 @@
 
     /**
      * Returns how long after the election machines may take to send their first heartbeat, if
-     * [silentCount] of them have not sent one. If most machines have found this leader, the others
-     * are not silent because of the change of leader, so they get less time. They still get at
-     * least the duration of a lease, because a machine that returns before its lease expires is
-     * worth more than the time that its tasks lose.
+     * [silentCount] of them have not sent one. If at least twice as many machines have found this
+     * leader, the others are not silent because of the change of leader, so they get less time.
+     * They still get at least the duration of a lease. A machine that returns before its lease
+     * expires has kept its tasks running, and that is worth more than the time for which the tasks
+     * of a lost machine wait to be placed again.
      */
     private fun firstHeartbeatTimeout(silentCount: Int): Micros {
         val isMinority = silentCount * 2 <= cluster.machines.values.count { it.isUp }
--- a/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
+++ b/src/main/kotlin/wardmux/lease/LeaseRenewals.kt
@@ -30,7 +30,8 @@
     private var cachedToken: FencingToken? = null
 
     /**
-     * Machines whose last heartbeat did not renew the lease, so that each change is logged once.
+     * Machines whose lease was last not renewed because a cancelled task may be there although the
+     * heartbeat does not list it. They are remembered so that each change is logged once.
      */
     private val withheldMachines = HashSet<String>()
     private var areCancellationsOutdated = false
--- a/src/main/kotlin/wardmux/model/GangAttempt.kt
+++ b/src/main/kotlin/wardmux/model/GangAttempt.kt
@@ -6,8 +6,8 @@
     val number: Int,
     val startedAt: Micros,
     /**
-     * True once all tasks of the gang have been running at the same time. From then on the loss of
-     * one task means that the others cannot continue.
+     * True once a task of the gang was reported as running. Tasks of a gang only start to run all
+     * together, so from then on the loss of one task means that the others cannot continue.
      */
     var hasRun: Boolean = false,
 ) {
--- a/src/main/kotlin/wardmux/model/Machine.kt
+++ b/src/main/kotlin/wardmux/model/Machine.kt
@@ -36,8 +36,8 @@
         private set
 
     /**
-     * True if the machine is known only from heartbeats with an older token. It may have been
-     * deleted long ago.
+     * True if the machine became known from a heartbeat, has sent none with this leader's token and
+     * has not been listed by the provider. It may have been deleted long ago.
      */
     var hasOnlyStaleHeartbeats = false
 
--- a/src/main/kotlin/wardmux/model/Placement.kt
+++ b/src/main/kotlin/wardmux/model/Placement.kt
@@ -46,8 +46,9 @@
     var lastSeenTick = -1L
 
     /**
-     * True if the start was sent directly or in a response in this term. Later heartbeats show
-     * whether it has to be sent again.
+     * True if the start was sent in this term, directly or in the response to a heartbeat, and is
+     * not known to have failed. If a later heartbeat does not list the attempt, the response to it
+     * may send the start again.
      */
     var isStartSent = false
 
--- a/src/main/kotlin/wardmux/peers/CancellationTracker.kt
+++ b/src/main/kotlin/wardmux/peers/CancellationTracker.kt
@@ -47,7 +47,7 @@
 
     /**
      * How many of the cancellations that a peer's current process acknowledged are known, and the
-     * time until which these are all. The process started at [startedAt] or earlier.
+     * time before which it acknowledged no others. The process started at [startedAt] or earlier.
      */
     private class PeerProgress(val processIncarnation: String, val startedAt: Micros) {
         var knownCount = 0L
@@ -148,7 +148,8 @@
 
     /**
      * Applies the answer of [member] to a heartbeat that was sent at [sentAt]. Unless the answer
-     * says that there is more, it completes what the peer's process had acknowledged by then.
+     * says that there are more cancellations, all that the peer's process acknowledged before
+     * [sentAt] are known afterwards.
      */
     fun applyUpdate(member: String, update: CancellationUpdate, sentAt: Micros) {
         var progress = peerProgress[member]
--- a/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
+++ b/src/main/kotlin/wardmux/peers/PeerHeartbeats.kt
@@ -54,7 +54,7 @@
         val status = PeerStatus(context.now, Micros(heartbeat.timeSinceStoreResponse))
         statusByPeer[heartbeat.member] = status
         val token = FencingToken(heartbeat.token ?: return)
-        // This is a delayed heartbeat of a former leader.
+        // A smaller token shows that this is a delayed heartbeat of a former leader.
         if (token < progressToken) return
         progressToken = token
         progress = heartbeat.progress.associateBy { it.job }
@@ -84,7 +84,8 @@
     private fun isRecent(time: Micros) = context.now - time < MAX_HEARTBEAT_AGE
 
     /**
-     * Sends a heartbeat once a second to each peer that has answered the previous one or timed out.
+     * Sends a heartbeat once a second to each peer, except to peers whose answer to the previous
+     * heartbeat is outstanding and has not timed out.
      */
     fun tick(
         token: FencingToken?,
--- a/src/main/kotlin/wardmux/scheduling/ClusterState.kt
+++ b/src/main/kotlin/wardmux/scheduling/ClusterState.kt
@@ -40,15 +40,15 @@
     internal val quotaUsage = QuotaUsage(this.teams)
     private val orphans = Orphans(quotaUsage)
 
-    /** Placements from records whose machines have sent no heartbeat yet. */
+    /** Placements from records whose machines are not in [machines] yet. */
     val unknownMachines = PlacementsOnUnknownMachines()
 
     /** Machines for which commands may be waiting that can be sent to them directly. */
     val machinesWithCommands = LinkedHashSet<Machine>()
 
     /**
-     * True while drains are active. While they are, only drains move tasks that could keep running
-     * where they are; scale-in moves none.
+     * True while drains are active. Scale-in then evicts no tasks, because its evictions would use
+     * up the disruption budgets that the drains keep to.
      */
     var hasDrains = false
 
@@ -103,7 +103,7 @@
 
     /**
      * Adds [placement] to its [machine] and to its team's usage. A [machine] of null means that the
-     * machine has sent no heartbeat yet.
+     * machine is known only from records.
      */
     fun addPlacement(placement: Placement, machine: Machine?) {
         if (machine != null) {
@@ -122,7 +122,7 @@
         markChanged()
     }
 
-    /** All placements on a machine, whether or not it has sent a heartbeat. */
+    /** All placements on a machine, which may be known only from records. */
     fun placementsOn(id: MachineId): Collection<Placement> =
         machines[id]?.placements?.values ?: unknownMachines.on(id)
 
--- a/src/main/kotlin/wardmux/scheduling/Eligibility.kt
+++ b/src/main/kotlin/wardmux/scheduling/Eligibility.kt
@@ -21,7 +21,8 @@
 ) {
     /**
      * True if new tasks may be placed on [machine]: it sends heartbeats, has adopted this leader's
-     * fencing token, and is neither cordoned nor about to be removed.
+     * fencing token, answers direct commands, and is neither paused, cordoned nor about to be
+     * removed.
      */
     fun isSchedulable(machine: Machine): Boolean {
         val lastHeartbeatAt = machine.lastHeartbeatAt ?: return false
--- a/src/main/kotlin/wardmux/scheduling/MachinePools.kt
+++ b/src/main/kotlin/wardmux/scheduling/MachinePools.kt
@@ -76,7 +76,8 @@
 
     /**
      * How many machines of [type] would hold the demand, judged by the resource that runs out
-     * first.
+     * first. Without any demand this is the number for one CPU, so that types can still be
+     * compared.
      */
     fun machinesNeeded(type: MachineType): Double {
         if (cpus <= 0) return 1 / type.cpus
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -125,8 +125,9 @@
         private const val TYPICAL_MAX_PLACEMENT_BYTES = 100
 
         /**
-         * Bytes that stay free if omitting done tasks can free them, so that some tasks can always
-         * be placed.
+         * How far below the size limit the codec tries to keep the page before more tasks are
+         * placed on it. It omits done tasks from the page for this, so that there is room for a few
+         * more placements.
          */
         private const val RESERVED_BYTES = 4 * MAX_PLACEMENT_BYTES
 
--- a/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementStore.kt
@@ -93,8 +93,8 @@
 
     /** The task pages that the next transaction can write in addition to its other operations. */
     fun pageBudget(): PageWriteBudget {
-        // One operation is kept for the tags. Where a transaction holds few operations, completed
-        // jobs never take all of those that a start needs.
+        // One operation is kept for the tags. In a store whose transactions hold few operations,
+        // completed jobs must leave at least one for a page, so that tasks can still be started.
         val completionWrites =
             minOf(jobsToComplete().take(2).count() * WRITES_PER_COMPLETION, store.maxOperations - 2)
         // The tasks of a lost machine cannot run elsewhere until its decommission record is
--- a/src/main/kotlin/wardmux/scheduling/PlacementsOnUnknownMachines.kt
+++ b/src/main/kotlin/wardmux/scheduling/PlacementsOnUnknownMachines.kt
@@ -3,7 +3,10 @@
 import wardmux.model.MachineId
 import wardmux.model.Placement
 
-/** Placements read from records whose machines have sent no heartbeat yet. */
+/**
+ * Placements read from records whose machines are not known otherwise: they have sent no heartbeat
+ * yet, and the cloud has not listed them.
+ */
 class PlacementsOnUnknownMachines {
     private val placements = HashMap<MachineId, LinkedHashSet<Placement>>()
 
--- a/src/main/kotlin/wardmux/scheduling/Preemption.kt
+++ b/src/main/kotlin/wardmux/scheduling/Preemption.kt
@@ -124,9 +124,9 @@
 
     /**
      * The placements that may be stopped, those with the smallest loss first. They are filtered
-     * once for each combination of priority and right to reclaim. Most jobs may only displace lower
-     * priorities, so that of thousands of placements with their own priority none is examined for
-     * each blocked job.
+     * only once for each combination of priority and right to reclaim. Most jobs may only displace
+     * lower priorities; without the filter, each blocked job would examine thousands of placements
+     * with its own priority in vain.
      */
     private inner class Victims(stoppable: List<Placement>) {
         // Sorted once for all blocked jobs: the loss of a stop does not depend on the job it is
--- a/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
+++ b/src/main/kotlin/wardmux/scheduling/TaskEvictor.kt
@@ -16,8 +16,8 @@
     private val log = logger<TaskEvictor>()
 
     /**
-     * Stops [victim] for [reason]. If it belongs to a gang, all tasks of the gang are stopped:
-     * tasks that got the stop command too late would spoil the checkpoint of the others.
+     * Stops [victim] for [reason]. If it belongs to a gang, all tasks of the gang are stopped: a
+     * gang can write a checkpoint only if all its tasks get the stop command in time.
      */
     fun evict(victim: Placement, reason: String) {
         if (victim.job.spec.isGang) return evictGang(victim.job, reason)
--- a/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
+++ b/src/main/kotlin/wardmux/scheduling/TeamJobOrder.kt
@@ -11,12 +11,15 @@
  * - Jobs that have waited for their first start longer than [maxWait] come first, so that smaller
  *   jobs cannot hold up the largest ones indefinitely.
  * - Jobs with deadlines follow. If the team's CPUs cannot complete all of them in time, the order
- *   keeps the deadlines of as many jobs as possible (Moore and Hodgson's rule): jobs are accepted
- *   by deadline, and whenever one would be late, the accepted job with the most remaining work is
- *   put back. Jobs that were put back are then ordered by their next, later deadline in the same
- *   way.
+ *   keeps the deadlines of as many jobs as possible (Moore and Hodgson's rule): jobs are selected
+ *   in the order of their deadlines, and whenever one would be late, the selected job with the most
+ *   remaining work is put back. Jobs that were put back are then ordered by their next, later
+ *   deadline in the same way.
  * - Jobs without deadlines follow in the order of submission.
  * - Failing jobs come last.
+ *
+ * If only one job is to be sorted by deadline, or if the team can use no CPUs, deadlines are
+ * ignored and these jobs are sorted like those without deadlines.
  */
 class TeamJobOrder(
     objectives: List<ServiceLevelObjective>,
--- a/src/main/kotlin/wardmux/worker/WorkerMessages.kt
+++ b/src/main/kotlin/wardmux/worker/WorkerMessages.kt
@@ -14,6 +14,10 @@
     @SerialName("try") val attempt: Int,
     @SerialName("status") val statusName: String,
     @SerialName("cause") val causeName: String? = null,
+    /**
+     * Whether the attempt saved its progress before it ended, so that the next attempt resumes from
+     * there. Controllers do not use it.
+     */
     @SerialName("kept") val kept: Boolean = false,
 ) {
     /** The task and the attempt at it. */
