--- a/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
+++ b/src/main/kotlin/wardmux/fleet/MachineHealthMonitor.kt
@@ -215,8 +215,8 @@
         const val MIN_BULK_LIMIT = 2
 
         /**
-         * If more than the number of machines that are up, divided by this, have the same problem,
-         * they are not decommissioned for it.
+         * The limit above which machines are kept is the number of machines that are up, divided by
+         * this. If more than that have the same problem, none of them is decommissioned for it.
          */
         const val BULK_LIMIT_DIVISOR = 3
 
--- a/src/main/kotlin/wardmux/forwarding/ForwardingGrants.kt
+++ b/src/main/kotlin/wardmux/forwarding/ForwardingGrants.kt
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Extends the grant of [forwarder] to [grantDuration] from now, plus the clock drift that the
-     * forwarder's clock may have if it runs slow.
+     * Extends the grant of [forwarder] to [grantDuration] from now, plus the time by which the
+     * grant lasts longer if the forwarder's clock runs slow.
      */
     fun extend(forwarder: Forwarder) =
         forwarder.extendGrant(context.now + grantDuration * (1 + MAX_CLOCK_DRIFT))
--- a/src/main/kotlin/wardmux/leader/JobRegistry.kt
+++ b/src/main/kotlin/wardmux/leader/JobRegistry.kt
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Returns the job [id], or adds a placeholder if it is not known. Of an unknown job that is
-     * done, only task pages are left. The placeholder lets them be removed like those of any other
-     * job.
+     * Returns the job [id], or adds a placeholder if it is not known. An unknown job is done, and
+     * the store holds only task pages that are left of it. The placeholder lets them be removed
+     * like those of any other job.
      */
     fun getOrAddCompleted(id: JobId): Job = cluster.jobs.getOrPut(id) { completedPlaceholder(id) }
 
--- a/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
+++ b/src/main/kotlin/wardmux/scheduling/PageSizeEstimate.kt
@@ -38,8 +38,9 @@
             (job.nextAttempt(task) > 1 || placedTasks == 0 || maxEndedBytes(job, task) <= maxBytes)
 
     /**
-     * The size of the page in the worst order of ends. Each task that was attempted before may be
-     * stored as interrupted between two done tasks; of the tasks placed since, half may be.
+     * The size of the page if its tasks end in the worst order. Each task that was attempted before
+     * this estimate was made may be stored as an interrupted task between two done ones. Of the
+     * tasks first attempted since, only every second one may be: the others are the done ones.
      */
     private fun maxEndedBytes(job: Job, task: Int): Int =
         PAGE_FRAME_BYTES +
