--- a/src/main/kotlin/wardmux/app/WorkerClients.kt
+++ b/src/main/kotlin/wardmux/app/WorkerClients.kt
@@ -7,7 +7,7 @@
 
 /**
  * HTTP clients for workers, by address. Keeps the clients of the [maxClients] most recently used
- * addresses. A response body may have up to [maxResponseBytes].
+ * addresses. A response body may have up to [maxResponseBytes] bytes.
  */
 class WorkerClients(
     private val group: EventLoopGroup,
--- a/src/main/kotlin/wardmux/cloud/CapacityController.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityController.kt
@@ -146,12 +146,10 @@
     }
 
     private companion object {
-        /**
-         * The share of a decrease that the targets for all and for ordinary work follow at once.
-         */
+        /** The share of a decrease that `target` and `ordinaryTarget` follow in each call. */
         const val SLOW_DECAY = 0.03
 
-        /** The share of a decrease that the urgent target follows at once. */
+        /** The share of a decrease that `urgentTarget` follows in each call. */
         const val FAST_DECAY = 0.1
 
         /** Added to a number of machines before it is rounded down: 0.6 machines count as one. */
--- a/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
+++ b/src/main/kotlin/wardmux/cloud/CapacityDemand.kt
@@ -77,8 +77,9 @@
         backlog.withinBootTime += machinesWithinBootTime
         if (!spec.spot) backlog.ordinary += machinesWithinBootTime
         val slackS = slackSeconds(job, runTimeS)
-        // The job should start less than a boot time after it was accepted. Such work is over
-        // before a new machine is up, so no ordinary machine is rented for it.
+        // No ordinary machine is rented for a job that should start less than a boot time after it
+        // was accepted, because its work is over before a new machine is up. The same applies to a
+        // job with neither a deadline nor an objective.
         if (slackS + ageSeconds(job) < bootTimeS) return
         backlog.withinObjectives +=
             machinesToFinishWithin(
--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -23,8 +23,8 @@
     private val rentals: MachineRentals,
 ) {
     /**
-     * Requests the machines that [job] lacks, which has been short of room for a while. A job that
-     * is no gang gets one machine of the [offeredTypes]; a failing job gets none.
+     * Requests the machines that [job] lacks. The job has been short of room for a while. A job
+     * that is no gang gets one machine of the [offeredTypes]; a failing job gets none.
      */
     fun rentFor(job: Job, offeredTypes: List<MachineType>) {
         if (job.isFailing) return
--- a/src/main/kotlin/wardmux/cloud/MachineRentals.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineRentals.kt
@@ -41,7 +41,10 @@
     private val retryAt = HashMap<String, Micros>()
     private var requestCounter = 0
 
-    /** The requests that the cloud's rate limit allows in a second, at least one. */
+    /**
+     * The maximum number of pending requests: as many as the cloud's rate limit allows in a second,
+     * but at least one.
+     */
     private val maxPendingRequests = maxOf(1, deployment.cloud.rps.toInt())
 
     private var wasRefused = false
--- a/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
+++ b/src/main/kotlin/wardmux/cloud/MachineTypeCatalog.kt
@@ -70,7 +70,7 @@
 
     private fun storeTypes(found: List<MachineType>) {
         val data = MachineTypeList.encode(found)
-        // The list is too large for one value, so it is not stored; controllers that start read it
+        // A list that is too large for one value is not stored. Controllers that start then read it
         // from the cloud.
         if (jsonBytes(data) > store.maxValueBytes) return
         val change = WriteOperation(put = MachineTypeList.KEY, data = data)
--- a/src/main/kotlin/wardmux/cloud/ScaleIn.kt
+++ b/src/main/kotlin/wardmux/cloud/ScaleIn.kt
@@ -49,8 +49,8 @@
 
     /**
      * True if [machine] has been idle for longer than [OperatorSettings.idleKeepBoots] boot times
-     * of its type, divided by its cost relative to the cheapest type of the pool. Until then
-     * keeping it costs about as much as renting and booting another one.
+     * of its type, divided by its cost relative to the cheapest type of the pool. Keeping it for
+     * that time costs about as much as renting and booting another one.
      */
     private fun hasIdledLongEnough(pool: MachinePool, machine: Machine): Boolean {
         val relativeCost = pool.relativeCost(machine.type, machine.spot)
--- a/src/main/kotlin/wardmux/config/DrainSettings.kt
+++ b/src/main/kotlin/wardmux/config/DrainSettings.kt
@@ -77,13 +77,16 @@
     /** The most running tasks of the team that may be disrupted at once. */
     @SerialName("most_disrupted") val maxDisrupted: Int = 1,
     /**
-     * The same limit as a share of the team's running tasks, rounded up. The smaller of the two
-     * limits applies.
+     * The same limit as a share of the team's running and disrupted tasks, rounded up. The smaller
+     * of the two limits applies.
      */
     @SerialName("most_disrupted_share") val maxDisruptedShare: Double = 1.0,
     /** The fewest replicas of each service of the team that have to stay up. */
     @SerialName("least_replicas") val minReplicas: Int = 0,
-    /** The shortest time between two steps that disrupt the team, in seconds. */
+    /**
+     * The shortest time from the end of a step of any drain to the start of the next step that
+     * disrupts the team, in seconds.
+     */
     @SerialName("step_pause_s") val stepPauseS: Double = 30.0,
 ) {
     /** The first error, in one line that names the field below [prefix]; null if there is none. */
--- a/src/main/kotlin/wardmux/core/Inputs.kt
+++ b/src/main/kotlin/wardmux/core/Inputs.kt
@@ -45,12 +45,15 @@
             get() = body.decodeToString()
     }
 
-    /** The request was not sent, because no connection was established. */
+    /**
+     * The request was not sent, because no connection was established or became free before the
+     * timeout.
+     */
     data object NotSent : Outcome
 
     /**
-     * No response arrived before the timeout. The request may have been carried out, or may still
-     * be carried out.
+     * The request was sent, but the timeout passed or the connection was closed before a response
+     * arrived. The request may have been carried out, or may still be carried out.
      */
     data object NoResponse : Outcome
 }
--- a/src/main/kotlin/wardmux/drain/DrainService.kt
+++ b/src/main/kotlin/wardmux/drain/DrainService.kt
@@ -15,8 +15,8 @@
     private val inventory: MachineInventory,
 ) {
     /**
-     * Handles [request] and calls [respond] once. If the request changes a drain, that is after the
-     * write of the drain has finished.
+     * Handles [request] and calls [respond] once. For a request that changes a drain, [respond] is
+     * called after the write of the drain has finished.
      */
     fun handle(request: ForwardedRequest, respond: (OperatorResponse) -> Unit) {
         if (!term.mayDecide || !drains.isRead) return respond(OperatorResponses.UNAVAILABLE)
--- a/src/main/kotlin/wardmux/drain/DrainStore.kt
+++ b/src/main/kotlin/wardmux/drain/DrainStore.kt
@@ -25,7 +25,8 @@
     REFUSED,
 
     /**
-     * It is not known whether the drain was written. All drains are read again before the leader
+     * It is not known what the store holds: the write got no answer, failed on its conditions or
+     * was rejected as invalid. If the leader's term continues, it reads all drains again before it
      * decides anything else about drains.
      */
     UNKNOWN,
@@ -35,7 +36,7 @@
  * The leader's access to the drains in the key-value store. Each write is conditional on the
  * versions of the leader's key and the drain's own key, so a write by an earlier leader, or one
  * that the store applies late, has no effect. All drains are read again after a write that got no
- * answer or failed on the version of the drain's own key.
+ * answer, was rejected as invalid, or failed on the version of the drain's own key.
  */
 class DrainStore(
     private val context: CoreContext,
--- a/src/main/kotlin/wardmux/drain/EvictionSelector.kt
+++ b/src/main/kotlin/wardmux/drain/EvictionSelector.kt
@@ -82,8 +82,8 @@
     }
 
     /**
-     * The run time that an eviction loses: the time to save for replicas and tasks with
-     * checkpoints, otherwise all run time so far.
+     * The run time that an eviction loses. Replicas and tasks with checkpoints lose the time that
+     * saving takes; other tasks lose all run time so far.
      */
     private fun lostRunTime(placement: Placement): Micros {
         val since = placement.runningSince ?: return Micros.ZERO
--- a/src/main/kotlin/wardmux/http/HttpClient.kt
+++ b/src/main/kotlin/wardmux/http/HttpClient.kt
@@ -30,7 +30,7 @@
  * Sends HTTP requests to one address over at most [maxConnections] connections. Each connection
  * carries one request at a time; further requests are queued. A request that gets no response
  * within its timeout fails, and its connection is closed. A response body may have up to
- * [maxResponseBytes]. If [keepAlive] is false, each request uses a new connection; this suits
+ * [maxResponseBytes] bytes. If [keepAlive] is false, each request uses a new connection; this suits
  * addresses that rarely receive requests.
  */
 class HttpClient(
--- a/src/main/kotlin/wardmux/http/HttpServer.kt
+++ b/src/main/kotlin/wardmux/http/HttpServer.kt
@@ -31,7 +31,7 @@
 import wardmux.logging.logger
 import wardmux.model.Micros
 
-/** The size limit for request bodies of users and workers. */
+/** The size limit for request bodies of users, workers and operators. */
 const val MAX_BODY_BYTES = 64 * 1024
 private const val MAX_PEER_BODY_BYTES = 1024 * 1024
 private const val ACCEPT_BACKLOG = 1024
@@ -161,7 +161,8 @@
 
         override fun channelActive(context: ChannelHandlerContext) {
             openConnections++
-            // Answered before a request arrives, so that the client can try another controller.
+            // The response is sent without waiting for a request, so that the client can try
+            // another controller at once.
             if (listener == ListenerKind.API && openConnections > maxConnections)
                 respondUnavailable(context)
         }
--- a/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
+++ b/src/main/kotlin/wardmux/jobs/SubmissionReader.kt
@@ -38,8 +38,9 @@
 }
 
 /**
- * Reads submissions strictly: a submission is malformed if a field is missing, has a wrong type, or
- * holds a negative or non-finite number.
+ * Reads submissions strictly: a submission is malformed if a required field is missing, or if a
+ * field has a wrong type or a value that is not allowed, such as an empty text, or a number that is
+ * negative, non-finite or above [MAX_NUMBER_VALUE].
  */
 object SubmissionReader {
     private val jobIdPattern = Regex("job-[0-9]{1,18}")
--- a/src/main/kotlin/wardmux/records/JobRecord.kt
+++ b/src/main/kotlin/wardmux/records/JobRecord.kt
@@ -79,8 +79,8 @@
 
         /**
          * The key prefix of copies of the records of cancelled jobs. A copy exists while a task of
-         * the job may be on a machine. If task pages exist of a job that has neither this copy nor
-         * that of an open job, the job is done, so a new leader need not read its record.
+         * the job may be on a machine. A job that has task pages, but neither this copy nor the one
+         * under [OPEN_PREFIX], is done, so a new leader need not read its record.
          */
         const val CANCELLED_PREFIX = "c/"
 
--- a/src/main/kotlin/wardmux/store/KeyValueStore.kt
+++ b/src/main/kotlin/wardmux/store/KeyValueStore.kt
@@ -24,13 +24,13 @@
     private val lowestLimits = limits.lowest
     private val client = StoreClient(context, lowestLimits, controllers)
 
-    /** When the store last sent a response other than that it is unavailable. */
+    /** When the store last sent a response with a status other than 503 (service unavailable). */
     val lastAvailableAt: Micros
         get() = client.lastAvailableAt
 
     /**
-     * The time since which no request has been answered; null if the last one was answered or none
-     * was sent yet.
+     * The time since which every request has got no response or one with status 503 (service
+     * unavailable). Null if the last response had another status, or if no request was sent yet.
      */
     val unavailableSince: Micros?
         get() = client.unavailableSince
--- a/src/main/kotlin/wardmux/store/RateLimiter.kt
+++ b/src/main/kotlin/wardmux/store/RateLimiter.kt
@@ -76,7 +76,10 @@
          */
         const val LEADER_REQUEST_SHARE = 0.3
 
-        /** The leader's share of the write limit, because the leader records every placement. */
+        /**
+         * The leader's share of the write limit. It is large because only the leader records
+         * placements.
+         */
         const val LEADER_WRITE_SHARE = 0.6
 
         /**
--- a/src/main/kotlin/wardmux/store/StoreClient.kt
+++ b/src/main/kotlin/wardmux/store/StoreClient.kt
@@ -44,13 +44,13 @@
     val limiter = RateLimiter(context, limits, controllers)
     private val queue = RequestQueue(context, limiter)
 
-    /** When the store last sent a response other than that it is unavailable. */
+    /** When the store last sent a response with a status other than 503 (service unavailable). */
     var lastAvailableAt = Micros.LONG_AGO
         private set
 
     /**
-     * The time since which no request has been answered; null if the last one was answered or none
-     * was sent yet.
+     * The time since which every request has got no response or one with status 503 (service
+     * unavailable). Null if the last response had another status, or if no request was sent yet.
      */
     var unavailableSince: Micros? = null
         private set
--- a/src/main/kotlin/wardmux/store/StoreResult.kt
+++ b/src/main/kotlin/wardmux/store/StoreResult.kt
@@ -8,7 +8,8 @@
     data class Ok<T>(val value: T) : StoreResult<T>
 
     /**
-     * The key or lease does not exist; [revision] is the store's revision when it was looked up.
+     * The key or lease does not exist. For a key, [revision] is the store's revision when the key
+     * was looked up; for a lease it is [Revision.ZERO].
      */
     data class NotFound(val revision: Revision) : StoreResult<Nothing>
 
@@ -16,8 +17,8 @@
     data class Conflict(val failed: List<String>) : StoreResult<Nothing>
 
     /**
-     * The request was certainly not executed: the store rejected it temporarily, no connection was
-     * established, or the request expired before it was sent.
+     * The request was certainly not executed: the store rejected it temporarily, it could not be
+     * sent for lack of a connection, or it expired in the queue.
      */
     data object NotExecuted : StoreResult<Nothing>
 
--- a/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
+++ b/src/test/kotlin/wardmux/sim/FakeKeyValueStore.kt
@@ -96,15 +96,18 @@
     var holdsRefusedWatches = false
 
     /**
-     * Violations of the protocol by controllers. For a transaction that is too large, its sender
-     * and the exceeded limit.
+     * Violations of the protocol by controllers. The entry for a transaction that is too large
+     * names its sender and the exceeded limit.
      */
     val protocolViolations = ArrayList<String>()
 
     /** Called for every request, also for one that is refused. */
     var onRequest: ((path: String, body: String) -> Unit)? = null
 
-    /** The limits that are enforced instead of the original ones, or null. */
+    /**
+     * The limits above which transactions are rejected; null until [lowerLimits] is called. A
+     * transaction that exceeds the original limits is also recorded as a protocol violation.
+     */
     private var loweredLimits: AnnouncedStoreLimits? = null
     private val recentWriteTimes = ArrayDeque<Micros>()
 
@@ -274,7 +277,7 @@
      * its sender alone is refused.
      */
     private fun commitAfterOutage(from: String, transaction: JsonObject, committedBefore: Int) {
-        // The transaction arrived before the outage and is executed after it.
+        // A transaction that arrived before an outage is executed after it.
         if (null in refusedMembers)
             clock.after(500.milliseconds) { commitAfterOutage(from, transaction, committedBefore) }
         else {
--- a/src/test/kotlin/wardmux/sim/FaultInjector.kt
+++ b/src/test/kotlin/wardmux/sim/FaultInjector.kt
@@ -5,9 +5,9 @@
 import wardmux.model.seconds
 
 /**
- * The faults that tests of all kinds inject into a [simulation]. Calling a list entry injects one
- * fault. Faults that last end by themselves, except that a machine on which tasks fail stays so.
- * Some entries submit or cancel jobs; [submitJob] submits one more job.
+ * Lists of faults for a [simulation]. Each list entry is a function that injects one fault. A fault
+ * that lasts for some time ends by itself; only a machine on which every task fails stays that way.
+ * Some entries submit jobs with [submitJob], which submits one more job, or cancel jobs.
  */
 class FaultInjector(private val simulation: ClusterSimulation, private val submitJob: () -> Unit) {
     private val clock = simulation.clock
@@ -65,7 +65,7 @@
             {
                 for (worker in randomWorkers(2)) {
                     worker.unresponsive = true
-                    // Some resume just before their lease ends, some just after.
+                    // Some resume before their lease ends, some after.
                     clock.after(clock.randomBetween(2.seconds, 30.seconds)) {
                         worker.unresponsive = false
                     }
@@ -179,7 +179,10 @@
             },
         )
 
-    /** Cancellations and delayed messages, alone and combined with other faults. */
+    /**
+     * Cancellations, requests that users rarely make, and delayed, duplicated or lost messages,
+     * alone and combined with other faults.
+     */
     val cancellationFaults: List<() -> Unit> =
         listOf(
             {
--- a/src/test/kotlin/wardmux/sim/Invariants.kt
+++ b/src/test/kotlin/wardmux/sim/Invariants.kt
@@ -429,7 +429,8 @@
 
     /**
      * Checks at the end of a scenario without faults since [faultsEndedAt] that
-     * - every accepted job is still known, whatever happened to the others;
+     * - status requests for every accepted job were answered, with no gap longer than
+     *   [LONGEST_TIME_UNANSWERED] outside the time of the faults;
      * - of the jobs that nobody asked to cancel and that were accepted more than four minutes ago,
      *   at least half of each class, of each team and of the largest fifth of each class started;
      * - all of the largest fifth of each class started.
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -160,8 +160,8 @@
                     requestedAt,
                 )
             if (status != 200) clock.after(1.seconds) { cancel(job, controller) }
-            // The submission was never answered, so polling starts with this first response about
-            // the job.
+            // If no answer has accepted the submission yet, polling starts with this first response
+            // about the job.
             else if (polledJobs.add(job)) poll(job)
         }
     }
