--- a/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
+++ b/src/main/kotlin/wardmux/cloud/JobProvisioner.kt
@@ -23,8 +23,8 @@
     private val rentals: MachineRentals,
 ) {
     /**
-     * Requests the machines that [job] lacks, which has been short of room for a while. A job that
-     * is no gang gets one machine of the [offeredTypes]; a failing job gets none.
+     * Requests the machines that [job] lacks. The job has been short of room for a while. A job
+     * that is no gang gets one machine of the [offeredTypes]; a failing job gets none.
      */
     fun rentFor(job: Job, offeredTypes: List<MachineType>) {
         if (job.isFailing) return
@@ -46,6 +46,7 @@
         }
     }
 
+    /** True if a machine that [job] may use stays in service and has room now or later. */
     private fun hasSuitableMachine(job: Job) =
         cluster.machines.values.any {
             !it.isDecommissioned &&
--- a/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangCancellationTest.kt
@@ -9,27 +9,51 @@
 import wardmux.model.Micros
 import wardmux.model.seconds
 
-/** A gang is cancelled at each phase of its life; each is brought about on purpose. */
+/**
+ * A gang is cancelled in each phase of its life, with and without a leader change. Guards against
+ * tasks that stay on machines or start later, because a start command, a write or the next attempt
+ * was in flight when the user cancelled.
+ */
 class GangCancellationTest {
-    /** How far a gang has come, and what brings it there and makes the phase last. */
+    /** The phase in which the gang is cancelled. */
     enum class Phase {
-        WAITING,
-        UNRECORDED,
+        /** The gang is queued, because there are too few machines. */
+        WAITING_FOR_CAPACITY,
+
+        /** The write of its placements is delayed in the key-value store. */
+        RECORDING,
+
+        /** Its placements are stored, and the start commands are in flight. */
         STARTING,
+
+        /** Its tasks fetch their images. */
         FETCHING,
+
+        /** Some tasks have their image and wait for the others. */
         GATHERING,
         RUNNING,
+
+        /** A machine got a preemption notice, and the tasks save their progress. */
         SAVING,
-        BETWEEN,
+
+        /** A machine crashed, all tasks have ended, and the next attempt is due. */
+        BETWEEN_ATTEMPTS,
+
+        /** All tasks completed, and the users have not been told yet. */
         DONE,
     }
 
-    private fun arrange(scenario: GangScenario, phase: Phase): JobSpec {
+    /**
+     * Creates a gang, and prepares the cluster so that the gang reaches [phase] and stays in it
+     * long enough. The gang is not submitted.
+     */
+    private fun createGangReaching(scenario: GangScenario, phase: Phase): JobSpec {
         val simulation = scenario.simulation
-        // There are three machines at first.
-        val gang = scenario.gangSpec(tasks = if (phase == Phase.WAITING) 4 else 3, cpus = 9.0)
+        // The cluster starts with three machines, and each holds one task, so a fourth task waits.
+        val gang =
+            scenario.gangSpec(tasks = if (phase == Phase.WAITING_FOR_CAPACITY) 4 else 3, cpus = 9.0)
         when (phase) {
-            Phase.WAITING -> simulation.cloud.unavailable = true
+            Phase.WAITING_FOR_CAPACITY -> simulation.cloud.unavailable = true
             Phase.STARTING ->
                 for (i in 0..20) simulation.commandDelays["i-%06d".format(i)] = 3.seconds
             Phase.SAVING ->
@@ -38,7 +62,7 @@
                         scenario.workersHolding(gang).first().recallS = 30.0
                     }
                 }
-            Phase.BETWEEN ->
+            Phase.BETWEEN_ATTEMPTS ->
                 scenario.runWhen({ scenario.isFullyRunning(gang) }) {
                     simulation.cloud.rent("a", spot = false)
                     scenario.clock.after(6.seconds) {
@@ -51,29 +75,37 @@
         return gang
     }
 
-    /** The action is carried out when the gang has come to the phase. */
-    private fun inPhase(scenario: GangScenario, phase: Phase, gang: JobSpec, action: () -> Unit) {
+    /** Runs [action] when [gang] has reached [phase]. */
+    private fun runInPhase(
+        scenario: GangScenario,
+        phase: Phase,
+        gang: JobSpec,
+        action: () -> Unit,
+    ) {
         val simulation = scenario.simulation
-        val page = { simulation.store.value("t/${gang.id}/0") }
-        val begun = { scenario.invariants.gangStarts > 0 }
+        val taskPage = { simulation.store.value("t/${gang.id}/0") }
+        val hasRun = { scenario.invariants.gangStarts > 0 }
         when (phase) {
-            Phase.WAITING ->
+            Phase.WAITING_FOR_CAPACITY ->
                 scenario.runWhen({ scenario.storedValue("q", gang) != null }) {
                     scenario.clock.after(6.seconds) {
-                        assertEquals(null, page())
+                        assertEquals(null, taskPage())
                         action()
                     }
                 }
-            Phase.UNRECORDED -> simulation.store.isDelayed = { _, transaction ->
-                    val own = "\"t/${gang.id}/0\"" in transaction["then"].toString()
-                    if (own && page() == null) {
+            Phase.RECORDING -> simulation.store.isDelayed = { _, transaction ->
+                    val writesTaskPage = "\"t/${gang.id}/0\"" in transaction["then"].toString()
+                    if (writesTaskPage && taskPage() == null) {
                         simulation.store.isDelayed = { _, _ -> false }
                         action()
                     }
-                    own
+                    writesTaskPage
                 }
             Phase.STARTING ->
-                scenario.runWhen({ page() != null && scenario.taskStates(gang).isEmpty() }, action)
+                scenario.runWhen(
+                    { taskPage() != null && scenario.taskStates(gang).isEmpty() },
+                    action,
+                )
             Phase.FETCHING ->
                 scenario.runWhen({ scenario.taskStates(gang) == List(3) { "fetching" } }, action)
             Phase.GATHERING ->
@@ -83,29 +115,29 @@
                     scenario.clock.after(6.seconds, action)
                 }
             Phase.SAVING -> scenario.runWhen({ simulation.gangs.isSaving(gang.id) }, action)
-            Phase.BETWEEN ->
-                scenario.runWhen({ begun() && scenario.workersHolding(gang).isEmpty() }, action)
+            Phase.BETWEEN_ATTEMPTS ->
+                scenario.runWhen({ hasRun() && scenario.workersHolding(gang).isEmpty() }, action)
             Phase.DONE -> scenario.invariants.onAllTasksDone = { action() }
         }
     }
 
     @ParameterizedTest
     @MethodSource("phases")
-    fun `a cancelled gang is gone in time whatever its phase, and never starts again`(
+    fun `a cancelled gang is gone within the cancel time in any phase and never starts again`(
         phase: Phase,
         seed: Long,
     ) {
         val scenario = GangScenario(seed)
         val simulation = scenario.simulation
         simulation.run(2.seconds)
-        val gang = arrange(scenario, phase)
+        val gang = createGangReaching(scenario, phase)
         var cancelledAt: Micros? = null
-        inPhase(scenario, phase, gang) {
+        runInPhase(scenario, phase, gang) {
             if (cancelledAt == null) {
                 cancelledAt = scenario.clock.now
                 simulation.cancel(gang.id)
                 if (seed > 2) scenario.crashLeader(maxDelay = 3.seconds)
-                // Room for all of it comes afterwards.
+                // Afterwards there is capacity for the whole gang.
                 scenario.clock.after(2.seconds) {
                     simulation.cloud.unavailable = false
                     simulation.cloud.rent("b", spot = false)
@@ -116,39 +148,53 @@
         }
         simulation.submit(gang)
         simulation.run(60.seconds)
-        val asked = checkNotNull(cancelledAt) { "$phase was not reached" }
-        // Whoever was under way has arrived by then.
-        val told = scenario.invariants.cancellationReportedAt(gang.id) ?: asked
-        assertTrue(told - asked < 10.seconds, "told after ${told - asked}")
-        val settled = told + UNDER_WAY
-        simulation.run(maxOf(scenario.clock.now, settled))
+        val requestedAt = checkNotNull(cancelledAt) { "expected the gang to reach phase $phase" }
+        val reportedAt = scenario.invariants.cancellationReportedAt(gang.id) ?: requestedAt
+        assertTrue(
+            reportedAt - requestedAt < 10.seconds,
+            "expected the user to be told within 10 s, took ${reportedAt - requestedAt}",
+        )
+        // Start commands that were in flight have arrived by this deadline.
+        val inFlightDeadline = reportedAt + IN_FLIGHT_TIME
+        simulation.run(maxOf(scenario.clock.now, inFlightDeadline))
         val starts = scenario.invariants.starts
-        val begun = scenario.invariants.gangStarts
-        simulation.run(told + CANCEL_TIME)
-        assertEquals(emptyList(), scenario.taskStates(gang), "still on machines")
-        simulation.run(told + 120.seconds)
+        val gangStarts = scenario.invariants.gangStarts
+        simulation.run(reportedAt + CANCEL_TIMEOUT)
+        assertEquals(
+            emptyList(),
+            scenario.taskStates(gang),
+            "tasks on machines after the cancel time",
+        )
+        simulation.run(reportedAt + 120.seconds)
         scenario.assertNoViolations()
         assertEquals(
-            starts to begun,
+            starts to gangStarts,
             scenario.invariants.starts to scenario.invariants.gangStarts,
-            "started later",
+            "starts of tasks and of gangs after the deadline for commands in flight",
         )
         val final = scenario.invariants.finalStateOf(gang.id)
-        assertTrue(final == "cancelled" || (final == "done" && phase == Phase.DONE), "is $final")
+        assertTrue(
+            final == "cancelled" || (final == "done" && phase == Phase.DONE),
+            "expected a final state that fits phase $phase, got $final",
+        )
         assertEquals(final, scenario.storedJobState(gang).name.lowercase())
         for (prefix in listOf("q", "c")) assertEquals(
             null,
             scenario.storedValue(prefix, gang),
-            prefix,
+            "value under the key prefix $prefix",
         )
         assertEquals(null, simulation.store.value("t/${gang.id}/0"))
     }
 
     companion object {
-        private val CANCEL_TIME = 36.seconds
+        /** By this time after the cancellation was reported, no task is on a machine. */
+        private val CANCEL_TIMEOUT = 36.seconds
 
-        /** Ordered before a leader could hear of it, and then on its way. */
-        private val UNDER_WAY = 10.seconds
+        /**
+         * How long a start command may still arrive that was sent before the leader learned of the
+         * cancellation.
+         */
+        private val IN_FLIGHT_TIME = 10.seconds
 
         @JvmStatic
         fun phases(): List<Arguments> =
--- a/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
+++ b/src/test/kotlin/wardmux/sim/GangSimulationTest.kt
@@ -12,18 +12,22 @@
 import wardmux.model.PriorityClass
 import wardmux.model.seconds
 
-/** Seeded scenarios of gangs among arrays, with the troubles of [RandomSimulationTest]. */
+/**
+ * Seeded random scenarios of gangs among other jobs, with the faults of [FaultInjector]. They guard
+ * against faults, alone or combined, that violate an invariant, and against gangs that never get
+ * enough capacity at once to start.
+ */
 class GangSimulationTest {
     private class Scenario(seed: Long, operators: OperatorSettings = OperatorSettings()) {
         val simulation = ClusterSimulation(seed, operators = operators)
         private val clock = simulation.clock
-        private val troubles = FaultInjector(simulation, ::submit)
+        private val faults = FaultInjector(simulation, ::submit)
         val gangs = ArrayList<String>()
 
-        /** Of 2 to 12 tasks; most must be in one zone, and most save. */
-        private fun gang(): JobSpec {
+        /** A gang of 2 to 12 tasks. Most must be in one zone, and most can save their progress. */
+        private fun randomGang(): JobSpec {
             val tasks = 2 + clock.random.nextInt(11)
-            val saves = clock.chance(0.7)
+            val canSave = clock.chance(0.7)
             return simulation
                 .randomJob()
                 .copy(
@@ -35,17 +39,18 @@
                     oneZone = clock.chance(0.7),
                     spread = false,
                     estimateS = 2.0 + clock.random.nextInt(20),
-                    checkpointS = if (saves) 5.0 else 0.0,
-                    saveS = if (saves) 2.0 else 0.0,
+                    checkpointS = if (canSave) 5.0 else 0.0,
+                    saveS = if (canSave) 2.0 else 0.0,
                 )
         }
 
         private fun submit() {
-            val gang = clock.chance(0.5)
+            val isGang = clock.chance(0.5)
             val spec =
-                if (gang) gang() else simulation.randomJob().takeIf { it.kind != JobKind.GANG }
+                if (isGang) randomGang()
+                else simulation.randomJob().takeIf { it.kind != JobKind.GANG }
             if (spec == null) return
-            if (gang) gangs.add(spec.id)
+            if (isGang) gangs.add(spec.id)
             simulation.submit(spec)
             if (spec.kind == JobKind.SERVICE || clock.chance(0.1)) {
                 clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
@@ -54,53 +59,68 @@
             }
         }
 
-        private fun trouble() {
-            val all =
-                troubles.basicFaults +
-                    troubles.networkFaults +
-                    troubles.partitionFaults +
-                    troubles.cancellationFaults
-            all[clock.random.nextInt(all.size)]()
+        private fun injectRandomFault() {
+            val allFaults =
+                faults.basicFaults +
+                    faults.networkFaults +
+                    faults.partitionFaults +
+                    faults.cancellationFaults
+            allFaults[clock.random.nextInt(allFaults.size)]()
         }
 
-        fun play(troubled: Boolean) {
-            simulation.cloud.startFailureProbability = if (troubled) 0.1 else 0.0
+        /**
+         * Submits a job every 9 s until 150 s, injects a random fault every 9 s until 170 s if
+         * [withFaults], and runs until [SCENARIO_END].
+         */
+        fun run(withFaults: Boolean) {
+            simulation.cloud.startFailureProbability = if (withFaults) 0.1 else 0.0
             for (at in 2..150 step 9) clock.after(at.seconds) { submit() }
-            if (troubled) for (at in 10..170 step 9) clock.after(at.seconds) { trouble() }
-            simulation.run(END)
-            if (troubled) simulation.checkAtEnd(CALM)
+            if (withFaults)
+                for (at in 10..170 step 9) clock.after(at.seconds) { injectRandomFault() }
+            simulation.run(SCENARIO_END)
+            if (withFaults) simulation.checkAtEnd(FAULTS_END)
         }
 
-        fun open() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
+        /** The gangs whose users were not told yet that they are done or cancelled. */
+        fun unfinishedGangs() = gangs.filter { simulation.invariants.finalStateOf(it) == null }
     }
 
-    private fun troubled(seed: Long, operators: OperatorSettings) {
+    /** Runs a scenario with faults; asserts that no invariant was violated and that a gang ran. */
+    private fun assertNoViolationsWithFaults(seed: Long, operators: OperatorSettings) {
         val scenario = Scenario(seed, operators)
-        scenario.play(troubled = true)
+        scenario.run(withFaults = true)
         assertEquals(emptyList(), scenario.simulation.violations())
-        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
+        assertTrue(
+            scenario.simulation.invariants.gangStarts > 0,
+            "expected at least one gang to run, none did",
+        )
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken by gangs whatever fails`(seed: Long) = troubled(seed, OperatorSettings())
+    fun `no fault makes gangs violate an invariant`(seed: Long) =
+        assertNoViolationsWithFaults(seed, OperatorSettings())
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `nor where all controllers take heartbeats`(seed: Long) =
-        troubled(seed, forwardingSettings())
+    fun `no fault makes gangs violate an invariant if all controllers take heartbeats`(seed: Long) =
+        assertNoViolationsWithFaults(seed, forwardingSettings())
 
     @ParameterizedTest
-    @MethodSource("quietSeeds")
-    fun `in a quiet scenario every gang comes to its end`(seed: Long) {
+    @MethodSource("faultFreeSeeds")
+    fun `every gang ends if there are no faults`(seed: Long) {
         val scenario = Scenario(seed)
-        scenario.play(troubled = false)
+        scenario.run(withFaults = false)
         assertEquals(emptyList(), scenario.simulation.violations())
-        assertEquals(emptyList(), scenario.open())
-        assertTrue(scenario.simulation.invariants.gangStarts > 0, "no gang ran")
+        assertEquals(emptyList(), scenario.unfinishedGangs())
+        assertTrue(
+            scenario.simulation.invariants.gangStarts > 0,
+            "expected at least one gang to run, none did",
+        )
     }
 
-    private fun gang(
+    /** A gang of which all tasks must be in one zone: in [zone], or in any if it is null. */
+    private fun gangInOneZone(
         simulation: ClusterSimulation,
         tasks: Int,
         cpus: Double = 2.0,
@@ -111,26 +131,32 @@
             .unconstrainedGang(team, tasks, cpus, estimateS = 10.0)
             .copy(zone = zone, oneZone = true)
 
-    private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, within: Micros) {
-        simulation.run(within)
+    /** Runs up to the simulated time [until]; asserts that users were told that [jobs] are done. */
+    private fun assertDone(simulation: ClusterSimulation, jobs: List<JobSpec>, until: Micros) {
+        simulation.run(until)
         assertEquals(emptyList(), simulation.violations())
-        val open = jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
-        assertEquals(emptyList(), open, "ends: ${simulation.gangs.endCounts}")
+        val unfinished =
+            jobs.filter { simulation.invariants.finalStateOf(it.id) != "done" }.map { it.id }
+        assertEquals(
+            emptyList(),
+            unfinished,
+            "jobs that are not done; gang tasks ended by ${simulation.gangs.endCounts}",
+        )
     }
 
     @Test
-    fun `a large gang behind a stream of small tasks`() {
+    fun `a large gang runs despite a continuous stream of urgent small arrays`() {
         val simulation = ClusterSimulation(3)
         simulation.run(10.seconds)
         for (at in 0..200 step 2) {
-            simulation.clock.after(at.seconds) { simulation.submit(small(simulation)) }
+            simulation.clock.after(at.seconds) { simulation.submit(smallUrgentArray(simulation)) }
         }
-        val large = gang(simulation, tasks = 12)
-        simulation.clock.after(20.seconds) { simulation.submit(large) }
-        assertDone(simulation, listOf(large), within = 200.seconds)
+        val largeGang = gangInOneZone(simulation, tasks = 12)
+        simulation.clock.after(20.seconds) { simulation.submit(largeGang) }
+        assertDone(simulation, listOf(largeGang), until = 200.seconds)
     }
 
-    private fun small(simulation: ClusterSimulation): JobSpec =
+    private fun smallUrgentArray(simulation: ClusterSimulation): JobSpec =
         simulation.unconstrainedJob(
             JobKind.ARRAY,
             "team-1",
@@ -140,40 +166,42 @@
             priority = PriorityClass.HIGH,
         )
 
-    /** Either needs more than half of what one zone may have. */
+    /** Each gang needs more than half of the capacity of the zone. */
     @Test
-    fun `two gangs that compete for the room of one zone`() {
+    fun `two gangs that compete for the capacity of one zone both run`() {
         val simulation = ClusterSimulation(4)
         simulation.run(10.seconds)
-        val both = listOf("team-0", "team-1").map { gang(simulation, 4, 8.0, it, zone = "b") }
-        both.forEach(simulation::submit)
-        assertDone(simulation, both, within = 200.seconds)
+        val bothGangs =
+            listOf("team-0", "team-1").map { gangInOneZone(simulation, 4, 8.0, it, zone = "b") }
+        bothGangs.forEach(simulation::submit)
+        assertDone(simulation, bothGangs, until = 200.seconds)
     }
 
-    /** Each team's limit holds one of its gangs only. */
+    /** The quota of the team is enough for only one of its gangs at a time. */
     @Test
-    fun `many gangs of one team come one after the other`() {
+    fun `all gangs of one team run if its quota holds only one at a time`() {
         val simulation = ClusterSimulation(5)
         simulation.run(10.seconds)
-        val all = List(4) { gang(simulation, 12) }
-        all.forEach(simulation::submit)
-        assertDone(simulation, all, within = 300.seconds)
+        val gangs = List(4) { gangInOneZone(simulation, 12) }
+        gangs.forEach(simulation::submit)
+        assertDone(simulation, gangs, until = 300.seconds)
     }
 
     companion object {
-        private val END = 420.seconds
+        private val SCENARIO_END = 420.seconds
 
-        /** As in [RandomSimulationTest]. */
-        private val CALM = 285.seconds
+        /** All faults are over by this time, as in [RandomSimulationTest]. */
+        private val FAULTS_END = 285.seconds
 
-        /** Others for a longer search: `-DargLine="-Dwardmux.gangs=100-500"`. */
-        @JvmStatic fun seeds(): List<Long> = scenarios("wardmux.gangs", "1-16")
+        /** A longer search takes other seeds: `-DargLine="-Dwardmux.gangs=100-500"`. */
+        @JvmStatic fun seeds(): List<Long> = seedRange("wardmux.gangs", "1-16")
 
-        /** Likewise: `-Dwardmux.gangsQuiet=100-500`. */
-        @JvmStatic fun quietSeeds(): List<Long> = scenarios("wardmux.gangsQuiet", "1-4")
+        /** A longer search takes other seeds: `-DargLine="-Dwardmux.gangsQuiet=100-500"`. */
+        @JvmStatic fun faultFreeSeeds(): List<Long> = seedRange("wardmux.gangsQuiet", "1-4")
 
-        private fun scenarios(property: String, usual: String): List<Long> {
-            val range = (System.getProperty(property) ?: usual).split('-')
+        /** The seeds of the range FIRST-LAST in the system property, or in [defaultRange]. */
+        private fun seedRange(property: String, defaultRange: String): List<Long> {
+            val range = (System.getProperty(property) ?: defaultRange).split('-')
             return (range.first().toLong()..range.last().toLong()).toList()
         }
     }
--- a/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/wardmux/sim/LoweredLimitsTest.kt
@@ -14,24 +14,33 @@
 import wardmux.model.milliseconds
 import wardmux.model.seconds
 
-/** The limits of the key-value store fall in the middle of a scenario, without notice. */
+/**
+ * Guards against writes that the key-value store rejects, and against jobs that get stuck, when the
+ * store lowers its limits on writes at an unknown time, while records larger than the new limit on
+ * values may be stored.
+ */
 class LoweredLimitsTest {
     private class Scenario(
         seed: Long,
-        told: AnnouncedStoreLimits?,
+        announcedLimits: AnnouncedStoreLimits?,
         operators: OperatorSettings = OperatorSettings(),
     ) {
-        val simulation = ClusterSimulation(seed, operators = operators, announcedLimits = told)
+        val simulation =
+            ClusterSimulation(seed, operators = operators, announcedLimits = announcedLimits)
         val clock = simulation.clock
         val jobs = ArrayList<String>()
 
-        fun submit(alwaysWide: Boolean = false) {
+        /**
+         * Submits a random job, and cancels services and some others later. Half of the array jobs
+         * and, with [alwaysLargePage], all jobs get a placement record above the lower limit.
+         */
+        fun submit(alwaysLargePage: Boolean = false) {
             val random = simulation.randomJob()
-            val spec = if (alwaysWide) random.copy(kind = JobKind.ARRAY) else random
-            val wide = alwaysWide || spec.kind == JobKind.ARRAY && clock.chance(0.5)
-            // So many on one page that its record is larger than a value may be later.
+            val spec = if (alwaysLargePage) random.copy(kind = JobKind.ARRAY) else random
+            val hasLargePage = alwaysLargePage || spec.kind == JobKind.ARRAY && clock.chance(0.5)
+            // This many tasks make a placement record larger than the lower limit on values.
             val job =
-                if (!wide) spec
+                if (!hasLargePage) spec
                 else
                     spec.copy(
                         tasks = 120,
@@ -47,15 +56,16 @@
                     )
             jobs.add(job.id)
             simulation.submit(job)
-            val daemon = spec.kind == JobKind.SERVICE
-            if (daemon || clock.chance(0.2)) {
+            val isService = spec.kind == JobKind.SERVICE
+            if (isService || clock.chance(0.2)) {
                 clock.after(clock.randomBetween(1.seconds, 60.seconds)) {
                     simulation.cancel(job.id)
                 }
             }
         }
 
-        fun crashes(from: Micros) {
+        /** From [from] on, crashes the leader or a machine six times, every 9 s. */
+        fun scheduleCrashes(from: Micros) {
             repeat(6) { i ->
                 clock.after(from + (9 * i).seconds) {
                     if (clock.chance(0.5)) {
@@ -71,59 +81,73 @@
             }
         }
 
-        fun end() {
+        /**
+         * Runs the scenario and checks that no invariant was violated, no write was rejected for
+         * its size and every job ended.
+         */
+        fun runAndCheck() {
             simulation.run(330.seconds)
-            assertEquals(emptyList(), simulation.violations())
-            assertEquals(emptyList(), simulation.store.rejectedForSize)
-            assertTrue(simulation.invariants.starts > 0, "nothing ran")
+            assertEquals(emptyList(), simulation.violations(), "violated invariants")
+            assertEquals(
+                emptyList(),
+                simulation.store.rejectedForSize,
+                "writes rejected for their size",
+            )
+            assertTrue(simulation.invariants.starts > 0, "no task was started")
             assertEquals(
                 emptyList(),
                 jobs.filter { simulation.invariants.finalStateOf(it) == null },
+                "jobs that have not ended",
             )
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `who is told of them beforehand never goes beyond`(seed: Long) {
-        val scenario = Scenario(seed, LOWER)
+    fun `controllers that know the announced limits never exceed them`(seed: Long) {
+        val scenario = Scenario(seed, LOWER_LIMITS)
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
-        scenario.clock.after(40.seconds) { scenario.simulation.store.lowerLimits(LOWER) }
-        scenario.crashes(20.seconds)
-        scenario.end()
+        scenario.clock.after(40.seconds) { scenario.simulation.store.lowerLimits(LOWER_LIMITS) }
+        scenario.scheduleCrashes(20.seconds)
+        scenario.runAndCheck()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15, 16])
-    fun `pages stored before are read, taken down and rewritten once they fit`(seed: Long) {
-        val scenario = Scenario(seed, told = null)
+    fun `records above the lowered limits are read, and rewritten or removed once they fit`(
+        seed: Long
+    ) {
+        val scenario = Scenario(seed, announcedLimits = null)
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
         for (at in listOf(1, 8)) scenario.clock.after(at.seconds) {
-            scenario.submit(alwaysWide = true)
+            scenario.submit(alwaysLargePage = true)
         }
-        var fallen = false
+        var limitsLowered = false
         scenario.clock.every(100.milliseconds) {
-            // All come back told, while a page is large, and the limits fall at once.
-            if (!fallen && simulation.store.largestValueLength("t/") > 1024) {
-                fallen = true
-                simulation.announcedLimits = LOWER
+            // Once a stored placement record exceeds the lower limit, all controllers restart with
+            // the announced limits, and the store lowers its limits before they are back.
+            if (!limitsLowered && simulation.store.largestValueLength("t/") > 1024) {
+                limitsLowered = true
+                simulation.announcedLimits = LOWER_LIMITS
                 for (node in simulation.nodes) simulation.crash(node, 500.milliseconds)
-                scenario.clock.after(400.milliseconds) { simulation.store.lowerLimits(LOWER) }
+                scenario.clock.after(400.milliseconds) {
+                    simulation.store.lowerLimits(LOWER_LIMITS)
+                }
             }
         }
-        scenario.crashes(35.seconds)
-        scenario.end()
-        assertTrue(fallen, "no page was larger than a value may be later")
+        scenario.scheduleCrashes(35.seconds)
+        scenario.runAndCheck()
+        assertTrue(limitsLowered, "no placement record was above the lower limit of 1024 bytes")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23])
-    fun `nor do batches and answers that go round by the service`(seed: Long) {
-        val scenario = Scenario(seed, LOWER, forwardingSettings())
+    fun `batches of heartbeats forwarded through the store stay within the limits`(seed: Long) {
+        val scenario = Scenario(seed, LOWER_LIMITS, forwardingSettings())
         val simulation = scenario.simulation
         for (at in 2..100 step 7) scenario.clock.after(at.seconds) { scenario.submit() }
-        simulation.store.lowerLimits(LOWER)
+        simulation.store.lowerLimits(LOWER_LIMITS)
         scenario.clock.after(20.seconds) {
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.blockPath(a, b)
@@ -132,53 +156,76 @@
             for (a in simulation.nodes) for (b in simulation.nodes) if (a != b)
                 simulation.network.unblockPath(a, b)
         }
-        scenario.end()
-        assertTrue(simulation.store.largestValueLength("r/") > 0, "no batch went round")
+        scenario.runAndCheck()
+        assertTrue(
+            simulation.store.largestValueLength("r/") > 0,
+            "no batch of heartbeats was forwarded through the store",
+        )
     }
 
-    /** On few machines a page of 1 KiB holds some 100 tasks, on many some 20. */
+    /** A placement record of 1 KiB holds some 100 tasks on few machines, and some 20 on many. */
     @Test
-    fun `gangs that a page holds run, and one that none holds stands in nobody's way`() {
-        val simulation = ClusterSimulation(31, announcedLimits = LOWER)
-        simulation.store.lowerLimits(LOWER)
+    fun `a gang runs if its record fits the limits, and else does not block other jobs`() {
+        val simulation = ClusterSimulation(31, announcedLimits = LOWER_LIMITS)
+        simulation.store.lowerLimits(LOWER_LIMITS)
         simulation.run(5.seconds)
-        val never = wideGang(simulation, tasks = 200, cpus = 0.1)
-        simulation.submit(never)
-        val gang = wideGang(simulation, tasks = 60, cpus = 0.5)
+        val unplaceableGang = smallTaskGang(simulation, tasks = 200, cpus = 0.1)
+        simulation.submit(unplaceableGang)
+        val gang = smallTaskGang(simulation, tasks = 60, cpus = 0.5)
         val service =
-            wideGang(simulation, tasks = 60, cpus = 0.1)
+            smallTaskGang(simulation, tasks = 60, cpus = 0.1)
                 .copy(kind = JobKind.SERVICE, estimateS = 0.0)
         simulation.submit(gang)
         simulation.submit(service)
         val others = ArrayList<JobSpec>()
         for (at in 10..90 step 8) {
             simulation.clock.after(at.seconds) {
-                val other = wideGang(simulation, tasks = 4, cpus = 2.0)
+                val other = smallTaskGang(simulation, tasks = 4, cpus = 2.0)
                 others.add(other)
                 simulation.submit(other)
             }
         }
         simulation.run(200.seconds)
-        val ended = { job: JobSpec -> simulation.invariants.finalStateOf(job.id) }
-        assertEquals(emptyList(), (others + gang).filter { ended(it) != "done" }.map { it.tasks })
-        assertEquals(0, simulation.invariants.machinesOf(never.id).size)
-        assertTrue(simulation.invariants.machinesOf(service.id).isNotEmpty())
-        for (job in listOf(never, service)) {
-            assertEquals(null, ended(job), "it is known, and open")
+        val finalState = { job: JobSpec -> simulation.invariants.finalStateOf(job.id) }
+        assertEquals(
+            emptyList(),
+            (others + gang).filter { finalState(it) != "done" }.map { it.tasks },
+            "task counts of gangs that are not done",
+        )
+        assertEquals(
+            0,
+            simulation.invariants.machinesOf(unplaceableGang.id).size,
+            "machines of the gang whose record does not fit",
+        )
+        assertTrue(
+            simulation.invariants.machinesOf(service.id).isNotEmpty(),
+            "no task of the service runs",
+        )
+        for (job in listOf(unplaceableGang, service)) {
+            assertEquals(null, finalState(job), "final state of ${job.id}, which has not ended")
             simulation.cancel(job.id)
         }
         simulation.run(270.seconds)
-        assertEquals(listOf("cancelled", "cancelled"), listOf(never, service).map(ended))
-        assertEquals(emptyList(), simulation.violations())
-        assertEquals(emptyList(), simulation.store.rejectedForSize)
+        assertEquals(
+            listOf("cancelled", "cancelled"),
+            listOf(unplaceableGang, service).map(finalState),
+            "final states of the unplaceable gang and the service",
+        )
+        assertEquals(emptyList(), simulation.violations(), "violated invariants")
+        assertEquals(
+            emptyList(),
+            simulation.store.rejectedForSize,
+            "writes rejected for their size",
+        )
     }
 
-    private fun wideGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
+    /** A gang whose tasks need 0.1 GB of memory and save no checkpoints. */
+    private fun smallTaskGang(simulation: ClusterSimulation, tasks: Int, cpus: Double): JobSpec =
         simulation
             .unconstrainedGang("team-0", tasks, cpus, estimateS = 10.0)
             .copy(memoryGb = 0.1, checkpointS = 0.0, saveS = 0.0)
 
     private companion object {
-        val LOWER = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
+        val LOWER_LIMITS = AnnouncedStoreLimits(writeRps = 18.0, valueKb = 1.0, txnOps = 4)
     }
 }
