--- a/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
+++ b/src/test/kotlin/wardmux/app/ExternalNamesTest.kt
@@ -1,8 +1,6 @@
 package wardmux.app
 
 import com.tngtech.archunit.core.domain.JavaClass
-import com.tngtech.archunit.core.importer.ClassFileImporter
-import com.tngtech.archunit.core.importer.ImportOption
 import java.io.DataInputStream
 import java.io.File
 import java.io.InputStream
@@ -18,6 +16,7 @@
 import kotlinx.serialization.descriptors.StructureKind
 import picocli.CommandLine
 import picocli.CommandLine.Model.CommandSpec
+import wardmux.architecture.ProductionClasses
 import wardmux.cli.DrainExit
 import wardmux.fleet.DecommissionReason
 
@@ -29,11 +28,7 @@
  */
 class ExternalNamesTest {
     private val listed = ExternalNames.read(File(LIST_FILE))
-    private val classes =
-        ClassFileImporter()
-            .withImportOption(ImportOption.DoNotIncludeTests())
-            .importPackages("wardmux")
-            .toList()
+    private val classes = ProductionClasses.all.toList()
 
     /** The list has one line per serialized class: its fields in order, optional ones with '?'. */
     @Test
--- a/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/wardmux/architecture/ArchitectureTest.kt
@@ -2,10 +2,7 @@
 
 import com.tngtech.archunit.base.DescribedPredicate
 import com.tngtech.archunit.core.domain.JavaClass
-import com.tngtech.archunit.core.domain.JavaClasses
 import com.tngtech.archunit.core.domain.JavaModifier
-import com.tngtech.archunit.core.importer.ClassFileImporter
-import com.tngtech.archunit.core.importer.ImportOption
 import com.tngtech.archunit.lang.ArchRule
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses
@@ -20,7 +17,7 @@
  * packages that handle them.
  */
 class ArchitectureTest {
-    private fun check(rule: ArchRule) = rule.check(PRODUCTION_CLASSES)
+    private fun check(rule: ArchRule) = rule.check(ProductionClasses.all)
 
     @Test
     fun `dependencies between packages form no cycle`() =
@@ -82,7 +79,8 @@
     @Test
     fun `constructors take at most eight parameters except for data and serialized classes`() {
         val tooManyParameters =
-            PRODUCTION_CLASSES.filterNot { isDataOrSerialized(it) }
+            ProductionClasses.all
+                .filterNot { isDataOrSerialized(it) }
                 .flatMap { it.constructors }
                 .filterNot { JavaModifier.SYNTHETIC in it.modifiers }
                 .filter { it.rawParameterTypes.size > MAX_CONSTRUCTOR_PARAMETERS }
@@ -121,7 +119,7 @@
         }
 
     private companion object {
-        const val ROOT = "wardmux"
+        const val ROOT = ProductionClasses.ROOT_PACKAGE
         const val MAX_CONSTRUCTOR_PARAMETERS = 8
         val OUTER_PACKAGES = listOf("http", "cli", "config", "logging")
         val SOCKETS_AND_THREADS =
@@ -151,10 +149,5 @@
                     arrayOf("wardmux.cloud.."),
                 "wardmux\\.store\\..*(Wire|Message)(\\$.*)?" to arrayOf("wardmux.store.."),
             )
-
-        val PRODUCTION_CLASSES: JavaClasses =
-            ClassFileImporter()
-                .withImportOption(ImportOption.DoNotIncludeTests())
-                .importPackages(ROOT)
     }
 }
--- a/src/test/kotlin/wardmux/sim/EffectDigest.kt
+++ b/src/test/kotlin/wardmux/sim/EffectDigest.kt
@@ -50,7 +50,8 @@
     private fun add(number: Long) =
         hash.update(ByteBuffer.allocate(Long.SIZE_BYTES).putLong(number).array())
 
-    override fun toString() = "$count ${hash.digest().toHexString()}"
+    /** Ends the digest and returns its line in the file; nothing may be recorded afterwards. */
+    private fun finish() = "$count ${hash.digest().toHexString()}"
 
     companion object {
         /** Answers with this status or a higher one explain an error in a text for people. */
@@ -75,8 +76,6 @@
          * depends on their names.
          */
         private fun write(file: File) =
-            file.writeText(
-                digests.map { it.toString() }.sorted().joinToString("\n", postfix = "\n")
-            )
+            file.writeText(digests.map { it.finish() }.sorted().joinToString("\n", postfix = "\n"))
     }
 }
--- a/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/wardmux/sim/SimulatedUsers.kt
@@ -94,6 +94,18 @@
             Json.parseToJsonElement(text).jsonObject["status"]?.jsonPrimitive?.content
         else null
 
+    /** Checks the answer to a [call] about [job]; [status] is null if there was no answer. */
+    private fun recordAnswer(
+        job: String,
+        call: String,
+        status: Int?,
+        text: String,
+        requestedAt: Micros,
+    ) {
+        if (status == null) return
+        invariants.recordAnswer(clock.now, job, call, status, statusIn(text), requestedAt)
+    }
+
     /** Submits [spec] until it is accepted, for at most 60 s, and then polls its status. */
     fun submit(spec: JobSpec) {
         specs[spec.id] = spec
@@ -105,15 +117,7 @@
         val body = lenientJson.encodeToString(JobSpec.serializer(), spec).encodeToByteArray()
         val requestedAt = clock.now
         request("POST", "/submissions", body) { status, text ->
-            if (status != null)
-                invariants.recordAnswer(
-                    clock.now,
-                    spec.id,
-                    "POST",
-                    status,
-                    statusIn(text),
-                    requestedAt,
-                )
+            recordAnswer(spec.id, "POST", status, text, requestedAt)
             if (status == 200 || status == 201) {
                 acceptedSubmissions++
                 // Some users repeat a submission that was already accepted.
@@ -135,8 +139,7 @@
     fun poll(job: String) {
         val requestedAt = clock.now
         request("GET", "/submissions/$job", ByteArray(0)) { status, text ->
-            if (status != null)
-                invariants.recordAnswer(clock.now, job, "GET", status, statusIn(text), requestedAt)
+            recordAnswer(job, "GET", status, text, requestedAt)
             invariants.recordPoll(clock.now, job, status == 200)
             clock.after(clock.randomBetween(3.seconds, 6.seconds)) { poll(job) }
         }
@@ -150,15 +153,7 @@
         invariants.recordCancelRequest(job)
         val requestedAt = clock.now
         request("POST", "/submissions/$job/abort", ByteArray(0), controller) { status, text ->
-            if (status != null)
-                invariants.recordAnswer(
-                    clock.now,
-                    job,
-                    "abort",
-                    status,
-                    statusIn(text),
-                    requestedAt,
-                )
+            recordAnswer(job, "abort", status, text, requestedAt)
             if (status != 200) clock.after(1.seconds) { cancel(job, controller) }
             // If no answer has accepted the submission yet, polling starts with this first response
             // about the job.
@@ -245,15 +240,7 @@
     private fun cancelCompletedJob(job: String) {
         val requestedAt = clock.now
         request("POST", "/submissions/$job/abort", ByteArray(0)) { status, text ->
-            if (status != null)
-                invariants.recordAnswer(
-                    clock.now,
-                    job,
-                    "abort",
-                    status,
-                    statusIn(text),
-                    requestedAt,
-                )
+            recordAnswer(job, "abort", status, text, requestedAt)
         }
     }
 
